--- a/internal/waiting/count.go
+++ b/internal/admissionqueue/count.go
@@ -1,4 +1,4 @@
-package waiting
+package admissionqueue
 
 import "robinpulley.example/robinpulley/internal/lb"
 
--- a/internal/waiting/room.go
+++ b/internal/admissionqueue/room.go
@@ -1,4 +1,4 @@
-package waiting
+package admissionqueue
 
 import (
 	"time"
--- a/internal/waiting/waiting.go
+++ b/internal/admissionqueue/waiting.go
@@ -3,7 +3,7 @@
 // them at once. It says in which order they are asked for again, when one's time
 // is up, and which ones cannot be met; whoever holds the queue says whether there
 // is room. The package has no I/O and no clock. See docs/design/waiting.md.
-package waiting
+package admissionqueue
 
 import (
 	"cmp"
--- a/internal/heldwork/heldwork.go
+++ b/internal/committedload/heldwork.go
@@ -3,7 +3,7 @@
 // fraction of what they bring as long as the flows stay open, and an open flow can't be refused. Each
 // balancer lets in no more than its own part of the slots can serve, so that no balancer, and no
 // zone, gets its flows at the cost of the others. The package has no I/O and no clock.
-package heldwork
+package committedload
 
 import (
 	"math"
--- a/internal/heldwork/heldwork_test.go
+++ b/internal/committedload/heldwork_test.go
@@ -1,4 +1,4 @@
-package heldwork
+package committedload
 
 import (
 	"testing"
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -14,12 +14,12 @@
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/message"
-	"robinpulley.example/robinpulley/internal/observe"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/overload"
-	"robinpulley.example/robinpulley/internal/reach"
+	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/turns"
-	"robinpulley.example/robinpulley/internal/waiting"
+	"robinpulley.example/robinpulley/internal/subset"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // PacketKind says what a packet tells about its flow.
@@ -150,9 +150,9 @@
 	HandoverDone bool
 	// Backends are back ends that have fallen silent or answer again, as far as
 	// this node sees. They hold until the next step.
-	Backends []observe.Change
+	Backends []passivehealth.Change
 	// Outcomes are how requests at back ends went. They hold until the next step.
-	Outcomes []observe.Outcome
+	Outcomes []passivehealth.Outcome
 	// Overload are services that have become overloaded, or are so no more. They
 	// hold until the next step.
 	Overload []overload.Change
@@ -162,7 +162,7 @@
 	// OpenFlows are flows to be announced to other balancers, for AffinityToken.
 	OpenFlows []conntrack.Flow
 	// Reach are zones that are reached no more, or are again. They hold until the next step.
-	Reach []reach.Change
+	Reach []reachability.Change
 	// Released are openings that were held and are now decided. They hold until
 	// the next step.
 	Released []Released
@@ -189,7 +189,7 @@
 	Table *steering.Table
 	// Avoid are the back ends that the nodes together take for failing, for
 	// AffinityToken; empty, not nil: none.
-	Avoid []observe.Identity
+	Avoid []passivehealth.Identity
 	// Loads is what the fleet knows of the load of services, for AffinityToken; empty, not
 	// nil: nothing.
 	Loads map[lb.ServiceName]fleetload.Service
@@ -287,9 +287,9 @@
 	// Picking is how the back end of a new flow is chosen, for AffinityToken.
 	Picking Picking
 	// Turns are the parameters of PickTurns.
-	Turns turns.Settings
+	Turns subset.Settings
 	// Waiting are those of openings that wait for room, for AffinityToken.
-	Waiting waiting.Settings
+	Waiting admissionqueue.Settings
 	// ColdStart bounds the new flows of back ends that have just started, for AffinityToken.
 	ColdStart coldstart.Settings
 }
@@ -308,8 +308,8 @@
 		RetryAfter:             500 * time.Millisecond,
 		Overload:               overload.DefaultSettings(),
 		Picking:                PickTurns,
-		Turns:                  turns.DefaultSettings(),
-		Waiting:                waiting.DefaultSettings(),
+		Turns:                  subset.DefaultSettings(),
+		Waiting:                admissionqueue.DefaultSettings(),
 		ColdStart:              coldstart.DefaultSettings(self, zone),
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,9 +6,9 @@
 	"robinpulley.example/robinpulley/internal/conntrack"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/observe"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/overload"
-	"robinpulley.example/robinpulley/internal/reach"
+	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/rendezvous"
 	"robinpulley.example/robinpulley/internal/steering"
 )
@@ -66,16 +66,16 @@
 	setMembers(members []Member)
 	setTable(table *steering.Table)
 	tick()
-	changes() []observe.Change
-	outcomes() []observe.Outcome
-	avoid(identities []observe.Identity)
+	changes() []passivehealth.Change
+	outcomes() []passivehealth.Outcome
+	avoid(identities []passivehealth.Identity)
 	overloads() []overload.Change
 	pressures() []overload.Status
 	setLoads(loads map[lb.ServiceName]fleetload.Service)
 	samples() []fleetload.Sample
 	heard(zones []ZoneHeard)
-	reached() []reach.Change
-	zones() []reach.Status
+	reached() []reachability.Change
+	zones() []reachability.Status
 	look(all bool)
 	takeReleased() []Released
 	waits() int
@@ -155,7 +155,7 @@
 }
 
 // Zones gives which zones' back ends are reached, for AffinityToken.
-func (core *Core) Zones() []reach.Status { return core.affinity.zones() }
+func (core *Core) Zones() []reachability.Status { return core.affinity.zones() }
 
 // Waiting is how many openings are held, for AffinityToken.
 func (core *Core) Waiting() int { return core.affinity.waits() }
--- a/internal/core/hands.go
+++ b/internal/core/hands.go
@@ -5,26 +5,26 @@
 	"slices"
 
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/observe"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/rendezvous"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/turns"
-	"robinpulley.example/robinpulley/internal/zoneshare"
+	"robinpulley.example/robinpulley/internal/subset"
+	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
 // hands are the dealers of all services, and what their hands are dealt by.
 type hands struct {
-	place   turns.Place
+	place   subset.Place
 	dealers map[lb.ServiceName]*hand
 }
 
 // hand is the dealer of a service, and what its present hand is of.
 type hand struct {
-	dealer *turns.Dealer
+	dealer *subset.Dealer
 	// service is what circle is the order of the back ends of.
 	service *steering.Service
-	circle  *turns.Circle
-	place   turns.Place
+	circle  *subset.Circle
+	place   subset.Place
 }
 
 // keep forgets the hands of services but those to keep.
@@ -44,7 +44,7 @@
 	slices.SortFunc(staying, func(a, b lb.NodeID) int {
 		return compareHashes(a.Hash(), b.Hash())
 	})
-	h.place = turns.Place{Rank: max(0, slices.Index(staying, self)), Nodes: max(1, len(staying))}
+	h.place = subset.Place{Rank: max(0, slices.Index(staying, self)), Nodes: max(1, len(staying))}
 }
 
 func compareHashes(a, b lb.NodeHash) int {
@@ -58,13 +58,13 @@
 }
 
 // of gives the dealer of a service, with a hand of its present back ends.
-func (h *hands) of(core *Core, service *steering.Service) *turns.Dealer {
+func (h *hands) of(core *Core, service *steering.Service) *subset.Dealer {
 	if h.dealers == nil {
 		h.dealers = make(map[lb.ServiceName]*hand)
 	}
 	known := h.dealers[service.Name]
 	if known == nil {
-		known = &hand{dealer: turns.New(core.settings.Turns)}
+		known = &hand{dealer: subset.New(core.settings.Turns)}
 		h.dealers[service.Name] = known
 	}
 	if known.service == service && known.place == h.place {
@@ -79,19 +79,19 @@
 }
 
 // circleOf gives the order of the ready back ends of a service, those of its ring.
-func circleOf(service *steering.Service) *turns.Circle {
+func circleOf(service *steering.Service) *subset.Circle {
 	ring := service.Ring()
-	backends := make([]turns.Backend, len(ring))
+	backends := make([]subset.Backend, len(ring))
 	for index, host := range ring {
-		backends[index] = turns.Backend{
-			Identity: turns.Identity(host.Run), Zone: host.Zone, Size: host.Size(),
+		backends[index] = subset.Backend{
+			Identity: subset.Identity(host.Run), Zone: host.Zone, Size: host.Size(),
 		}
 	}
-	return turns.NewCircle(backends)
+	return subset.NewCircle(backends)
 }
 
 // parts gives those of zones of this node's new flows of a service.
-func (a *tokenAffinity) parts(service *steering.Service) zoneshare.Parts {
+func (a *tokenAffinity) parts(service *steering.Service) zoneweight.Parts {
 	if known := a.shares[service.Name]; known != nil {
 		return known.parts
 	}
@@ -114,7 +114,7 @@
 		ring := service.Ring()
 		index := a.hands.of(a.core, service).Pick(a.parts(service),
 			func(index int) float64 { return max(0, a.factor(service, ring[index])) }, // those out of reach get nothing
-			func(index int) int { return a.observer.Busy(observe.Identity(ring[index].Run)) },
+			func(index int) int { return a.observer.Busy(passivehealth.Identity(ring[index].Run)) },
 		)
 		if index >= 0 {
 			return ring[index]
@@ -128,7 +128,7 @@
 func (a *tokenAffinity) rankTrusted(service *steering.Service, flow lb.FlowID) *steering.Host {
 	a.weigh(service)
 	for index, host := range service.Ready {
-		if a.factors[index] > 0 && a.observer.Suspect(observe.Identity(host.Run)) {
+		if a.factors[index] > 0 && a.observer.Suspect(passivehealth.Identity(host.Run)) {
 			a.factors[index] = 0
 		}
 	}
--- a/internal/core/packet.go
+++ b/internal/core/packet.go
@@ -4,9 +4,9 @@
 	"robinpulley.example/robinpulley/internal/conntrack"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/observe"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/overload"
-	"robinpulley.example/robinpulley/internal/reach"
+	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/steering"
 )
 
@@ -40,12 +40,12 @@
 func (chainAffinity) tick() {}
 
 // changes gives nothing: the chain's evidence is gathered by its node.
-func (chainAffinity) changes() []observe.Change { return nil }
+func (chainAffinity) changes() []passivehealth.Change { return nil }
 
 // outcomes gives nothing, and avoid does nothing: see changes.
-func (chainAffinity) outcomes() []observe.Outcome { return nil }
+func (chainAffinity) outcomes() []passivehealth.Outcome { return nil }
 
-func (chainAffinity) avoid([]observe.Identity) {}
+func (chainAffinity) avoid([]passivehealth.Identity) {}
 
 // overloads and pressures give nothing: this affinity has no overload control.
 func (chainAffinity) overloads() []overload.Change { return nil }
@@ -58,9 +58,9 @@
 func (chainAffinity) samples() []fleetload.Sample { return nil }
 func (chainAffinity) heard([]ZoneHeard)           {}
 
-func (chainAffinity) reached() []reach.Change { return nil }
+func (chainAffinity) reached() []reachability.Change { return nil }
 
-func (chainAffinity) zones() []reach.Status { return nil }
+func (chainAffinity) zones() []reachability.Status { return nil }
 
 // look, takeReleased and waits do nothing: nothing is held for room here.
 func (chainAffinity) look(bool) {}
--- a/internal/core/reach.go
+++ b/internal/core/reach.go
@@ -2,7 +2,7 @@
 
 import (
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/reach"
+	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/steering"
 )
 
@@ -13,7 +13,7 @@
 		switch {
 		case host == nil: // gone meanwhile
 		case sign.Missing:
-			a.reach.Unanswered(a.core.now, host.Zone, reach.Identity(sign.Identity), sign.Sent)
+			a.reach.Unanswered(a.core.now, host.Zone, reachability.Identity(sign.Identity), sign.Sent)
 		default:
 			a.reach.Answered(a.core.now, host.Zone)
 		}
@@ -28,9 +28,9 @@
 	}
 }
 
-func (a *tokenAffinity) reached() []reach.Change { return a.reach.Changes() }
+func (a *tokenAffinity) reached() []reachability.Change { return a.reach.Changes() }
 
-func (a *tokenAffinity) zones() []reach.Status { return a.reach.Status() }
+func (a *tokenAffinity) zones() []reachability.Status { return a.reach.Status() }
 
 // probe gives the back end of an opening that finds out whether a zone is reached
 // again; nil: none is due.
--- a/internal/core/reach_test.go
+++ b/internal/core/reach_test.go
@@ -8,7 +8,7 @@
 
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/view"
-	"robinpulley.example/robinpulley/internal/zoneshare"
+	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
 // zonedCore is a core of zone za whose back ends are in zones zb and zc, as while
@@ -137,7 +137,7 @@
 		core.settings.Picking = picking
 		core.run(2 * time.Second)
 		affinity := core.affinity.(*tokenAffinity)
-		parts := zoneshare.Parts{"zb": 1}
+		parts := zoneweight.Parts{"zb": 1}
 		affinity.shares["web"] = &share{parts: parts, weights: affinity.table.ServiceNamed("web").Weights(parts)}
 		is.Equal(core.run(time.Second)["zb"], 50)
 		core.silent = map[lb.Zone]bool{"zb": true}
--- a/internal/core/shares.go
+++ b/internal/core/shares.go
@@ -6,18 +6,18 @@
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/waiting"
-	"robinpulley.example/robinpulley/internal/zoneshare"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
+	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
 // Shares gives where this node's new flows of each service go, by zone, for AffinityToken:
 // by what the fleet knows of its load, or else by the table.
-func (core *Core) Shares() map[lb.ServiceName]zoneshare.Parts {
+func (core *Core) Shares() map[lb.ServiceName]zoneweight.Parts {
 	affinity, is := core.affinity.(*tokenAffinity)
 	if !is || affinity.table == nil {
 		return nil
 	}
-	shares := make(map[lb.ServiceName]zoneshare.Parts)
+	shares := make(map[lb.ServiceName]zoneweight.Parts)
 	for name, service := range affinity.table.Services() {
 		shares[name] = service.Even()
 		if known := affinity.shares[name]; known != nil {
@@ -28,7 +28,7 @@
 }
 
 // WaitingBy gives how many openings are held by service and priority, for AffinityToken.
-func (core *Core) WaitingBy() map[waiting.Level]int {
+func (core *Core) WaitingBy() map[admissionqueue.Level]int {
 	affinity, is := core.affinity.(*tokenAffinity)
 	if !is {
 		return nil
@@ -38,7 +38,7 @@
 
 // share is where this node's new flows of a service go, by what the fleet knows.
 type share struct {
-	parts zoneshare.Parts
+	parts zoneweight.Parts
 	// weights are those of the ready hosts of a service; nil: not worked out yet.
 	weights []float64
 	of      *steering.Service
@@ -75,20 +75,20 @@
 			delete(a.shares, name)
 			continue
 		}
-		known.parts = zoneshare.Approach(known.parts, wanted, zoneshare.MostStep)
+		known.parts = zoneweight.Approach(known.parts, wanted, zoneweight.MostStep)
 		known.weights = nil
 	}
 }
 
 // wantedParts gives the parts of zones for a service, by what is known; nil: nothing is
 // known, and the parts are those of the table.
-func (a *tokenAffinity) wantedParts(service *steering.Service) zoneshare.Parts {
+func (a *tokenAffinity) wantedParts(service *steering.Service) zoneweight.Parts {
 	known, found := a.loads[service.Name]
 	if !found {
 		return nil
 	}
 	capacity := service.Capacity()
-	return zoneshare.Split(a.core.settings.Zone, zoneshare.Known(capacity, &known), zoneshare.Home)
+	return zoneweight.Split(a.core.settings.Zone, zoneweight.Known(capacity, &known), zoneweight.Home)
 }
 
 // sampleInterval is the time between samples of load: short beside the window of reports.
--- a/internal/core/token.go
+++ b/internal/core/token.go
@@ -8,12 +8,12 @@
 	"robinpulley.example/robinpulley/internal/conntrack"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/observe"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/overload"
-	"robinpulley.example/robinpulley/internal/reach"
+	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/rendezvous"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/waiting"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // tokenAffinity is AffinityToken: the opening is given a token that names its
@@ -22,16 +22,16 @@
 type tokenAffinity struct {
 	core     *Core
 	table    *steering.Table // nil: no view yet
-	observer *observe.Observer
+	observer *passivehealth.Observer
 	// opened are the flows that a late answer to their opening must not move.
 	opened   *conntrack.Table
 	overload *overload.Controller
 	// cold says which back ends that have just started this node may use.
 	cold *coldstart.Limiter
 	// reach says which zones' back ends this node reaches.
-	reach    *reach.Tracker
-	waiting  *waiting.Queue[heldOpening]
-	rooms    *waiting.Rooms
+	reach    *reachability.Tracker
+	waiting  *admissionqueue.Queue[heldOpening]
+	rooms    *admissionqueue.Rooms
 	looking  bool // openings that wait are decided anew
 	closed   bool // nothing is held any more
 	released []Released
@@ -48,13 +48,13 @@
 
 func newTokenAffinity(core *Core) *tokenAffinity {
 	affinity := &tokenAffinity{
-		core: core, observer: observe.New(observe.DefaultSettings()), opened: conntrack.New(conntrack.DefaultSettings()), shares: make(map[lb.ServiceName]*share),
+		core: core, observer: passivehealth.New(passivehealth.DefaultSettings()), opened: conntrack.New(conntrack.DefaultSettings()), shares: make(map[lb.ServiceName]*share),
 	}
 	affinity.overload = overload.New(core.settings.Overload)
 	affinity.cold = coldstart.New(core.settings.ColdStart)
-	affinity.reach = reach.New(reach.DefaultSettings(core.settings.Zone))
-	affinity.waiting = waiting.New[heldOpening](core.settings.Waiting)
-	affinity.rooms = waiting.NewRooms(core.settings.Waiting)
+	affinity.reach = reachability.New(reachability.DefaultSettings(core.settings.Zone))
+	affinity.waiting = admissionqueue.New[heldOpening](core.settings.Waiting)
+	affinity.rooms = admissionqueue.NewRooms(core.settings.Waiting)
 	return affinity
 }
 
@@ -64,7 +64,7 @@
 	a.reach.Forget(table.HasZone)
 	present := func(run uint64) bool { return table.HostOfRun(run) != nil }
 	a.cold.Forget(func(identity coldstart.Identity) bool { return present(uint64(identity)) })
-	a.observer.Forget(func(identity observe.Identity) bool { return present(uint64(identity)) })
+	a.observer.Forget(func(identity passivehealth.Identity) bool { return present(uint64(identity)) })
 	a.overload.Forget(a.core.now, func(identity overload.Identity) bool { return present(uint64(identity)) }, table.HasService)
 	a.waiting.Forget(table.HasService)
 	a.rooms.Forget(table.HasService)
@@ -81,11 +81,11 @@
 	a.reach.SetNodes(len(members))
 }
 
-func (a *tokenAffinity) outcomes() []observe.Outcome { return a.observer.Outcomes() }
+func (a *tokenAffinity) outcomes() []passivehealth.Outcome { return a.observer.Outcomes() }
 
-func (a *tokenAffinity) avoid(identities []observe.Identity) { a.observer.Avoid(identities) }
+func (a *tokenAffinity) avoid(identities []passivehealth.Identity) { a.observer.Avoid(identities) }
 
-func (a *tokenAffinity) changes() []observe.Change { return a.observer.Changes() }
+func (a *tokenAffinity) changes() []passivehealth.Change { return a.observer.Changes() }
 
 func (a *tokenAffinity) overloads() []overload.Change { return a.overload.Changes() }
 
@@ -162,7 +162,7 @@
 func (a *tokenAffinity) place(packet *Packet, decision *Decision, frontend *lb.FrontendKey, host *steering.Host) {
 	forwardTo(decision, host)
 	decision.Token = host.Token(frontend)
-	a.observer.Opened(a.core.now, packet.Key.ID(), observe.Identity(host.Run))
+	a.observer.Opened(a.core.now, packet.Key.ID(), passivehealth.Identity(host.Run))
 	if host.Cold {
 		a.cold.Sent(a.core.now, coldstart.Identity(host.Run))
 	}
@@ -204,7 +204,7 @@
 		return host, false
 	}
 	first := a.deal(service, flow)
-	if copies > 0 && first != nil && a.observer.Suspect(observe.Identity(first.Run)) {
+	if copies > 0 && first != nil && a.observer.Suspect(passivehealth.Identity(first.Run)) {
 		if trusted := a.rankTrusted(service, flow); trusted != nil {
 			return trusted, false
 		}
@@ -244,7 +244,7 @@
 	if !a.reach.All() && !a.reach.Reaches(host.Zone) {
 		return steering.FactorUnreached
 	}
-	return a.observer.Factor(a.core.now, service.Name, observe.Identity(host.Run))
+	return a.observer.Factor(a.core.now, service.Name, passivehealth.Identity(host.Run))
 }
 
 // admit asks whether an opening may go to a back end. Copies may always: an
@@ -288,16 +288,16 @@
 	if host.Token(&frontend) != token {
 		return // of its run before: it resets the flow, which says nothing of how it does
 	}
-	if pending, found := a.observer.Pending(flow); found && pending != observe.Identity(host.Run) {
+	if pending, found := a.observer.Pending(flow); found && pending != passivehealth.Identity(host.Run) {
 		a.opened.Open(a.core.now, conntrack.Flow{ID: flow, Token: conntrack.Token(token), Acknowledged: packet.Acknowledged})
 	}
 	if packet.Kind == PacketClosing {
 		a.overload.Closed(flow)
 	}
-	a.observer.Measure(a.core.now, flow, frontend, observe.Identity(host.Run),
+	a.observer.Measure(a.core.now, flow, frontend, passivehealth.Identity(host.Run),
 		packet.Acknowledged, packet.HasData, packet.Kind == PacketClosing)
 	took, answered, begun := a.observer.Later(a.core.now, flow, host.Service,
-		observe.Identity(host.Run), packet.Acknowledged, packet.HasData)
+		passivehealth.Identity(host.Run), packet.Acknowledged, packet.HasData)
 	a.noteSigns()
 	if !answered && !begun {
 		return
--- a/internal/core/token_test.go
+++ b/internal/core/token_test.go
@@ -11,7 +11,7 @@
 
 	"robinpulley.example/robinpulley/internal/coldstart"
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/observe"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/steering"
 	"robinpulley.example/robinpulley/internal/view"
 )
@@ -299,7 +299,7 @@
 	old := tokenBackend("i-1", "web", 1, lb.BackendActive)
 	old.Backend.Born = 1000
 	core.list(0, tokenListing(9, old))
-	run := observe.Identity(old.Backend.Run())
+	run := passivehealth.Identity(old.Backend.Run())
 	opened := core.send(0, tokenOpening(1, 443))
 	is.Equal(opened.Action, ActionForward)
 	is.Equal(opened.Identity, uint64(1)) // what packets say does not change with the run
@@ -311,8 +311,8 @@
 	restarted.Revision = 10
 	restarted.Backend.Born = 2000
 	core.list(200*time.Millisecond, tokenListing(10, restarted))
-	core.Step(200*time.Millisecond, &Event{Avoid: []observe.Identity{run}}, &core.effects) // a late verdict
-	started := observe.Identity(restarted.Backend.Run())
+	core.Step(200*time.Millisecond, &Event{Avoid: []passivehealth.Identity{run}}, &core.effects) // a late verdict
+	started := passivehealth.Identity(restarted.Backend.Run())
 	is.Equal(observer.Factor(200*time.Millisecond, "web", started), 1.0)
 	is.Equal(observer.Busy(started), 0)
 	is.Equal(observer.Busy(run), 0)
--- a/internal/core/waiting.go
+++ b/internal/core/waiting.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/observe"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/waiting"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // MostHeldBytes is the largest datagram that is held: openings carry no data,
@@ -70,7 +70,7 @@
 func (a *tokenAffinity) freed(service *steering.Service, frontend *lb.FrontendKey) *steering.Host {
 	objective, _ := a.table.Objective(frontend)
 	identity, found := a.rooms.Take(a.core.now, service.Name, objective)
-	if !found || a.observer.Factor(a.core.now, service.Name, observe.Identity(identity)) < 1 {
+	if !found || a.observer.Factor(a.core.now, service.Name, passivehealth.Identity(identity)) < 1 {
 		return nil
 	}
 	host := a.table.HostOfRun(identity)
@@ -103,7 +103,7 @@
 	}
 	frontend := packet.Key.Frontend()
 	objective, _ := a.table.Objective(&frontend)
-	held := a.waiting.Hold(a.core.now, waiting.Opening{
+	held := a.waiting.Hold(a.core.now, admissionqueue.Opening{
 		Flow: packet.Key.ID(), OpeningID: packet.OpeningID, Service: service.Name, Objective: objective,
 	})
 	if held == nil {
@@ -146,33 +146,33 @@
 }
 
 // lookAt decides on one opening that waits.
-func (a *tokenAffinity) lookAt(held *waiting.Waiter[heldOpening], chance waiting.Chance) waiting.Fate {
+func (a *tokenAffinity) lookAt(held *admissionqueue.Waiter[heldOpening], chance admissionqueue.Chance) admissionqueue.Fate {
 	decision := Decision{Service: held.Service, Waited: a.core.now - held.Arrived}
-	if chance == waiting.ChanceGone || a.core.now < a.core.discardUntil {
+	if chance == admissionqueue.ChanceGone || a.core.now < a.core.discardUntil {
 		decision.drop(ReasonPaused)
 		a.release(held, &decision)
-		return waiting.FateEnded
+		return admissionqueue.FateEnded
 	}
 	if !a.openAgain(&held.Kept.packet, &decision, chance) {
-		return waiting.FateWaits
+		return admissionqueue.FateWaits
 	}
 	a.release(held, &decision)
 	if decision.Action == ActionForward {
-		return waiting.FateWent
+		return admissionqueue.FateWent
 	}
-	return waiting.FateEnded
+	return admissionqueue.FateEnded
 }
 
 // openAgain decides anew on an opening that waits; false: it waits on. While the
 // service is pressed it goes only where a back end has become free: by admission
 // all that wait would go at the moment at which it lets in more.
-func (a *tokenAffinity) openAgain(packet *Packet, decision *Decision, chance waiting.Chance) bool {
+func (a *tokenAffinity) openAgain(packet *Packet, decision *Decision, chance admissionqueue.Chance) bool {
 	service := a.table.Service(&packet.Key)
 	frontend := packet.Key.Frontend()
 	objective, _ := a.table.Objective(&frontend)
 	if service == nil || len(service.Ready) == 0 || a.outOfReach(service) || !a.overload.Pressed(service.Name) {
 		a.open(packet, decision)
-		if decision.Reason == ReasonOverload && chance == waiting.ChanceMore {
+		if decision.Reason == ReasonOverload && chance == admissionqueue.ChanceMore {
 			a.overload.Held(a.core.now, decision.Service, objective)
 			return false
 		}
@@ -185,7 +185,7 @@
 		a.place(packet, decision, &frontend, host)
 		return true
 	}
-	if chance == waiting.ChanceMore {
+	if chance == admissionqueue.ChanceMore {
 		return false
 	}
 	decision.Service = service.Name
@@ -194,7 +194,7 @@
 	return true
 }
 
-func (a *tokenAffinity) release(held *waiting.Waiter[heldOpening], decision *Decision) {
+func (a *tokenAffinity) release(held *admissionqueue.Waiter[heldOpening], decision *Decision) {
 	a.core.count(decision)
 	a.core.stats.Waited.add(decision.Waited, decision.Action == ActionForward)
 	a.released = append(a.released, Released{Packet: held.Kept.packet, Decision: *decision, Kept: held.Kept.datagram})
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/observe"
-	"robinpulley.example/robinpulley/internal/reach"
+	"robinpulley.example/robinpulley/internal/passivehealth"
+	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/view"
-	"robinpulley.example/robinpulley/internal/waiting"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // holdable gives an opening of port 443 that may be held.
@@ -117,10 +117,10 @@
 }
 
 // peek copies the packet that waits.
-func peek(packet *Packet) func(*waiting.Waiter[heldOpening], waiting.Chance) waiting.Fate {
-	return func(held *waiting.Waiter[heldOpening], _ waiting.Chance) waiting.Fate {
+func peek(packet *Packet) func(*admissionqueue.Waiter[heldOpening], admissionqueue.Chance) admissionqueue.Fate {
+	return func(held *admissionqueue.Waiter[heldOpening], _ admissionqueue.Chance) admissionqueue.Fate {
 		*packet = held.Kept.packet
-		return waiting.FateWaits
+		return admissionqueue.FateWaits
 	}
 }
 
@@ -187,7 +187,7 @@
 	affinity := core.affinity.(*tokenAffinity)
 	affinity.rooms.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 99, true)
 	affinity.rooms.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 1, true)
-	core.Step(now, &Event{Avoid: []observe.Identity{1}}, &core.effects)
+	core.Step(now, &Event{Avoid: []passivehealth.Identity{1}}, &core.effects)
 	is.Equal(len(core.look(now+10*time.Millisecond)), 0)
 	is.Equal(core.Waiting(), 2)
 }
@@ -215,7 +215,7 @@
 	tracker := core.affinity.(*tokenAffinity).reach
 	sent := now
 	now += 5 * time.Millisecond
-	for identity := range reach.Identity(4) {
+	for identity := range reachability.Identity(4) {
 		tracker.Unanswered(sent+300*time.Millisecond, "", identity+1, sent+time.Duration(identity))
 	}
 	tracker.Tick(sent + 300*time.Millisecond)
--- a/internal/availability/availability.go
+++ b/internal/disruption/availability.go
@@ -2,7 +2,7 @@
 // Routers that find fewer than half of a zone's nodes ready use all of them,
 // those that have ended too, so that a node which is told to stop waits for
 // those of its zone that stopped before it. The package has no I/O and no clock.
-package availability
+package disruption
 
 import (
 	"time"
--- a/internal/availability/availability_test.go
+++ b/internal/disruption/availability_test.go
@@ -1,4 +1,4 @@
-package availability_test
+package disruption_test
 
 import (
 	"testing"
@@ -6,26 +6,26 @@
 
 	"github.com/matryer/is"
 
-	"robinpulley.example/robinpulley/internal/availability"
+	"robinpulley.example/robinpulley/internal/disruption"
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
 // zoneOf gives a zone of which the named nodes are known to serve.
-func zoneOf(self lb.NodeID, ids ...lb.NodeID) *availability.Zone {
-	zone := availability.New(availability.DefaultSettings(self))
+func zoneOf(self lb.NodeID, ids ...lb.NodeID) *disruption.Zone {
+	zone := disruption.New(disruption.DefaultSettings(self))
 	zone.Update(0, serving(ids...))
 	return zone
 }
 
-func serving(ids ...lb.NodeID) []availability.Member {
-	var members []availability.Member
+func serving(ids ...lb.NodeID) []disruption.Member {
+	var members []disruption.Member
 	for _, id := range ids {
-		members = append(members, availability.Member{ID: id})
+		members = append(members, disruption.Member{ID: id})
 	}
 	return members
 }
 
-func leaving(ids ...lb.NodeID) []availability.Member {
+func leaving(ids ...lb.NodeID) []disruption.Member {
 	members := serving(ids...)
 	for index := range members {
 		members[index].Leaving = true
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/surge/crowd.go
@@ -2,14 +2,14 @@
 // can do, in virtual time, on the decision cores of several balancers with
 // affinity token. It counts what is answered in time, with and without
 // overload control. All randomness comes from the seed.
-package crowd
+package surge
 
 import (
 	"slices"
 	"time"
 
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/waiting"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // Policy says how openings are let in.
@@ -72,7 +72,7 @@
 	Slow func(host int, at time.Duration) float64
 	// Waiting is what becomes of openings that are turned away; without a
 	// capacity they are refused at once.
-	Waiting waiting.Settings
+	Waiting admissionqueue.Settings
 	// NewsDelay is how old what nodes see of open flows is, on top of the way to them.
 	NewsDelay time.Duration
 }
--- a/internal/lab/crowd/run.go
+++ b/internal/lab/surge/run.go
@@ -1,4 +1,4 @@
-package crowd
+package surge
 
 import (
 	"fmt"
--- a/internal/lab/crowd/waiting_test.go
+++ b/internal/lab/surge/waiting_test.go
@@ -1,4 +1,4 @@
-package crowd
+package surge
 
 import (
 	"testing"
@@ -6,12 +6,12 @@
 
 	"github.com/matryer/is"
 
-	"robinpulley.example/robinpulley/internal/waiting"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // waits has openings wait for room.
 func waits(scenario Scenario, share float64) Scenario {
-	scenario.Waiting = waiting.DefaultSettings()
+	scenario.Waiting = admissionqueue.DefaultSettings()
 	scenario.Waiting.Share = share
 	return scenario
 }
--- a/internal/labcommand/overload.go
+++ b/internal/labcommand/overload.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"robinpulley.example/robinpulley/internal/lab/crowd"
+	"robinpulley.example/robinpulley/internal/lab/surge"
 	"robinpulley.example/robinpulley/internal/report"
 )
 
@@ -35,11 +35,11 @@
 			return errors.Newf("loads: %v: must be above 0", load)
 		}
 	}
-	curves := make([]report.Curve, len(crowd.Policies))
+	curves := make([]report.Curve, len(surge.Policies))
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "LOAD\tPOLICY\tASKED/S\tIN TIME/S\tIMPORTANT IN TIME\tREFUSED\tSHED BY HOSTS")
 	for _, load := range c.Loads {
-		for i, policy := range crowd.Policies {
+		for i, policy := range surge.Policies {
 			p := c.measure(policy, load)
 			curves[i].Name = string(policy)
 			curves[i].X = append(curves[i].X, p.asked)
@@ -58,17 +58,17 @@
 	return report.Curves(c.Plot, axes, curves)
 }
 
-func (c *Overload) measure(policy crowd.Policy, load float64) point {
+func (c *Overload) measure(policy surge.Policy, load float64) point {
 	p := point{}
 	runs := float64(c.Seeds)
 	for seed := range c.Seeds {
-		scenario := crowd.Default(uint64(seed+1), policy, load)
-		result := crowd.Run(scenario)
+		scenario := surge.Default(uint64(seed+1), policy, load)
+		result := surge.Run(scenario)
 		all := result.All()
 		seconds := scenario.Duration.Seconds()
 		p.asked += float64(all.Asked) / seconds / runs
 		p.inTime += float64(all.InTime) / seconds / runs
-		p.important += result.Class(crowd.Important, 0, int(seconds)).Share() / runs
+		p.important += result.Class(surge.Important, 0, int(seconds)).Share() / runs
 		p.shed += float64(result.Shed) / runs
 		for _, refused := range result.Refused {
 			p.refused += float64(refused) / runs
--- a/internal/evidence/evidence.go
+++ b/internal/outlier/evidence.go
@@ -5,7 +5,7 @@
 // against the others of its service, ask for what speaks for it, and tell the
 // verdict down the tree. While nothing fails, nothing is sent. It is a
 // deterministic core without I/O and clock; see docs/design/shifted-work.md.
-package evidence
+package outlier
 
 import (
 	"math"
--- a/internal/evidence/pending.go
+++ b/internal/outlier/pending.go
@@ -1,4 +1,4 @@
-package evidence
+package outlier
 
 import (
 	"cmp"
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -13,7 +13,7 @@
 
 	"robinpulley.example/robinpulley/internal/admission"
 	"robinpulley.example/robinpulley/internal/fleetload"
-	"robinpulley.example/robinpulley/internal/heldwork"
+	"robinpulley.example/robinpulley/internal/committedload"
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
@@ -75,7 +75,7 @@
 	// Fleet are the parameters of the fleet's parts.
 	Fleet admission.Settings
 	// Held are the parameters of the forecast of what open flows bring.
-	Held heldwork.Settings
+	Held committedload.Settings
 	// Forget is how long a class counts after its last opening.
 	Forget time.Duration
 
@@ -108,7 +108,7 @@
 		CalmLimit:     0.3,
 		PartsLife:     time.Second,
 		Fleet:         admission.DefaultSettings(),
-		Held:          heldwork.DefaultSettings(),
+		Held:          committedload.DefaultSettings(),
 		Forget:        5 * time.Second,
 	}
 }
@@ -120,7 +120,7 @@
 	services map[lb.ServiceName]*service
 	backends map[Identity]*backend
 	changes  []Change
-	held     *heldwork.Tracker
+	held     *committedload.Tracker
 	// meter adds up what the nodes of the fleet are to know together.
 	meter *fleetload.Meter
 }
@@ -145,7 +145,7 @@
 		services: make(map[lb.ServiceName]*service),
 		backends: make(map[Identity]*backend),
 		meter:    fleetload.NewMeter(),
-		held:     heldwork.New(settings.Held),
+		held:     committedload.New(settings.Held),
 	}
 }
 
--- a/internal/observe/observe.go
+++ b/internal/passivehealth/observe.go
@@ -4,7 +4,7 @@
 // opening is answered when the caller's next packet comes, a request when the
 // caller acknowledges something new. What it remembers only makes choices
 // better; nothing is unsafe without it. It has no I/O and no clock.
-package observe
+package passivehealth
 
 import (
 	"time"
--- a/internal/observe/observe_test.go
+++ b/internal/passivehealth/observe_test.go
@@ -1,4 +1,4 @@
-package observe
+package passivehealth
 
 import (
 	"math"
--- a/internal/reach/reach.go
+++ b/internal/reachability/reach.go
@@ -5,7 +5,7 @@
 // goes by answers of back ends and by what is heard of balancers there. One sign
 // of life refutes it; nothing is unsafe without it. It has no I/O and no clock;
 // see docs/design/reachability.md.
-package reach
+package reachability
 
 import (
 	"slices"
--- a/internal/reach/reach_test.go
+++ b/internal/reachability/reach_test.go
@@ -1,4 +1,4 @@
-package reach
+package reachability
 
 import (
 	"fmt"
--- a/internal/steering/share.go
+++ b/internal/steering/share.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/zoneshare"
+	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
 // setShares gives each ready host of a service its weight for a balancer in
@@ -12,7 +12,7 @@
 // in each of them; see package zoneshare.
 func (s *Service) setShares(zone lb.Zone, zones int) {
 	s.zones = zonesOf(s.ring)
-	s.even = zoneshare.Split(zone, zoneshare.Even(s.zones, zone, zones), 0)
+	s.even = zoneweight.Split(zone, zoneweight.Even(s.zones, zone, zones), 0)
 }
 
 // serviceSums are sums over all ready hosts of a service.
@@ -42,10 +42,10 @@
 func (s *Service) Capacity() map[lb.Zone]float64 { return s.zones }
 
 // Even gives the parts of zones while nothing is known of their load. It is not to be changed.
-func (s *Service) Even() zoneshare.Parts { return s.even }
+func (s *Service) Even() zoneweight.Parts { return s.even }
 
 // Weights gives the weight of each ready host where zones get these parts of the new flows.
-func (s *Service) Weights(parts zoneshare.Parts) []float64 {
+func (s *Service) Weights(parts zoneweight.Parts) []float64 {
 	weights := make([]float64, len(s.Ready))
 	for index, host := range s.Ready {
 		weights[index] = parts[host.Zone] * host.capacity() / s.zones[host.Zone]
--- a/internal/steering/share_test.go
+++ b/internal/steering/share_test.go
@@ -10,7 +10,7 @@
 
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/view"
-	"robinpulley.example/robinpulley/internal/zoneshare"
+	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
 // TestSharesAreEven: with the same demand in every zone, all hosts get the same
@@ -55,7 +55,7 @@
 				}
 			}
 			for _, share := range load {
-				is.True(math.Abs(share*float64(total)-1) < 3*zoneshare.Remote)
+				is.True(math.Abs(share*float64(total)-1) < 3*zoneweight.Remote)
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 			local += service.evenWeights()[index]
 		}
 	}
-	is.True(local >= 1-2*zoneshare.Remote && local <= 1)
+	is.True(local >= 1-2*zoneweight.Remote && local <= 1)
 }
 
 // TestFlowsFollowWeights: the choice by hash gives each host its weight's part.
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -14,7 +14,7 @@
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/rendezvous"
 	"robinpulley.example/robinpulley/internal/view"
-	"robinpulley.example/robinpulley/internal/zoneshare"
+	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
 // Token is what a packet carries to name its back end. It holds for one front
@@ -83,7 +83,7 @@
 	// zones is what the ready hosts work on at once, by zone.
 	zones map[lb.Zone]float64
 	// even are the parts of zones while nothing is known of their load.
-	even zoneshare.Parts
+	even zoneweight.Parts
 	// sums are what few openings need, made when the first one does.
 	sums serviceSums
 }
--- a/internal/turns/turns.go
+++ b/internal/subset/turns.go
@@ -8,7 +8,7 @@
 // agreed on: a hand follows from the node's own list of members and back ends,
 // and two nodes that differ only cover the circle a little unevenly. It has no I/O
 // and no clock. See docs/design/hosts.md.
-package turns
+package subset
 
 import (
 	"cmp"
--- a/internal/turns/turns_test.go
+++ b/internal/subset/turns_test.go
@@ -1,4 +1,4 @@
-package turns
+package subset
 
 import (
 	"fmt"
--- a/internal/tokennode/engine.go
+++ b/internal/tokennode/engine.go
@@ -7,10 +7,10 @@
 
 	"github.com/rs/zerolog"
 
-	"robinpulley.example/robinpulley/internal/availability"
+	"robinpulley.example/robinpulley/internal/disruption"
 	"robinpulley.example/robinpulley/internal/config"
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/evidence"
+	"robinpulley.example/robinpulley/internal/outlier"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/follower"
 	"robinpulley.example/robinpulley/internal/lb"
@@ -55,16 +55,16 @@
 	followerEffects follower.Effects
 	compiler        *steering.Compiler
 	table           *steering.Table // nil: no view yet
-	evidence        *evidence.Core
-	evidenceEffects evidence.Effects
-	outcomes        []evidence.Outcome
+	evidence        *outlier.Core
+	evidenceEffects outlier.Effects
+	outcomes        []outlier.Outcome
 	load            *fleetload.Core
 	loadEffects     fleetload.Effects
 	loadLog         loadLog
 	place           tree.Place
 	asked           map[netip.AddrPort]bool // neighbours that were asked for open flows
 	judges          bool                    // this node judges back ends for its zone
-	zone            *availability.Zone
+	zone            *disruption.Zone
 	others          int // living members besides this node
 	leaving         int // living members in a planned stop, this one included
 	calls           callCounts
@@ -116,10 +116,10 @@
 		compiler:     steering.NewCompiler(settings.Zone),
 		member:       membership,
 		follower:     follower.New(following),
-		evidence:     evidence.New(evidence.DefaultSettings(settings.Node)),
+		evidence:     outlier.New(outlier.DefaultSettings(settings.Node)),
 		load:         fleetload.New(fleetload.DefaultSettings(settings.Node, settings.Zone)),
 		loadLog:      newLoadLog(),
-		zone:         availability.New(availability.DefaultSettings(settings.Node)),
+		zone:         disruption.New(disruption.DefaultSettings(settings.Node)),
 		calls:        newCallCounts(),
 		asked:        make(map[netip.AddrPort]bool),
 		decisions:    newDecisionLog(logger),
@@ -192,7 +192,7 @@
 		engine.announceFlows(engine.coreEffects.OpenFlows, engine.place.Neighbours(netip.AddrPort{}))
 		engine.noteSamples() // before others step the core, which resets its effects
 		engine.logChanges()
-		engine.evidenceStep(&evidence.Event{})
+		engine.evidenceStep(&outlier.Event{})
 		engine.loadStep(&fleetload.Event{})
 		if engine.table != nil && engine.loadLog.admitted.away > 0 {
 			engine.logAdmitted() // it goes on rising when there is no news any more
@@ -208,9 +208,9 @@
 	engine.input(func() {
 		switch received := incoming.Message.(type) {
 		case message.OutcomeReport:
-			engine.evidenceStep(&evidence.Event{Report: &received})
+			engine.evidenceStep(&outlier.Event{Report: &received})
 		case message.OutcomeVerdict:
-			engine.evidenceStep(&evidence.Event{Verdict: &received})
+			engine.evidenceStep(&outlier.Event{Verdict: &received})
 		case message.LoadReport:
 			engine.loadStep(&fleetload.Event{Report: &received})
 		case message.LoadState:
@@ -289,11 +289,11 @@
 	members := engine.member.Members(nil)
 	peers := make([]follower.Peer, 0, len(members))
 	var known []core.Member // of the own zone: only these matter to the core with tokens
-	var zone []availability.Member
+	var zone []disruption.Member
 	leaving := 0
 	for _, entry := range members {
 		if entry.Zone == engine.settings.Zone {
-			zone = append(zone, availability.Member{ID: entry.ID, Leaving: entry.Leaving})
+			zone = append(zone, disruption.Member{ID: entry.ID, Leaving: entry.Leaving})
 			known = append(known, core.Member{ID: entry.ID, Zone: entry.Zone, Leaving: entry.Leaving})
 		}
 		if entry.Leaving {
--- a/internal/tokennode/evidence.go
+++ b/internal/tokennode/evidence.go
@@ -2,15 +2,15 @@
 
 import (
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/evidence"
+	"robinpulley.example/robinpulley/internal/outlier"
 	"robinpulley.example/robinpulley/internal/follower"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/logging"
-	"robinpulley.example/robinpulley/internal/observe"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 )
 
 // evidenceStep gives one event to the evidence and carries out its effects.
-func (engine *engine) evidenceStep(event *evidence.Event) {
+func (engine *engine) evidenceStep(event *outlier.Event) {
 	engine.evidence.Step(engine.now(), event, &engine.evidenceEffects)
 	for _, outgoing := range engine.evidenceEffects.Messages {
 		engine.outbox = append(engine.outbox, follower.Outgoing{To: outgoing.To, Message: outgoing.Message})
@@ -19,9 +19,9 @@
 	if !engine.evidenceEffects.Changed {
 		return
 	}
-	avoided := make([]observe.Identity, 0, len(engine.evidenceEffects.Avoided))
+	avoided := make([]passivehealth.Identity, 0, len(engine.evidenceEffects.Avoided))
 	for _, identity := range engine.evidenceEffects.Avoided {
-		avoided = append(avoided, observe.Identity(identity))
+		avoided = append(avoided, passivehealth.Identity(identity))
 	}
 	engine.core.Step(engine.now(), &core.Event{Avoid: avoided}, &engine.coreEffects)
 }
@@ -33,9 +33,9 @@
 	}
 	engine.outcomes = engine.outcomes[:0]
 	for _, outcome := range engine.coreEffects.Outcomes {
-		engine.outcomes = append(engine.outcomes, evidence.Outcome{Identity: evidence.Identity(outcome.Identity), Bad: outcome.Bad})
+		engine.outcomes = append(engine.outcomes, outlier.Outcome{Identity: outlier.Identity(outcome.Identity), Bad: outcome.Bad})
 	}
-	engine.evidenceStep(&evidence.Event{Outcomes: engine.outcomes})
+	engine.evidenceStep(&outlier.Event{Outcomes: engine.outcomes})
 }
 
 // giveServices tells a node that judges which back ends take new flows.
@@ -43,13 +43,13 @@
 	if !engine.judges || engine.table == nil {
 		return
 	}
-	services := make(map[lb.ServiceName][]evidence.Identity)
+	services := make(map[lb.ServiceName][]outlier.Identity)
 	for name, service := range engine.table.Services() {
 		for _, host := range service.Ready {
-			services[name] = append(services[name], evidence.Identity(host.Run))
+			services[name] = append(services[name], outlier.Identity(host.Run))
 		}
 	}
-	engine.evidenceStep(&evidence.Event{Services: services})
+	engine.evidenceStep(&outlier.Event{Services: services})
 }
 
 // logEvidence logs the back ends that the nodes together avoid, or no longer, with what decided it.
--- a/internal/tokennode/load.go
+++ b/internal/tokennode/load.go
@@ -2,7 +2,7 @@
 
 import (
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/evidence"
+	"robinpulley.example/robinpulley/internal/outlier"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/follower"
 	"robinpulley.example/robinpulley/internal/lb"
@@ -48,7 +48,7 @@
 	engine.askForFlows()
 	begins := place.First && !engine.judges
 	engine.judges = place.First
-	engine.evidenceStep(&evidence.Event{Place: &place})
+	engine.evidenceStep(&outlier.Event{Place: &place})
 	engine.loadStep(&fleetload.Event{Place: &place})
 	if begins {
 		engine.giveServices()
--- a/internal/tokennode/loadreport.go
+++ b/internal/tokennode/loadreport.go
@@ -13,8 +13,8 @@
 	"robinpulley.example/robinpulley/internal/logging"
 	"robinpulley.example/robinpulley/internal/overload"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/waiting"
-	"robinpulley.example/robinpulley/internal/zoneshare"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
+	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
 // serveLoad answers GET /load with the node's report.
@@ -55,7 +55,7 @@
 }
 
 // zonesOf gives the zones with back ends of a service, and their parts of this node's flows.
-func zonesOf(service *steering.Service, parts zoneshare.Parts) []loadreport.Zone {
+func zonesOf(service *steering.Service, parts zoneweight.Parts) []loadreport.Zone {
 	var zones []loadreport.Zone
 	for _, zone := range slices.Sorted(maps.Keys(service.Capacity())) {
 		zones = append(zones, loadreport.Zone{Zone: zone, Capacity: service.Capacity()[zone], Part: parts[zone]})
@@ -89,7 +89,7 @@
 }
 
 // addWaiting adds the openings that this node holds until there is room.
-func addWaiting(told *loadreport.Service, held map[waiting.Level]int) {
+func addWaiting(told *loadreport.Service, held map[admissionqueue.Level]int) {
 	for level, count := range held {
 		if level.Service != told.Service {
 			continue
--- a/internal/tokennode/loadreport_test.go
+++ b/internal/tokennode/loadreport_test.go
@@ -6,12 +6,12 @@
 	"github.com/matryer/is"
 
 	"robinpulley.example/robinpulley/internal/loadreport"
-	"robinpulley.example/robinpulley/internal/waiting"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 func TestWaitingOpeningsAreReportedByPriority(t *testing.T) {
 	is := is.New(t)
 	told := loadreport.Service{Service: "web", Levels: []loadreport.Admission{{Priority: 0, Admitted: 0.5}}}
-	addWaiting(&told, map[waiting.Level]int{{Service: "web", Priority: 0}: 3, {Service: "web", Priority: 2}: 4, {Service: "docs", Priority: 0}: 9})
+	addWaiting(&told, map[admissionqueue.Level]int{{Service: "web", Priority: 0}: 3, {Service: "web", Priority: 2}: 4, {Service: "docs", Priority: 0}: 9})
 	is.Equal(told.Levels, []loadreport.Admission{{Priority: 0, Admitted: 0.5, Waiting: 3}, {Priority: 2, Admitted: 1, Waiting: 4}})
 }
--- a/internal/tokennode/metrics.go
+++ b/internal/tokennode/metrics.go
@@ -15,7 +15,7 @@
 	"robinpulley.example/robinpulley/internal/metrics"
 	"robinpulley.example/robinpulley/internal/overload"
 	"robinpulley.example/robinpulley/internal/packet"
-	"robinpulley.example/robinpulley/internal/reach"
+	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
@@ -307,7 +307,7 @@
 	version   uint64
 	evacuated []lb.Zone
 	avoided   int
-	reached   []reach.Status
+	reached   []reachability.Status
 	age       float64 // seconds
 	rank      int
 	reads     float64 // 1: this node reads for the others
--- a/internal/tokennode/waiting.go
+++ b/internal/tokennode/waiting.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/waiting"
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // wakeLooking has openings that wait looked at from now on.
@@ -46,7 +46,7 @@
 
 // lookUntil looks at the openings that wait, while there are any, until ctx ends.
 func (node *Node) lookUntil(ctx context.Context) {
-	ticker := time.NewTicker(waiting.DefaultSettings().Interval)
+	ticker := time.NewTicker(admissionqueue.DefaultSettings().Interval)
 	defer ticker.Stop()
 	for {
 		ticker.Stop() // a node at rest is not woken
@@ -55,7 +55,7 @@
 			return
 		case <-node.engine.holding:
 		}
-		ticker.Reset(waiting.DefaultSettings().Interval)
+		ticker.Reset(admissionqueue.DefaultSettings().Interval)
 		for more := true; more; {
 			select {
 			case <-ctx.Done():
--- a/internal/zoneshare/zoneshare.go
+++ b/internal/zoneweight/zoneshare.go
@@ -6,7 +6,7 @@
 // cannot bear goes where there is room, and when all zones are full, all get the
 // same. Demand is that of callers, whoever serves them, so that what is decided here
 // does not feed back into what it was decided by, and cannot swing.
-package zoneshare
+package zoneweight
 
 import (
 	"cmp"
--- a/internal/zoneshare/zoneshare_test.go
+++ b/internal/zoneweight/zoneshare_test.go
@@ -1,4 +1,4 @@
-package zoneshare
+package zoneweight
 
 import (
 	"fmt"
