--- a/internal/admissionqueue/room.go
+++ b/internal/admissionqueue/room.go
@@ -6,11 +6,11 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Rooms remembers for a short time which back ends have just become free, as far
+// FreeSlots remembers for a short time which back ends have just become free, as far
 // as this node has seen. The end of a request is seen by one node alone, so that no
 // two of them send to the same room. Room for a request is none for a flow that
 // brings many: what short flows are is seen, too.
-type Rooms struct {
+type FreeSlots struct {
 	settings Settings
 	rooms    []room
 	next     int
@@ -50,9 +50,9 @@
 	mostKinds = 256
 )
 
-// NewRooms gives rooms of which none is known.
-func NewRooms(settings Settings) *Rooms {
-	rooms := &Rooms{settings: settings, rooms: make([]room, mostRooms), kinds: make(map[kindKey]*kind)}
+// NewFreeSlots gives rooms of which none is known.
+func NewFreeSlots(settings Settings) *FreeSlots {
+	rooms := &FreeSlots{settings: settings, rooms: make([]room, mostRooms), kinds: make(map[kindKey]*kind)}
 	for index := range rooms.rooms {
 		rooms.rooms[index].taken = true
 	}
@@ -60,7 +60,7 @@
 }
 
 // Opened notes that this node has placed a flow.
-func (r *Rooms) Opened(service lb.ServiceName, objective lb.Objective) {
+func (r *FreeSlots) Opened(service lb.ServiceName, objective lb.Objective) {
 	if r.settings.Off {
 		return
 	}
@@ -73,7 +73,7 @@
 
 // Answered notes that a back end has answered a request, and, if it was quick,
 // that it has room for another.
-func (r *Rooms) Answered(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, quick bool) {
+func (r *FreeSlots) Answered(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, quick bool) {
 	if r.settings.Off {
 		return
 	}
@@ -85,8 +85,8 @@
 	r.next = (r.next + 1) % len(r.rooms)
 }
 
-// Take gives the back end of a service that has become free last, once.
-func (r *Rooms) Take(now time.Duration, service lb.ServiceName, objective lb.Objective) (identity uint64, found bool) {
+// Claim gives the back end of a service that has become free last, once.
+func (r *FreeSlots) Claim(now time.Duration, service lb.ServiceName, objective lb.Objective) (identity uint64, found bool) {
 	if r.settings.Off || !r.short(service, objective) {
 		return 0, false
 	}
@@ -101,12 +101,12 @@
 }
 
 // short tells whether flows of a kind are known to bring one request.
-func (r *Rooms) short(service lb.ServiceName, objective lb.Objective) bool {
+func (r *FreeSlots) short(service lb.ServiceName, objective lb.Objective) bool {
 	k := r.kinds[kindKey{service, objective}]
 	return k != nil && k.flows >= fewestFlows && k.requests <= shortFlow*k.flows
 }
 
-func (r *Rooms) kind(service lb.ServiceName, objective lb.Objective) *kind {
+func (r *FreeSlots) kind(service lb.ServiceName, objective lb.Objective) *kind {
 	key := kindKey{service, objective}
 	known := r.kinds[key]
 	if known == nil {
@@ -120,7 +120,7 @@
 }
 
 // Forget drops what is known of services but those to keep.
-func (r *Rooms) Forget(keep func(lb.ServiceName) bool) {
+func (r *FreeSlots) Forget(keep func(lb.ServiceName) bool) {
 	for key := range r.kinds {
 		if !keep(key.service) {
 			delete(r.kinds, key)
--- a/internal/admissionqueue/waiting_test.go
+++ b/internal/admissionqueue/waiting_test.go
@@ -254,8 +254,8 @@
 }
 
 // shortFlows are rooms that know flows of the objective to bring one request.
-func shortFlows(o Opening) *Rooms {
-	r := NewRooms(DefaultSettings())
+func shortFlows(o Opening) *FreeSlots {
+	r := NewFreeSlots(DefaultSettings())
 	for range fewestFlows {
 		r.Opened(o.Service, o.Objective)
 		r.Answered(0, o.Service, o.Objective, 0, false)
@@ -271,14 +271,14 @@
 	for identity := range uint64(3) {
 		r.Answered(ms, o.Service, o.Objective, identity, true)
 	}
-	_, found := r.Take(ms, "docs", o.Objective)
+	_, found := r.Claim(ms, "docs", o.Objective)
 	is.True(!found)
 	for _, expected := range []uint64{2, 1} {
-		identity, found := r.Take(2*ms, o.Service, o.Objective)
+		identity, found := r.Claim(2*ms, o.Service, o.Objective)
 		is.True(found)
 		is.Equal(identity, expected)
 	}
-	_, found = r.Take(ms+DefaultSettings().RoomLife+1, o.Service, o.Objective)
+	_, found = r.Claim(ms+DefaultSettings().RoomLife+1, o.Service, o.Objective)
 	is.True(!found) // too old
 	for identity := range uint64(100) {
 		r.Opened(o.Service, o.Objective)
@@ -286,7 +286,7 @@
 	}
 	taken := 0
 	for found := true; found; {
-		if _, found = r.Take(ms, o.Service, o.Objective); found {
+		if _, found = r.Claim(ms, o.Service, o.Objective); found {
 			taken++
 		}
 	}
@@ -299,7 +299,7 @@
 	short, long := opening(1, 1), opening(2, 2)
 	r := shortFlows(short)
 	r.Answered(0, short.Service, short.Objective, 5, true)
-	_, found := r.Take(0, long.Service, long.Objective)
+	_, found := r.Claim(0, long.Service, long.Objective)
 	is.True(!found)
 	for range 2 * mostFlows {
 		r.Opened(long.Service, long.Objective)
@@ -307,9 +307,9 @@
 			r.Answered(0, long.Service, long.Objective, 0, false)
 		}
 	}
-	_, found = r.Take(0, long.Service, long.Objective)
+	_, found = r.Claim(0, long.Service, long.Objective)
 	is.True(!found)
-	_, found = r.Take(0, short.Service, short.Objective)
+	_, found = r.Claim(0, short.Service, short.Objective)
 	is.True(found)
 	r.Forget(func(lb.ServiceName) bool { return false })
 	is.Equal(len(r.kinds), 0)
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -9,17 +9,17 @@
 	"net/netip"
 	"time"
 
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 	"robinpulley.example/robinpulley/internal/coldstart"
 	"robinpulley.example/robinpulley/internal/conntrack"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/message"
-	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/overload"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/steering"
 	"robinpulley.example/robinpulley/internal/subset"
-	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // PacketKind says what a packet tells about its flow.
@@ -166,8 +166,8 @@
 	// Released are openings that were held and are now decided. They hold until
 	// the next step.
 	Released []Released
-	// Unsure is set while the core distrusts its view and waits for ContactRegained.
-	Unsure bool
+	// Unverified is set while the core distrusts its view and waits for ContactRegained.
+	Unverified bool
 }
 
 // Member is one node as the membership sees it.
@@ -187,9 +187,9 @@
 	Members []Member
 	// Table is a new table, for AffinityToken.
 	Table *steering.Table
-	// Avoid are the back ends that the nodes together take for failing, for
+	// Ejected are the back ends that the nodes together take for failing, for
 	// AffinityToken; empty, not nil: none.
-	Avoid []passivehealth.Identity
+	Ejected []passivehealth.Identity
 	// Loads is what the fleet knows of the load of services, for AffinityToken; empty, not
 	// nil: nothing.
 	Loads map[lb.ServiceName]fleetload.Service
@@ -200,9 +200,9 @@
 	// Heard tells, with a tick, when balancers of zones were last heard, for AffinityToken.
 	Heard []ZoneHeard
 	Leave bool // planned stop begins
-	// Look decides anew on openings that wait, and Close decides on all of them
+	// RetryQueued decides anew on openings that wait, and Close decides on all of them
 	// for good and holds no more: the last step of a planned stop.
-	Look, Close bool
+	RetryQueued, CloseQueue bool
 	// Contact tells whether this node has lately exchanged placements with a
 	// peer. ContactRegained is valid only after an exchange that began after
 	// the contact was lost or Effects.Unsure was first set.
@@ -255,7 +255,7 @@
 // The ways of picking.
 const (
 	// PickTurns: by turns among a hand of back ends of its own; see package turns.
-	PickTurns Picking = "turns"
+	PickSubset Picking = "turns"
 	// PickRank: the first by weighted rendezvous, alike at the nodes of a zone.
 	PickRank Picking = "rank"
 )
@@ -286,10 +286,10 @@
 	Overload overload.Settings
 	// Picking is how the back end of a new flow is chosen, for AffinityToken.
 	Picking Picking
-	// Turns are the parameters of PickTurns.
-	Turns subset.Settings
-	// Waiting are those of openings that wait for room, for AffinityToken.
-	Waiting admissionqueue.Settings
+	// Subset are the parameters of PickTurns.
+	Subset subset.Settings
+	// AdmissionQueue are those of openings that wait for room, for AffinityToken.
+	AdmissionQueue admissionqueue.Settings
 	// ColdStart bounds the new flows of back ends that have just started, for AffinityToken.
 	ColdStart coldstart.Settings
 }
@@ -307,9 +307,9 @@
 		HandoverBytesPerSecond: 3000,
 		RetryAfter:             500 * time.Millisecond,
 		Overload:               overload.DefaultSettings(),
-		Picking:                PickTurns,
-		Turns:                  subset.DefaultSettings(),
-		Waiting:                admissionqueue.DefaultSettings(),
+		Picking:                PickSubset,
+		Subset:                 subset.DefaultSettings(),
+		AdmissionQueue:         admissionqueue.DefaultSettings(),
 		ColdStart:              coldstart.DefaultSettings(self, zone),
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,8 +6,8 @@
 	"robinpulley.example/robinpulley/internal/conntrack"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/overload"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/rendezvous"
 	"robinpulley.example/robinpulley/internal/steering"
@@ -126,16 +126,16 @@
 		core.affinity.setMembers(event.Members)
 	case event.Peer != nil:
 		core.peer(event.Peer, effects)
-	case event.Avoid != nil:
-		core.affinity.avoid(event.Avoid)
+	case event.Ejected != nil:
+		core.affinity.avoid(event.Ejected)
 	case event.Loads != nil:
 		core.affinity.setLoads(event.Loads)
 	case event.OpenFlows != nil:
 		effects.OpenFlows = core.affinity.learn(event.OpenFlows)
 	case event.Leave:
 		core.leave()
-	case event.Look || event.Close:
-		core.affinity.look(event.Close)
+	case event.RetryQueued || event.CloseQueue:
+		core.affinity.look(event.CloseQueue)
 	}
 	core.setContact(event.Contact)
 	if event.Tick {
@@ -150,7 +150,7 @@
 	effects.Overload = core.affinity.overloads()
 	effects.Reach = core.affinity.reached()
 	effects.Released = core.affinity.takeReleased()
-	effects.Unsure = !core.sure
+	effects.Unverified = !core.sure
 	effects.HandoverDone = core.leaving && core.handover.idle()
 }
 
@@ -176,7 +176,7 @@
 	effects.HandoverDone = false
 	effects.Samples = nil
 	effects.OpenFlows = nil
-	effects.Unsure = false
+	effects.Unverified = false
 }
 
 // setTime notices a pause of this process: its view may be old by now.
--- a/internal/core/hands.go
+++ b/internal/core/hands.go
@@ -14,17 +14,17 @@
 
 // hands are the dealers of all services, and what their hands are dealt by.
 type hands struct {
-	place   subset.Place
+	place   subset.Position
 	dealers map[lb.ServiceName]*hand
 }
 
 // hand is the dealer of a service, and what its present hand is of.
 type hand struct {
-	dealer *subset.Dealer
+	dealer *subset.Picker
 	// service is what circle is the order of the back ends of.
 	service *steering.Service
-	circle  *subset.Circle
-	place   subset.Place
+	circle  *subset.Ring
+	place   subset.Position
 }
 
 // keep forgets the hands of services but those to keep.
@@ -44,7 +44,7 @@
 	slices.SortFunc(staying, func(a, b lb.NodeID) int {
 		return compareHashes(a.Hash(), b.Hash())
 	})
-	h.place = subset.Place{Rank: max(0, slices.Index(staying, self)), Nodes: max(1, len(staying))}
+	h.place = subset.Position{Rank: max(0, slices.Index(staying, self)), Nodes: max(1, len(staying))}
 }
 
 func compareHashes(a, b lb.NodeHash) int {
@@ -58,13 +58,13 @@
 }
 
 // of gives the dealer of a service, with a hand of its present back ends.
-func (h *hands) of(core *Core, service *steering.Service) *subset.Dealer {
+func (h *hands) of(core *Core, service *steering.Service) *subset.Picker {
 	if h.dealers == nil {
 		h.dealers = make(map[lb.ServiceName]*hand)
 	}
 	known := h.dealers[service.Name]
 	if known == nil {
-		known = &hand{dealer: subset.New(core.settings.Turns)}
+		known = &hand{dealer: subset.New(core.settings.Subset)}
 		h.dealers[service.Name] = known
 	}
 	if known.service == service && known.place == h.place {
@@ -74,12 +74,12 @@
 		known.service, known.circle = service, circleOf(service)
 	}
 	known.place = h.place
-	known.dealer.Deal(known.circle, h.place, rendezvous.Mix(uint64(core.settings.Self.Hash())))
+	known.dealer.SetSubset(known.circle, h.place, rendezvous.Mix(uint64(core.settings.Self.Hash())))
 	return known.dealer
 }
 
 // circleOf gives the order of the ready back ends of a service, those of its ring.
-func circleOf(service *steering.Service) *subset.Circle {
+func circleOf(service *steering.Service) *subset.Ring {
 	ring := service.Ring()
 	backends := make([]subset.Backend, len(ring))
 	for index, host := range ring {
@@ -87,11 +87,11 @@
 			Identity: subset.Identity(host.Run), Zone: host.Zone, Size: host.Size(),
 		}
 	}
-	return subset.NewCircle(backends)
+	return subset.NewRing(backends)
 }
 
 // parts gives those of zones of this node's new flows of a service.
-func (a *tokenAffinity) parts(service *steering.Service) zoneweight.Parts {
+func (a *tokenAffinity) parts(service *steering.Service) zoneweight.Weights {
 	if known := a.shares[service.Name]; known != nil {
 		return known.parts
 	}
@@ -110,7 +110,7 @@
 // deal gives the back end of a new flow of a service: the next by turns, or the first
 // by rank among all where that is the setting or most of this node's hand is silent.
 func (a *tokenAffinity) deal(service *steering.Service, flow lb.FlowID) *steering.Host {
-	if a.core.settings.Picking == PickTurns {
+	if a.core.settings.Picking == PickSubset {
 		ring := service.Ring()
 		index := a.hands.of(a.core, service).Pick(a.parts(service),
 			func(index int) float64 { return max(0, a.factor(service, ring[index])) }, // those out of reach get nothing
--- a/internal/core/packet.go
+++ b/internal/core/packet.go
@@ -4,8 +4,8 @@
 	"robinpulley.example/robinpulley/internal/conntrack"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/overload"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/steering"
 )
--- a/internal/core/reach_test.go
+++ b/internal/core/reach_test.go
@@ -131,13 +131,13 @@
 // TestSharesOfAZoneOutOfReach: where all flows were to go to a zone that is cut off
 // meanwhile, those in reach get them.
 func TestSharesOfAZoneOutOfReach(t *testing.T) {
-	for _, picking := range []Picking{PickTurns, PickRank} {
+	for _, picking := range []Picking{PickSubset, PickRank} {
 		is := is.New(t)
 		core := newZonedCore()
 		core.settings.Picking = picking
 		core.run(2 * time.Second)
 		affinity := core.affinity.(*tokenAffinity)
-		parts := zoneweight.Parts{"zb": 1}
+		parts := zoneweight.Weights{"zb": 1}
 		affinity.shares["web"] = &share{parts: parts, weights: affinity.table.ServiceNamed("web").Weights(parts)}
 		is.Equal(core.run(time.Second)["zb"], 50)
 		core.silent = map[lb.Zone]bool{"zb": true}
--- a/internal/core/shares.go
+++ b/internal/core/shares.go
@@ -3,21 +3,21 @@
 import (
 	"time"
 
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/admissionqueue"
 	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
 // Shares gives where this node's new flows of each service go, by zone, for AffinityToken:
 // by what the fleet knows of its load, or else by the table.
-func (core *Core) Shares() map[lb.ServiceName]zoneweight.Parts {
+func (core *Core) Shares() map[lb.ServiceName]zoneweight.Weights {
 	affinity, is := core.affinity.(*tokenAffinity)
 	if !is || affinity.table == nil {
 		return nil
 	}
-	shares := make(map[lb.ServiceName]zoneweight.Parts)
+	shares := make(map[lb.ServiceName]zoneweight.Weights)
 	for name, service := range affinity.table.Services() {
 		shares[name] = service.Even()
 		if known := affinity.shares[name]; known != nil {
@@ -38,7 +38,7 @@
 
 // share is where this node's new flows of a service go, by what the fleet knows.
 type share struct {
-	parts zoneweight.Parts
+	parts zoneweight.Weights
 	// weights are those of the ready hosts of a service; nil: not worked out yet.
 	weights []float64
 	of      *steering.Service
@@ -82,7 +82,7 @@
 
 // wantedParts gives the parts of zones for a service, by what is known; nil: nothing is
 // known, and the parts are those of the table.
-func (a *tokenAffinity) wantedParts(service *steering.Service) zoneweight.Parts {
+func (a *tokenAffinity) wantedParts(service *steering.Service) zoneweight.Weights {
 	known, found := a.loads[service.Name]
 	if !found {
 		return nil
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -72,7 +72,7 @@
 
 // State sums up what a core holds, for debugging.
 type State struct {
-	Sure     bool           `json:"sure"`
+	Verified bool           `json:"sure"`
 	Leaving  bool           `json:"leaving"`
 	Members  int            `json:"members"`
 	Services []ServiceState `json:"services"`
@@ -102,7 +102,7 @@
 
 // State walks over all buckets; call it for debugging and metrics only.
 func (core *Core) State() State {
-	state := State{Sure: core.sure, Leaving: core.leaving, Members: len(core.members.all)}
+	state := State{Verified: core.sure, Leaving: core.leaving, Members: len(core.members.all)}
 	for _, service := range core.ordered {
 		state.Services = append(state.Services, core.serviceState(service))
 	}
--- a/internal/core/token.go
+++ b/internal/core/token.go
@@ -4,16 +4,16 @@
 	"maps"
 	"time"
 
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 	"robinpulley.example/robinpulley/internal/coldstart"
 	"robinpulley.example/robinpulley/internal/conntrack"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
-	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/overload"
+	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/rendezvous"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // tokenAffinity is AffinityToken: the opening is given a token that names its
@@ -31,7 +31,7 @@
 	// reach says which zones' back ends this node reaches.
 	reach    *reachability.Tracker
 	waiting  *admissionqueue.Queue[heldOpening]
-	rooms    *admissionqueue.Rooms
+	rooms    *admissionqueue.FreeSlots
 	looking  bool // openings that wait are decided anew
 	closed   bool // nothing is held any more
 	released []Released
@@ -53,8 +53,8 @@
 	affinity.overload = overload.New(core.settings.Overload)
 	affinity.cold = coldstart.New(core.settings.ColdStart)
 	affinity.reach = reachability.New(reachability.DefaultSettings(core.settings.Zone))
-	affinity.waiting = admissionqueue.New[heldOpening](core.settings.Waiting)
-	affinity.rooms = admissionqueue.NewRooms(core.settings.Waiting)
+	affinity.waiting = admissionqueue.New[heldOpening](core.settings.AdmissionQueue)
+	affinity.rooms = admissionqueue.NewFreeSlots(core.settings.AdmissionQueue)
 	return affinity
 }
 
@@ -83,7 +83,7 @@
 
 func (a *tokenAffinity) outcomes() []passivehealth.Outcome { return a.observer.Outcomes() }
 
-func (a *tokenAffinity) avoid(identities []passivehealth.Identity) { a.observer.Avoid(identities) }
+func (a *tokenAffinity) avoid(identities []passivehealth.Identity) { a.observer.SetEjected(identities) }
 
 func (a *tokenAffinity) changes() []passivehealth.Change { return a.observer.Changes() }
 
--- a/internal/core/token_test.go
+++ b/internal/core/token_test.go
@@ -311,7 +311,7 @@
 	restarted.Revision = 10
 	restarted.Backend.Born = 2000
 	core.list(200*time.Millisecond, tokenListing(10, restarted))
-	core.Step(200*time.Millisecond, &Event{Avoid: []passivehealth.Identity{run}}, &core.effects) // a late verdict
+	core.Step(200*time.Millisecond, &Event{Ejected: []passivehealth.Identity{run}}, &core.effects) // a late verdict
 	started := passivehealth.Identity(restarted.Backend.Run())
 	is.Equal(observer.Factor(200*time.Millisecond, "web", started), 1.0)
 	is.Equal(observer.Busy(started), 0)
--- a/internal/core/waiting.go
+++ b/internal/core/waiting.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // MostHeldBytes is the largest datagram that is held: openings carry no data,
@@ -69,7 +69,7 @@
 // nothing bad is, or nil.
 func (a *tokenAffinity) freed(service *steering.Service, frontend *lb.FrontendKey) *steering.Host {
 	objective, _ := a.table.Objective(frontend)
-	identity, found := a.rooms.Take(a.core.now, service.Name, objective)
+	identity, found := a.rooms.Claim(a.core.now, service.Name, objective)
 	if !found || a.observer.Factor(a.core.now, service.Name, passivehealth.Identity(identity)) < 1 {
 		return nil
 	}
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/matryer/is"
 
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/passivehealth"
 	"robinpulley.example/robinpulley/internal/reachability"
 	"robinpulley.example/robinpulley/internal/view"
-	"robinpulley.example/robinpulley/internal/admissionqueue"
 )
 
 // holdable gives an opening of port 443 that may be held.
@@ -35,7 +35,7 @@
 }
 
 func (core *tokenCore) look(now time.Duration) []Released {
-	core.Step(now, &Event{Look: true}, &core.effects)
+	core.Step(now, &Event{RetryQueued: true}, &core.effects)
 	return core.effects.Released
 }
 
@@ -151,7 +151,7 @@
 func TestAtTheEndNothingWaits(t *testing.T) {
 	is := is.New(t)
 	core, now := holding(t, 3)
-	core.Step(now, &Event{Close: true}, &core.effects)
+	core.Step(now, &Event{CloseQueue: true}, &core.effects)
 	is.Equal(len(core.effects.Released), 3)
 	for _, one := range core.effects.Released {
 		is.True(one.Decision.Action == ActionRefuse || one.Decision.Action == ActionForward)
@@ -187,7 +187,7 @@
 	affinity := core.affinity.(*tokenAffinity)
 	affinity.rooms.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 99, true)
 	affinity.rooms.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 1, true)
-	core.Step(now, &Event{Avoid: []passivehealth.Identity{1}}, &core.effects)
+	core.Step(now, &Event{Ejected: []passivehealth.Identity{1}}, &core.effects)
 	is.Equal(len(core.look(now+10*time.Millisecond)), 0)
 	is.Equal(core.Waiting(), 2)
 }
--- a/internal/experiment/node.go
+++ b/internal/experiment/node.go
@@ -62,7 +62,7 @@
 	if run.effects.HandoverDone && node.leaving {
 		run.leaveLater(index)
 	}
-	if run.effects.Unsure && !node.resyncing {
+	if run.effects.Unverified && !node.resyncing {
 		node.resyncing = true
 		run.act(run.lag(), func() { run.resync(index) })
 	}
--- a/internal/fleetload/first.go
+++ b/internal/fleetload/first.go
@@ -79,10 +79,10 @@
 	asked := 0.0
 	for index := range known.Zones {
 		zone := &known.Zones[index]
-		if above(zone.Asked(), c.settings.Rest, capacity[zone.Zone]) {
+		if above(zone.Demand(), c.settings.Rest, capacity[zone.Zone]) {
 			return true
 		}
-		asked += zone.Asked()
+		asked += zone.Demand()
 	}
 	return above(asked, c.settings.Rest, lb.TotalSlots(capacity))
 }
--- a/internal/fleetload/fleet_test.go
+++ b/internal/fleetload/fleet_test.go
@@ -205,7 +205,7 @@
 func asked(n *fakeNode, zone int) float64 {
 	for _, known := range n.known["web"].Zones {
 		if known.Zone == zoneName(zone) {
-			return known.Asked()
+			return known.Demand()
 		}
 	}
 	return -1
--- a/internal/fleetload/load.go
+++ b/internal/fleetload/load.go
@@ -44,8 +44,8 @@
 	Begun, Refused float64
 }
 
-// Asked is all the work that is asked for, in slots.
-func (z *Zone) Asked() float64 {
+// Demand is all the work that is asked for, in slots.
+func (z *Zone) Demand() float64 {
 	sum := 0.0
 	for _, level := range z.Levels {
 		sum += level.Begun + level.Refused
--- a/internal/lab/surge/crowd.go
+++ b/internal/lab/surge/crowd.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"robinpulley.example/robinpulley/internal/core"
 	"robinpulley.example/robinpulley/internal/admissionqueue"
+	"robinpulley.example/robinpulley/internal/core"
 )
 
 // Policy says how openings are let in.
--- a/internal/lab/surge/picking_test.go
+++ b/internal/lab/surge/picking_test.go
@@ -40,7 +40,9 @@
 
 // turnsOf picks by turns among a hand; busy: what a request under way counts.
 func turnsOf(hand, busy float64) func(*core.Settings) {
-	return func(settings *core.Settings) { settings.Turns.Hand, settings.Turns.Busy = hand, busy }
+	return func(settings *core.Settings) {
+		settings.Subset.SubsetSize, settings.Subset.InFlightPenalty = hand, busy
+	}
 }
 
 // TestTurnsUseHostsBetterThanChance: near 90% of what hosts can do, and without
--- a/internal/lab/surge/run.go
+++ b/internal/lab/surge/run.go
@@ -179,8 +179,8 @@
 	if w.scenario.Adjust != nil {
 		w.scenario.Adjust(&settings)
 	}
-	settings.Waiting = w.scenario.Waiting
-	settings.Waiting.Off = settings.Waiting.Off || settings.Waiting.Capacity == 0
+	settings.AdmissionQueue = w.scenario.Waiting
+	settings.AdmissionQueue.Off = settings.AdmissionQueue.Off || settings.AdmissionQueue.Capacity == 0
 	w.nodes[index] = node{
 		core: core.New(settings), underWay: make([]int, w.scenario.Hosts), held: make(map[lb.FlowKey]func(core.Decision)),
 	}
@@ -267,7 +267,7 @@
 // look has a node look at what waits, as long as anything does.
 func (w *world) look(index int) {
 	n := &w.nodes[index]
-	w.step(index, &core.Event{Look: true})
+	w.step(index, &core.Event{RetryQueued: true})
 	if n.looks = n.core.Waiting() > 0; n.looks {
 		w.after(w.scenario.Waiting.Interval, func() { w.look(index) })
 	}
--- a/internal/node/contact.go
+++ b/internal/node/contact.go
@@ -41,7 +41,7 @@
 
 // noteUnsure follows the core, which becomes unsure by itself after a pause.
 func (engine *engine) noteUnsure() {
-	unsure := engine.coreEffects.Unsure
+	unsure := engine.coreEffects.Unverified
 	if unsure == engine.check.unsure {
 		return
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -175,7 +175,7 @@
 }
 
 func (output sampler) state(state *core.State) {
-	output.Add(metricSure, flag(state.Sure))
+	output.Add(metricSure, flag(state.Verified))
 	for index := range state.Services {
 		service := &state.Services[index]
 		name := string(service.Service)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -302,7 +302,7 @@
 	})
 	cutOff("")
 	fleet.eventually("all know each other again", func() bool { return fleet.everyoneKnows(3) })
-	fleet.eventually("the cut node trusts its view", func() bool { return cut.State().Core.Sure })
+	fleet.eventually("the cut node trusts its view", func() bool { return cut.State().Core.Verified })
 }
 
 func TestPlannedStop(t *testing.T) {
--- a/internal/outlier/evidence.go
+++ b/internal/outlier/evidence.go
@@ -116,7 +116,7 @@
 type Change struct {
 	Identity  Identity
 	Service   lb.ServiceName
-	Avoided   bool
+	Ejected   bool
 	Bad, Good float64 // outcomes it was judged by
 	Reporters float64 // nodes that had reported bad ones
 	Others    float64 // bad outcomes of the others of its service, in the mean
@@ -127,7 +127,7 @@
 	Messages []Outgoing
 	// Changed: Avoided are others than before.
 	Changed bool
-	Avoided []Identity
+	Ejected []Identity
 	Changes []Change
 }
 
@@ -161,8 +161,8 @@
 	}
 }
 
-// Avoided is how many back ends this node avoids.
-func (c *Core) Avoided() int { return len(c.avoided) }
+// EjectedCount is how many back ends this node avoids.
+func (c *Core) EjectedCount() int { return len(c.avoided) }
 
 // Step takes one event at a time that never goes back and fills effects.
 func (c *Core) Step(now time.Duration, event *Event, effects *Effects) {
@@ -253,10 +253,10 @@
 	}
 	clear(c.avoided)
 	effects.Changed = true
-	effects.Avoided = make([]Identity, 0, len(verdict.Avoided))
+	effects.Ejected = make([]Identity, 0, len(verdict.Avoided))
 	for _, identity := range verdict.Avoided {
 		c.avoided[Identity(identity)] = true
-		effects.Avoided = append(effects.Avoided, Identity(identity))
+		effects.Ejected = append(effects.Ejected, Identity(identity))
 	}
 }
 
--- a/internal/outlier/fleet_test.go
+++ b/internal/outlier/fleet_test.go
@@ -120,7 +120,7 @@
 	node.changes = append(node.changes, effects.Changes...)
 	if effects.Changed {
 		clear(node.avoided)
-		for _, identity := range effects.Avoided {
+		for _, identity := range effects.Ejected {
 			node.avoided[identity] = true
 		}
 	}
@@ -380,7 +380,7 @@
 	f.run(2 * time.Second)
 	f.fails = firstOf(22)
 	f.run(3 * time.Second)
-	is.Equal(f.nodes[0].core.Avoided(), 20)
+	is.Equal(f.nodes[0].core.EjectedCount(), 20)
 	is.Equal(f.nodes[0].core.judge.watching(), 0)
 }
 
--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -176,7 +176,7 @@
 	var changes []Change
 	change := func(identity Identity, known *record) {
 		changes = append(changes, Change{
-			Identity: identity, Service: service, Avoided: known.avoidedUntil > 0,
+			Identity: identity, Service: service, Ejected: known.avoidedUntil > 0,
 			Bad: known.bad, Good: known.good, Reporters: known.reporters, Others: others,
 		})
 	}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"robinpulley.example/robinpulley/internal/admission"
-	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/committedload"
+	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
@@ -74,8 +74,8 @@
 	PartsLife time.Duration
 	// Fleet are the parameters of the fleet's parts.
 	Fleet admission.Settings
-	// Held are the parameters of the forecast of what open flows bring.
-	Held committedload.Settings
+	// CommittedLoad are the parameters of the forecast of what open flows bring.
+	CommittedLoad committedload.Settings
 	// Forget is how long a class counts after its last opening.
 	Forget time.Duration
 
@@ -108,7 +108,7 @@
 		CalmLimit:     0.3,
 		PartsLife:     time.Second,
 		Fleet:         admission.DefaultSettings(),
-		Held:          committedload.DefaultSettings(),
+		CommittedLoad: committedload.DefaultSettings(),
 		Forget:        5 * time.Second,
 	}
 }
@@ -145,7 +145,7 @@
 		services: make(map[lb.ServiceName]*service),
 		backends: make(map[Identity]*backend),
 		meter:    fleetload.NewMeter(),
-		held:     committedload.New(settings.Held),
+		held:     committedload.New(settings.CommittedLoad),
 	}
 }
 
--- a/internal/passivehealth/observe.go
+++ b/internal/passivehealth/observe.go
@@ -294,8 +294,8 @@
 // requestTime is how long an unanswered request is remembered.
 const requestTime = 5 * time.Second
 
-// Avoid sets the back ends that the nodes together take for failing.
-func (o *Observer) Avoid(identities []Identity) {
+// SetEjected sets the back ends that the nodes together take for failing.
+func (o *Observer) SetEjected(identities []Identity) {
 	o.avoided = make(map[Identity]bool, len(identities))
 	for _, identity := range identities {
 		o.avoided[identity] = true
--- a/internal/passivehealth/outcome_test.go
+++ b/internal/passivehealth/outcome_test.go
@@ -130,9 +130,9 @@
 func TestAvoidedBackendsGetATrickle(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	observer.Avoid([]Identity{first})
+	observer.SetEjected([]Identity{first})
 	is.Equal(observer.Factor(0, web, first), avoidedFactor)
 	is.Equal(observer.Factor(0, web, second), 1.0)
-	observer.Avoid([]Identity{})
+	observer.SetEjected([]Identity{})
 	is.Equal(observer.Factor(0, web, first), 1.0)
 }
--- a/internal/steering/share.go
+++ b/internal/steering/share.go
@@ -42,10 +42,10 @@
 func (s *Service) Capacity() map[lb.Zone]float64 { return s.zones }
 
 // Even gives the parts of zones while nothing is known of their load. It is not to be changed.
-func (s *Service) Even() zoneweight.Parts { return s.even }
+func (s *Service) Even() zoneweight.Weights { return s.even }
 
 // Weights gives the weight of each ready host where zones get these parts of the new flows.
-func (s *Service) Weights(parts zoneweight.Parts) []float64 {
+func (s *Service) Weights(parts zoneweight.Weights) []float64 {
 	weights := make([]float64, len(s.Ready))
 	for index, host := range s.Ready {
 		weights[index] = parts[host.Zone] * host.capacity() / s.zones[host.Zone]
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -83,7 +83,7 @@
 	// zones is what the ready hosts work on at once, by zone.
 	zones map[lb.Zone]float64
 	// even are the parts of zones while nothing is known of their load.
-	even zoneweight.Parts
+	even zoneweight.Weights
 	// sums are what few openings need, made when the first one does.
 	sums serviceSums
 }
--- a/internal/subset/turns.go
+++ b/internal/subset/turns.go
@@ -31,24 +31,24 @@
 	Size float64
 }
 
-// Place is where a node stands among the staying nodes of its zone, in an order
+// Position is where a node stands among the staying nodes of its zone, in an order
 // that all of them share.
-type Place struct{ Rank, Nodes int }
+type Position struct{ Rank, Nodes int }
 
 // Settings of a dealer. See DefaultSettings.
 type Settings struct {
-	// Hand is how many back ends of a zone a node deals to.
-	Hand float64
-	// Cover is by how many nodes of a zone each back end is dealt to at the least,
+	// SubsetSize is how many back ends of a zone a node deals to.
+	SubsetSize float64
+	// Replication is by how many nodes of a zone each back end is dealt to at the least,
 	// so that one that ends unnoticed takes little of its back ends' flows with it.
-	Cover float64
-	// Busy is how many turns a back end is put back for each request of
+	Replication float64
+	// InFlightPenalty is how many turns a back end is put back for each request of
 	// this node that is under way there.
-	Busy float64
+	InFlightPenalty float64
 }
 
 // DefaultSettings gives the defaults.
-func DefaultSettings() Settings { return Settings{Hand: 8, Cover: 3, Busy: 1} }
+func DefaultSettings() Settings { return Settings{SubsetSize: 8, Replication: 3, InFlightPenalty: 1} }
 
 // card is a back end in a hand.
 type card struct {
@@ -69,20 +69,20 @@
 	silent float64 // part of its cards' turns that take no flows, likewise
 }
 
-// Dealer deals the flows of one node to one service. It is not safe for concurrent use.
-type Dealer struct {
+// Picker deals the flows of one node to one service. It is not safe for concurrent use.
+type Picker struct {
 	settings Settings
 	groups   []group
 }
 
 // New gives a dealer without a hand. seed tells nodes apart.
-func New(settings Settings) *Dealer { return &Dealer{settings: settings} }
+func New(settings Settings) *Picker { return &Picker{settings: settings} }
 
-// Circle is the order of a service's back ends, by zone. It is the same at all nodes that know the same
+// Ring is the order of a service's back ends, by zone. It is the same at all nodes that know the same
 // back ends, and does not change with the nodes: to sort 3,000 of them takes most of a
 // millisecond, and nodes come and go many times a second while a fleet starts. Those who keep the order
 // of hashes themselves give back ends in it, which costs no sorting. It is immutable.
-type Circle struct {
+type Ring struct {
 	zones []zoneCircle
 }
 
@@ -93,8 +93,8 @@
 	size  float64 // of all of them
 }
 
-// NewCircle orders back ends. Places in what Pick gives are those in this list.
-func NewCircle(backends []Backend) *Circle {
+// NewRing orders back ends. Places in what Pick gives are those in this list.
+func NewRing(backends []Backend) *Ring {
 	byZone := make(map[lb.Zone]*zoneCircle)
 	for index := range backends {
 		backend := &backends[index]
@@ -105,7 +105,7 @@
 		}
 		known.cards = append(known.cards, card{index: index, key: backend.Identity, weight: backend.Size})
 	}
-	circle := &Circle{}
+	circle := &Ring{}
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		known := byZone[zone]
 		if !slices.IsSortedFunc(known.cards, compareCards) {
@@ -124,9 +124,9 @@
 	return cmp.Or(cmp.Compare(rendezvous.Mix(left), rendezvous.Mix(right)), cmp.Compare(left, right))
 }
 
-// Deal gives the node a new hand. What its back ends are owed stays. seed tells
+// SetSubset gives the node a new hand. What its back ends are owed stays. seed tells
 // nodes apart, so that they begin their turns at different back ends.
-func (d *Dealer) Deal(circle *Circle, place Place, seed uint64) {
+func (d *Picker) SetSubset(circle *Ring, place Position, seed uint64) {
 	owed := make(map[Identity]float64)
 	for _, g := range d.groups {
 		for _, c := range g.cards {
@@ -150,10 +150,10 @@
 }
 
 // cut gives the part of a zone's circle that the node's arc covers.
-func (d *Dealer) cut(zone *zoneCircle, place Place) []card {
+func (d *Picker) cut(zone *zoneCircle, place Position) []card {
 	nodes := float64(max(place.Nodes, 1))
 	// Each point of the circle is covered by as many nodes as any other.
-	cover := math.Ceil(max(d.settings.Hand/float64(len(zone.cards))*nodes, d.settings.Cover))
+	cover := math.Ceil(max(d.settings.SubsetSize/float64(len(zone.cards))*nodes, d.settings.Replication))
 	arc := min(1, cover/nodes)
 	from := float64(place.Rank) / nodes
 	var cards []card
@@ -181,7 +181,7 @@
 // Pick gives the place, in the list that the hand was dealt from, of the back end
 // whose turn it is; -1: there is none, or most of a zone's hand whose turn it is take no flows. parts are those of zones of this node's flows, factor is by how much the weight of one is lowered,
 // from 0 to 1, and busy how many requests of this node are under way there.
-func (d *Dealer) Pick(parts map[lb.Zone]float64, factor func(index int) float64, busy func(index int) int) int {
+func (d *Picker) Pick(parts map[lb.Zone]float64, factor func(index int) float64, busy func(index int) int) int {
 	best := d.pickGroup(parts, factor)
 	if best == nil || best.silent > mostSilent {
 		return -1
@@ -195,8 +195,8 @@
 		}
 		c.credit = min(c.credit+c.weight*c.factor/best.factor, mostOwed)
 		score := c.credit
-		if d.settings.Busy > 0 {
-			score -= d.settings.Busy * float64(busy(c.index))
+		if d.settings.InFlightPenalty > 0 {
+			score -= d.settings.InFlightPenalty * float64(busy(c.index))
 		}
 		if score > most {
 			chosen, most = c, score
@@ -211,7 +211,7 @@
 const mostSilent = 0.5
 
 // pickGroup gives the zone whose turn it is; nil: no back end in any takes flows.
-func (d *Dealer) pickGroup(parts map[lb.Zone]float64, factor func(index int) float64) *group {
+func (d *Picker) pickGroup(parts map[lb.Zone]float64, factor func(index int) float64) *group {
 	sum := 0.0
 	for index := range d.groups {
 		g := &d.groups[index]
--- a/internal/subset/turns_test.go
+++ b/internal/subset/turns_test.go
@@ -39,7 +39,7 @@
 func idle(int) int      { return 0 }
 
 // counts gives how often each back end is picked.
-func counts(d *Dealer, zones map[lb.Zone]float64, backends, picks int, factor func(int) float64, busy func(int) int) []int {
+func counts(d *Picker, zones map[lb.Zone]float64, backends, picks int, factor func(int) float64, busy func(int) int) []int {
 	got := make([]int, backends)
 	for range picks {
 		got[d.Pick(zones, factor, busy)]++
@@ -60,7 +60,7 @@
 			weights := make([]float64, hosts)
 			for rank := range nodes {
 				d := New(DefaultSettings())
-				d.Deal(NewCircle(backends), Place{Rank: rank, Nodes: nodes}, uint64(rank))
+				d.SetSubset(NewRing(backends), Position{Rank: rank, Nodes: nodes}, uint64(rank))
 				for _, c := range d.groups[0].cards {
 					weights[c.index] += c.weight / float64(nodes)
 				}
@@ -80,9 +80,9 @@
 		dealers := make([]int, len(backends))
 		for rank := range nodes {
 			d := New(DefaultSettings())
-			d.Deal(NewCircle(backends), Place{Rank: rank, Nodes: nodes}, 1)
+			d.SetSubset(NewRing(backends), Position{Rank: rank, Nodes: nodes}, 1)
 			cards := d.groups[0].cards
-			is.True(float64(len(cards)) < 2*max(DefaultSettings().Hand, DefaultSettings().Cover*120/float64(nodes)))
+			is.True(float64(len(cards)) < 2*max(DefaultSettings().SubsetSize, DefaultSettings().Replication*120/float64(nodes)))
 			for _, c := range cards {
 				dealers[c.index]++
 			}
@@ -98,7 +98,7 @@
 	is := is.New(t)
 	backends := fleetOf(40)
 	d := New(DefaultSettings())
-	d.Deal(NewCircle(backends), Place{Rank: 5, Nodes: 24}, 7)
+	d.SetSubset(NewRing(backends), Position{Rank: 5, Nodes: 24}, 7)
 	const picks = 1000
 	got := counts(d, one, len(backends), picks, whole, idle)
 	for _, c := range d.groups[0].cards {
@@ -111,7 +111,7 @@
 	is := is.New(t)
 	backends := fleetOf(10, 40, 3)
 	d := New(DefaultSettings())
-	d.Deal(NewCircle(backends), Place{Rank: 2, Nodes: 9}, 7)
+	d.SetSubset(NewRing(backends), Position{Rank: 2, Nodes: 9}, 7)
 	got := counts(d, parts(0.9, 0.08, 0.02), len(backends), 1000, whole, idle)
 	zones := map[lb.Zone]int{}
 	for index, count := range got {
@@ -130,7 +130,7 @@
 		backends[index].Size = 1
 	}
 	d := New(DefaultSettings())
-	d.Deal(NewCircle(backends), Place{Nodes: 1}, 7)
+	d.SetSubset(NewRing(backends), Position{Nodes: 1}, 7)
 	factors := []float64{0, 0.5, 1, 1, 1, 1, 1, 1}
 	got := counts(d, one, len(backends), 1300, func(index int) float64 { return factors[index] }, idle)
 	is.Equal(got[0], 0)
@@ -148,7 +148,7 @@
 	is := is.New(t)
 	backends := fleetOf(8)
 	d := New(DefaultSettings())
-	d.Deal(NewCircle(backends), Place{Nodes: 1}, 7)
+	d.SetSubset(NewRing(backends), Position{Nodes: 1}, 7)
 	stuck := func(index int) int {
 		if index == 3 {
 			return 5
@@ -172,7 +172,7 @@
 	first := make([]int, len(backends))
 	for seed := range uint64(nodes) {
 		d := New(DefaultSettings())
-		d.Deal(NewCircle(backends), Place{Nodes: 1}, seed*0x9e3779b97f4a7c15)
+		d.SetSubset(NewRing(backends), Position{Nodes: 1}, seed*0x9e3779b97f4a7c15)
 		first[d.Pick(one, whole, idle)]++
 	}
 	for _, count := range first {
@@ -190,7 +190,7 @@
 	d := New(DefaultSettings())
 	got := make([]int, len(backends))
 	for range 800 {
-		d.Deal(NewCircle(backends), Place{Nodes: 1}, 7)
+		d.SetSubset(NewRing(backends), Position{Nodes: 1}, 7)
 		got[d.Pick(one, whole, idle)]++
 	}
 	for _, count := range got {
@@ -202,17 +202,17 @@
 func TestPickAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	d := New(DefaultSettings())
-	d.Deal(NewCircle(fleetOf(40, 40, 40)), Place{Rank: 3, Nodes: 24}, 7)
+	d.SetSubset(NewRing(fleetOf(40, 40, 40)), Position{Rank: 3, Nodes: 24}, 7)
 	zones := parts(0.98, 0.01, 0.01)
 	is.Equal(testing.AllocsPerRun(100, func() { d.Pick(zones, whole, idle) }), 0.0)
 }
 
 // BenchmarkDeal deals a new hand among 3,000 back ends, as after each change of the zone's nodes.
 func BenchmarkDeal(b *testing.B) {
-	circle := NewCircle(fleetOf(1000, 1000, 1000))
+	circle := NewRing(fleetOf(1000, 1000, 1000))
 	d := New(DefaultSettings())
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		d.Deal(circle, Place{Rank: number % 100, Nodes: 100}, 5)
+		d.SetSubset(circle, Position{Rank: number % 100, Nodes: 100}, 5)
 	}
 }
--- a/internal/tokennode/engine.go
+++ b/internal/tokennode/engine.go
@@ -7,16 +7,16 @@
 
 	"github.com/rs/zerolog"
 
-	"robinpulley.example/robinpulley/internal/disruption"
 	"robinpulley.example/robinpulley/internal/config"
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/outlier"
+	"robinpulley.example/robinpulley/internal/disruption"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/follower"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/logging"
 	"robinpulley.example/robinpulley/internal/member"
 	"robinpulley.example/robinpulley/internal/message"
+	"robinpulley.example/robinpulley/internal/outlier"
 	"robinpulley.example/robinpulley/internal/steering"
 	"robinpulley.example/robinpulley/internal/transport"
 	"robinpulley.example/robinpulley/internal/tree"
@@ -92,7 +92,7 @@
 	deciding.PauseLimit = settings.Timings.PauseLimit
 	deciding.RetryAfter = settings.Timings.RetryAfter
 	deciding.Overload.Off = settings.Admission == config.AdmissionOff
-	deciding.Waiting.Off = deciding.Overload.Off || settings.Waiting == config.WaitingOff
+	deciding.AdmissionQueue.Off = deciding.Overload.Off || settings.Waiting == config.WaitingOff
 	deciding.ColdStart.Overage = settings.Limits.ColdOverage
 	deciding.ColdStart.Slack = settings.Limits.ColdSlack
 	following := follower.DefaultSettings(settings.Node, settings.Zone, incarnation).
--- a/internal/tokennode/evidence.go
+++ b/internal/tokennode/evidence.go
@@ -2,10 +2,10 @@
 
 import (
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/outlier"
 	"robinpulley.example/robinpulley/internal/follower"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/logging"
+	"robinpulley.example/robinpulley/internal/outlier"
 	"robinpulley.example/robinpulley/internal/passivehealth"
 )
 
@@ -19,11 +19,11 @@
 	if !engine.evidenceEffects.Changed {
 		return
 	}
-	avoided := make([]passivehealth.Identity, 0, len(engine.evidenceEffects.Avoided))
-	for _, identity := range engine.evidenceEffects.Avoided {
+	avoided := make([]passivehealth.Identity, 0, len(engine.evidenceEffects.Ejected))
+	for _, identity := range engine.evidenceEffects.Ejected {
 		avoided = append(avoided, passivehealth.Identity(identity))
 	}
-	engine.core.Step(engine.now(), &core.Event{Avoid: avoided}, &engine.coreEffects)
+	engine.core.Step(engine.now(), &core.Event{Ejected: avoided}, &engine.coreEffects)
 }
 
 // noteOutcomes tells the evidence what the core has seen of back ends.
@@ -56,7 +56,7 @@
 func (engine *engine) logEvidence() {
 	for _, change := range engine.evidenceEffects.Changes {
 		event := logging.EventBackendTrusted
-		if change.Avoided {
+		if change.Ejected {
 			event = logging.EventBackendAvoided
 		}
 		engine.logger.Warn().
--- a/internal/tokennode/load.go
+++ b/internal/tokennode/load.go
@@ -2,10 +2,10 @@
 
 import (
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/outlier"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/follower"
 	"robinpulley.example/robinpulley/internal/lb"
+	"robinpulley.example/robinpulley/internal/outlier"
 	"robinpulley.example/robinpulley/internal/tree"
 )
 
--- a/internal/tokennode/loadlog.go
+++ b/internal/tokennode/loadlog.go
@@ -55,9 +55,9 @@
 	for index := range known.Zones {
 		from := &known.Zones[index]
 		if from.Zone == zone {
-			inputs.asked = from.Asked()
+			inputs.asked = from.Demand()
 		} else {
-			inputs.askedOthers += from.Asked()
+			inputs.askedOthers += from.Demand()
 		}
 		for _, level := range from.Levels {
 			inputs.refused += level.Refused
--- a/internal/tokennode/loadreport.go
+++ b/internal/tokennode/loadreport.go
@@ -7,13 +7,13 @@
 	"net/http"
 	"slices"
 
+	"robinpulley.example/robinpulley/internal/admissionqueue"
 	"robinpulley.example/robinpulley/internal/fleetload"
 	"robinpulley.example/robinpulley/internal/lb"
 	"robinpulley.example/robinpulley/internal/loadreport"
 	"robinpulley.example/robinpulley/internal/logging"
 	"robinpulley.example/robinpulley/internal/overload"
 	"robinpulley.example/robinpulley/internal/steering"
-	"robinpulley.example/robinpulley/internal/admissionqueue"
 	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
@@ -55,7 +55,7 @@
 }
 
 // zonesOf gives the zones with back ends of a service, and their parts of this node's flows.
-func zonesOf(service *steering.Service, parts zoneweight.Parts) []loadreport.Zone {
+func zonesOf(service *steering.Service, parts zoneweight.Weights) []loadreport.Zone {
 	var zones []loadreport.Zone
 	for _, zone := range slices.Sorted(maps.Keys(service.Capacity())) {
 		zones = append(zones, loadreport.Zone{Zone: zone, Capacity: service.Capacity()[zone], Part: parts[zone]})
--- a/internal/tokennode/loadreport_test.go
+++ b/internal/tokennode/loadreport_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/matryer/is"
 
-	"robinpulley.example/robinpulley/internal/loadreport"
 	"robinpulley.example/robinpulley/internal/admissionqueue"
+	"robinpulley.example/robinpulley/internal/loadreport"
 )
 
 func TestWaitingOpeningsAreReportedByPriority(t *testing.T) {
--- a/internal/tokennode/metrics.go
+++ b/internal/tokennode/metrics.go
@@ -331,7 +331,7 @@
 		revision:  engine.follower.Replica().Revision(),
 		version:   engine.follower.Replica().Version(),
 		evacuated: engine.follower.Replica().Evacuated(),
-		avoided:   engine.evidence.Avoided(),
+		avoided:   engine.evidence.EjectedCount(),
 		reached:   engine.core.Zones(),
 		rank:      engine.follower.Rank(),
 		members:   engine.others + 1,
--- a/internal/tokennode/stop.go
+++ b/internal/tokennode/stop.go
@@ -80,7 +80,7 @@
 
 // endPlanned tells the others that this node ends.
 func (node *Node) endPlanned(reason lifecycle.Reason) {
-	node.look(&core.Event{Close: true})
+	node.look(&core.Event{CloseQueue: true})
 	node.engine.end()
 	time.Sleep(endLinger)
 	node.life.Stopped(reason)
--- a/internal/tokennode/waiting.go
+++ b/internal/tokennode/waiting.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"robinpulley.example/robinpulley/internal/core"
 	"robinpulley.example/robinpulley/internal/admissionqueue"
+	"robinpulley.example/robinpulley/internal/core"
 )
 
 // wakeLooking has openings that wait looked at from now on.
@@ -62,7 +62,7 @@
 				return
 			case <-ticker.C:
 			}
-			more = node.look(&core.Event{Look: true})
+			more = node.look(&core.Event{RetryQueued: true})
 		}
 	}
 }
--- a/internal/tokennode/waiting_test.go
+++ b/internal/tokennode/waiting_test.go
@@ -84,16 +84,16 @@
 	holdSome(t, e, 3)
 	is.Equal(len(e.holding), 1)
 	now += 10 * time.Millisecond
-	released, more := e.look(&core.Event{Look: true})
+	released, more := e.look(&core.Event{RetryQueued: true})
 	is.Equal(len(released), 0)
 	is.True(more)
 	lines.Reset()
 	now += 75 * time.Millisecond
-	released, more = e.look(&core.Event{Look: true})
+	released, more = e.look(&core.Event{RetryQueued: true})
 	is.Equal(len(released), 3)
 	is.True(!more)
 	is.True(strings.Contains(lines.String(), `"waited_ms":85`))
-	released, _ = e.look(&core.Event{Look: true})
+	released, _ = e.look(&core.Event{RetryQueued: true})
 	is.Equal(len(released), 0)
 	state := e.state()
 	is.Equal(state.waiting, 0)
@@ -107,7 +107,7 @@
 	now := time.Duration(0)
 	e := overloadedEngine(t, zerolog.Nop(), &now)
 	holdSome(t, e, 5)
-	released, more := e.look(&core.Event{Close: true})
+	released, more := e.look(&core.Event{CloseQueue: true})
 	is.Equal(len(released), 5)
 	is.True(!more)
 	for number := range 200 {
--- a/internal/zoneweight/zoneshare.go
+++ b/internal/zoneweight/zoneshare.go
@@ -44,8 +44,8 @@
 	Known  bool
 }
 
-// Parts are the parts of one zone's new flows by the zone of their back ends. They add up to 1.
-type Parts map[lb.Zone]float64
+// Weights are the parts of one zone's new flows by the zone of their back ends. They add up to 1.
+type Weights map[lb.Zone]float64
 
 // Even gives zones whose callers ask for the same, as much as all back ends can do: what is
 // taken while nothing is known. Then all back ends get the same load whatever the load is.
@@ -66,8 +66,8 @@
 	var zones []Zone
 	for index := range service.Zones {
 		zone := &service.Zones[index]
-		demand[zone.Zone] = zone.Asked()
-		zones = append(zones, Zone{Zone: zone.Zone, Capacity: capacity[zone.Zone], Demand: zone.Asked(), Known: true})
+		demand[zone.Zone] = zone.Demand()
+		zones = append(zones, Zone{Zone: zone.Zone, Capacity: capacity[zone.Zone], Demand: zone.Demand(), Known: true})
 	}
 	for zone, slots := range capacity {
 		if _, known := demand[zone]; !known {
@@ -84,7 +84,7 @@
 
 // Split gives the parts of the new flows of a zone, which keeps them up to the part home
 // of its capacity. It gives nil if nothing is known of the zone itself, or no zone has back ends.
-func Split(own lb.Zone, zones []Zone, home float64) Parts {
+func Split(own lb.Zone, zones []Zone, home float64) Weights {
 	level, total := levelOf(zones, home)
 	self := slices.IndexFunc(zones, func(z Zone) bool { return z.Zone == own })
 	if self < 0 || !zones[self].Known || total == 0 {
@@ -99,7 +99,7 @@
 	if elsewhere > 0 {
 		local = min(local, 1-Remote)
 	}
-	parts := Parts{own: local}
+	parts := Weights{own: local}
 	spread := min(Remote, 1-local)
 	for index := range zones {
 		zone := &zones[index]
@@ -157,7 +157,7 @@
 }
 
 // Approach gives parts that are moved from those before towards wanted ones, by a step at the most.
-func Approach(before, wanted Parts, step float64) Parts {
+func Approach(before, wanted Weights, step float64) Weights {
 	furthest := 0.0
 	for zone := range before {
 		furthest = max(furthest, math.Abs(wanted[zone]-before[zone]))
@@ -168,7 +168,7 @@
 	if furthest <= step {
 		return wanted
 	}
-	moved := make(Parts, len(wanted))
+	moved := make(Weights, len(wanted))
 	part := step / furthest
 	for zone, value := range before {
 		moved[zone] = value * (1 - part)
--- a/internal/zoneweight/zoneshare_test.go
+++ b/internal/zoneweight/zoneshare_test.go
@@ -146,8 +146,8 @@
 // TestOneWrongNewsMovesLittle: a share moves by a bounded step with each news.
 func TestOneWrongNewsMovesLittle(t *testing.T) {
 	is := is.New(t)
-	before := Parts{"z0": 0.98, "z1": 0.01, "z2": 0.01}
-	wanted := Parts{"z0": 0.02, "z1": 0.97, "z2": 0.01}
+	before := Weights{"z0": 0.98, "z1": 0.01, "z2": 0.01}
+	wanted := Weights{"z0": 0.02, "z1": 0.97, "z2": 0.01}
 	moved := Approach(before, wanted, MostStep)
 	is.True(math.Abs(before["z0"]-moved["z0"]) <= MostStep+1e-9)
 	sum := 0.0
