--- a/internal/outlier/pending.go
+++ b/internal/outlier/pending.go
@@ -9,40 +9,41 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// maxOwnBad bounds the bad outcomes of a back end that one node reports at a time.
-const maxOwnBad = 2
+// maxOwnBadOutcomes bounds the bad outcomes of one back end in a node's report.
+const maxOwnBadOutcomes = 2
 
-// maxPending bounds the back ends of which something waits to be reported.
-const maxPending = 1024
+// maxPendingBackends bounds the back ends with outcomes waiting to be reported.
+const maxPendingBackends = 1024
 
-// pending is what waits to be reported: what this node has seen itself since its
-// last report, and what the nodes below it have reported.
+// pending holds the outcomes waiting to be reported: those that this node observed since its last
+// report, and those that its children reported.
 type pending struct {
 	own, below map[Identity]*tally
-	// counted is when this node last counted as a reporter of a back end.
-	counted map[Identity]time.Duration
+	// lastCounted holds when this node last counted as a reporter of each back end.
+	lastCounted map[Identity]time.Duration
 }
 
-// tally counts outcomes of a back end, and the nodes that have seen bad ones.
+// tally counts the outcomes of a back end and the nodes that reported bad ones.
 type tally struct{ bad, good, reporters int }
 
 func newPending() pending {
-	return pending{own: map[Identity]*tally{}, below: map[Identity]*tally{}, counted: map[Identity]time.Duration{}}
+	return pending{own: map[Identity]*tally{}, below: map[Identity]*tally{}, lastCounted: map[Identity]time.Duration{}}
 }
 
-// tallyOf gives that of a back end; nil: there are too many.
+// tallyOf returns the tally of a back end, creating it if needed. It returns nil when there are too
+// many.
 func tallyOf(tallies map[Identity]*tally, identity Identity) *tally {
 	known := tallies[identity]
-	if known == nil && len(tallies) < maxPending {
+	if known == nil && len(tallies) < maxPendingBackends {
 		known = &tally{}
 		tallies[identity] = known
 	}
 	return known
 }
 
-// note counts what this node has seen. Good outcomes count of back ends that are
-// watched, or that have bad ones waiting to be reported.
-func (p *pending) note(outcome Outcome, watched bool) {
+// record counts an outcome that this node observed. Good outcomes count only for back ends that are
+// watched or that have bad outcomes waiting to be reported.
+func (p *pending) record(outcome Outcome, watched bool) {
 	known := p.own[outcome.Identity]
 	if known == nil && (outcome.Bad || watched) {
 		known = tallyOf(p.own, outcome.Identity)
@@ -56,7 +57,7 @@
 	}
 }
 
-// add adds what nodes below have reported.
+// add adds the report of a child node.
 func (p *pending) add(report *message.OutcomeReport) {
 	for _, entry := range report.Backends {
 		if sum := tallyOf(p.below, Identity(entry.Identity)); sum != nil {
@@ -67,17 +68,17 @@
 	}
 }
 
-// take gives what is to be reported now, the worst back ends first. What exceeds
-// most entries is dropped, since newer evidence is worth more.
-func (p *pending) take(now, reporterTime time.Duration, most int) []message.BackendOutcomes {
+// drain removes and returns the outcomes to be reported now, the back ends with the most bad
+// outcomes first. Entries beyond maxEntries are dropped, since newer outcomes are worth more.
+func (p *pending) drain(now, reporterInterval time.Duration, maxEntries int) []message.BackendOutcomes {
 	for identity, seen := range p.own {
 		sum := tallyOf(p.below, identity)
 		if sum == nil {
 			continue
 		}
-		sum.bad += min(seen.bad, maxOwnBad)
+		sum.bad += min(seen.bad, maxOwnBadOutcomes)
 		sum.good += seen.good
-		if seen.bad > 0 && p.counts(now, identity, reporterTime) {
+		if seen.bad > 0 && p.countReporter(now, identity, reporterInterval) {
 			sum.reporters++
 		}
 	}
@@ -92,17 +93,18 @@
 	slices.SortFunc(entries, func(left, right message.BackendOutcomes) int {
 		return cmp.Or(cmp.Compare(right.Bad, left.Bad), cmp.Compare(left.Identity, right.Identity))
 	})
-	return entries[:min(len(entries), most)]
+	return entries[:min(len(entries), maxEntries)]
 }
 
-// counts tells whether this node counts as a reporter of a back end once more.
-func (p *pending) counts(now time.Duration, identity Identity, reporterTime time.Duration) bool {
-	if last, before := p.counted[identity]; before && now-last < reporterTime {
+// countReporter reports whether this node counts as a reporter of the back end again, and if so
+// records the time.
+func (p *pending) countReporter(now time.Duration, identity Identity, reporterInterval time.Duration) bool {
+	if last, before := p.lastCounted[identity]; before && now-last < reporterInterval {
 		return false
 	}
-	if len(p.counted) >= maxPending {
-		maps.DeleteFunc(p.counted, func(_ Identity, at time.Duration) bool { return now-at >= reporterTime })
+	if len(p.lastCounted) >= maxPendingBackends {
+		maps.DeleteFunc(p.lastCounted, func(_ Identity, at time.Duration) bool { return now-at >= reporterInterval })
 	}
-	p.counted[identity] = now
+	p.lastCounted[identity] = now
 	return true
 }
--- a/internal/passivehealth/factor.go
+++ b/internal/passivehealth/factor.go
@@ -7,26 +7,25 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Rates of the moving means.
+// Smoothing factors of the moving averages.
 const (
 	latencyRate = 1.0 / 8
-	// The typical time follows fast answers quickly and slow ones slowly, so
-	// that it stays what an idle back end takes while all are crowded.
+	// The typical response time follows fast answers quickly and slow answers slowly, so that it
+	// remains the time of an idle back end even while all back ends are overloaded.
 	typicalFallRate = 1.0 / 32
 	typicalRiseRate = 1.0 / 1024
 )
 
-// Bounds of the factor of slow back ends.
+// Bounds of the weight factor of slow back ends.
 const (
-	// slowRatio is the ratio to the typical time above which a back end is slow.
+	// slowRatio is the ratio to the typical response time above which a back end is slow.
 	slowRatio = 4.0
-	// lowestFactor keeps some flows going to a slow back end, which show when
-	// it has become fast again.
-	lowestFactor = 1.0 / 32
+	// minFactor keeps some flows going to a slow back end, which show when it is fast again.
+	minFactor = 1.0 / 32
 )
 
-// sample takes the time that a request took.
-func (o *Observer) sample(now time.Duration, service lb.ServiceName, identity Identity, took time.Duration) {
+// recordLatency adds the response time of one request to the moving averages.
+func (o *Observer) recordLatency(now time.Duration, service lb.ServiceName, identity Identity, took time.Duration) {
 	seconds := took.Seconds()
 	typical, known := o.typical[service]
 	switch {
@@ -38,48 +37,47 @@
 		typical += (seconds - typical) * typicalRiseRate
 	}
 	o.typical[service] = typical
-	backend := o.health(identity)
-	if backend.sampled == 0 {
+	backend := o.stateOf(identity)
+	if backend.sampledAt == 0 {
 		backend.latency = seconds
 	}
 	backend.latency += (seconds - backend.latency) * latencyRate
-	backend.sampled = now
+	backend.sampledAt = now
 }
 
-// Factor is by how much the weight of a back end is lowered: 0 for one that is
-// silent, 1 for one of which nothing bad is known.
+// Factor returns the factor by which the weight of a back end is multiplied: 0 for an unresponsive
+// back end, 1 for one without any known problem.
 func (o *Observer) Factor(now time.Duration, service lb.ServiceName, identity Identity) float64 {
-	factor := o.ownFactor(now, service, identity)
-	if o.avoided[identity] {
-		factor = min(factor, avoidedFactor)
+	factor := o.localFactor(now, service, identity)
+	if o.ejected[identity] {
+		factor = min(factor, ejectedFactor)
 	}
 	return factor
 }
 
-// avoidedFactor keeps a trickle of flows going to back ends that the nodes together
-// avoid, which shows when they have recovered.
-const avoidedFactor = 1.0 / 16
+// ejectedFactor keeps a few flows going to ejected back ends, which show when they have recovered.
+const ejectedFactor = 1.0 / 16
 
-// ownFactor is Factor by what this balancer has seen itself.
-func (o *Observer) ownFactor(now time.Duration, service lb.ServiceName, identity Identity) float64 {
+// localFactor returns the factor that follows from this balancer's own observations.
+func (o *Observer) localFactor(now time.Duration, service lb.ServiceName, identity Identity) float64 {
 	backend := o.backends[identity]
 	if backend == nil {
 		return 1
 	}
-	if now < backend.silent {
+	if now < backend.unresponsiveUntil {
 		return 0
 	}
 	typical := o.typical[service]
-	if backend.sampled == 0 || typical == 0 {
+	if backend.sampledAt == 0 || typical == 0 {
 		return 1
 	}
 	if backend.latency <= slowRatio*typical {
-		return 1 // being forgiven lowers the ratio only
+		return 1 // time without requests can only lower the ratio
 	}
-	idle := (now - backend.sampled).Seconds() / o.settings.RecoverTime.Seconds()
+	idle := (now - backend.sampledAt).Seconds() / o.settings.RecoveryHalfLife.Seconds()
 	ratio := 1 + (backend.latency/typical-1)*math.Exp2(-idle)
 	if ratio <= slowRatio {
 		return 1
 	}
-	return max(lowestFactor, (slowRatio/ratio)*(slowRatio/ratio))
+	return max(minFactor, (slowRatio/ratio)*(slowRatio/ratio))
 }
--- /dev/null
+++ b/internal/passivehealth/observer.go
@@ -0,0 +1,317 @@
+// Package passivehealth estimates the state of back ends from the packets that pass one balancer:
+// which back ends leave openings unanswered, and which are slow.
+//
+// Back ends answer callers directly (direct server return), so a balancer sees only the packets of
+// callers. It infers that an opening was answered when the caller's next packet arrives, and that a
+// request was answered when the caller acknowledges new data. The estimates only improve the choice
+// of back ends; correctness does not depend on them. The package has no I/O and no clock.
+package passivehealth
+
+import (
+	"time"
+
+	"robinpulley.example/robinpulley/internal/lb"
+)
+
+// Identity identifies one instance (one start) of a back end, as packets carry it.
+type Identity uint64
+
+// Settings are the parameters of an Observer. See DefaultSettings.
+type Settings struct {
+	// AnswerTimeout is how long an answer to an opening may take before it counts as missing.
+	AnswerTimeout time.Duration
+	// UnresponsiveTime is how long a back end gets no new flows after a missing answer. The time
+	// doubles with each further missing answer, up to MaxUnresponsiveTime.
+	UnresponsiveTime, MaxUnresponsiveTime time.Duration
+	// OpeningRetention is how long openings are kept: as long as callers retransmit them.
+	OpeningRetention time.Duration
+	// RecoveryHalfLife is the half-life with which the latency excess of a slow back end decays
+	// while it receives no requests.
+	RecoveryHalfLife time.Duration
+	// MaxFlows bounds the openings that are kept, and likewise the requests.
+	MaxFlows int
+}
+
+// DefaultSettings returns the default settings.
+func DefaultSettings() Settings {
+	return Settings{
+		AnswerTimeout:       100 * time.Millisecond,
+		UnresponsiveTime:    400 * time.Millisecond,
+		MaxUnresponsiveTime: 4 * time.Second,
+		OpeningRetention:    1500 * time.Millisecond,
+		RecoveryHalfLife:    2 * time.Second,
+		MaxFlows:            1 << 14,
+	}
+}
+
+// opening is an opening that was forwarded and whose answer was not observed yet.
+type opening struct {
+	identity Identity
+	at       time.Duration
+	overdue  bool // counted as missing
+}
+
+// request is a request whose answer was not observed yet.
+type request struct {
+	identity     Identity
+	service      lb.ServiceName
+	at           time.Duration
+	acknowledged uint32
+	overdue      bool // recorded as missing
+}
+
+// backendState holds the observations of one back end.
+type backendState struct {
+	lastAnswerAt      time.Duration // when an answer was last observed
+	missingAnswers    int           // missing answers since lastAnswerAt
+	inFlight          int           // openings and requests in flight from this balancer
+	unresponsiveUntil time.Duration // the back end gets no new flows until then
+	latency           float64       // seconds; moving average of the response time
+	sampledAt         time.Duration // when latency was last updated
+}
+
+// Observer holds the estimates of one balancer. It is not safe for concurrent use.
+type Observer struct {
+	settings Settings
+	openings map[lb.FlowID]opening
+	requests map[lb.FlowID]request
+	// exchanges holds requests whose answer size is still to be measured; sizes holds the typical
+	// answer sizes.
+	exchanges map[lb.FlowID]exchange
+	sizes     map[lb.FrontendKey]*answerSizes
+	outcomes  []Outcome
+	// ejected holds the back ends that outlier detection has ejected.
+	ejected      map[Identity]bool
+	backends     map[Identity]*backendState
+	typical      map[lb.ServiceName]float64 // seconds; response time of fast answers of a service
+	nextSweep    time.Duration
+	changes      []Change
+	observations []Sign
+}
+
+// Change records that a back end has become unresponsive, or has answered again.
+type Change struct {
+	Identity Identity
+	Silent   bool
+	// Missing is the number of consecutive openings without an answer.
+	Missing int
+}
+
+// Changes returns the changes since the last call. The slice is valid until the next call of any
+// method.
+func (o *Observer) Changes() []Change {
+	changes := o.changes
+	o.changes = o.changes[:0]
+	return changes
+}
+
+// Sign records an answer of a back end, or a missing answer to an opening sent at Sent.
+type Sign struct {
+	Identity Identity
+	Missing  bool
+	Sent     time.Duration
+}
+
+// Signs returns the observations since the last call. The slice is valid until the next call of any
+// method.
+func (o *Observer) Signs() []Sign {
+	signs := o.observations
+	o.observations = o.observations[:0]
+	return signs
+}
+
+// New returns an observer without any observations.
+func New(settings Settings) *Observer {
+	return &Observer{
+		settings:  settings,
+		openings:  make(map[lb.FlowID]opening),
+		requests:  make(map[lb.FlowID]request),
+		exchanges: make(map[lb.FlowID]exchange),
+		sizes:     make(map[lb.FrontendKey]*answerSizes),
+		backends:  make(map[Identity]*backendState),
+		typical:   make(map[lb.ServiceName]float64),
+	}
+}
+
+func (o *Observer) stateOf(identity Identity) *backendState {
+	known := o.backends[identity]
+	if known == nil {
+		known = &backendState{}
+		o.backends[identity] = known
+	}
+	return known
+}
+
+// Opened records that an opening was forwarded to a back end.
+func (o *Observer) Opened(now time.Duration, flow lb.FlowID, identity Identity) {
+	known, found := o.openings[flow]
+	if found && known.identity == identity {
+		return // a retransmission
+	}
+	if len(o.openings) < o.settings.MaxFlows {
+		o.addInFlight(identity)
+		if found {
+			o.removeInFlight(known.identity)
+		}
+		o.openings[flow] = opening{identity: identity, at: now}
+	}
+}
+
+// Placed returns the back end to which an earlier copy of the opening was forwarded. It returns
+// false if that back end left the opening unanswered and no answer of it was observed since, or if
+// it left later openings unanswered.
+func (o *Observer) Placed(now time.Duration, flow lb.FlowID) (Identity, bool) {
+	known, found := o.openings[flow]
+	if !found || now-known.at > o.settings.OpeningRetention {
+		return 0, false
+	}
+	o.checkOverdue(now, flow, known)
+	if now-known.at >= o.settings.AnswerTimeout && (o.noAnswerSince(known.identity, known.at) || o.Suspect(known.identity)) {
+		return 0, false
+	}
+	return known.identity, true
+}
+
+// Pending returns the back end to which the opening of a flow was forwarded, until a later packet
+// of the flow arrives.
+func (o *Observer) Pending(flow lb.FlowID) (Identity, bool) {
+	known, found := o.openings[flow]
+	return known.identity, found
+}
+
+// Suspect reports whether a back end has left an opening unanswered and no answer of it was
+// observed since.
+func (o *Observer) Suspect(identity Identity) bool {
+	known := o.backends[identity]
+	return known != nil && known.missingAnswers > 0
+}
+
+// Later records a later packet of a flow. The packet shows that the back end has answered the
+// opening and, if it acknowledges new data, the request before; took is then the response time.
+// hasData is set when the packet carries data; begun is set when a request begins with it.
+func (o *Observer) Later(now time.Duration, flow lb.FlowID, service lb.ServiceName, identity Identity, acknowledged uint32, hasData bool) (took time.Duration, answered, begun bool) {
+	if pending, found := o.openings[flow]; found {
+		delete(o.openings, flow)
+		o.removeInFlight(pending.identity)
+		o.recordAnswer(now, identity)
+	}
+	pending, waiting := o.requests[flow]
+	switch {
+	case waiting && pending.acknowledged != acknowledged:
+		delete(o.requests, flow)
+		o.removeInFlight(pending.identity)
+		o.recordAnswer(now, identity)
+		took, answered = now-pending.at, true
+		if pending.overdue {
+			o.recordOutcome(identity, false) // the answer was only late
+		}
+		o.recordLatency(now, service, identity, took)
+		waiting = false
+	case !hasData:
+		return 0, false, false
+	}
+	if hasData && !waiting && len(o.requests) < o.settings.MaxFlows {
+		o.addInFlight(identity)
+		o.requests[flow] = request{identity: identity, service: service, at: now, acknowledged: acknowledged}
+		begun = true
+	}
+	return took, answered, begun
+}
+
+// addInFlight and removeInFlight count the openings and requests in flight at a back end.
+func (o *Observer) addInFlight(identity Identity) { o.stateOf(identity).inFlight++ }
+
+func (o *Observer) removeInFlight(identity Identity) {
+	if known := o.backends[identity]; known != nil && known.inFlight > 0 {
+		known.inFlight--
+	}
+}
+
+// Busy returns the number of openings and requests that passed this balancer and are in flight at a
+// back end, as far as the balancer can observe.
+func (o *Observer) Busy(identity Identity) int {
+	known := o.backends[identity]
+	if known == nil {
+		return 0
+	}
+	return known.inFlight
+}
+
+func (o *Observer) recordAnswer(now time.Duration, identity Identity) {
+	o.observations = append(o.observations, Sign{Identity: identity})
+	known := o.stateOf(identity)
+	if known.missingAnswers > 0 {
+		o.changes = append(o.changes, Change{Identity: identity})
+	}
+	known.lastAnswerAt = now
+	known.missingAnswers = 0
+	known.unresponsiveUntil = 0
+}
+
+// noAnswerSince reports whether no answer of the back end was observed after the given time.
+func (o *Observer) noAnswerSince(identity Identity, since time.Duration) bool {
+	known := o.backends[identity]
+	return known == nil || known.lastAnswerAt <= since
+}
+
+// checkOverdue counts the answer to an opening as missing when AnswerTimeout has passed.
+func (o *Observer) checkOverdue(now time.Duration, flow lb.FlowID, pending opening) {
+	if pending.overdue || now-pending.at < o.settings.AnswerTimeout {
+		return
+	}
+	pending.overdue = true
+	o.openings[flow] = pending
+	if !o.noAnswerSince(pending.identity, pending.at) {
+		return // the back end has answered other flows: this packet, or its answer, was lost
+	}
+	o.recordOutcome(pending.identity, true)
+	o.observations = append(o.observations, Sign{Identity: pending.identity, Missing: true, Sent: pending.at})
+	known := o.stateOf(pending.identity)
+	known.missingAnswers++
+	if now >= known.unresponsiveUntil {
+		change := Change{Identity: pending.identity, Silent: true, Missing: known.missingAnswers}
+		o.changes = append(o.changes, change)
+	}
+	const maxDoublings = 8
+	duration := o.settings.UnresponsiveTime << min(known.missingAnswers-1, maxDoublings)
+	known.unresponsiveUntil = max(known.unresponsiveUntil, now+min(duration, o.settings.MaxUnresponsiveTime))
+}
+
+// sweepInterval is the time between two sweeps over all openings and requests.
+const sweepInterval = 50 * time.Millisecond
+
+// Tick counts missing answers and drops expired openings, requests and exchanges.
+func (o *Observer) Tick(now time.Duration) {
+	if now < o.nextSweep {
+		return
+	}
+	o.nextSweep = now + sweepInterval
+	for flow, pending := range o.openings {
+		o.checkOverdue(now, flow, pending)
+		if now-pending.at > o.settings.OpeningRetention {
+			delete(o.openings, flow)
+			o.removeInFlight(pending.identity)
+		}
+	}
+	o.sweepRequests(now)
+}
+
+// requestRetention is how long an unanswered request is kept.
+const requestRetention = 5 * time.Second
+
+// SetEjected replaces the set of back ends that outlier detection has ejected.
+func (o *Observer) SetEjected(identities []Identity) {
+	o.ejected = make(map[Identity]bool, len(identities))
+	for _, identity := range identities {
+		o.ejected[identity] = true
+	}
+}
+
+// Forget drops the state of all back ends for which keep returns false.
+func (o *Observer) Forget(keep func(Identity) bool) {
+	for identity := range o.backends {
+		if !keep(identity) {
+			delete(o.backends, identity)
+		}
+	}
+}
--- a/internal/passivehealth/observe_test.go
+++ b/internal/passivehealth/observer_test.go
@@ -18,7 +18,7 @@
 
 const ms = time.Millisecond
 
-func TestUnansweredOpeningSilencesItsBackend(t *testing.T) {
+func TestUnansweredOpeningMakesBackendUnresponsive(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	observer.Opened(0, 7, first)
@@ -28,11 +28,11 @@
 	is.Equal(len(observer.Changes()), 0)
 	is.Equal(observer.Factor(120*ms, web, first), 0.0)
 	is.Equal(observer.Factor(120*ms, web, second), 1.0)
-	// It is tried again when its time has passed.
-	is.Equal(observer.Factor(120*ms+observer.settings.SilentTime, web, first), 1.0)
+	// The back end is retried after the unresponsive time.
+	is.Equal(observer.Factor(120*ms+observer.settings.UnresponsiveTime, web, first), 1.0)
 }
 
-func TestSilenceGrowsAndEndsWithAnAnswer(t *testing.T) {
+func TestUnresponsiveTimeDoublesUntilAnAnswer(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	now := time.Duration(0)
@@ -41,7 +41,7 @@
 		now += 150 * ms
 		observer.Tick(now)
 	}
-	limit := observer.settings.SilentLimit
+	limit := observer.settings.MaxUnresponsiveTime
 	is.Equal(observer.Factor(now+limit-ms, web, first), 0.0)
 	is.Equal(observer.Factor(now+limit, web, first), 1.0)
 	observer.Changes()
@@ -51,7 +51,7 @@
 	is.Equal(observer.Factor(now+3*ms, web, first), 1.0)
 }
 
-func TestLostOpeningOfALivelyBackendIsNoSilence(t *testing.T) {
+func TestLostOpeningToAResponsiveBackendIsIgnored(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	observer.Opened(0, 1, first)
@@ -59,17 +59,17 @@
 	observer.Later(13*ms, 2, web, first, 1, false)
 	observer.Tick(300 * ms)
 	is.Equal(observer.Factor(300*ms, web, first), 1.0)
-	identity, placed := observer.Placed(300*ms, 1) // the copy goes to the same back end
+	identity, placed := observer.Placed(300*ms, 1) // the retransmission goes to the same back end
 	is.True(placed)
 	is.Equal(identity, first)
 }
 
-func TestCopyLeavesASilentBackend(t *testing.T) {
+func TestRetransmittedOpeningLeavesAnUnresponsiveBackend(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	observer.Opened(0, 1, first)
 	_, placed := observer.Placed(50*ms, 1)
-	is.True(placed) // too early to tell
+	is.True(placed) // before the answer timeout
 	_, placed = observer.Placed(200*ms, 1)
 	is.Equal(placed, false)
 	observer.Opened(200*ms, 1, second)
@@ -78,8 +78,9 @@
 	is.Equal(identity, second)
 }
 
-// serve has a back end answer requests that take a time each.
-func serve(observer *Observer, now time.Duration, identity Identity, took time.Duration, requests int) time.Duration {
+// serveRequests makes a back end answer a number of requests, each after the time took, and returns
+// the time of the last answer.
+func serveRequests(observer *Observer, now time.Duration, identity Identity, took time.Duration, requests int) time.Duration {
 	for index := range requests {
 		flow := lb.FlowID(identity)<<32 | lb.FlowID(index)
 		acknowledged := uint32(index)
@@ -90,30 +91,30 @@
 	return now
 }
 
-func TestSlowBackendGetsLessAndIsForgiven(t *testing.T) {
+func TestSlowBackendGetsLowerWeightUntilItRecovers(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	now := serve(observer, 0, first, 20*ms, 50)
-	now = serve(observer, now, second, 200*ms, 50)
+	now := serveRequests(observer, 0, first, 20*ms, 50)
+	now = serveRequests(observer, now, second, 200*ms, 50)
 	is.Equal(observer.Factor(now, web, first), 1.0)
 	slow := observer.Factor(now, web, second)
-	is.True(slow < 0.5 && slow >= lowestFactor)
+	is.True(slow < 0.5 && slow >= minFactor)
 	is.Equal(observer.Factor(now+20*time.Second, web, second), 1.0)
-	now = serve(observer, now, second, 20*ms, 50)
+	now = serveRequests(observer, now, second, 20*ms, 50)
 	is.Equal(observer.Factor(now, web, second), 1.0)
 }
 
-// TestAllSlowBackendsAreSeen: the typical time does not grow as fast as the
-// times of back ends that all become slow together.
-func TestAllSlowBackendsAreSeen(t *testing.T) {
+// TestSlowdownOfAllBackendsLowersTheirWeights checks that the typical response time rises more
+// slowly than the response times of back ends that all become slow together.
+func TestSlowdownOfAllBackendsLowersTheirWeights(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	now := serve(observer, 0, first, 20*ms, 200)
-	now = serve(observer, now, first, 300*ms, 30)
+	now := serveRequests(observer, 0, first, 20*ms, 200)
+	now = serveRequests(observer, now, first, 300*ms, 30)
 	is.True(observer.Factor(now, web, first) < 0.6)
 }
 
-func TestResentRequestIsTimedFromItsFirstCopy(t *testing.T) {
+func TestRetransmittedRequestIsTimedFromItsFirstCopy(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	observer.Later(0, 1, web, first, 5, true)
@@ -138,9 +139,9 @@
 	is.Equal(len(observer.backends), 0)
 }
 
-// TestSigns: each opening left unanswered is told of once, with when it was sent, and
-// each answer.
-func TestSigns(t *testing.T) {
+// TestAnswersAndMissingAnswersAreReportedOnce checks that each unanswered opening is reported once,
+// with the time at which it was sent, and each answer once.
+func TestAnswersAndMissingAnswersAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	observer.Opened(10*ms, 7, first)
@@ -154,19 +155,20 @@
 	is.Equal(len(observer.Signs()), 0)
 }
 
-// TestBusyCountsWhatIsUnderWay: openings and requests, until they are answered or forgotten.
-func TestBusyCountsWhatIsUnderWay(t *testing.T) {
+// TestInFlightOpeningsAndRequestsAreCounted checks that openings and requests count as in flight
+// until they are answered or expire.
+func TestInFlightOpeningsAndRequestsAreCounted(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	observer.Opened(0, 1, 7)
-	observer.Opened(0, 1, 7) // a copy
+	observer.Opened(0, 1, 7) // a retransmission
 	observer.Opened(0, 2, 7)
 	is.Equal(observer.Busy(7), 2)
-	observer.Opened(0, 2, 8) // a copy that goes elsewhere
+	observer.Opened(0, 2, 8) // a retransmission to another back end
 	is.Equal(observer.Busy(7), 1)
 	is.Equal(observer.Busy(8), 1)
 	observer.Later(time.Millisecond, 1, "web", 7, 10, true)
-	is.Equal(observer.Busy(7), 1) // its request
+	is.Equal(observer.Busy(7), 1) // the request of flow 1
 	observer.Later(50*time.Millisecond, 1, "web", 7, 500, false)
 	is.Equal(observer.Busy(7), 0)
 	observer.Later(60*time.Millisecond, 1, "web", 7, 500, true)
@@ -190,21 +192,22 @@
 	is.Equal(found, false)
 }
 
-// TestCopyLeavesABackendThatFellSilentSinceItsLastAnswer guards against openings all of whose copies go to one
-// back end: its last answer came just after the first copy.
-func TestCopyLeavesABackendThatFellSilentSinceItsLastAnswer(t *testing.T) {
+// TestRetransmittedOpeningLeavesABackendThatStoppedAnswering guards against sending all copies of
+// an opening to one back end that stopped answering just after the first copy: its last answer is
+// then later than that copy.
+func TestRetransmittedOpeningLeavesABackendThatStoppedAnswering(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	observer.Opened(0, 1, first)
 	observer.Opened(0, 2, first)
 	observer.Later(5*ms, 2, web, first, 1, false)
-	observer.Opened(20*ms, 3, first) // left unanswered, as the first one
+	observer.Opened(20*ms, 3, first) // also left unanswered
 	observer.Tick(150 * ms)
 	_, placed := observer.Placed(200*ms, 1)
 	is.Equal(placed, false)
 }
 
-// TestSuspect: a back end that has left an opening unanswered, until it answers.
+// TestSuspect checks that a back end is suspect from a missing answer until its next answer.
 func TestSuspect(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
@@ -212,7 +215,7 @@
 	observer.Opened(0, 1, first)
 	observer.Tick(150 * ms)
 	is.True(observer.Suspect(first))
-	is.Equal(observer.Factor(time.Second, web, first), 1.0) // it is tried again
+	is.Equal(observer.Factor(time.Second, web, first), 1.0) // the back end is retried
 	is.True(observer.Suspect(first))
 	observer.Later(1100*ms, 1, web, first, 1, false)
 	is.True(!observer.Suspect(first))
--- a/internal/passivehealth/outcome.go
+++ b/internal/passivehealth/outcome.go
@@ -7,27 +7,28 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Outcome is how a request, or an opening, at a back end went, as far as this
-// balancer sees. It is evidence, not proof: package evidence weighs it.
+// Outcome is the outcome of a request, or of an opening, at a back end, as far as this balancer can
+// observe it. A single outcome proves nothing; package outlier evaluates the outcomes of all nodes.
 type Outcome struct {
 	Identity Identity
-	// Bad: no answer came in time, or one much shorter than its front end's
-	// answers are, as answers are that tell of an error.
+	// Bad is set when no answer arrived in time, or when the answer was much shorter than is
+	// typical for its front end, as error responses are.
 	Bad bool
 }
 
-// Outcomes gives those since the last call. It holds until the next call of any method.
+// Outcomes returns the outcomes since the last call. The slice is valid until the next call of any
+// method.
 func (o *Observer) Outcomes() []Outcome {
 	outcomes := o.outcomes
 	o.outcomes = o.outcomes[:0]
 	return outcomes
 }
 
-func (o *Observer) note(identity Identity, bad bool) {
+func (o *Observer) recordOutcome(identity Identity, bad bool) {
 	o.outcomes = append(o.outcomes, Outcome{Identity: identity, Bad: bad})
 }
 
-// exchange is a request whose answer's size is not known yet.
+// exchange is a request whose answer size is not known yet.
 type exchange struct {
 	identity     Identity
 	frontend     lb.FrontendKey
@@ -35,75 +36,77 @@
 	acknowledged uint32 // when the request began
 }
 
-// exchangeTime is how long an answer's size is waited for: it shows with the next
-// request of the flow, or with its end.
-const exchangeTime = 5 * time.Second
+// exchangeRetention is how long an exchange is kept: the answer size shows with the next request of
+// the flow, or with its end.
+const exchangeRetention = 5 * time.Second
 
-// Exchanging gives the back end that the last request of a flow went to, and the caller's
-// acknowledgement with it, while that was a short time ago.
+// Exchanging returns the back end to which the last request of a flow was forwarded and the
+// acknowledgement number of that request, within exchangeRetention of the request.
 func (o *Observer) Exchanging(flow lb.FlowID) (identity Identity, acknowledged uint32, found bool) {
 	known, found := o.exchanges[flow]
 	return known.identity, known.acknowledged, found
 }
 
-// Reopened notes that a new flow begins with the addresses and ports of a flow.
+// Reopened records that a new flow begins with the same addresses and ports.
 func (o *Observer) Reopened(flow lb.FlowID) { delete(o.exchanges, flow) }
 
-// Measure takes a later packet of a flow for the size of answers: by how much the
-// caller's acknowledgements have advanced when it sends the next request or closes.
+// Measure uses a later packet of a flow to measure an answer: its size is the advance of the
+// caller's acknowledgement number between a request and the next request or the close.
 func (o *Observer) Measure(now time.Duration, flow lb.FlowID, frontend lb.FrontendKey, identity Identity, acknowledged uint32, hasData, closing bool) {
 	known, waiting := o.exchanges[flow]
 	if waiting && (hasData || closing) && known.acknowledged != acknowledged {
 		delete(o.exchanges, flow)
 		waiting = false
-		o.note(identity, o.sizesOf(frontend).short(acknowledged-known.acknowledged))
+		o.recordOutcome(identity, o.answerSizesOf(frontend).addSize(acknowledged-known.acknowledged))
 	}
 	if hasData && !waiting && len(o.exchanges) < o.settings.MaxFlows {
 		o.exchanges[flow] = exchange{identity: identity, frontend: frontend, at: now, acknowledged: acknowledged}
 	}
 }
 
-func (o *Observer) sizesOf(frontend lb.FrontendKey) *sizes {
+func (o *Observer) answerSizesOf(frontend lb.FrontendKey) *answerSizes {
 	known := o.sizes[frontend]
 	if known == nil {
-		known = &sizes{}
+		known = &answerSizes{}
 		o.sizes[frontend] = known
 	}
 	return known
 }
 
-// sizes is what the answers of a front end usually measure: mean and variance of
-// the logarithms of their bytes.
-type sizes struct {
+// answerSizes holds the typical answer size of a front end: mean and variance of the logarithm of
+// the size in bytes.
+type answerSizes struct {
 	count          float64
 	mean, variance float64
 }
 
-// Figures of short answers. On the users' deployments answers that tell of an error
-// have 170 bytes, others 233 at the least, 495 to 3,600 mostly (read off
-// acknowledgements of 40,000 requests); logarithms of the latter deviate by 0.6 at most.
+// Parameters for the detection of short answers. Error responses have 170 bytes; other answers have
+// at least 233 bytes, and mostly 495 to 3,600 (from the acknowledgements of 40,000 requests). The
+// logarithms of the latter have a standard deviation of at most 0.6.
 const (
-	sizeRate = 1.0 / 64 // of the moving mean
-	// leastSizes is how many answers are needed to tell which are short. The deviation
-	// of so few is not known well: it counts for more, by 1 + fewSizes/count.
-	leastSizes = 4
-	fewSizes   = 4.0
-	// shortDeviations is how many deviations below the mean an answer is short: with
-	// lognormal sizes one in 30,000 is.
+	sizeRate = 1.0 / 64 // smoothing factor of the moving averages
+	// minSizes is the number of answers needed before any is classified as short. The deviation of
+	// a small sample is uncertain, so it is multiplied by 1 + smallSampleMargin/count.
+	minSizes          = 4
+	smallSampleMargin = 4.0
+	// shortDeviations is the number of standard deviations below the mean at which an answer is
+	// short. With lognormal sizes, one in 30,000 is.
 	shortDeviations = 4
-	// shortLeast is by how much the logarithm is below the mean at the least.
-	shortLeast = 0.25
-	// shortWeight is the part of their weight with which short answers change the
-	// mean: a front end whose answers have become short is not bad for ever. Its
-	// deviation they leave alone, or a few of them would make room for the others.
+	// minShortDifference is the minimum difference between the mean and the logarithm of a short
+	// answer's size.
+	minShortDifference = 0.25
+	// shortWeight is the relative weight with which short answers change the mean, so that a front
+	// end whose answers have become short does not stay bad forever. Short answers leave the
+	// deviation unchanged: a few of them would otherwise widen it until no answer counted as short.
 	shortWeight = 0.1
 )
 
-// short takes the size of an answer, and tells whether it is much shorter than others.
-func (s *sizes) short(bytes uint32) bool {
+// addSize adds the size of an answer and reports whether it is much shorter than the answers
+// before.
+func (s *answerSizes) addSize(bytes uint32) bool {
 	size := math.Log(float64(bytes))
-	few := 1 + fewSizes/max(1, s.count)
-	short := s.count >= leastSizes && size < s.mean-max(shortLeast, few*shortDeviations*math.Sqrt(s.variance))
+	margin := 1 + smallSampleMargin/max(1, s.count)
+	short := s.count >= minSizes && size < s.mean-max(minShortDifference, margin*shortDeviations*math.Sqrt(s.variance))
 	s.count++
 	rate := max(sizeRate, 1/s.count)
 	difference := size - s.mean
@@ -118,37 +121,37 @@
 	return false
 }
 
-// Missing answers.
+// Parameters for the detection of missing answers.
 const (
-	// missingRatio is how many times the typical time of its service a request
-	// takes until its answer counts as missing. The slowest in a thousand of the
-	// users' requests take nine times that while no back end fails.
+	// missingRatio is the multiple of the service's typical response time after which an answer
+	// counts as missing. The slowest 0.1 % of requests take 9 times the typical time while no back
+	// end fails.
 	missingRatio = 12
-	// missingLeast is the least such time: a packet that was lost is sent again
-	// after 200 ms, and its answer comes in time.
-	missingLeast = 300 * time.Millisecond
+	// minMissingTime is the minimum time after which an answer counts as missing. A lost packet is
+	// retransmitted after 200 ms, and its answer still arrives in time.
+	minMissingTime = 300 * time.Millisecond
 )
 
-func (o *Observer) missingTime(service lb.ServiceName) time.Duration {
-	return max(missingLeast, time.Duration(missingRatio*o.typical[service]*float64(time.Second)))
+func (o *Observer) missingTimeout(service lb.ServiceName) time.Duration {
+	return max(minMissingTime, time.Duration(missingRatio*o.typical[service]*float64(time.Second)))
 }
 
-// sweepRequests notes the answers that are missing, and forgets what is old.
+// sweepRequests records missing answers and drops expired requests and exchanges.
 func (o *Observer) sweepRequests(now time.Duration) {
 	for flow, pending := range o.requests {
-		if now-pending.at > requestTime {
+		if now-pending.at > requestRetention {
 			delete(o.requests, flow)
-			o.end(pending.identity)
+			o.removeInFlight(pending.identity)
 			continue
 		}
-		if !pending.overdue && now-pending.at > o.missingTime(pending.service) {
+		if !pending.overdue && now-pending.at > o.missingTimeout(pending.service) {
 			pending.overdue = true
 			o.requests[flow] = pending
-			o.note(pending.identity, true)
+			o.recordOutcome(pending.identity, true)
 		}
 	}
 	for flow, pending := range o.exchanges {
-		if now-pending.at > exchangeTime {
+		if now-pending.at > exchangeRetention {
 			delete(o.exchanges, flow)
 		}
 	}
--- a/internal/passivehealth/outcome_test.go
+++ b/internal/passivehealth/outcome_test.go
@@ -18,13 +18,13 @@
 	return flow.Frontend()
 }
 
-// exchangeOf has a flow send a request, and close when it has an answer of some bytes.
-func exchangeOf(observer *Observer, flow lb.FlowID, frontend lb.FrontendKey, identity Identity, bytes uint32) {
+// runExchange sends a request on a flow and closes the flow after an answer of the given size.
+func runExchange(observer *Observer, flow lb.FlowID, frontend lb.FrontendKey, identity Identity, bytes uint32) {
 	observer.Measure(0, flow, frontend, identity, 1000, true, false)
 	observer.Measure(20*ms, flow, frontend, identity, 1000+bytes, false, true)
 }
 
-// badOutcomes counts the bad ones of those since the last call.
+// badOutcomes returns the number of bad outcomes, and of all outcomes, since the last call.
 func badOutcomes(observer *Observer) (bad, all int) {
 	outcomes := observer.Outcomes()
 	for _, outcome := range outcomes {
@@ -35,8 +35,8 @@
 	return bad, len(outcomes)
 }
 
-// TestShortAnswersAreBad: answers that tell of an error are far shorter than others of
-// their front end, whether those are all alike or of many sizes.
+// TestShortAnswersAreBad checks that error responses, which are far shorter than the other answers
+// of their front end, are bad outcomes, whether the other answers have one size or many.
 func TestShortAnswersAreBad(t *testing.T) {
 	for name, size := range map[string]func(*rand.Rand) float64{
 		"alike":     func(random *rand.Rand) float64 { return 795 + random.Float64()*20 },
@@ -47,13 +47,13 @@
 			observer := New(DefaultSettings())
 			random := rand.New(rand.NewPCG(1, 7))
 			for flow := range lb.FlowID(2000) {
-				exchangeOf(observer, flow, testFrontend(443), first, uint32(size(random)))
+				runExchange(observer, flow, testFrontend(443), first, uint32(size(random)))
 			}
 			bad, all := badOutcomes(observer)
 			is.Equal(all, 2000)
 			is.True(bad <= 2)
 			for flow := range lb.FlowID(20) {
-				exchangeOf(observer, flow, testFrontend(443), second, 172)
+				runExchange(observer, flow, testFrontend(443), second, 172)
 			}
 			bad, _ = badOutcomes(observer)
 			is.Equal(bad, 20)
@@ -61,52 +61,53 @@
 	}
 }
 
-// TestFrontEndWhoseAnswersBecomeShort is not bad for ever.
-func TestFrontEndWhoseAnswersBecomeShort(t *testing.T) {
+// TestMeanFollowsAnswersThatStayShort checks that a front end whose answers have become short does
+// not stay bad forever.
+func TestMeanFollowsAnswersThatStayShort(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	for flow := range lb.FlowID(500) {
-		exchangeOf(observer, flow, testFrontend(443), first, 800)
+		runExchange(observer, flow, testFrontend(443), first, 800)
 	}
 	for flow := range lb.FlowID(3000) {
-		exchangeOf(observer, flow, testFrontend(443), first, 200)
+		runExchange(observer, flow, testFrontend(443), first, 200)
 	}
 	badOutcomes(observer)
 	for flow := range lb.FlowID(100) {
-		exchangeOf(observer, flow, testFrontend(443), first, 200)
+		runExchange(observer, flow, testFrontend(443), first, 200)
 	}
 	bad, _ := badOutcomes(observer)
 	is.Equal(bad, 0)
 }
 
-// TestFirstAnswersAreNotJudged: of a front end of which little is known.
-func TestFirstAnswersAreNotJudged(t *testing.T) {
+// TestFirstAnswersAreNotClassified checks that the first answers of a front end are never bad.
+func TestFirstAnswersAreNotClassified(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	for flow, bytes := range []uint32{800, 10000, 700} {
-		exchangeOf(observer, lb.FlowID(flow), testFrontend(443), first, bytes)
+		runExchange(observer, lb.FlowID(flow), testFrontend(443), first, bytes)
 	}
-	exchangeOf(observer, 9, testFrontend(80), first, 100) // another front end
+	runExchange(observer, 9, testFrontend(80), first, 100) // another front end
 	bad, all := badOutcomes(observer)
 	is.Equal(bad, 0)
 	is.Equal(all, 4)
 }
 
-// TestMissingAnswersAreBad, until they come: then the back end was slow only.
-func TestMissingAnswersAreBad(t *testing.T) {
+// TestMissingAnswersAreBadUntilTheyArrive also checks that a late answer is a good outcome.
+func TestMissingAnswersAreBadUntilTheyArrive(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	serve(observer, 0, first, 20*ms, 100)
+	serveRequests(observer, 0, first, 20*ms, 100)
 	badOutcomes(observer)
 	now := 10 * time.Second
 	observer.Later(now, 5000, web, second, 1, true)
 	observer.Tick(now + 250*ms)
 	_, all := badOutcomes(observer)
-	is.Equal(all, 0) // in time, yet
+	is.Equal(all, 0) // before the timeout
 	observer.Tick(now + 400*ms)
 	observer.Tick(now + 500*ms)
 	bad, all := badOutcomes(observer)
-	is.Equal(bad, 1) // once
+	is.Equal(bad, 1) // reported once
 	is.Equal(all, 1)
 	observer.Later(now+600*ms, 5000, web, second, 2, false)
 	bad, all = badOutcomes(observer)
@@ -114,11 +115,11 @@
 	is.Equal(all, 1)
 }
 
-// TestSlowServiceMayTakeItsTime: what counts as missing follows the service.
-func TestSlowServiceMayTakeItsTime(t *testing.T) {
+// TestMissingTimeoutFollowsTheService checks that a slow service gets more time to answer.
+func TestMissingTimeoutFollowsTheService(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	serve(observer, 0, first, 200*ms, 100)
+	serveRequests(observer, 0, first, 200*ms, 100)
 	badOutcomes(observer)
 	now := 100 * time.Second
 	observer.Later(now, 5000, web, second, 1, true)
@@ -127,11 +128,11 @@
 	is.Equal(all, 0)
 }
 
-func TestAvoidedBackendsGetATrickle(t *testing.T) {
+func TestEjectedBackendsKeepAMinimumWeight(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	observer.SetEjected([]Identity{first})
-	is.Equal(observer.Factor(0, web, first), avoidedFactor)
+	is.Equal(observer.Factor(0, web, first), ejectedFactor)
 	is.Equal(observer.Factor(0, web, second), 1.0)
 	observer.SetEjected([]Identity{})
 	is.Equal(observer.Factor(0, web, first), 1.0)
