--- a/internal/health/assign.go
+++ b/internal/health/assign.go
@@ -5,12 +5,12 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// ProbersPerZone is how many nodes of each zone probe a back end.
+// ProbersPerZone is the number of nodes of each zone that probe a back end.
 const ProbersPerZone = 2
 
-// Assigned tells whether this node probes the back end, given the nodes of its
-// own zone that are alive, itself among them. The first two nodes by
-// rendezvous hash of the back end's name do; so one death moves few probes.
+// Assigned reports whether this node probes the back end, given the living nodes of its own zone,
+// itself included. The two nodes that rank first by rendezvous hashing of the back end's name probe
+// it, so the death of a node moves few probes.
 func Assigned(self lb.NodeID, zoneNodes []rendezvous.Candidate, backend lb.BackendName) bool {
 	key := rendezvous.NewKey("probe/" + string(backend))
 	first, second := rendezvous.Chain(key, zoneNodes)
--- a/internal/health/assign_test.go
+++ b/internal/health/assign_test.go
@@ -38,10 +38,10 @@
 		is.Equal(len(all), ProbersPerZone)
 		is.Equal(len(probers(zoneNodes(1), backend)), 1)
 		is.Equal(len(probers(nil, backend)), 0)
-		fewer := probers(zoneNodes(9), backend) // the last node has died
+		fewer := probers(zoneNodes(9), backend) // node-9 has died
 		for node := range all {
 			share[node]++
-			is.True(fewer[node] || node == "node-9") // the others go on
+			is.True(fewer[node] || node == "node-9") // the other probers stay
 		}
 	}
 	for _, count := range share {
--- a/internal/health/probe.go
+++ b/internal/health/probe.go
@@ -10,22 +10,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxAnswerBytes bounds what is read of an answer.
+// maxAnswerBytes bounds the bytes that are read of an answer.
 const maxAnswerBytes = 4096
 
-// maxLoad is the load of a full host, in thousandths.
+// maxLoad is the load of a full host, in thousandths of its capacity.
 const maxLoad = 1000
 
-// wireAnswer is the JSON of a host's probe endpoint. The fields are pointers
-// because an answer that leaves one out says nothing.
+// wireAnswer is the JSON answer of a host's probe endpoint. The fields are pointers to distinguish
+// a missing field from a zero value.
 type wireAnswer struct {
 	Healthy   *bool  `json:"healthy"`
 	Load      *int64 `json:"load"`   // thousandths of capacity, 0..1000
-	AgeMillis *int64 `json:"age_ms"` // how old the values are; absent means zero
+	AgeMillis *int64 `json:"age_ms"` // age of the values; zero if absent
 }
 
-// newClient gives a client that asks the named address and no other: without
-// proxy and without following redirects.
+// newClient returns a client that connects only to the address in the URL: it uses no proxy and
+// follows no redirect.
 func newClient(settings *Settings) *http.Client {
 	return &http.Client{
 		Timeout: settings.Timeout,
@@ -37,7 +37,7 @@
 	}
 }
 
-// probe asks a back end for its health and load.
+// probe requests the health and load of a back end.
 func probe(ctx context.Context, client *http.Client, url string) (Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -47,9 +47,9 @@
 	if err != nil {
 		return Answer{}, errors.Wrapf(err, "probe %s", url)
 	}
-	defer func() { _ = response.Body.Close() }() // nothing is lost with a read body
+	defer func() { _ = response.Body.Close() }() // the body was read, so an error here loses nothing
 	if response.StatusCode != http.StatusOK {
-		return Answer{}, errors.Newf("probe %s: status %d, not %d", url, response.StatusCode, http.StatusOK)
+		return Answer{}, errors.Newf("probe %s: status %d, want %d", url, response.StatusCode, http.StatusOK)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
@@ -59,22 +59,22 @@
 	return answer, errors.Wrapf(err, "probe %s", url)
 }
 
-// ParseAnswer reads the JSON of a probe endpoint, such as
-// {"healthy":true,"load":250,"age_ms":100}. Unknown fields are ignored, so that
-// hosts may say more.
+// ParseAnswer parses the JSON answer of a probe endpoint, such as
+// {"healthy":true,"load":250,"age_ms":100}. Unknown fields are ignored, so that hosts may send
+// additional ones.
 func ParseAnswer(body []byte) (Answer, error) {
 	var wire wireAnswer
 	if err := json.Unmarshal(body, &wire); err != nil {
-		return Answer{}, errors.Wrap(err, "answer is no JSON object of health and load")
+		return Answer{}, errors.Wrap(err, "answer is not a JSON object with health and load")
 	}
 	if wire.Healthy == nil {
-		return Answer{}, errors.New("answer has no field healthy")
+		return Answer{}, errors.New("answer lacks the field healthy")
 	}
 	if wire.Load == nil {
-		return Answer{}, errors.New("answer has no field load")
+		return Answer{}, errors.New("answer lacks the field load")
 	}
 	if *wire.Load < 0 || *wire.Load > maxLoad {
-		return Answer{}, errors.Newf("answer has load %d, not 0 to %d", *wire.Load, maxLoad)
+		return Answer{}, errors.Newf("answer has load %d, must be 0 to %d", *wire.Load, maxLoad)
 	}
 	age, err := parseAge(wire.AgeMillis)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return Answer{Healthy: *wire.Healthy, Load: uint16(*wire.Load), Age: age}, nil
 }
 
-// maxAge is the greatest age taken from an answer; more is cut to it.
+// maxAge is the maximum age of an answer; a larger one is reduced to it.
 const maxAge = 24 * time.Hour
 
 func parseAge(milliseconds *int64) (time.Duration, error) {
@@ -91,7 +91,7 @@
 		return 0, nil
 	}
 	if *milliseconds < 0 {
-		return 0, errors.Newf("answer has age_ms %d, which is negative", *milliseconds)
+		return 0, errors.Newf("answer has a negative age_ms %d", *milliseconds)
 	}
 	return time.Duration(min(*milliseconds, maxAge.Milliseconds())) * time.Millisecond, nil
 }
--- a/internal/health/probe_test.go
+++ b/internal/health/probe_test.go
@@ -21,14 +21,14 @@
 		{`{"healthy":false,"load":1000}`, Answer{false, 1000, 0}, ""},
 		{`{"healthy":true,"load":0,"age_ms":0,"more":[1]}`, Answer{true, 0, 0}, ""},
 		{`{"healthy":true,"load":0,"age_ms":9000000000000000}`, Answer{true, 0, maxAge}, ""},
-		{``, Answer{}, "no JSON object"},
-		{`ok`, Answer{}, "no JSON object"},
-		{`[]`, Answer{}, "no JSON object"},
-		{`{"healthy":"yes","load":0}`, Answer{}, "no JSON object"},
-		{`{"healthy":true,"load":0.5}`, Answer{}, "no JSON object"},
-		{`{"load":0}`, Answer{}, "no field healthy"},
-		{`{"healthy":true}`, Answer{}, "no field load"},
-		{`null`, Answer{}, "no field healthy"},
+		{``, Answer{}, "not a JSON object"},
+		{`ok`, Answer{}, "not a JSON object"},
+		{`[]`, Answer{}, "not a JSON object"},
+		{`{"healthy":"yes","load":0}`, Answer{}, "not a JSON object"},
+		{`{"healthy":true,"load":0.5}`, Answer{}, "not a JSON object"},
+		{`{"load":0}`, Answer{}, "lacks the field healthy"},
+		{`{"healthy":true}`, Answer{}, "lacks the field load"},
+		{`null`, Answer{}, "lacks the field healthy"},
 		{`{"healthy":true,"load":-1}`, Answer{}, "load -1"},
 		{`{"healthy":true,"load":1001}`, Answer{}, "load 1001"},
 		{`{"healthy":true,"load":1,"age_ms":-5}`, Answer{}, "age_ms -5"},
@@ -48,7 +48,7 @@
 	}
 }
 
-// FuzzParseAnswer checks that any answer is an error or within its bounds.
+// FuzzParseAnswer checks that any input gives an error or an answer within its bounds.
 func FuzzParseAnswer(f *testing.F) {
 	f.Add([]byte(`{"healthy":true,"load":250,"age_ms":100}`))
 	f.Add([]byte(`{"healthy":false,"load":1001}`))
@@ -80,7 +80,7 @@
 	server := httptest.NewServer(routes)
 	defer server.Close()
 	settings := DefaultSettings()
-	settings.Timeout = time.Minute // not what is tested here
+	settings.Timeout = time.Minute // the timeout is not under test
 	client := newClient(&settings)
 	defer client.CloseIdleConnections()
 
--- a/internal/health/prober.go
+++ b/internal/health/prober.go
@@ -9,21 +9,20 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// tickInterval is how often the scheduler is asked what is due.
+// tickInterval is the time between two checks for due probes.
 const tickInterval = 100 * time.Millisecond
 
-// Options are what a Prober needs.
+// Options configure a Prober.
 type Options struct {
 	Settings Settings
-	// Evidence gives what the data path has shown since its last call; nil
-	// means that there is none. It is called by Report.
+	// Evidence returns the counts of openings that the data path has collected since the last call.
+	// Report calls it. It may be nil.
 	Evidence func() []Evidence
-	// Client does the requests; nil means one that follows no redirects and
-	// uses no proxy.
+	// Client sends the probes; nil selects a client that follows no redirects and uses no proxy.
 	Client *http.Client
 }
 
-// Counters counts probes since the start.
+// Counters counts the probes since the start.
 type Counters struct {
 	Begun  uint64
 	Failed uint64
@@ -34,12 +33,12 @@
 	options Options
 	start   time.Time
 
-	lock      sync.Mutex // guards what follows
+	lock      sync.Mutex // guards the fields below
 	scheduler *Scheduler
 	counters  Counters
 }
 
-// NewProber gives a prober without targets.
+// NewProber returns a prober without targets.
 func NewProber(options Options) (*Prober, error) {
 	if err := options.Settings.Validate(); err != nil {
 		return nil, err
@@ -54,35 +53,35 @@
 	}, nil
 }
 
-// now is the time since the start, on the monotonic clock.
+// now returns the time since the start, by the monotonic clock.
 func (prober *Prober) now() time.Duration { return time.Since(prober.start) }
 
-// SetTargets replaces the back ends to be probed.
+// SetTargets replaces the back ends to probe.
 func (prober *Prober) SetTargets(targets []Target) {
 	prober.lock.Lock()
 	defer prober.lock.Unlock()
 	prober.scheduler.SetTargets(prober.now(), targets)
 }
 
-// Report gives what is new since the last call, for the publishers.
+// Report returns the reports that became available since the last call, for publication.
 func (prober *Prober) Report() []message.BackendLoad {
-	var evidence []Evidence
+	var openingCounts []Evidence
 	if prober.options.Evidence != nil {
-		evidence = prober.options.Evidence()
+		openingCounts = prober.options.Evidence()
 	}
 	prober.lock.Lock()
 	defer prober.lock.Unlock()
-	return prober.scheduler.Report(prober.now(), evidence)
+	return prober.scheduler.Report(prober.now(), openingCounts)
 }
 
-// Counters gives the probes begun and failed.
+// Counters returns the numbers of probes begun and failed.
 func (prober *Prober) Counters() Counters {
 	prober.lock.Lock()
 	defer prober.lock.Unlock()
 	return prober.counters
 }
 
-// Run probes until the context is done and all probes under way have ended.
+// Run probes until the context is done and all probes in flight have ended.
 func (prober *Prober) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/internal/health/prober_test.go
+++ b/internal/health/prober_test.go
@@ -15,18 +15,17 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// hosts stands in for the network: it answers by the URL's path and never
-// answers a path that it does not know.
-type hosts struct {
-	lock    sync.Mutex
-	answers map[string]string
-	asked   map[string]int
+// fakeHosts replaces the network: it answers by the URL's path, and never answers an unknown path.
+type fakeHosts struct {
+	lock     sync.Mutex
+	answers  map[string]string
+	requests map[string]int
 }
 
-func (hosts *hosts) RoundTrip(request *http.Request) (*http.Response, error) {
+func (hosts *fakeHosts) RoundTrip(request *http.Request) (*http.Response, error) {
 	hosts.lock.Lock()
 	answer, found := hosts.answers[request.URL.Path]
-	hosts.asked[request.URL.Path]++
+	hosts.requests[request.URL.Path]++
 	hosts.lock.Unlock()
 	if !found {
 		<-request.Context().Done()
@@ -42,9 +41,9 @@
 func TestProber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		network := &hosts{
-			answers: map[string]string{"/host-0": `{"healthy":true,"load":70,"age_ms":1500}`},
-			asked:   map[string]int{},
+		network := &fakeHosts{
+			answers:  map[string]string{"/host-0": `{"healthy":true,"load":70,"age_ms":1500}`},
+			requests: map[string]int{},
 		}
 		settings := DefaultSettings()
 		prober, err := NewProber(Options{
@@ -74,10 +73,10 @@
 
 		cancel()
 		<-ended
-		is.True(network.asked["/host-0"] >= intervals-1)
-		is.True(network.asked["/host-1"] >= intervals-1)
+		is.True(network.requests["/host-0"] >= intervals-1)
+		is.True(network.requests["/host-1"] >= intervals-1)
 		counters := prober.Counters()
-		is.Equal(counters.Begun, uint64(network.asked["/host-0"]+network.asked["/host-1"]))
-		is.Equal(counters.Failed, uint64(network.asked["/host-1"]))
+		is.Equal(counters.Begun, uint64(network.requests["/host-0"]+network.requests["/host-1"]))
+		is.Equal(counters.Failed, uint64(network.requests["/host-1"]))
 	})
 }
--- a/internal/health/report.go
+++ b/internal/health/report.go
@@ -8,42 +8,43 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// evidenceOnly is the age of a report that carries evidence alone: too old for
-// its health and load to count.
-const evidenceOnly = math.MaxUint32
+// openingCountsOnlyAge is the age of a report that carries only opening counts: it is too old for
+// its health and load to be used.
+const openingCountsOnlyAge = math.MaxUint32
 
-// Evidence is what the data path shows of a back end since the last report.
+// Evidence counts the openings that the data path has observed for a back end since the last
+// report.
 type Evidence struct {
 	Backend  lb.BackendName
 	Openings uint32
-	// Unanswered counts the openings that their callers repeated.
+	// Unanswered counts the openings that callers retransmitted.
 	Unanswered uint32
 }
 
-// Report gives what is new since the last call: answers of back ends, and
-// evidence. Evidence without unanswered openings is only sent where a report
-// goes anyway, to keep within the bytes for control.
-func (scheduler *Scheduler) Report(now time.Duration, evidence []Evidence) []message.BackendLoad {
+// Report returns the reports that became available since the last call: answers of back ends, and
+// opening counts. Counts without unanswered openings are added only to reports that are sent
+// anyway, to limit control traffic.
+func (scheduler *Scheduler) Report(now time.Duration, openingCounts []Evidence) []message.BackendLoad {
 	var loads []message.BackendLoad
 	for _, state := range scheduler.targets {
-		if !state.news {
+		if !state.unreported {
 			continue
 		}
-		state.news = false
-		loads = append(loads, state.load(now))
+		state.unreported = false
+		loads = append(loads, state.report(now))
 	}
-	for _, shown := range evidence {
-		loads = addEvidence(loads, shown)
+	for _, counts := range openingCounts {
+		loads = addOpeningCounts(loads, counts)
 	}
 	return loads
 }
 
-func (state *targetState) load(now time.Duration) message.BackendLoad {
+func (state *targetState) report(now time.Duration) message.BackendLoad {
 	return message.BackendLoad{
 		Backend:   state.Backend,
 		Healthy:   state.answer.Healthy,
 		Load:      state.answer.Load,
-		AgeMillis: milliseconds(now - state.taken),
+		AgeMillis: milliseconds(now - state.measuredAt),
 	}
 }
 
@@ -51,21 +52,21 @@
 	return uint32(min(max(age.Milliseconds(), 0), math.MaxUint32))
 }
 
-func addEvidence(loads []message.BackendLoad, shown Evidence) []message.BackendLoad {
+func addOpeningCounts(loads []message.BackendLoad, counts Evidence) []message.BackendLoad {
 	for index := range loads {
-		if loads[index].Backend == shown.Backend {
-			loads[index].Openings += shown.Openings
-			loads[index].UnansweredOpenings += shown.Unanswered
+		if loads[index].Backend == counts.Backend {
+			loads[index].Openings += counts.Openings
+			loads[index].UnansweredOpenings += counts.Unanswered
 			return loads
 		}
 	}
-	if shown.Unanswered == 0 {
+	if counts.Unanswered == 0 {
 		return loads
 	}
 	return append(loads, message.BackendLoad{
-		Backend:            shown.Backend,
-		AgeMillis:          evidenceOnly,
-		Openings:           shown.Openings,
-		UnansweredOpenings: shown.Unanswered,
+		Backend:            counts.Backend,
+		AgeMillis:          openingCountsOnlyAge,
+		Openings:           counts.Openings,
+		UnansweredOpenings: counts.Unanswered,
 	})
 }
--- a/internal/health/scheduler.go
+++ b/internal/health/scheduler.go
@@ -1,12 +1,12 @@
 // Package health probes back ends and reports their health and load.
 //
-// Each back end is probed by a few nodes of each zone, chosen by rendezvous
-// hashing. When to probe and what to report is decided by a Scheduler, which
-// has no clock and does no I/O; a Prober drives it with HTTP requests.
+// Each back end is probed by a few nodes of each zone, chosen by rendezvous hashing. A Scheduler,
+// which has no clock and no I/O, decides when to probe and what to report; a Prober drives it with
+// HTTP requests.
 //
-// A host's own word about itself may lag or mislead. So each report tells its
-// age, and carries what the data path shows of the same back end: openings,
-// and how many of them were repeated for want of an answer.
+// The health and load that a host reports may be outdated or wrong. So each report contains the age
+// of its values and, as an independent signal, the number of openings that the data path has
+// observed for the same back end and how many of them callers retransmitted for lack of an answer.
 package health
 
 import (
@@ -20,23 +20,23 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Settings are the parameters of probing; see DefaultSettings.
+// Settings are the parameters of probing. See DefaultSettings.
 type Settings struct {
-	// Interval is the time between two probes of a back end. It is longer
-	// when the targets are too many for ProbesPerSecond.
+	// Interval is the time between two probes of a back end. It is longer when ProbesPerSecond is
+	// too low for the number of targets.
 	Interval time.Duration
 	// Timeout bounds one probe.
 	Timeout time.Duration
-	// MaxInFlight bounds the probes under way at once.
+	// MaxInFlight bounds the number of concurrent probes.
 	MaxInFlight int
-	// ProbesPerSecond bounds the probes begun, and with them the reports sent.
+	// ProbesPerSecond bounds the rate of probes and thereby the rate of reports.
 	ProbesPerSecond int
-	// FailureLimit is how many probes in a row must fail for the back end to
-	// be reported as unhealthy; until then its last report grows old.
+	// FailureLimit is the number of consecutive failures after which a back end is reported as
+	// unhealthy. Until then its last report ages.
 	FailureLimit int
 }
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Interval:        2 * time.Second,
@@ -47,7 +47,7 @@
 	}
 }
 
-// Validate gives an error that names the first setting that is not positive.
+// Validate returns an error that names the first setting that is not positive.
 func (settings *Settings) Validate() error {
 	for _, setting := range []struct {
 		name  string
@@ -66,21 +66,21 @@
 	return nil
 }
 
-// Target is a back end to be probed.
+// Target is a back end to probe.
 type Target struct {
 	Backend lb.BackendName
 	URL     string
 }
 
-// Answer is what a back end says of itself.
+// Answer is a back end's answer to a probe.
 type Answer struct {
 	Healthy bool
 	Load    uint16        // thousandths of capacity, 0..1000
-	Age     time.Duration // how old the values were when it answered
+	Age     time.Duration // age of the values at the time of the answer
 }
 
-// Scheduler decides when to probe and what to report. Times are those of the
-// caller's clock, from any start. It is not safe for concurrent use.
+// Scheduler decides when to probe and what to report. Times are offsets on the caller's clock, from
+// an arbitrary start. It is not safe for concurrent use.
 type Scheduler struct {
 	settings Settings
 	limiter  *rate.Limiter
@@ -88,19 +88,19 @@
 	inFlight int
 }
 
-// targetState is what is known of one back end that is probed.
+// targetState is the probe state of one back end.
 type targetState struct {
 	Target
-	due      time.Duration
-	probing  bool
-	failures int           // in a row
-	answered bool          // there is an answer
-	answer   Answer        // the last, or unhealthy after FailureLimit failures
-	taken    time.Duration // when the answer's values were true
-	news     bool          // the answer was not yet reported
+	due        time.Duration
+	probing    bool
+	failures   int           // consecutive
+	hasAnswer  bool          // answer is set
+	answer     Answer        // last answer, or unhealthy after FailureLimit failures
+	measuredAt time.Duration // time at which the values of the answer were measured
+	unreported bool          // the answer has not been reported yet
 }
 
-// NewScheduler gives a scheduler without targets; the settings must be valid.
+// NewScheduler returns a scheduler without targets. The settings must be valid.
 func NewScheduler(settings Settings) *Scheduler {
 	perSecond := settings.ProbesPerSecond
 	return &Scheduler{
@@ -109,15 +109,15 @@
 	}
 }
 
-// SetTargets replaces the back ends to be probed; of several with one name the
-// first counts. One that stays with the same URL keeps its state; the first
-// probes of new ones are spread over an interval.
+// SetTargets replaces the back ends to probe; of several targets with the same name, the first is
+// used. A target with an unchanged URL keeps its state. The first probes of new targets are spread
+// over an interval.
 func (scheduler *Scheduler) SetTargets(now time.Duration, targets []Target) {
 	states := make([]*targetState, 0, len(targets))
 	for _, wanted := range targets {
 		state := scheduler.find(wanted.Backend)
 		if state == nil || state.URL != wanted.URL {
-			state = &targetState{Target: wanted, due: now + scheduler.phase(wanted.Backend)}
+			state = &targetState{Target: wanted, due: now + scheduler.initialDelay(wanted.Backend)}
 		}
 		states = append(states, state)
 	}
@@ -125,12 +125,13 @@
 	scheduler.targets = slices.CompactFunc(states, func(a, b *targetState) bool { return a.Backend == b.Backend })
 }
 
-// phase spreads first probes by the hash of the name.
-func (scheduler *Scheduler) phase(backend lb.BackendName) time.Duration {
+// initialDelay returns the delay of a target's first probe, derived from the hash of its name so
+// that the first probes are spread.
+func (scheduler *Scheduler) initialDelay(backend lb.BackendName) time.Duration {
 	return time.Duration(xxhash.Sum64String(string(backend)) % uint64(scheduler.settings.Interval))
 }
 
-// find gives the state of a back end, nil if it is not probed.
+// find returns the state of a back end, or nil if it is not a target.
 func (scheduler *Scheduler) find(backend lb.BackendName) *targetState {
 	index, found := slices.BinarySearchFunc(scheduler.targets, backend, compareBackend)
 	if !found {
@@ -149,8 +150,8 @@
 	return 0
 }
 
-// Due gives the back ends to be probed now, those that waited longest first,
-// within the bounds of rate and concurrency. Done must follow for each.
+// Due returns the back ends to probe now, the longest overdue first, within the limits of rate and
+// concurrency. The caller must call Done for each.
 func (scheduler *Scheduler) Due(now time.Duration) []Target {
 	var due []Target
 	for scheduler.inFlight < scheduler.settings.MaxInFlight {
@@ -166,7 +167,7 @@
 	return due
 }
 
-// longestDue gives the back end that has been due for longest, nil if none is.
+// longestDue returns the back end that has been due for the longest time, or nil if none is due.
 func (scheduler *Scheduler) longestDue(now time.Duration) *targetState {
 	var longest *targetState
 	for _, state := range scheduler.targets {
@@ -180,8 +181,8 @@
 	return longest
 }
 
-// Done takes in the outcome of a probe that was begun at a time. The age of
-// the answer counts from then, so that a slow answer is not taken for a fresh one.
+// Done records the result of a probe. The age of the answer counts from the time at which the probe
+// began, so that values that were slow to arrive do not appear fresh.
 func (scheduler *Scheduler) Done(begun time.Duration, probed Target, answer Answer, err error) {
 	scheduler.inFlight--
 	state := scheduler.find(probed.Backend)
@@ -190,30 +191,30 @@
 	}
 	state.probing = false
 	if err != nil {
-		scheduler.failed(begun, state)
+		scheduler.recordFailure(begun, state)
 		return
 	}
 	state.failures = 0
-	state.set(answer, begun-answer.Age)
+	state.setAnswer(answer, begun-answer.Age)
 }
 
-// failed counts a failure; enough in a row are an answer of their own.
-func (scheduler *Scheduler) failed(begun time.Duration, state *targetState) {
+// recordFailure counts a failure. FailureLimit consecutive failures count as an unhealthy answer.
+func (scheduler *Scheduler) recordFailure(begun time.Duration, state *targetState) {
 	state.failures++
 	if state.failures < scheduler.settings.FailureLimit {
 		return
 	}
-	state.set(Answer{Healthy: false, Load: state.answer.Load}, begun)
+	state.setAnswer(Answer{Healthy: false, Load: state.answer.Load}, begun)
 }
 
-// set takes an answer unless a newer one is known: an endpoint that lags may
-// serve older values than before.
-func (state *targetState) set(answer Answer, taken time.Duration) {
-	if state.answered && taken < state.taken {
+// setAnswer replaces the answer unless the present one is newer: a lagging endpoint may return
+// older values than before.
+func (state *targetState) setAnswer(answer Answer, taken time.Duration) {
+	if state.hasAnswer && taken < state.measuredAt {
 		return
 	}
-	state.answered = true
+	state.hasAnswer = true
 	state.answer = answer
-	state.taken = taken
-	state.news = true
+	state.measuredAt = taken
+	state.unreported = true
 }
--- a/internal/health/scheduler_test.go
+++ b/internal/health/scheduler_test.go
@@ -24,14 +24,14 @@
 	return targets
 }
 
-// step is the time between two looks at what is due.
-const step = 10 * time.Millisecond
+// pollInterval is the time between two calls of Due.
+const pollInterval = 10 * time.Millisecond
 
-// walk runs the scheduler with answers that come at once, and gives the times
-// at which each back end was probed. A probe is at most one step late.
-func walk(scheduler *Scheduler, end time.Duration) map[lb.BackendName][]time.Duration {
+// runProbes runs the scheduler with immediate answers and returns the times at which each back end
+// was probed. A probe is at most one poll interval late.
+func runProbes(scheduler *Scheduler, end time.Duration) map[lb.BackendName][]time.Duration {
 	probes := make(map[lb.BackendName][]time.Duration)
-	for now := time.Duration(0); now < end; now += step {
+	for now := time.Duration(0); now < end; now += pollInterval {
 		for _, target := range scheduler.Due(now) {
 			probes[target.Backend] = append(probes[target.Backend], now)
 			scheduler.Done(now, target, Answer{Healthy: true}, nil)
@@ -40,8 +40,8 @@
 	return probes
 }
 
-// probeOnce gives the outcome to the only target.
-func probeOnce(t *testing.T, scheduler *Scheduler, now time.Duration, answer Answer, err error) {
+// completeProbe starts the probe of the only target and completes it with the given result.
+func completeProbe(t *testing.T, scheduler *Scheduler, now time.Duration, answer Answer, err error) {
 	t.Helper()
 	due := scheduler.Due(now)
 	if len(due) != 1 {
@@ -55,17 +55,17 @@
 	settings := DefaultSettings()
 	scheduler := NewScheduler(settings)
 	scheduler.SetTargets(0, testTargets(10))
-	probes := walk(scheduler, 10*settings.Interval+step)
+	probes := runProbes(scheduler, 10*settings.Interval+pollInterval)
 	is.Equal(len(probes), 10)
 	firsts := map[time.Duration]bool{}
 	for _, times := range probes {
 		is.Equal(len(times), 10)
 		firsts[times[0]] = true
 		for index := 1; index < len(times); index++ {
-			is.True(times[index]-times[index-1] >= settings.Interval-step)
+			is.True(times[index]-times[index-1] >= settings.Interval-pollInterval)
 		}
 	}
-	is.True(len(firsts) > 5) // first probes are spread
+	is.True(len(firsts) > 5) // the first probes are spread
 }
 
 func TestRateIsBoundedAndFair(t *testing.T) {
@@ -74,15 +74,15 @@
 	scheduler := NewScheduler(settings)
 	scheduler.SetTargets(0, testTargets(100))
 	const duration = 60 * time.Second
-	probes := walk(scheduler, duration)
+	probes := runProbes(scheduler, duration)
 	total := 0
 	for _, times := range probes {
 		total += len(times)
 		is.True(len(times) >= 5) // 600 probes over 100 targets
 	}
-	most := settings.ProbesPerSecond * (int(duration/time.Second) + 1) // one second's burst
-	is.True(total <= most)
-	is.True(total >= most-2*settings.ProbesPerSecond)
+	maxProbes := settings.ProbesPerSecond * (int(duration/time.Second) + 1) // including the burst of one second
+	is.True(total <= maxProbes)
+	is.True(total >= maxProbes-2*settings.ProbesPerSecond)
 	is.Equal(len(probes), 100)
 }
 
@@ -103,14 +103,14 @@
 	}
 }
 
-func TestReportTellsAnAnswerOnceWithItsAge(t *testing.T) {
+func TestReportContainsEachAnswerOnceWithItsAge(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	scheduler := NewScheduler(settings)
 	scheduler.SetTargets(0, testTargets(1))
 	is.Equal(scheduler.Report(0, nil), nil)
 	// The endpoint lags: its values were 3 s old when it answered.
-	probeOnce(t, scheduler, settings.Interval, Answer{Healthy: true, Load: 400, Age: 3 * time.Second}, nil)
+	completeProbe(t, scheduler, settings.Interval, Answer{Healthy: true, Load: 400, Age: 3 * time.Second}, nil)
 	later := settings.Interval + 500*time.Millisecond
 	is.Equal(scheduler.Report(later, nil), []message.BackendLoad{
 		{Backend: "host-0", Healthy: true, Load: 400, AgeMillis: 3500},
@@ -118,48 +118,48 @@
 	is.Equal(scheduler.Report(later, nil), nil)
 }
 
-func TestOlderValuesThanBeforeAreIgnored(t *testing.T) {
+func TestOlderValuesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	scheduler := NewScheduler(settings)
 	scheduler.SetTargets(0, testTargets(1))
 	now := 10 * time.Second
-	probeOnce(t, scheduler, now, Answer{Healthy: false, Load: 900}, nil)
+	completeProbe(t, scheduler, now, Answer{Healthy: false, Load: 900}, nil)
 	is.Equal(len(scheduler.Report(now, nil)), 1)
 	now += settings.Interval
-	probeOnce(t, scheduler, now, Answer{Healthy: true, Load: 0, Age: settings.Interval + 1}, nil)
+	completeProbe(t, scheduler, now, Answer{Healthy: true, Load: 0, Age: settings.Interval + 1}, nil)
 	is.Equal(scheduler.Report(now, nil), nil)
 }
 
-func TestFailuresInARowAreUnhealthy(t *testing.T) {
+func TestConsecutiveFailuresMakeABackendUnhealthy(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	scheduler := NewScheduler(settings)
 	scheduler.SetTargets(0, testTargets(1))
 	now := settings.Interval
-	probeOnce(t, scheduler, now, Answer{Healthy: true, Load: 300}, nil)
+	completeProbe(t, scheduler, now, Answer{Healthy: true, Load: 300}, nil)
 	is.Equal(len(scheduler.Report(now, nil)), 1)
-	for range 2 * (settings.FailureLimit - 1) { // never FailureLimit in a row
+	for range 2 * (settings.FailureLimit - 1) { // never FailureLimit consecutive failures
 		now += settings.Interval
-		probeOnce(t, scheduler, now, Answer{}, errProbe)
+		completeProbe(t, scheduler, now, Answer{}, errProbe)
 		is.Equal(scheduler.Report(now, nil), nil)
 		if scheduler.targets[0].failures == settings.FailureLimit-1 {
 			now += settings.Interval
-			probeOnce(t, scheduler, now, Answer{Healthy: true, Load: 300}, nil)
+			completeProbe(t, scheduler, now, Answer{Healthy: true, Load: 300}, nil)
 			is.Equal(len(scheduler.Report(now, nil)), 1)
 		}
 	}
 	for failure := 1; failure <= settings.FailureLimit; failure++ {
 		now += settings.Interval
-		probeOnce(t, scheduler, now, Answer{}, errProbe)
+		completeProbe(t, scheduler, now, Answer{}, errProbe)
 	}
 	is.Equal(scheduler.Report(now, nil), []message.BackendLoad{{Backend: "host-0", Healthy: false, Load: 300}})
 	now += settings.Interval
-	probeOnce(t, scheduler, now, Answer{Healthy: true, Load: 10}, nil)
+	completeProbe(t, scheduler, now, Answer{Healthy: true, Load: 10}, nil)
 	is.True(scheduler.Report(now, nil)[0].Healthy)
 }
 
-func TestReplacedTargets(t *testing.T) {
+func TestSetTargetsKeepsStateOfUnchangedTargets(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	scheduler := NewScheduler(settings)
@@ -177,19 +177,19 @@
 	}
 	is.Equal(scheduler.inFlight, 0)
 	loads := scheduler.Report(settings.Interval, nil)
-	is.Equal(len(loads), 1) // neither the target that left nor the one at a new URL
+	is.Equal(len(loads), 1) // neither the removed target nor the one with a new URL
 	is.Equal(loads[0].Backend, targets[0].Backend)
 	is.Equal(len(scheduler.Due(2*settings.Interval)), 2)
 }
 
-// TestLyingEndpoint has a host that says it is healthy and idle at each probe,
-// while its callers repeat their openings: the report carries both.
-func TestLyingEndpoint(t *testing.T) {
+// TestReportCarriesOpeningCountsWithAHealthyAnswer covers a host that answers each probe as healthy
+// and idle while its callers retransmit their openings: the report contains both.
+func TestReportCarriesOpeningCountsWithAHealthyAnswer(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	scheduler := NewScheduler(settings)
 	scheduler.SetTargets(0, testTargets(1))
-	probeOnce(t, scheduler, settings.Interval, Answer{Healthy: true}, nil)
+	completeProbe(t, scheduler, settings.Interval, Answer{Healthy: true}, nil)
 	loads := scheduler.Report(settings.Interval, []Evidence{
 		{Backend: "host-0", Openings: 20, Unanswered: 19},
 		{Backend: "elsewhere", Openings: 10, Unanswered: 4}, // probed by other nodes
