--- a/internal/health/report.go
+++ b/internal/health/report.go
@@ -23,7 +23,7 @@
 
 // Report returns the reports that became available since the last call: answers of back ends, and
 // opening counts. Counts without unanswered openings are added only to reports that are sent
-// anyway, to limit control traffic.
+// anyway, to stay within the budget for control traffic.
 func (scheduler *Scheduler) Report(now time.Duration, openingCounts []Evidence) []message.BackendLoad {
 	var loads []message.BackendLoad
 	for _, state := range scheduler.targets {
--- a/internal/health/scheduler.go
+++ b/internal/health/scheduler.go
@@ -209,12 +209,12 @@
 
 // setAnswer replaces the answer unless the present one is newer: a lagging endpoint may return
 // older values than before.
-func (state *targetState) setAnswer(answer Answer, taken time.Duration) {
-	if state.hasAnswer && taken < state.measuredAt {
+func (state *targetState) setAnswer(answer Answer, measuredAt time.Duration) {
+	if state.hasAnswer && measuredAt < state.measuredAt {
 		return
 	}
 	state.hasAnswer = true
 	state.answer = answer
-	state.measuredAt = taken
+	state.measuredAt = measuredAt
 	state.unreported = true
 }
--- a/internal/placement/benchmark_test.go
+++ b/internal/placement/benchmark_test.go
@@ -10,7 +10,8 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// benchmarkDocument gives a document at rest, or with one generation in motion.
+// benchmarkDocument returns a document with one generation, or with two if buckets are to be in
+// motion.
 func benchmarkDocument(b *testing.B, moving bool) *lb.Placement {
 	b.Helper()
 	document, err := placement.New("wallet-core", stamp(1), placement.Prepare(targets(14)), placement.Commit())
@@ -37,7 +38,7 @@
 	}
 }
 
-// BenchmarkTableMemory reports the heap held per table with its decoded document.
+// BenchmarkTableMemory reports the heap memory of a table together with its decoded document.
 func BenchmarkTableMemory(b *testing.B) {
 	for _, moving := range []bool{false, true} {
 		encoded, err := json.Marshal(benchmarkDocument(b, moving))
@@ -53,7 +54,7 @@
 	}
 }
 
-// heapPerTable compiles count tables and measures what they hold.
+// heapPerTable compiles count tables and returns the heap memory of each.
 func heapPerTable(b *testing.B, encoded []byte, count int) float64 {
 	tables := make([]*placement.Table, count)
 	before := liveHeap()
--- a/internal/placement/bitmap.go
+++ b/internal/placement/bitmap.go
@@ -8,13 +8,13 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// bitmapBytes is the size of a bitmap of all buckets.
+// bitmapBytes is the size of a bitmap with one bit for each bucket.
 const bitmapBytes = (lb.BucketCount + 7) / 8
 
 // Bitmap is a set of buckets: bucket b is bit b%8 of byte b/8.
 type Bitmap [bitmapBytes]byte
 
-// ParseBitmap reads the form used in documents: empty for no bucket, else all
+// ParseBitmap parses the encoding used in documents: empty if no bucket is marked, otherwise all
 // bytes. Bits beyond the last bucket must be zero.
 func ParseBitmap(data []byte) (Bitmap, error) {
 	var bitmap Bitmap
@@ -32,7 +32,7 @@
 	return bitmap, nil
 }
 
-// Bytes gives the form used in documents: nil when no bucket is marked.
+// Bytes returns the encoding used in documents: nil if no bucket is marked.
 func (bitmap *Bitmap) Bytes() []byte {
 	if bitmap.IsEmpty() {
 		return nil
@@ -40,7 +40,7 @@
 	return append([]byte(nil), bitmap[:]...)
 }
 
-// Has tells whether the bucket is marked.
+// Has reports whether the bucket is marked.
 func (bitmap *Bitmap) Has(bucket uint16) bool { return bitmap[bucket/8]&(1<<(bucket%8)) != 0 }
 
 // Set marks the bucket.
@@ -49,10 +49,10 @@
 // Clear unmarks the bucket.
 func (bitmap *Bitmap) Clear(bucket uint16) { bitmap[bucket/8] &^= 1 << (bucket % 8) }
 
-// IsEmpty tells whether no bucket is marked.
+// IsEmpty reports whether no bucket is marked.
 func (bitmap *Bitmap) IsEmpty() bool { return *bitmap == Bitmap{} }
 
-// Count gives the number of marked buckets.
+// Count returns the number of marked buckets.
 func (bitmap *Bitmap) Count() int {
 	count := 0
 	for _, part := range bitmap {
@@ -61,7 +61,7 @@
 	return count
 }
 
-// Union marks every bucket that other marks.
+// Union marks every bucket that is marked in other.
 func (bitmap *Bitmap) Union(other *Bitmap) {
 	for index := range bitmap {
 		bitmap[index] |= other[index]
--- a/internal/placement/fuzz_test.go
+++ b/internal/placement/fuzz_test.go
@@ -8,8 +8,8 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// FuzzCompile decodes any bytes as a document. What compiles must answer for
-// every bucket with a back end of the document, and survive a round trip.
+// FuzzCompile decodes arbitrary bytes as a document. If the document compiles, every bucket must
+// have a back end of the document or none, and the next document must have the next version.
 func FuzzCompile(f *testing.F) {
 	document, err := placement.New("wallet-core", stamp(1),
 		placement.SetFrontends([]lb.Frontend{frontend()}), placement.Prepare(targets(3)), placement.Commit())
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -14,14 +14,14 @@
 	"robinpulley.example/robinpulley/internal/rapidseed"
 )
 
-// TestMain fixes the seed of the property tests, so that every run has the same verdict.
+// TestMain fixes the seed of the property tests, so that every run has the same result.
 func TestMain(m *testing.M) { os.Exit(rapidseed.Run(m)) }
 
 func stamp(revision int64) placement.Stamp {
 	return placement.Stamp{WriteID: fmt.Sprintf("write-%d", revision), ConfigRevision: revision}
 }
 
-// target gives the back end with the number.
+// target returns the target with the given number.
 func target(number int, weight uint16) placement.Target {
 	return placement.Target{
 		Name:   lb.BackendName(fmt.Sprintf("host-%d", number)),
@@ -82,8 +82,9 @@
 	is.True(!found)
 }
 
-// TestMoveFromPrepareToClear follows one back end's removal through all its versions.
-func TestMoveFromPrepareToClear(t *testing.T) {
+// TestBackendRemovalFromPrepareToForget follows the removal of one back end through all versions of
+// the document.
+func TestBackendRemovalFromPrepareToForget(t *testing.T) {
 	is := is.New(t)
 	first := newDocument(t, 4)
 	before := compile(t, first)
@@ -93,7 +94,7 @@
 	is.True(table.Prepared())
 	is.True(table.MovingBuckets() >= lb.BucketCount/4)
 	for bucket := range uint16(lb.BucketCount) {
-		is.Equal(table.Current(bucket), before.Current(bucket)) // new flows stay until the commit
+		is.Equal(table.Current(bucket), before.Current(bucket)) // new flows move only at the commit
 	}
 	leaving, _ := table.Backend(4)
 	is.Equal(leaving.State, lb.BackendActive)
@@ -121,7 +122,7 @@
 			history = append(history, bucket)
 		}
 	}
-	is.True(!placement.Forgettable(settled, 4)) // flows may be left
+	is.True(!placement.Forgettable(settled, 4)) // the back end may still have flows
 
 	cleared := next(t, settled, placement.Clear(history))
 	is.Equal(len(cleared.History), 0)
@@ -130,10 +131,10 @@
 	is.Equal(len(forgotten.Backends), 3)
 
 	again := next(t, forgotten, placement.Prepare(targets(4)))
-	is.Equal(again.Backends[3].ID, lb.BackendID(5)) // numbers are not given twice
+	is.Equal(again.Backends[3].ID, lb.BackendID(5)) // IDs are not reused
 }
 
-func TestReturningBackendKeepsItsNumberUnlessItsHostChanged(t *testing.T) {
+func TestReturningBackendKeepsItsIDUnlessItsHostChanged(t *testing.T) {
 	is := is.New(t)
 	document := next(t, newDocument(t, 3), placement.Prepare(targets(2)), placement.Commit())
 	returned := next(t, document, placement.Prepare(targets(3)), placement.Commit())
@@ -147,7 +148,7 @@
 	is.Equal(moved.Backends[2].State, lb.BackendDraining)
 }
 
-func TestFailureCommitsAtOnceAndAbandonsWhatIsPrepared(t *testing.T) {
+func TestFailCommitsImmediatelyAndDropsPreparedGeneration(t *testing.T) {
 	is := is.New(t)
 	prepared := next(t, newDocument(t, 4), placement.Prepare(targets(5)))
 	failed := next(t, prepared, placement.Fail(2))
@@ -170,18 +171,18 @@
 	is.NoErr(err)
 	is.Equal(compile(t, document).Current(0), lb.NoBackend)
 	prepared := next(t, document, placement.Prepare(targets(2)))
-	is.Equal(compile(t, prepared).MovingBuckets(), lb.BucketCount) // nodes ask the heads from now on
+	is.Equal(compile(t, prepared).MovingBuckets(), lb.BucketCount) // nodes query the heads from now on
 	committed := next(t, prepared, placement.Commit())
 	is.Equal(len(committed.Generations), 1)
 	is.Equal(compile(t, committed).MovingBuckets(), 0)
 }
 
-func TestDeletedServiceKeepsVersionAndNumbers(t *testing.T) {
+func TestDeletedServiceKeepsVersionAndNextID(t *testing.T) {
 	is := is.New(t)
 	deleted := next(t, newDocument(t, 3), placement.Delete())
 	is.True(deleted.Deleted)
 	is.Equal(compile(t, deleted).Current(5), lb.NoBackend)
-	is.Equal(len(deleted.Backends), 3) // its flows stay
+	is.Equal(len(deleted.Backends), 3) // existing flows stay on them
 	purged := next(t, deleted, placement.Purge())
 	is.Equal(len(purged.Backends), 0)
 	revived := next(t, purged, placement.Prepare(targets(1)))
@@ -206,7 +207,7 @@
 	is.True(len(collapsed.History) != 0)
 }
 
-func TestValidateNamesEveryFault(t *testing.T) {
+func TestValidateReportsEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	document := newDocument(t, 2)
 	document.Version = 0
@@ -229,7 +230,7 @@
 	}
 }
 
-func TestDrainingBackendMayNotTakeNewFlows(t *testing.T) {
+func TestDrainingBackendIsRejectedInTheCurrentGeneration(t *testing.T) {
 	is := is.New(t)
 	document := newDocument(t, 2)
 	document.Backends[1].State = lb.BackendDraining
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -8,8 +8,8 @@
 	"robinpulley.example/robinpulley/internal/maglev"
 )
 
-// Targets gives the back ends of a generation, sorted by name. The index must
-// be one of the document's generations.
+// Targets returns the back ends of a generation, sorted by name. The generation must be an index of
+// the document's generations.
 func Targets(document *lb.Placement, generation int) []Target {
 	backends := document.Generations[generation].Backends
 	targets := make([]Target, 0, len(backends))
@@ -21,9 +21,9 @@
 	return targets
 }
 
-// MovedBetween counts the buckets on which the tables of two lists of back ends
-// disagree. All must be in the document.
+// MovedBetween returns the number of buckets on which the tables of two lists of back ends
+// disagree. All back ends must be in the document.
 func MovedBetween(document *lb.Placement, first, second []lb.WeightedBackend) int {
-	marks := disagreement([]*maglev.Table{generationTable(document, first), generationTable(document, second)})
+	marks := differingBuckets([]*maglev.Table{generationTable(document, first), generationTable(document, second)})
 	return marks.Count()
 }
--- a/internal/placement/transition.go
+++ b/internal/placement/transition.go
@@ -12,7 +12,7 @@
 	"robinpulley.example/robinpulley/internal/maglev"
 )
 
-// Target is one back end that a service is to have.
+// Target is one back end of the desired state of a service.
 type Target struct {
 	Name   lb.BackendName
 	Host   netip.AddrPort
@@ -21,15 +21,15 @@
 
 // Stamp identifies one write of a document.
 type Stamp struct {
-	WriteID        string // unique to the write, to resolve a lost answer
+	WriteID        string // unique to the write, to find out whether a write without a response succeeded
 	ConfigRevision int64  // store revision of the configuration that the document reflects
 }
 
-// Change is one transition. It edits a document that is private to it, whose
-// version is already the new one.
+// Change is one transition. It modifies a private copy of the document, whose version is already
+// the new one.
 type Change func(document *lb.Placement) error
 
-// New gives the first document of a service.
+// New returns the first document of a service.
 func New(service lb.ServiceName, stamp Stamp, changes ...Change) (*lb.Placement, error) {
 	empty := &lb.Placement{
 		Service:       service,
@@ -39,8 +39,8 @@
 	return Next(empty, stamp, changes...)
 }
 
-// Next gives the document that follows previous, with the changes made in
-// order, one version higher. previous is left as it is.
+// Next returns the successor of previous: a copy with the next version, to which the changes are
+// applied in order. It does not modify previous.
 func Next(previous *lb.Placement, stamp Stamp, changes ...Change) (*lb.Placement, error) {
 	document := clone(previous)
 	document.Version++
@@ -57,7 +57,8 @@
 	return document, nil
 }
 
-// clone copies what transitions edit. Lists of generations are replaced, never edited.
+// clone copies the parts of a document that transitions modify. The back ends of a generation are
+// replaced, never modified.
 func clone(document *lb.Placement) *lb.Placement {
 	copied := *document
 	copied.Frontends = slices.Clone(document.Frontends)
@@ -75,7 +76,7 @@
 	}
 }
 
-// SetOpensPerSecond replaces the limit of new flows; 0 is unlimited.
+// SetOpensPerSecond replaces the rate limit of new flows; 0 means unlimited.
 func SetOpensPerSecond(limit uint32) Change {
 	return func(document *lb.Placement) error {
 		document.OpensPerSecond = limit
@@ -83,17 +84,17 @@
 	}
 }
 
-// Prepare announces a generation with the targets, in place of any that is
-// announced already. A target keeps its ID as long as its name and host stay;
-// others get numbers never given before. New flows still go by the current
-// generation. Nothing is announced when the targets are what is current.
+// Prepare appends a generation with the targets, replacing any prepared one. A target keeps its ID
+// as long as its name and host stay the same; other targets get IDs that were never used before.
+// New flows still use the current generation. No generation is appended if the targets equal the
+// current one.
 func Prepare(targets []Target) Change {
 	return func(document *lb.Placement) error {
-		abandonPrepared(document)
+		dropPrepared(document)
 		document.Deleted = false
 		backends := make([]lb.WeightedBackend, 0, len(targets))
 		for _, target := range targets {
-			id, err := adopt(document, target)
+			id, err := activateBackend(document, target)
 			if err != nil {
 				return err
 			}
@@ -105,13 +106,14 @@
 	}
 }
 
-// abandonPrepared removes announced generations: no flow was placed by them.
-func abandonPrepared(document *lb.Placement) {
+// dropPrepared removes the prepared generations: no flow has been placed by them.
+func dropPrepared(document *lb.Placement) {
 	document.Generations = document.Generations[:document.Current+1]
 }
 
-// adopt gives the ID of the target and makes it active.
-func adopt(document *lb.Placement, target Target) (lb.BackendID, error) {
+// activateBackend returns the ID of the target's back end, adding it if needed, and makes it
+// active.
+func activateBackend(document *lb.Placement, target Target) (lb.BackendID, error) {
 	for index := len(document.Backends) - 1; index >= 0; index-- {
 		backend := &document.Backends[index]
 		if backend.Name == target.Name && backend.Host == target.Host {
@@ -120,7 +122,7 @@
 		}
 	}
 	if document.NextBackendID == math.MaxUint16 {
-		return lb.NoBackend, errors.Newf("back end %q: all %d numbers of the service are used", target.Name, math.MaxUint16-1)
+		return lb.NoBackend, errors.Newf("back end %q: all %d back end IDs of the service are used", target.Name, math.MaxUint16-1)
 	}
 	id := document.NextBackendID
 	document.NextBackendID++
@@ -133,8 +135,8 @@
 	return id, nil
 }
 
-// appendGeneration adds a generation unless it equals the last one, and
-// collapses when there are too many.
+// appendGeneration appends a generation unless it equals the last one, and collapses the
+// generations if there are more than MaxGenerations.
 func appendGeneration(document *lb.Placement, backends []lb.WeightedBackend) {
 	last := document.Generations[len(document.Generations)-1]
 	if slices.Equal(last.Backends, backends) {
@@ -149,8 +151,8 @@
 	}
 }
 
-// Commit makes the last generation current: new flows go by it. Active back
-// ends that are not in it begin to drain.
+// Commit makes the last generation current, so that new flows use it. Active back ends that are not
+// in it begin to drain.
 func Commit() Change {
 	return func(document *lb.Placement) error {
 		document.Current = len(document.Generations) - 1
@@ -171,7 +173,7 @@
 	}
 }
 
-// containsBackend looks up an ID in a list sorted by ID.
+// containsBackend reports whether an ID is in a list sorted by ID.
 func containsBackend(backends []lb.WeightedBackend, id lb.BackendID) bool {
 	_, found := slices.BinarySearchFunc(backends, id, func(weighted lb.WeightedBackend, id lb.BackendID) int {
 		return int(weighted.ID) - int(id)
@@ -179,8 +181,8 @@
 	return found
 }
 
-// dropEmptyBase removes a base without back ends once another generation is
-// current. No flow without a record can be on it, so that nothing has to settle.
+// dropEmptyBase removes a base without back ends once another generation is current. No flow
+// without a record can be on an empty base, so there is no need to wait for it to settle.
 func dropEmptyBase(document *lb.Placement) {
 	if document.Current > 0 && len(document.Generations[0].Backends) == 0 {
 		document.Generations = slices.Clone(document.Generations[1:])
@@ -188,9 +190,8 @@
 	}
 }
 
-// Fail marks back ends as failed and commits, without announcing it, a
-// generation like the current one but without them. An announced generation is
-// abandoned. Unknown IDs are an error.
+// Fail marks back ends as failed and immediately commits a generation that equals the current one
+// without them. A prepared generation is dropped. Unknown IDs are an error.
 func Fail(ids ...lb.BackendID) Change {
 	return func(document *lb.Placement) error {
 		for _, id := range ids {
@@ -200,7 +201,7 @@
 			}
 			document.Backends[index].State = lb.BackendFailed
 		}
-		abandonPrepared(document)
+		dropPrepared(document)
 		current := document.Generations[document.Current].Backends
 		rest := slices.DeleteFunc(slices.Clone(current), func(weighted lb.WeightedBackend) bool {
 			return slices.Contains(ids, weighted.ID)
@@ -210,9 +211,9 @@
 	}
 }
 
-// Settle makes the generation with the given version the base and drops the
-// older ones. Buckets on which it and they disagree get history. The caller
-// makes sure that the generation was committed at least IdleTimeout ago.
+// Settle makes the generation with the given version the base and drops the older generations.
+// Buckets on which these generations disagree get history. The caller must ensure that the
+// generation was committed at least IdleTimeout ago.
 func Settle(version lb.Version) Change {
 	return func(document *lb.Placement) error {
 		index := slices.IndexFunc(document.Generations, func(generation lb.Generation) bool {
@@ -222,7 +223,7 @@
 			return errors.Newf("settle: no committed generation has version %d", version)
 		}
 		tables := generationTables(document)
-		if err := addHistory(document, disagreement(tables[:index+1])); err != nil {
+		if err := addHistory(document, differingBuckets(tables[:index+1])); err != nil {
 			return err
 		}
 		document.Generations = slices.Clone(document.Generations[index:])
@@ -231,7 +232,7 @@
 	}
 }
 
-// addHistory marks buckets in the document's history.
+// addHistory adds buckets to the document's history.
 func addHistory(document *lb.Placement, marks Bitmap) error {
 	history, err := ParseBitmap(document.History)
 	if err != nil {
@@ -242,8 +243,8 @@
 	return nil
 }
 
-// Clear removes buckets from the history. The caller makes sure that their
-// heads know of no flow away from the base.
+// Clear removes buckets from the history. The caller must ensure that their heads hold no record of
+// a flow on another back end than the base.
 func Clear(buckets []uint16) Change {
 	return func(document *lb.Placement) error {
 		history, err := ParseBitmap(document.History)
@@ -261,9 +262,9 @@
 	}
 }
 
-// Collapse drops every second generation between the first after the base and
-// the current one. Their motion stays as history. The oldest after the base is
-// kept, so that a document under constant change still settles.
+// Collapse drops every second generation between the first after the base and the current one. The
+// buckets in motion between the dropped ones get history. The first generation after the base is
+// kept, so that a document under constant change can still settle.
 func Collapse() Change {
 	return func(document *lb.Placement) error {
 		collapse(document)
@@ -271,7 +272,8 @@
 	}
 }
 
-// collapse does the work of Collapse. An unreadable history is left to Validate.
+// collapse implements Collapse. It makes no change if the history is invalid, which Validate
+// reports.
 func collapse(document *lb.Placement) {
 	tables := generationTables(document)
 	dropped := []*maglev.Table{tables[0]}
@@ -285,26 +287,26 @@
 		}
 		kept = append(kept, generation)
 	}
-	if addHistory(document, disagreement(dropped)) != nil {
+	if addHistory(document, differingBuckets(dropped)) != nil {
 		return
 	}
 	document.Generations = kept
 	document.Current = current
 }
 
-// Delete marks the service as gone: no back end takes new flows, and the
-// flows there are stay until they end. Purge follows when none is left.
+// Delete marks the service as deleted: no back end gets new flows, and existing flows stay until
+// they end. Purge must follow when no flow is left.
 func Delete() Change {
 	return func(document *lb.Placement) error {
-		abandonPrepared(document)
+		dropPrepared(document)
 		appendGeneration(document, nil)
 		document.Deleted = true
 		return Commit()(document)
 	}
 }
 
-// Purge empties a deleted document. It keeps the version and the next number
-// of a back end, so that neither is ever used again.
+// Purge empties a deleted document. It keeps the version and the next back end ID, so that neither
+// is ever reused.
 func Purge() Change {
 	return func(document *lb.Placement) error {
 		if !document.Deleted {
@@ -319,7 +321,7 @@
 	}
 }
 
-// Forget removes back ends on which no flow can be left; see Forgettable.
+// Forget removes back ends that can have no flows; see Forgettable.
 func Forget(ids ...lb.BackendID) Change {
 	return func(document *lb.Placement) error {
 		for _, id := range ids {
@@ -334,8 +336,8 @@
 	}
 }
 
-// Forgettable tells whether no flow can be left on the back end: it is in no
-// generation, and either it has failed or no bucket has history.
+// Forgettable reports whether the back end can have no flows: it is in no generation, and it has
+// failed or no bucket has history.
 func Forgettable(document *lb.Placement, id lb.BackendID) bool {
 	for _, generation := range document.Generations {
 		if containsBackend(generation.Backends, id) {
--- a/internal/placement/validate.go
+++ b/internal/placement/validate.go
@@ -8,18 +8,17 @@
 
 // Limits of a document.
 const (
-	// MaxGenerations bounds the generations of a document. More are collapsed.
+	// MaxGenerations is the maximum number of generations; more are collapsed.
 	MaxGenerations = 8
-	// MaxWeight is the largest weight of a back end.
+	// MaxWeight is the maximum weight of a back end.
 	MaxWeight = 1000
-	// MaxActive bounds the back ends of a generation: one a bucket.
+	// MaxActive is the maximum number of back ends in a generation: one for each bucket.
 	MaxActive = lb.BucketCount
-	// MaxNameLength bounds the names of services and back ends, in bytes.
+	// MaxNameLength is the maximum length of the names of services and back ends, in bytes.
 	MaxNameLength = 253
 )
 
-// Validate checks every field of a document. The error names each field that
-// is wrong, with its value.
+// Validate checks every field of a document. The error names each invalid field with its value.
 func Validate(document *lb.Placement) error {
 	check := &checker{}
 	check.identity(document)
@@ -29,18 +28,18 @@
 	if _, err := ParseBitmap(document.History); err != nil {
 		check.failf("history: %v", err)
 	}
-	if check.faults == nil {
+	if check.errs == nil {
 		return nil
 	}
-	return errors.Wrapf(errors.Join(check.faults...), "placement of service %q, version %d", document.Service, document.Version)
+	return errors.Wrapf(errors.Join(check.errs...), "placement of service %q, version %d", document.Service, document.Version)
 }
 
-// checker gathers the faults of one document.
-type checker struct{ faults []error }
+// checker collects the errors of one document.
+type checker struct{ errs []error }
 
-// failf adds a fault.
+// failf adds an error.
 func (check *checker) failf(format string, arguments ...any) {
-	check.faults = append(check.faults, errors.Newf(format, arguments...))
+	check.errs = append(check.errs, errors.Newf(format, arguments...))
 }
 
 // name checks the name of a service or back end.
@@ -67,7 +66,7 @@
 	}
 }
 
-// frontends checks that front ends are complete and differ.
+// frontends checks that the front ends are complete and distinct.
 func (check *checker) frontends(frontends []lb.Frontend) {
 	seen := make(map[lb.Frontend]bool, len(frontends))
 	for index, frontend := range frontends {
@@ -84,7 +83,7 @@
 	}
 }
 
-// backends checks that back ends are complete and sorted by ID.
+// backends checks that the back ends are complete and sorted by ID.
 func (check *checker) backends(document *lb.Placement) {
 	previous := lb.NoBackend
 	for index, backend := range document.Backends {
@@ -99,7 +98,7 @@
 	}
 }
 
-// backend checks one back end's own fields.
+// backend checks the fields of one back end.
 func (check *checker) backend(index int, backend lb.PlacedBackend) {
 	if backend.Name == "" || len(backend.Name) > MaxNameLength {
 		check.failf("backends[%d].name: %q has %d bytes, must have 1 to %d", index, backend.Name, len(backend.Name), MaxNameLength)
@@ -114,7 +113,7 @@
 	}
 }
 
-// generations checks the generations and which of them is current.
+// generations checks the generations and the index of the current one.
 func (check *checker) generations(document *lb.Placement) {
 	count := len(document.Generations)
 	if count == 0 || count > MaxGenerations {
@@ -155,7 +154,7 @@
 			continue
 		}
 		if index == document.Current && placed.State != lb.BackendActive {
-			check.failf("backends: %d is %s, but takes new flows by generations[%d]", weighted.ID, placed.State, index)
+			check.failf("backends: %d is %s, but is in the current generations[%d]", weighted.ID, placed.State, index)
 		}
 	}
 }
