--- a/internal/dataplane/allocs_test.go
+++ b/internal/dataplane/allocs_test.go
@@ -13,20 +13,20 @@
 	"robinpulley.example/robinpulley/platform"
 )
 
-// leastAllocs gives the least that one of many runs allocates. Pools may lose
-// what they hold at any time (with the race detector they do so by chance), so
-// that single runs may allocate; what each packet costs is in all of them.
-func leastAllocs(run func()) float64 {
+// minAllocs returns the minimum number of allocations over many runs. A sync.Pool may drop its
+// contents at any time (under the race detector it does so at random), so single runs may allocate.
+// An allocation made for every packet occurs in all runs.
+func minAllocs(run func()) float64 {
 	const runs = 50
-	least := testing.AllocsPerRun(1, run)
+	minimum := testing.AllocsPerRun(1, run)
 	for range runs {
-		least = min(least, testing.AllocsPerRun(1, run))
+		minimum = min(minimum, testing.AllocsPerRun(1, run))
 	}
-	return least
+	return minimum
 }
 
-// TestHandleAllocatesNothing: the way of a packet through a reader leaves
-// nothing to the collector, whatever is decided, with both codecs.
+// TestHandleAllocatesNothing checks that handling a packet does not allocate, for every decision
+// and both codecs.
 func TestHandleAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	peer := netip.MustParseAddrPort("127.0.0.1:6082")
@@ -65,7 +65,7 @@
 				is.NoErr(err)
 				defer func() { is.NoErr(plane.Close()) }()
 				handle := dataplane.Handler(plane)
-				is.Equal(leastAllocs(func() { handle(codec.datagram) }), 0.0)
+				is.Equal(minAllocs(func() { handle(codec.datagram) }), 0.0)
 				for _, count := range plane.Counters().Malformed {
 					is.Equal(count, uint64(0))
 				}
--- a/internal/dataplane/batch.go
+++ b/internal/dataplane/batch.go
@@ -8,24 +8,24 @@
 	"golang.org/x/net/ipv6"
 )
 
-// Sizes of a batch.
+// Sizes of a batch and its buffers.
 const (
-	// batchSize is the most datagrams read or written by one system call.
+	// batchSize is the maximum number of datagrams read or written by one system call.
 	batchSize = 32
-	// outputSize is what an output buffer starts with, in bytes; it grows as needed.
-	outputSize = 2048
+	// initialOutputSize is the initial capacity of an output buffer in bytes; it grows as needed.
+	initialOutputSize = 2048
 )
 
-// batchConn is the part of ipv4.PacketConn and ipv6.PacketConn that is used;
-// their Message is one type.
+// batchConn is the part of ipv4.PacketConn and ipv6.PacketConn that a batch uses. Both have the
+// same Message type.
 type batchConn interface {
 	ReadBatch(messages []ipv4.Message, flags int) (int, error)
 	WriteBatch(messages []ipv4.Message, flags int) (int, error)
 }
 
-// batch holds the datagrams of one round of reading and writing: each one
-// read leads to at most one written. Reading allocates twice for each
-// datagram, in x/net, for the source address; all else allocates nothing.
+// batch holds the datagrams of one round of reading and writing: each datagram that is read leads
+// to at most one that is written. golang.org/x/net allocates twice for the source address of each
+// datagram that is read; nothing else allocates.
 type batch struct {
 	connection batchConn
 	inputs     [batchSize]ipv4.Message
@@ -34,12 +34,12 @@
 	queued     int
 }
 
-// newBatch gives a batch for datagrams of at most size bytes.
+// newBatch returns a batch for datagrams of at most size bytes.
 func newBatch(socket *net.UDPConn, size int) *batch {
 	batch := &batch{connection: newBatchConn(socket)}
 	for index := range batchSize {
 		batch.inputs[index].Buffers = [][]byte{make([]byte, size)}
-		batch.outputs[index].Buffers = [][]byte{make([]byte, 0, outputSize)}
+		batch.outputs[index].Buffers = [][]byte{make([]byte, 0, initialOutputSize)}
 		batch.outputs[index].Addr = &batch.addresses[index]
 		batch.addresses[index].IP = make(net.IP, 0, net.IPv6len)
 	}
@@ -53,21 +53,22 @@
 	return ipv6.NewPacketConn(socket)
 }
 
-// read waits for datagrams and gives how many there are.
+// read waits for datagrams and returns their number.
 func (batch *batch) read() (int, error) {
 	return batch.connection.ReadBatch(batch.inputs[:], 0)
 }
 
-// datagram gives the datagram of an index below what read gave.
+// datagram returns the datagram with the given index, which must be below the number that read
+// returned.
 func (batch *batch) datagram(index int) []byte {
 	message := &batch.inputs[index]
 	return message.Buffers[0][:message.N]
 }
 
-// output gives the empty buffer for the next datagram to be written.
+// output returns the empty buffer for the next datagram to be written.
 func (batch *batch) output() []byte { return batch.outputs[batch.queued].Buffers[0][:0] }
 
-// queue takes the datagram that was built in the buffer of output.
+// queue adds a datagram, built in the buffer that output returned, to those to be written.
 func (batch *batch) queue(datagram []byte, to netip.AddrPort) {
 	batch.outputs[batch.queued].Buffers[0] = datagram
 	address := &batch.addresses[batch.queued]
@@ -86,19 +87,19 @@
 	return append(dst, bytes[:]...)
 }
 
-// write writes what is queued and gives how many datagrams failed. A failed
-// one is passed over; the system call reports it only when it is the first.
+// write writes the queued datagrams and returns the number that failed. It skips a datagram that
+// fails; the system call reports an error only for the first datagram of a call.
 func (batch *batch) write() (failed int) {
-	rest := batch.outputs[:batch.queued]
+	remaining := batch.outputs[:batch.queued]
 	batch.queued = 0
-	for len(rest) > 0 {
-		written, err := batch.connection.WriteBatch(rest, 0)
+	for len(remaining) > 0 {
+		written, err := batch.connection.WriteBatch(remaining, 0)
 		written = max(written, 0)
 		if err != nil || written == 0 {
 			failed++
 			written++
 		}
-		rest = rest[min(written, len(rest)):]
+		remaining = remaining[min(written, len(remaining)):]
 	}
 	return failed
 }
--- a/internal/dataplane/bench_test.go
+++ b/internal/dataplane/bench_test.go
@@ -10,41 +10,41 @@
 	"robinpulley.example/robinpulley/internal/packet"
 )
 
-// window is how many datagrams are under way at once in BenchmarkForward; it
-// fits the default receive buffer, so that none is lost.
+// window is the number of datagrams in flight in BenchmarkForward. It fits the default receive
+// buffer, so that none is lost.
 const window = 64
 
-// BenchmarkForward sends packets of 512 bytes payload through the plane by
-// loopback sockets. One operation is one packet; sender and receiver are part
-// of the time, as direct does without the plane.
+// BenchmarkForward sends packets with 512 bytes of payload through the plane over loopback sockets.
+// One operation is one packet. The time includes sender and receiver; "direct" measures these
+// alone, without the plane.
 func BenchmarkForward(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
-		bench := start(b, loopback, forwardToHost)
-		benchmarkSend(b, bench, bench.host.address())
+		testbed := startPlane(b, loopback, forwardToHost)
+		benchmarkSend(b, testbed, testbed.host.address())
 	})
 	for _, readers := range []int{1, 2, 4} {
 		b.Run(fmt.Sprintf("plane-of-%d", readers), func(b *testing.B) {
-			bench := startWith(b, Options{Listen: loopback, Readers: readers}, forwardToHost)
-			benchmarkSend(b, bench, bench.plane.Address())
+			testbed := startPlaneWith(b, Options{Listen: loopback, Readers: readers}, forwardToHost)
+			benchmarkSend(b, testbed, testbed.plane.Address())
 		})
 	}
 }
 
-// BenchmarkLatency sends one packet at a time: one operation is the way from
-// the fabric's socket to the host's. The difference of plane and direct is
-// what one hop adds, and that of two planes and one the next hop.
+// BenchmarkLatency sends one packet at a time. One operation is the path from the fabric's socket
+// to the host's socket. The difference between "one-plane" and "direct" is the latency of one hop,
+// and that between "two-planes" and "one-plane" the latency of the next.
 func BenchmarkLatency(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
-		bench := start(b, loopback, forwardToHost)
-		benchmarkOneByOne(b, bench, bench.host.address())
+		testbed := startPlane(b, loopback, forwardToHost)
+		benchmarkOneByOne(b, testbed, testbed.host.address())
 	})
 	b.Run("one-plane", func(b *testing.B) {
-		bench := start(b, loopback, forwardToHost)
-		benchmarkOneByOne(b, bench, bench.plane.Address())
+		testbed := startPlane(b, loopback, forwardToHost)
+		benchmarkOneByOne(b, testbed, testbed.plane.Address())
 	})
 	b.Run("two-planes", func(b *testing.B) {
-		second := start(b, loopback, forwardToHost)
-		first := start(b, loopback, func(*bench, *core.Packet) core.Decision {
+		second := startPlane(b, loopback, forwardToHost)
+		first := startPlane(b, loopback, func(*testbed, *core.Packet) core.Decision {
 			return core.Decision{Action: core.ActionForward, Host: second.plane.Address()}
 		})
 		first.host = second.host
@@ -52,10 +52,10 @@
 	})
 }
 
-func benchmarkOneByOne(b *testing.B, bench *bench, to netip.AddrPort) {
-	sender := newBatch(bench.fabric.socket, testDatagramSize)
-	receiver := newBatch(bench.host.socket, testDatagramSize)
-	datagram := wrap(b, openingPacket(b), lb.Relay{})
+func benchmarkOneByOne(b *testing.B, testbed *testbed, to netip.AddrPort) {
+	sender := newBatch(testbed.fabric.socket, testDatagramSize)
+	receiver := newBatch(testbed.host.socket, testDatagramSize)
+	datagram := encapsulate(b, openingPacket(b), lb.Relay{})
 	b.ReportAllocs()
 	for b.Loop() {
 		sendBatches(b, sender, datagram, to, 1)
@@ -63,16 +63,16 @@
 	}
 }
 
-// benchmarkSend sends windows of datagrams and takes them at the host.
-func benchmarkSend(b *testing.B, bench *bench, to netip.AddrPort) {
+// benchmarkSend sends datagrams, window by window, and receives them at the host.
+func benchmarkSend(b *testing.B, testbed *testbed, to netip.AddrPort) {
 	segment := packet.Segment{Flags: packet.FlagACK, Payload: make([]byte, 512)}
 	inner, err := packet.BuildTCP(nil, caller, service, &segment)
 	if err != nil {
 		b.Fatal(err)
 	}
-	sender := newBatch(bench.fabric.socket, testDatagramSize)
-	receiver := newBatch(bench.host.socket, testDatagramSize)
-	datagram := wrap(b, inner, lb.Relay{})
+	sender := newBatch(testbed.fabric.socket, testDatagramSize)
+	receiver := newBatch(testbed.host.socket, testDatagramSize)
+	datagram := encapsulate(b, inner, lb.Relay{})
 	b.ReportAllocs()
 	b.ResetTimer()
 	for remaining := b.N; remaining > 0; remaining -= window {
@@ -106,7 +106,7 @@
 	}
 }
 
-// BenchmarkHandle is the plane's own work for one packet, without sockets.
+// BenchmarkHandle measures the plane's own work for one packet, without sockets.
 func BenchmarkHandle(b *testing.B) {
 	host := netip.MustParseAddrPort("127.0.0.1:6081")
 	decisions := []struct {
@@ -119,9 +119,9 @@
 	}
 	for _, test := range decisions {
 		b.Run(test.name, func(b *testing.B) {
-			bench := start(b, loopback, func(*bench, *core.Packet) core.Decision { return test.decision })
-			worker := newWorker(bench.plane)
-			datagram := wrap(b, openingPacket(b), lb.Relay{})
+			testbed := startPlane(b, loopback, func(*testbed, *core.Packet) core.Decision { return test.decision })
+			worker := newWorker(testbed.plane)
+			datagram := encapsulate(b, openingPacket(b), lb.Relay{})
 			b.ReportAllocs()
 			for b.Loop() {
 				worker.handle(datagram)
--- a/internal/dataplane/codec.go
+++ b/internal/dataplane/codec.go
@@ -8,35 +8,35 @@
 	"robinpulley.example/robinpulley/internal/packet"
 )
 
-// Codec reads the datagrams of one kind of path and writes what is sent on.
-// Each reader of a plane has one of its own, which keeps the last packet that
-// it decoded; the Append methods are about that one.
+// Codec decodes the datagrams of one encapsulation and builds the datagrams to be sent. Each reader
+// of a plane has its own codec. A codec keeps the last packet that it decoded; the Append methods
+// apply to that packet.
 type Codec interface {
-	// DatagramSize is the size of the largest datagram, in bytes.
+	// DatagramSize returns the maximum size of a datagram in bytes.
 	DatagramSize() int
-	// Decode reads a datagram. The error is a packet.Cause. The packet and
-	// the datagram hold until the next call.
+	// Decode decodes a datagram. The error is a packet.Cause. The packet is valid until the next
+	// call; the datagram must not be changed until then.
 	Decode(datagram []byte) (*core.Packet, error)
 	// AppendForward appends the datagram for the decision's host.
 	AppendForward(dst []byte, decision *core.Decision) ([]byte, error)
 	// AppendRelay appends the datagram for another balancer.
 	AppendRelay(dst []byte, relay lb.Relay) ([]byte, error)
-	// AppendRefusal appends the answer to the caller and tells where it goes.
-	// The error is packet.ErrNoAnswer when the packet must not be answered.
+	// AppendRefusal appends the answer to the caller and returns the address to which it must be
+	// sent. The error is packet.ErrNoAnswer if the packet must not be answered.
 	AppendRefusal(dst []byte, refusal lb.Refusal) ([]byte, netip.AddrPort, error)
 }
 
-// geneveCodec is the product's own path: inner IP packets in Geneve.
+// geneveCodec is the default codec: inner IP packets encapsulated in Geneve.
 type geneveCodec struct {
 	packet  packet.Packet
 	replyTo []netip.AddrPort
 }
 
-// NewGeneveCodec gives the codec for Geneve. Refusals go to one of the
-// addresses of replyTo, all those of a flow to the same.
+// NewGeneveCodec returns the codec for Geneve. Refusals are sent to the addresses of replyTo, all
+// refusals of a flow to the same address.
 func NewGeneveCodec(replyTo []netip.AddrPort) Codec { return &geneveCodec{replyTo: replyTo} }
 
-// DatagramSize is that of the largest UDP datagram: inner packets may be of any size.
+// DatagramSize returns the maximum size of a UDP datagram, since inner packets may have any size.
 func (*geneveCodec) DatagramSize() int { return 1 << 16 }
 
 func (codec *geneveCodec) Decode(datagram []byte) (*core.Packet, error) {
@@ -59,7 +59,7 @@
 	return encoded, codec.replyAddress(), err
 }
 
-// replyAddress gives one fabric address to all refusals of a flow.
+// replyAddress returns the fabric address for refusals of the packet's flow.
 func (codec *geneveCodec) replyAddress() netip.AddrPort {
 	flow := codec.packet.Key.ID()
 	return codec.replyTo[uint64(flow)%uint64(len(codec.replyTo))]
--- a/internal/dataplane/counters.go
+++ b/internal/dataplane/counters.go
@@ -10,53 +10,52 @@
 	"robinpulley.example/robinpulley/internal/packet"
 )
 
-// Counters counts datagrams since the start. Each received one is counted
-// once as malformed, or once as from the fabric or from a peer; each of the
-// latter once by what was done with it.
+// Counters counts datagrams since the start. Each received datagram is counted once as malformed,
+// from the fabric or from a peer. Each well-formed one is also counted once by its outcome.
 type Counters struct {
 	Received      uint64
 	ReceivedBytes uint64
-	// FromFabric and FromPeers count well-formed datagrams by their Relay option.
+	// FromFabric and FromPeers count well-formed datagrams, distinguished by their Relay option.
 	FromFabric uint64
 	FromPeers  uint64
 	// Malformed is indexed by packet.Cause.
 	Malformed [packet.CauseCount]uint64
 
-	// Forwarded, Relayed and Refused were handed to the socket.
+	// Forwarded, Relayed and Refused count datagrams passed to the socket.
 	Forwarded uint64
 	Relayed   uint64
 	Refused   uint64
-	// Held were kept by the core. They count above when they are released.
+	// Held counts datagrams that the core kept. They are counted by their outcome when they are
+	// released.
 	Held uint64
-	// Reasons counts drops and refusals by the core's reason, in order of
-	// action and reason.
+	// Reasons counts drops and refusals by the core's reason, sorted by action and reason.
 	Reasons []ReasonCount
-	// Unanswered were to be refused, but must not be answered
-	// (packet.ErrNoAnswer).
+	// Unanswered counts packets to be refused that must not be answered (packet.ErrNoAnswer).
 	Unanswered uint64
-	// UnknownPeer were to be relayed to a node without a known address.
+	// UnknownPeer counts packets to be relayed to a node without a known address.
 	UnknownPeer uint64
-	// Unsendable were to go to this node itself or to no address of one host.
+	// Unsendable counts packets to be sent to this node itself or to an address that is not that of
+	// a single host.
 	Unsendable uint64
-	// WrongService were to be forwarded to a host that the Guard does not allow.
+	// WrongService counts packets to be forwarded to a host that the Guard does not allow.
 	WrongService uint64
-	// Loops were to be relayed a hop that they had been relayed already.
+	// Loops counts packets to be relayed on a hop that they have already passed.
 	Loops uint64
 
-	// ReadErrors and WriteErrors count errors of the socket. A write error
-	// loses one datagram, which was counted as handed to the socket.
+	// ReadErrors and WriteErrors count errors of the socket. A write error loses one datagram,
+	// which was already counted as passed to the socket.
 	ReadErrors  uint64
 	WriteErrors uint64
 }
 
-// ReasonCount counts the packets that the core dropped or refused for a reason.
+// ReasonCount is the number of packets that the core dropped or refused for one reason.
 type ReasonCount struct {
 	Action core.Action
 	Reason core.Reason
 	Count  uint64
 }
 
-// Counters gives the sum over all readers.
+// Counters returns the sum of the counters of all readers and of the releaser.
 func (plane *Plane) Counters() Counters {
 	var sum Counters
 	for _, worker := range plane.workers {
@@ -66,7 +65,7 @@
 	return sum
 }
 
-// counters are the counters of one worker, which alone writes them.
+// counters are the counters of one worker, which is their only writer.
 type counters struct {
 	received, receivedBytes         atomic.Uint64
 	fromFabric, fromPeers           atomic.Uint64
@@ -124,7 +123,8 @@
 	}
 }
 
-// addReason keeps Reasons sorted and free of doubles.
+// addReason adds a count to Reasons, which stays sorted and has one entry for each action and
+// reason.
 func (sum *Counters) addReason(added ReasonCount) {
 	index, found := slices.BinarySearchFunc(sum.Reasons, added, compareReasons)
 	if found {
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -1,14 +1,12 @@
-// Package dataplane moves packets: it reads Geneve datagrams from a UDP
-// socket, asks the core what to do with each, and writes the result to a back
-// end's host, another balancer or the fabric.
+// Package dataplane moves packets: it reads Geneve datagrams from a UDP socket, calls the core for
+// a decision on each, and writes the result to a back end's host, another balancer or the fabric.
 //
-// Nothing that arrives stops it. Malformed datagrams and socket errors are
-// counted and passed over.
+// No input stops it: malformed datagrams and socket errors are counted and skipped.
 //
-// A refusal goes to one of the addresses in Options.ReplyTo, not to the
-// address that the datagram came from: the tail that refuses got it from
-// another balancer, and the source port of a Geneve datagram is a hash of the
-// flow that nobody need listen on (RFC 8926, section 3.3).
+// A refusal goes to one of the addresses in Options.ReplyTo, not to the source address of the
+// datagram. The tail, which refuses, receives the datagram from another balancer, and the source
+// port of a Geneve datagram is a hash of the flow, on which no process need listen (RFC 8926,
+// section 3.3).
 package dataplane
 
 import (
@@ -24,36 +22,37 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// receiveBufferSize is asked for the socket's receive buffer, in bytes, to hold
-// a burst while the reader waits for a processor. The system may give less.
+// receiveBufferSize is the requested size of the socket's receive buffer in bytes. The buffer holds
+// a burst while a reader waits for a CPU. The operating system may grant less.
 const receiveBufferSize = 4 << 20
 
-// Options are what a Plane needs. All fields are required unless stated otherwise.
+// Options configure a Plane. All fields are required unless stated otherwise.
 type Options struct {
-	// Listen is the data address of this node; port 0 takes a free port.
+	// Listen is the data address of this node; port 0 selects a free port.
 	Listen netip.AddrPort
-	// Readers is how many goroutines read the socket; 0 means one. More
-	// than one may change the order of a flow's packets.
+	// Readers is the number of goroutines that read the socket; 0 means one. With several readers,
+	// packets of a flow may be reordered.
 	Readers int
-	// Decide gives the core's decision. It is called from every reader at
-	// once, and the packet holds only during the call.
+	// Decide returns the core's decision. All readers call it concurrently. The packet is valid
+	// only during the call.
 	Decide func(*core.Packet) core.Decision
-	// PeerAddress gives the data address of another balancer, false when it
-	// is not known. It is called from every reader at once.
+	// PeerAddress returns the data address of another balancer, or false if it is not known. All
+	// readers call it concurrently.
 	PeerAddress func(lb.NodeID) (netip.AddrPort, bool)
-	// ReplyTo are the fabric's addresses that take refusals; see NewGeneveCodec.
+	// ReplyTo lists the fabric's addresses for refusals; see NewGeneveCodec.
 	ReplyTo []netip.AddrPort
-	// NewCodec gives the codec of one reader; nil means Geneve, which needs ReplyTo.
+	// NewCodec returns the codec of one reader. If it is nil, Geneve is used, which requires
+	// ReplyTo.
 	NewCodec func() Codec
-	// Guard is asked before a packet is written to a host; nil allows all,
-	// for callers that have no placements.
+	// Guard checks each packet before it is written to a host. If it is nil, every host is allowed,
+	// for callers without placements.
 	Guard *Guard
 }
 
 func (options *Options) validate() error {
 	address := options.Listen.Addr()
 	if !address.IsValid() || address.IsUnspecified() || address.IsMulticast() {
-		return errors.Newf("data address %s is no address of one node", options.Listen)
+		return errors.Newf("data address %s is not the address of a single host", options.Listen)
 	}
 	if options.Readers < 0 {
 		return errors.Newf("number of readers %d is negative", options.Readers)
@@ -65,7 +64,7 @@
 		return nil
 	}
 	if len(options.ReplyTo) == 0 {
-		return errors.New("no fabric address to send refusals to")
+		return errors.New("no fabric address for refusals is set")
 	}
 	options.NewCodec = func() Codec { return NewGeneveCodec(options.ReplyTo) }
 	return nil
@@ -77,12 +76,12 @@
 	socket  *net.UDPConn
 	local   netip.AddrPort
 	workers []*worker
-	// releaser writes what was held, one call of Release at a time.
+	// releaser writes the held datagrams, for one call of Release at a time.
 	releaser  *worker
 	releasing sync.Mutex
 }
 
-// New opens the socket. Run must follow, or Close.
+// New opens the socket. The caller must call Run or Close.
 func New(options Options) (*Plane, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -98,7 +97,7 @@
 	return plane, nil
 }
 
-// prepare does what needs the socket.
+// prepare performs the initialization that needs the socket.
 func (plane *Plane) prepare() error {
 	for _, address := range plane.options.ReplyTo {
 		if !plane.sendable(address) {
@@ -120,11 +119,11 @@
 	return netip.AddrPortFrom(bound.Addr().Unmap(), bound.Port())
 }
 
-// Address is the data address, with the port that was taken.
+// Address returns the data address with the actual port.
 func (plane *Plane) Address() netip.AddrPort { return plane.local }
 
-// sendable tells whether packets may be sent to the address: an address of
-// one host that is not this node's own.
+// sendable reports whether packets may be sent to the address: it must be the address of a single
+// host and not this node's own.
 func (plane *Plane) sendable(address netip.AddrPort) bool {
 	host := address.Addr()
 	if !host.IsValid() || host.IsUnspecified() || host.IsMulticast() || address.Port() == 0 {
@@ -133,8 +132,8 @@
 	return address != plane.local
 }
 
-// Run moves packets until the context is done or StopReceiving has taken
-// effect, then closes the socket. What was read is always answered.
+// Run moves packets until the context is done or StopReceiving has taken effect, and then closes
+// the socket. Every datagram that was read is processed.
 func (plane *Plane) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { plane.StopReceiving(0) })
 	defer stop()
@@ -146,16 +145,16 @@
 	return plane.Close()
 }
 
-// StopReceiving ends Run after the duration, during which datagrams that the
-// socket holds or that are still under way are moved. It is the last step of a
-// planned stop.
+// StopReceiving ends Run after the given duration. Until then, datagrams that the socket holds or
+// that are still in transit are processed. It is the last step of a planned stop.
 func (plane *Plane) StopReceiving(linger time.Duration) {
-	// The only error is that of a closed socket, which no one reads any more.
+	// The only possible error is that the socket is closed, which needs no handling: no goroutine
+	// reads it then.
 	_ = plane.socket.SetReadDeadline(time.Now().Add(linger))
 }
 
-// Release does what was decided on openings that were held (core.ActionHold). It
-// may be called at any time until the socket is closed; the slice holds during the call.
+// Release executes the decisions on openings that were held (core.ActionHold). It may be called at
+// any time until the socket is closed. It does not keep the slice.
 func (plane *Plane) Release(released []core.Released) {
 	plane.releasing.Lock()
 	defer plane.releasing.Unlock()
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -17,45 +17,45 @@
 	for _, listen := range []string{"127.0.0.1:0", "[::1]:0"} {
 		t.Run(listen, func(t *testing.T) {
 			is := is.New(t)
-			bench := start(t, netip.MustParseAddrPort(listen), forwardToHost)
+			testbed := startPlane(t, netip.MustParseAddrPort(listen), forwardToHost)
 			inner := openingPacket(t)
-			bench.fabric.send(wrap(t, inner, lb.Relay{}), bench.plane.Address())
-			received := bench.host.receive()
+			testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
+			received := testbed.host.receive()
 			is.Equal(received.Inner, inner)
 			is.Equal(received.VNI, uint32(testVNI))
 			is.True(!received.Relayed())
-			counters := bench.stop(t)
+			counters := testbed.stop(t)
 			is.Equal(counters.FromFabric, uint64(1))
 			is.Equal(counters.Forwarded, uint64(1))
 		})
 	}
 }
 
-func TestForwardOfTheLargestPacket(t *testing.T) {
+func TestForwardLargestPacket(t *testing.T) {
 	is := is.New(t)
-	bench := start(t, loopback, forwardToHost)
-	const most = 65507 - 8 - 20 - 8 // UDP datagram, Geneve, inner IPv4 and UDP
-	inner, err := packet.BuildUDP(nil, caller, service, make([]byte, most))
+	testbed := startPlane(t, loopback, forwardToHost)
+	const maxPayload = 65507 - 8 - 20 - 8 // headers: UDP, Geneve, inner IPv4 and inner UDP
+	inner, err := packet.BuildUDP(nil, caller, service, make([]byte, maxPayload))
 	is.NoErr(err)
-	bench.fabric.send(wrap(t, inner, lb.Relay{}), bench.plane.Address())
-	is.Equal(bench.host.receive().Inner, inner)
+	testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
+	is.Equal(testbed.host.receive().Inner, inner)
 }
 
 func TestRelay(t *testing.T) {
 	is := is.New(t)
 	relay := lb.Relay{Hop: lb.HopTail, Ingress: 5, Version: 6, Proposal: 7, Vouched: true}
-	bench := start(t, loopback, func(_ *bench, input *core.Packet) core.Decision {
+	testbed := startPlane(t, loopback, func(_ *testbed, input *core.Packet) core.Decision {
 		if input.Relay.Hop != lb.HopHead {
-			t.Errorf("core saw hop %d", input.Relay.Hop)
+			t.Errorf("core received hop %d", input.Relay.Hop)
 		}
 		return core.Decision{Action: core.ActionRelay, Peer: peerID, Relay: relay}
 	})
 	inner := openingPacket(t)
-	bench.fabric.send(wrap(t, inner, lb.Relay{Hop: lb.HopHead, Ingress: 5}), bench.plane.Address())
-	received := bench.peer.receive()
+	testbed.fabric.send(encapsulate(t, inner, lb.Relay{Hop: lb.HopHead, Ingress: 5}), testbed.plane.Address())
+	received := testbed.peer.receive()
 	is.Equal(received.Relay, relay)
 	is.Equal(received.Inner, inner)
-	counters := bench.stop(t)
+	counters := testbed.stop(t)
 	is.Equal(counters.FromPeers, uint64(1))
 	is.Equal(counters.Relayed, uint64(1))
 }
@@ -63,22 +63,22 @@
 func TestRefusalGoesToTheFabric(t *testing.T) {
 	is := is.New(t)
 	refusal := lb.Refusal{Verdict: lb.NotRun, RetryAfter: time.Second}
-	bench := start(t, loopback, func(*bench, *core.Packet) core.Decision {
+	testbed := startPlane(t, loopback, func(*testbed, *core.Packet) core.Decision {
 		return core.Decision{Action: core.ActionRefuse, Reason: core.ReasonAdmission, Refusal: refusal}
 	})
-	// The datagram comes from a peer, as it does to the tail of a chain.
-	bench.peer.send(wrap(t, openingPacket(t), lb.Relay{Hop: lb.HopTail}), bench.plane.Address())
-	received := bench.fabric.receive()
+	// The datagram comes from a peer, as it does at the tail of a chain.
+	testbed.peer.send(encapsulate(t, openingPacket(t), lb.Relay{Hop: lb.HopTail}), testbed.plane.Address())
+	received := testbed.fabric.receive()
 	is.Equal(received.Refusal, refusal)
 	is.Equal(received.Destination(), caller)
 	is.True(received.Reset())
-	counters := bench.stop(t)
+	counters := testbed.stop(t)
 	is.Equal(counters.Refused, uint64(1))
 	is.Equal(counters.Reasons, []ReasonCount{{core.ActionRefuse, core.ReasonAdmission, 1}})
 }
 
-// TestWhatIsNotSent has each way in which a well-formed packet ends here.
-func TestWhatIsNotSent(t *testing.T) {
+// TestPacketsNotSent covers every case in which a well-formed packet is not sent.
+func TestPacketsNotSent(t *testing.T) {
 	reset, err := packet.BuildTCP(nil, caller, service, &packet.Segment{Flags: packet.FlagRST})
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 			func(counters *Counters) uint64 { return counters.Unanswered },
 		},
 		{
-			"unknown peer", opening, head, relayTo(tail, "stranger"),
+			"unknown peer", opening, head, relayTo(tail, "unknown"),
 			func(counters *Counters) uint64 { return counters.UnknownPeer },
 		},
 		{
@@ -127,7 +127,7 @@
 			func(counters *Counters) uint64 { return counters.Unsendable },
 		},
 		{
-			"ingress again", opening,
+			"relayed to ingress", opening,
 			lb.Relay{},
 			relayTo(lb.Relay{}, peerID),
 			func(counters *Counters) uint64 { return counters.Loops },
@@ -153,68 +153,68 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			decided := make(chan struct{}, 1)
-			bench := start(t, loopback, func(*bench, *core.Packet) core.Decision {
+			testbed := startPlane(t, loopback, func(*testbed, *core.Packet) core.Decision {
 				decided <- struct{}{}
 				return test.decision
 			})
-			bench.fabric.send(wrap(t, test.inner, test.incoming), bench.plane.Address())
+			testbed.fabric.send(encapsulate(t, test.inner, test.incoming), testbed.plane.Address())
 			<-decided
-			counters := bench.stop(t)
+			counters := testbed.stop(t)
 			is.Equal(test.count(&counters), uint64(1))
 			is.Equal(counters.Forwarded+counters.Relayed+counters.Refused, uint64(0))
 		})
 	}
 }
 
-func TestPacketIsNotSentToItself(t *testing.T) {
+func TestPacketIsNotSentToThisNode(t *testing.T) {
 	is := is.New(t)
 	decided := make(chan struct{}, 1)
-	bench := start(t, loopback, func(bench *bench, _ *core.Packet) core.Decision {
+	testbed := startPlane(t, loopback, func(testbed *testbed, _ *core.Packet) core.Decision {
 		decided <- struct{}{}
-		return core.Decision{Action: core.ActionForward, Host: bench.plane.Address()}
+		return core.Decision{Action: core.ActionForward, Host: testbed.plane.Address()}
 	})
-	bench.fabric.send(wrap(t, openingPacket(t), lb.Relay{}), bench.plane.Address())
+	testbed.fabric.send(encapsulate(t, openingPacket(t), lb.Relay{}), testbed.plane.Address())
 	<-decided
-	counters := bench.stop(t)
+	counters := testbed.stop(t)
 	is.Equal(counters.Received, uint64(1))
 	is.Equal(counters.Unsendable, uint64(1))
 }
 
-// TestReroutedOnce lets a head pass a packet on to another head, once.
-func TestReroutedOnce(t *testing.T) {
+// TestHeadReroutesOnce checks that a head may relay a packet to another head once.
+func TestHeadReroutesOnce(t *testing.T) {
 	is := is.New(t)
 	rerouted := lb.Relay{Hop: lb.HopHead, Rerouted: true}
-	bench := start(t, loopback, func(*bench, *core.Packet) core.Decision {
+	testbed := startPlane(t, loopback, func(*testbed, *core.Packet) core.Decision {
 		return core.Decision{Action: core.ActionRelay, Peer: peerID, Relay: rerouted}
 	})
-	bench.fabric.send(wrap(t, openingPacket(t), lb.Relay{Hop: lb.HopHead}), bench.plane.Address())
-	is.Equal(bench.peer.receive().Relay, rerouted)
+	testbed.fabric.send(encapsulate(t, openingPacket(t), lb.Relay{Hop: lb.HopHead}), testbed.plane.Address())
+	is.Equal(testbed.peer.receive().Relay, rerouted)
 }
 
 func TestMalformedIsCountedByCause(t *testing.T) {
 	is := is.New(t)
-	bench := start(t, loopback, forwardToHost)
+	testbed := startPlane(t, loopback, forwardToHost)
 	inner := openingPacket(t)
-	ethernet := wrap(t, inner, lb.Relay{})
+	ethernet := encapsulate(t, inner, lb.Relay{})
 	copy(ethernet[2:], []byte{0x65, 0x58})
-	for _, datagram := range [][]byte{{}, {1}, ethernet, wrap(t, inner, lb.Relay{})[:20]} {
-		bench.fabric.send(datagram, bench.plane.Address())
+	for _, datagram := range [][]byte{{}, {1}, ethernet, encapsulate(t, inner, lb.Relay{})[:20]} {
+		testbed.fabric.send(datagram, testbed.plane.Address())
 	}
-	bench.fabric.send(wrap(t, inner, lb.Relay{}), bench.plane.Address())
-	is.Equal(bench.host.receive().Inner, inner) // the plane goes on
-	counters := bench.stop(t)
+	testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
+	is.Equal(testbed.host.receive().Inner, inner) // the plane still works
+	counters := testbed.stop(t)
 	is.Equal(counters.Received, uint64(5))
 	is.Equal(counters.Malformed[packet.CauseTruncated], uint64(3))
 	is.Equal(counters.Malformed[packet.CausePayloadType], uint64(1))
 	is.Equal(counters.Forwarded, uint64(1))
 }
 
-// TestErrorsOfTheSocketAreCounted forwards to an address of the other IP
-// version, which an IPv4 socket cannot send to, between good packets.
-func TestErrorsOfTheSocketAreCounted(t *testing.T) {
+// TestSocketErrorsAreCounted sends some packets to an IPv6 address, which an IPv4 socket cannot
+// send to, between packets to the host.
+func TestSocketErrorsAreCounted(t *testing.T) {
 	is := is.New(t)
-	bench := start(t, loopback, func(bench *bench, input *core.Packet) core.Decision {
-		host := bench.host.address()
+	testbed := startPlane(t, loopback, func(testbed *testbed, input *core.Packet) core.Decision {
+		host := testbed.host.address()
 		if input.OpeningID%2 == 1 {
 			host = netip.MustParseAddrPort("[2001:db8::1]:6081")
 		}
@@ -225,57 +225,57 @@
 		segment := packet.Segment{Flags: packet.FlagSYN, Sequence: uint32(index)}
 		inner, err := packet.BuildTCP(nil, caller, service, &segment)
 		is.NoErr(err)
-		bench.fabric.send(wrap(t, inner, lb.Relay{}), bench.plane.Address())
+		testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
 	}
 	for index := range sent / 2 {
-		is.Equal(bench.host.receive().OpeningID, uint32(2*index))
+		is.Equal(testbed.host.receive().OpeningID, uint32(2*index))
 	}
-	bench.plane.StopReceiving(0)
-	is.NoErr(<-bench.stopped)
-	is.True(bench.plane.Counters().WriteErrors >= sent/2-1) // the last may be unread yet
+	testbed.plane.StopReceiving(0)
+	is.NoErr(<-testbed.stopped)
+	is.True(testbed.plane.Counters().WriteErrors >= sent/2-1) // the last one may not have been read yet
 }
 
-func TestHostThatIsGoneStopsNothing(t *testing.T) {
+func TestUnreachableHostDoesNotStopThePlane(t *testing.T) {
 	is := is.New(t)
-	gone := newEndpoint(t, loopback)
-	goneAddress := gone.address()
-	is.NoErr(gone.socket.Close())
-	bench := start(t, loopback, func(bench *bench, input *core.Packet) core.Decision {
+	closed := newEndpoint(t, loopback)
+	closedAddress := closed.address()
+	is.NoErr(closed.socket.Close())
+	testbed := startPlane(t, loopback, func(testbed *testbed, input *core.Packet) core.Decision {
 		if input.Kind == core.PacketOpening {
-			return core.Decision{Action: core.ActionForward, Host: goneAddress}
+			return core.Decision{Action: core.ActionForward, Host: closedAddress}
 		}
-		return forwardToHost(bench, input)
+		return forwardToHost(testbed, input)
 	})
 	middle, err := packet.BuildTCP(nil, caller, service, &packet.Segment{Flags: packet.FlagACK})
 	is.NoErr(err)
 	for range 10 {
-		bench.fabric.send(wrap(t, openingPacket(t), lb.Relay{}), bench.plane.Address())
-		bench.fabric.send(wrap(t, middle, lb.Relay{}), bench.plane.Address())
-		is.Equal(bench.host.receive().Inner, middle)
+		testbed.fabric.send(encapsulate(t, openingPacket(t), lb.Relay{}), testbed.plane.Address())
+		testbed.fabric.send(encapsulate(t, middle, lb.Relay{}), testbed.plane.Address())
+		is.Equal(testbed.host.receive().Inner, middle)
 	}
 }
 
-// TestStopReceivingLingers moves what arrives after the call, until its end.
+// TestStopReceivingLingers checks that datagrams that arrive during the linger time are processed.
 func TestStopReceivingLingers(t *testing.T) {
 	is := is.New(t)
-	bench := start(t, loopback, forwardToHost)
-	bench.plane.StopReceiving(patience)
+	testbed := startPlane(t, loopback, forwardToHost)
+	testbed.plane.StopReceiving(testTimeout)
 	inner := openingPacket(t)
 	for range 2 * batchSize {
-		bench.fabric.send(wrap(t, inner, lb.Relay{}), bench.plane.Address())
-		is.Equal(bench.host.receive().Inner, inner)
+		testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
+		is.Equal(testbed.host.receive().Inner, inner)
 	}
-	is.Equal(bench.stop(t).Forwarded, uint64(2*batchSize))
+	is.Equal(testbed.stop(t).Forwarded, uint64(2*batchSize))
 }
 
-// TestEveryDatagramIsCountedOnce has three readers do all there is to do.
+// TestEveryDatagramIsCountedOnce sends datagrams of every kind to a plane with three readers.
 func TestEveryDatagramIsCountedOnce(t *testing.T) {
 	is := is.New(t)
 	const kinds = 4
-	decide := func(bench *bench, input *core.Packet) core.Decision {
+	decide := func(testbed *testbed, input *core.Packet) core.Decision {
 		switch input.OpeningID % kinds {
 		case 0:
-			return forwardToHost(bench, input)
+			return forwardToHost(testbed, input)
 		case 1:
 			return core.Decision{Action: core.ActionRelay, Peer: peerID, Relay: lb.Relay{Hop: lb.HopTail}}
 		case 2:
@@ -283,23 +283,23 @@
 		}
 		return core.Decision{Action: core.ActionDrop, Reason: core.ReasonNoBackend}
 	}
-	bench := startWith(t, Options{Listen: loopback, Readers: 3}, decide)
+	testbed := startPlaneWith(t, Options{Listen: loopback, Readers: 3}, decide)
 	const rounds = 50
 	for round := range uint64(rounds) {
 		for kind := range uint32(kinds) {
 			inner, err := packet.BuildTCP(nil, caller, service, &packet.Segment{Flags: packet.FlagSYN, Sequence: kind})
 			is.NoErr(err)
-			bench.fabric.send(wrap(t, inner, lb.Relay{}), bench.plane.Address())
+			testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
 		}
-		bench.peer.send(wrap(t, openingPacket(t), lb.Relay{Hop: lb.HopHead}), bench.plane.Address())
-		bench.fabric.send([]byte{1}, bench.plane.Address())
-		waitUntil(t, func() bool { return bench.plane.Counters().Received == (kinds+2)*(round+1) })
+		testbed.peer.send(encapsulate(t, openingPacket(t), lb.Relay{Hop: lb.HopHead}), testbed.plane.Address())
+		testbed.fabric.send([]byte{1}, testbed.plane.Address())
+		waitUntil(t, func() bool { return testbed.plane.Counters().Received == (kinds+2)*(round+1) })
 	}
-	counters := bench.stop(t)
+	counters := testbed.stop(t)
 	is.Equal(counters.FromFabric, uint64(kinds*rounds))
 	is.Equal(counters.FromPeers, uint64(rounds))
 	is.Equal(counters.Malformed[packet.CauseTruncated], uint64(rounds))
-	is.Equal(counters.Forwarded, uint64(2*rounds)) // those of the peer too
+	is.Equal(counters.Forwarded, uint64(2*rounds)) // including those from the peer
 	is.Equal(counters.Relayed, uint64(rounds))
 	is.Equal(counters.Refused, uint64(rounds))
 	is.Equal(counters.Reasons, []ReasonCount{
@@ -325,7 +325,7 @@
 }
 
 func TestOptionsAreChecked(t *testing.T) {
-	good := Options{
+	valid := Options{
 		Listen:      loopback,
 		Decide:      func(*core.Packet) core.Decision { return core.Decision{} },
 		PeerAddress: func(lb.NodeID) (netip.AddrPort, bool) { return netip.AddrPort{}, false },
@@ -347,7 +347,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			options := good
+			options := valid
 			test.change(&options)
 			_, err := New(options)
 			is.True(err != nil)
--- a/internal/dataplane/export_test.go
+++ b/internal/dataplane/export_test.go
@@ -1,7 +1,7 @@
 package dataplane
 
-// Handler gives what a reader of the plane does with one datagram, without
-// its sockets, for tests outside this package.
+// Handler returns the function with which a reader of the plane handles one datagram, without its
+// sockets, for tests outside this package.
 func Handler(plane *Plane) func(datagram []byte) {
 	worker := newWorker(plane)
 	return func(datagram []byte) {
--- a/internal/dataplane/guard.go
+++ b/internal/dataplane/guard.go
@@ -7,25 +7,25 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Guard is the last check before a packet is written to a host: the host must
-// be one of the service that has the packet's front end. It is kept apart from
-// the tables and records by which the host was chosen, so that no fault in
-// those sends a packet to another service. It is safe for concurrent use.
+// Guard is the last check before a packet is written to a host: the host must belong to the service
+// that has the packet's front end. The guard does not use the tables and records from which the
+// host was chosen, so that no fault in these can send a packet to another service. It is safe for
+// concurrent use.
 type Guard struct {
 	lock     sync.RWMutex
 	services map[lb.ServiceName]*guardedService
-	// frontends leads to the service that claimed the front end last.
+	// frontends maps each front end to the service that last listed it.
 	frontends map[lb.FrontendKey]*guardedService
 }
 
-// guardedService is what the guard knows of one service.
+// guardedService holds the front ends and hosts of one service.
 type guardedService struct {
 	version   lb.Version
 	frontends []lb.FrontendKey
 	hosts     map[netip.AddrPort]struct{}
 }
 
-// NewGuard gives a guard that knows no service and allows nothing.
+// NewGuard returns a guard without services, which allows no packet.
 func NewGuard() *Guard {
 	return &Guard{
 		services:  make(map[lb.ServiceName]*guardedService),
@@ -33,25 +33,25 @@
 	}
 }
 
-// Set takes in a placement, unless a newer one of its service is known. It is
-// to be called before the core adopts the placement.
+// Set applies a placement unless the guard has a newer one of the same service. It must be called
+// before the core applies the placement.
 func (guard *Guard) Set(placement *lb.Placement) {
 	guard.lock.Lock()
 	defer guard.lock.Unlock()
-	before := guard.services[placement.Service]
-	if before != nil && placement.Version < before.version {
+	previous := guard.services[placement.Service]
+	if previous != nil && placement.Version < previous.version {
 		return
 	}
 	service := newGuardedService(placement)
 	guard.services[placement.Service] = service
-	guard.release(before)
+	guard.releaseFrontends(previous)
 	for _, key := range service.frontends {
 		guard.frontends[key] = service
 	}
 }
 
-// release drops the front ends that still lead to the service.
-func (guard *Guard) release(service *guardedService) {
+// releaseFrontends removes the front ends that still belong to the service.
+func (guard *Guard) releaseFrontends(service *guardedService) {
 	if service == nil {
 		return
 	}
@@ -83,7 +83,7 @@
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
 
-// Allows tells whether a packet of the flow may go to the host.
+// Allows reports whether a packet of the flow may be sent to the host.
 func (guard *Guard) Allows(flow *lb.FlowKey, host netip.AddrPort) bool {
 	key := flow.Frontend()
 	guard.lock.RLock()
--- a/internal/dataplane/guard_test.go
+++ b/internal/dataplane/guard_test.go
@@ -32,7 +32,7 @@
 	udpFlow := lb.NewFlowKey(caller, service, lb.UDP)
 	other := netip.MustParseAddrPort("192.0.2.2:443")
 	guard := NewGuard()
-	is.True(!guard.Allows(&flow, hostA)) // nothing known
+	is.True(!guard.Allows(&flow, hostA)) // no services set
 
 	guard.Set(placement("a", 2, service, hostA))
 	guard.Set(placement("b", 1, other, hostB))
@@ -42,10 +42,11 @@
 	is.True(!guard.Allows(&udpFlow, hostA)) // another protocol
 	is.True(!guard.Allows(&flow, netip.AddrPort{}))
 
-	guard.Set(placement("a", 1, service, hostB)) // older
+	guard.Set(placement("a", 1, service, hostB)) // older version
 	is.True(guard.Allows(&flow, hostA))
 
-	// The front end passes from a to b; a's next version must not take it away.
+	// The front end moves from service a to b. The next version of a, which no longer lists it,
+	// must not remove it from b.
 	guard.Set(placement("b", 2, service, hostB))
 	guard.Set(placement("a", 3, other, hostA))
 	is.True(guard.Allows(&flow, hostB))
@@ -57,20 +58,19 @@
 	is.True(!guard.Allows(&flow, hostB))
 }
 
-// TestWrongServiceIsNotWritten has a core that errs: it names the host of
-// another service.
+// TestWrongServiceIsNotWritten simulates a faulty core that returns the host of another service.
 func TestWrongServiceIsNotWritten(t *testing.T) {
 	is := is.New(t)
 	guard := NewGuard()
 	guard.Set(placement("a", 1, service, hostA))
-	bench := startWith(t, Options{Listen: loopback, Guard: guard}, forwardToHost)
-	datagram := wrap(t, openingPacket(t), lb.Relay{})
-	bench.fabric.send(datagram, bench.plane.Address())
-	waitUntil(t, func() bool { return bench.plane.Counters().WrongService == 1 })
-	guard.Set(placement("a", 2, service, hostA, bench.host.address()))
-	bench.fabric.send(datagram, bench.plane.Address())
-	bench.host.receive()
-	counters := bench.stop(t)
+	testbed := startPlaneWith(t, Options{Listen: loopback, Guard: guard}, forwardToHost)
+	datagram := encapsulate(t, openingPacket(t), lb.Relay{})
+	testbed.fabric.send(datagram, testbed.plane.Address())
+	waitUntil(t, func() bool { return testbed.plane.Counters().WrongService == 1 })
+	guard.Set(placement("a", 2, service, hostA, testbed.host.address()))
+	testbed.fabric.send(datagram, testbed.plane.Address())
+	testbed.host.receive()
+	counters := testbed.stop(t)
 	is.Equal(counters.Forwarded, uint64(1))
 	is.Equal(counters.WrongService, uint64(1))
 }
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -12,8 +12,8 @@
 	"robinpulley.example/robinpulley/internal/packet"
 )
 
-// patience bounds a wait that ends sooner unless the test fails.
-const patience = 10 * time.Second
+// testTimeout bounds each wait; it is reached only if a test fails.
+const testTimeout = 10 * time.Second
 
 const testVNI = 42
 
@@ -23,7 +23,7 @@
 	service  = netip.MustParseAddrPort("192.0.2.1:443")
 )
 
-// testDatagramSize holds the largest UDP datagram.
+// testDatagramSize is the maximum size of a UDP datagram.
 const testDatagramSize = 1 << 16
 
 // endpoint is a socket of the test: the fabric, a host or a peer.
@@ -55,7 +55,7 @@
 // receive waits for a datagram and decodes it.
 func (endpoint *endpoint) receive() *packet.Packet {
 	endpoint.t.Helper()
-	if err := endpoint.socket.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := endpoint.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		endpoint.t.Fatal(err)
 	}
 	length, _, err := endpoint.socket.ReadFromUDPAddrPort(endpoint.buffer[:])
@@ -69,8 +69,8 @@
 	return received
 }
 
-// bench is a running plane with the endpoints around it.
-type bench struct {
+// testbed is a running plane with the endpoints around it.
+type testbed struct {
 	plane   *Plane
 	fabric  *endpoint
 	host    *endpoint
@@ -80,44 +80,45 @@
 
 const peerID lb.NodeID = "peer"
 
-// start runs a plane of one reader whose decisions are made by decide.
-func start(t testing.TB, listen netip.AddrPort, decide func(*bench, *core.Packet) core.Decision) *bench {
+// startPlane starts a plane with one reader whose decisions are made by decide.
+func startPlane(t testing.TB, listen netip.AddrPort, decide func(*testbed, *core.Packet) core.Decision) *testbed {
 	t.Helper()
-	return startWith(t, Options{Listen: listen}, decide)
+	return startPlaneWith(t, Options{Listen: listen}, decide)
 }
 
-// startWith sets the options that are functions or addresses of the endpoints.
-func startWith(t testing.TB, options Options, decide func(*bench, *core.Packet) core.Decision) *bench {
+// startPlaneWith starts a plane with the given options; it sets the functions and the addresses of
+// the endpoints.
+func startPlaneWith(t testing.TB, options Options, decide func(*testbed, *core.Packet) core.Decision) *testbed {
 	t.Helper()
-	bench := &bench{
+	testbed := &testbed{
 		fabric:  newEndpoint(t, options.Listen),
 		host:    newEndpoint(t, options.Listen),
 		peer:    newEndpoint(t, options.Listen),
 		stopped: make(chan error, 1),
 	}
-	options.Decide = func(input *core.Packet) core.Decision { return decide(bench, input) }
+	options.Decide = func(input *core.Packet) core.Decision { return decide(testbed, input) }
 	options.PeerAddress = func(node lb.NodeID) (netip.AddrPort, bool) {
-		return bench.peer.address(), node == peerID
+		return testbed.peer.address(), node == peerID
 	}
-	options.ReplyTo = []netip.AddrPort{bench.fabric.address()}
+	options.ReplyTo = []netip.AddrPort{testbed.fabric.address()}
 	plane, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	bench.plane = plane
-	go func() { bench.stopped <- plane.Run(context.Background()) }()
+	testbed.plane = plane
+	go func() { testbed.stopped <- plane.Run(context.Background()) }()
 	t.Cleanup(func() { _ = plane.Close() })
-	return bench
+	return testbed
 }
 
-// stop ends the plane and gives its last counters.
-func (bench *bench) stop(t testing.TB) Counters {
+// stop stops the plane and returns its final counters.
+func (testbed *testbed) stop(t testing.TB) Counters {
 	t.Helper()
-	bench.plane.StopReceiving(0)
-	if err := <-bench.stopped; err != nil {
+	testbed.plane.StopReceiving(0)
+	if err := <-testbed.stopped; err != nil {
 		t.Fatal(err)
 	}
-	return bench.plane.Counters()
+	return testbed.plane.Counters()
 }
 
 func openingPacket(t testing.TB) []byte {
@@ -130,7 +131,7 @@
 	return inner
 }
 
-func wrap(t testing.TB, inner []byte, relay lb.Relay) []byte {
+func encapsulate(t testing.TB, inner []byte, relay lb.Relay) []byte {
 	t.Helper()
 	datagram, err := packet.Encode(nil, inner, &packet.Header{VNI: testVNI, Relay: relay})
 	if err != nil {
@@ -139,16 +140,16 @@
 	return datagram
 }
 
-func forwardToHost(bench *bench, _ *core.Packet) core.Decision {
-	return core.Decision{Action: core.ActionForward, Host: bench.host.address()}
+func forwardToHost(testbed *testbed, _ *core.Packet) core.Decision {
+	return core.Decision{Action: core.ActionForward, Host: testbed.host.address()}
 }
 
-// waitUntil waits for a condition that becomes true unless the test fails.
+// waitUntil waits until the condition is true and fails the test after testTimeout.
 func waitUntil(t testing.TB, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("condition has not become true")
+			t.Fatal("timed out waiting for the condition")
 		}
 	}
 }
--- a/internal/dataplane/release_test.go
+++ b/internal/dataplane/release_test.go
@@ -15,7 +15,7 @@
 	"robinpulley.example/robinpulley/platform"
 )
 
-// openings gives datagrams of the platform's path, of 34 bytes each, that differ.
+// openings returns distinct opening datagrams of the platform's codec, of 34 bytes each.
 func openings(count int) [][]byte {
 	datagrams := make([][]byte, count)
 	for i := range datagrams {
@@ -27,9 +27,9 @@
 	return datagrams
 }
 
-// TestReleaseWritesWhatWasHeld: forwarded or refused as decided, more than a batch
-// at once, by what was kept and not by what the reader reads meanwhile.
-func TestReleaseWritesWhatWasHeld(t *testing.T) {
+// TestReleaseWritesHeldDatagrams checks that held datagrams, more than one batch, are forwarded or
+// refused as decided, and that the held copy is sent rather than the reader's buffer.
+func TestReleaseWritesHeldDatagrams(t *testing.T) {
 	is := is.New(t)
 	host, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	is.NoErr(err)
@@ -48,12 +48,12 @@
 	for i, datagram := range openings(80) {
 		_, err := host.WriteToUDPAddrPort(datagram, plane.Address())
 		is.NoErr(err)
-		one := core.Released{Decision: core.Decision{Action: core.ActionForward, Host: to, Identity: 7, Token: 9}}
+		entry := core.Released{Decision: core.Decision{Action: core.ActionForward, Host: to, Identity: 7, Token: 9}}
 		if i%2 == 1 {
-			one.Decision = core.Decision{Action: core.ActionRefuse, Reason: core.ReasonOverload, Refusal: lb.Refusal{Verdict: lb.NotRun}}
+			entry.Decision = core.Decision{Action: core.ActionRefuse, Reason: core.ReasonOverload, Refusal: lb.Refusal{Verdict: lb.NotRun}}
 		}
-		one.Kept.Keep(datagram)
-		released = append(released, one)
+		entry.Kept.Keep(datagram)
+		released = append(released, entry)
 	}
 	deadline := time.Now().Add(10 * time.Second)
 	for plane.Counters().Held < 80 && time.Now().Before(deadline) {
--- a/internal/dataplane/worker.go
+++ b/internal/dataplane/worker.go
@@ -13,18 +13,18 @@
 	"robinpulley.example/robinpulley/internal/packet"
 )
 
-// readErrorPause is how long a reader waits after an error of the socket, so
-// that a lasting error does not take a whole core.
-const readErrorPause = 10 * time.Millisecond
+// readErrorDelay is the delay after a read error of the socket, so that a persistent error does not
+// occupy a whole CPU.
+const readErrorDelay = 10 * time.Millisecond
 
-// worker is one reader. It owns all its buffers.
+// worker is one reader of the socket. It owns all its buffers.
 type worker struct {
 	plane  *Plane
 	batch  *batch
 	codec  Codec
-	packet *core.Packet // the last one decoded
-	// decision is the last one. It stands here since what is handed to a codec
-	// would be allocated anew for each packet otherwise.
+	packet *core.Packet // the last decoded packet
+	// decision is the last decision. It is a field because an argument of a codec's method escapes
+	// to the heap, which would cost an allocation for each packet.
 	decision core.Decision
 	counters counters
 }
@@ -34,13 +34,13 @@
 	return &worker{plane: plane, codec: codec, batch: newBatch(plane.socket, codec.DatagramSize())}
 }
 
-// newReleaser gives a worker that reads nothing. Its buffers come with what it
-// writes first: most nodes never hold anything.
+// newReleaser returns a worker that only writes. Its batch is allocated on the first write, since
+// most nodes never hold a datagram.
 func newReleaser(plane *Plane) *worker {
 	return &worker{plane: plane, codec: plane.options.NewCodec()}
 }
 
-// release does what was decided on datagrams that were held.
+// release executes the decisions on held datagrams.
 func (worker *worker) release(released []core.Released) {
 	if len(released) == 0 {
 		return
@@ -56,7 +56,7 @@
 		}
 		worker.packet = decoded
 		worker.decision = released[index].Decision
-		worker.act(&worker.decision)
+		worker.execute(&worker.decision)
 		if worker.batch.queued == batchSize {
 			worker.flush()
 		}
@@ -69,8 +69,7 @@
 	worker.counters.writeErrors.Add(uint64(failed))
 }
 
-// run reads, decides and writes until the socket is closed or its read
-// deadline has passed.
+// run reads, decides and writes until the socket is closed or its read deadline has passed.
 func (worker *worker) run() {
 	for {
 		count, err := worker.batch.read()
@@ -79,7 +78,7 @@
 		}
 		if err != nil {
 			worker.counters.readErrors.Add(1)
-			time.Sleep(readErrorPause)
+			time.Sleep(readErrorDelay)
 			continue
 		}
 		for index := range count {
@@ -89,7 +88,7 @@
 	}
 }
 
-// handle decodes one datagram and does what the core decides.
+// handle decodes one datagram and executes the core's decision on it.
 func (worker *worker) handle(datagram []byte) {
 	worker.counters.received.Add(1)
 	worker.counters.receivedBytes.Add(uint64(len(datagram)))
@@ -105,15 +104,15 @@
 		worker.counters.fromFabric.Add(1)
 	}
 	worker.decision = worker.plane.options.Decide(decoded)
-	worker.act(&worker.decision)
+	worker.execute(&worker.decision)
 }
 
 func (worker *worker) countMalformed(err error) {
-	cause, _ := packet.CauseOf(err) // index 0 counts errors without a cause, of which there are none
+	cause, _ := packet.CauseOf(err) // index 0 is for errors without a cause; there are none
 	worker.counters.malformed[cause].Add(1)
 }
 
-func (worker *worker) act(decision *core.Decision) {
+func (worker *worker) execute(decision *core.Decision) {
 	switch decision.Action {
 	case core.ActionForward:
 		worker.forward(decision)
@@ -122,7 +121,7 @@
 	case core.ActionRefuse:
 		worker.counters.countReason(decision.Action, decision.Reason)
 		worker.refuse(decision)
-	case core.ActionHold: // the core has a copy, and gives it to Plane.Release
+	case core.ActionHold: // the core has a copy and passes it to Plane.Release
 		worker.counters.held.Add(1)
 	default:
 		worker.counters.countReason(core.ActionDrop, decision.Reason)
@@ -163,8 +162,8 @@
 	}
 }
 
-// The ranks of the hops of a packet. Each relaying must raise the rank, which
-// bounds the hops of any packet whatever the nodes' views are.
+// The ranks of the hops of a packet. Each relay must increase the rank, which bounds the number of
+// hops of any packet even if the nodes' views differ.
 const (
 	rankIngress = iota
 	rankHead
@@ -187,7 +186,8 @@
 	return rankIngress
 }
 
-// sendable tells whether packets may be sent to the address, and counts if not.
+// sendable reports whether packets may be sent to the address, and counts the packet as unsendable
+// if not.
 func (worker *worker) sendable(address netip.AddrPort) bool {
 	if worker.plane.sendable(address) {
 		return true
@@ -196,8 +196,8 @@
 	return false
 }
 
-// queue takes what was built for the address; false if building failed, which
-// a decoded packet never leads to; see packet.FuzzDecode.
+// queue adds an encoded datagram to the batch. It returns false if encoding failed, which does not
+// happen for a decoded packet; see packet.FuzzDecode.
 func (worker *worker) queue(encoded []byte, to netip.AddrPort, err error) bool {
 	if err != nil {
 		worker.counters.unsendable.Add(1)
