--- a/internal/maglev/maglev_test.go
+++ b/internal/maglev/maglev_test.go
@@ -13,7 +13,7 @@
 	"robinpulley.example/robinpulley/internal/maglev"
 )
 
-// entries gives count back ends with the weight that weight returns.
+// entries returns count back ends with the weights that the function weight returns.
 func entries(count int, weight func(index int) uint16) []maglev.Entry {
 	list := make([]maglev.Entry, count)
 	for index := range list {
@@ -48,7 +48,7 @@
 		var table maglev.Table
 		maglev.Fill(&table, list)
 		counts := shares(&table)
-		is.Equal(counts[lb.NoBackend], 0) // every bucket is claimed
+		is.Equal(counts[lb.NoBackend], 0) // every bucket has a back end
 		for _, entry := range list {
 			exact := float64(entry.Weight) * lb.BucketCount / float64(total)
 			difference := float64(counts[entry.ID]) - exact
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestOrderHasNoInfluence(t *testing.T) {
+func TestTableIsIndependentOfEntryOrder(t *testing.T) {
 	is := is.New(t)
 	list := entries(14, func(index int) uint16 { return uint16(100 + index%3) })
 	var first, second maglev.Table
@@ -67,7 +67,8 @@
 	is.Equal(first, second)
 }
 
-// TestTableIsStable pins a digest: nodes of two releases must agree on tables.
+// TestTableIsStable compares a table with a fixed digest: nodes of different releases must compute
+// the same tables.
 func TestTableIsStable(t *testing.T) {
 	is := is.New(t)
 	var table maglev.Table
@@ -79,41 +80,42 @@
 	is.Equal(fmt.Sprintf("%016x", digest.Sum64()), "049dd3e1f8055794")
 }
 
-func TestNoEntriesGiveNoBackend(t *testing.T) {
+func TestFillWithoutEntries(t *testing.T) {
 	is := is.New(t)
 	table := maglev.Table{0: 7}
 	maglev.Fill(&table, nil)
 	is.Equal(table, maglev.Table{})
 }
 
-// movedAmongRest counts buckets that change hands though both owners stay.
-func movedAmongRest(before, after *maglev.Table, gone lb.BackendID) int {
+// movedBetweenOthers counts the buckets whose back end changes although neither the old nor the new
+// one is removed.
+func movedBetweenOthers(before, after *maglev.Table, removed lb.BackendID) int {
 	moved := 0
 	for bucket := range before {
-		if before[bucket] != gone && after[bucket] != gone && before[bucket] != after[bucket] {
+		if before[bucket] != removed && after[bucket] != removed && before[bucket] != after[bucket] {
 			moved++
 		}
 	}
 	return moved
 }
 
-func TestFewOtherBucketsMoveWhenOneLeaves(t *testing.T) {
+func TestRemovalMovesFewOtherBuckets(t *testing.T) {
 	is := is.New(t)
 	list := entries(14, equalWeight)
 	var before, after maglev.Table
 	maglev.Fill(&before, list)
-	most, sum := 0, 0
+	maxMoved, sum := 0, 0
 	for index, entry := range list {
 		maglev.Fill(&after, slices.Delete(slices.Clone(list), index, index+1))
-		moved := movedAmongRest(&before, &after, entry.ID)
-		most = max(most, moved)
+		moved := movedBetweenOthers(&before, &after, entry.ID)
+		maxMoved = max(maxMoved, moved)
 		sum += moved
 	}
-	t.Logf("buckets moved between those that stay, of %d: at most %d, on average %.1f", lb.BucketCount, most, float64(sum)/14)
-	is.True(most < lb.BucketCount/10)
+	t.Logf("buckets moved between remaining back ends, of %d: at most %d, on average %.1f", lb.BucketCount, maxMoved, float64(sum)/14)
+	is.True(maxMoved < lb.BucketCount/10)
 }
 
-func TestFewBucketsMoveOnAWeightStep(t *testing.T) {
+func TestWeightChangeMovesFewBuckets(t *testing.T) {
 	is := is.New(t)
 	var before, after maglev.Table
 	maglev.Fill(&before, entries(14, equalWeight))
@@ -123,7 +125,7 @@
 		}
 		return 100
 	}))
-	moved := movedAmongRest(&before, &after, lb.NoBackend)
+	moved := movedBetweenOthers(&before, &after, lb.NoBackend)
 	t.Logf("buckets moved when one of 14 loses a fifth of its weight: %d", moved)
 	is.True(moved < lb.BucketCount/10)
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -21,8 +21,8 @@
 	return list
 }
 
-// TestChainIsTheFirstAndTheFirstOfAnotherZone compares with a plain sort.
-func TestChainIsTheFirstAndTheFirstOfAnotherZone(t *testing.T) {
+// TestChainIsTheFirstNodeAndTheFirstInAnotherZone compares the chain with a complete sort.
+func TestChainIsTheFirstNodeAndTheFirstInAnotherZone(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []struct{ nodes, zones int }{{0, 1}, {1, 1}, {2, 1}, {5, 1}, {2, 2}, {7, 3}, {40, 12}} {
 		list := candidates(size.nodes, size.zones)
@@ -43,7 +43,7 @@
 			is.Equal(list[head], ranked[0])
 			want := slices.IndexFunc(ranked, func(node rendezvous.Candidate) bool { return node.Zone != ranked[0].Zone })
 			if want < 0 && size.nodes > 1 {
-				want = 1 // one zone: the second
+				want = 1 // with one zone, the second node
 			}
 			is.Equal(tail < 0, want < 0)
 			if want >= 0 {
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestWatchersAreTheFirstTwoOfEachZone compares with a plain sort by zone and rank.
+// TestWatchersAreTheFirstTwoOfEachZone compares the watchers with a complete sort by zone and rank.
 func TestWatchersAreTheFirstTwoOfEachZone(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []struct{ nodes, zones int }{{0, 1}, {1, 1}, {5, 4}, {30, 4}, {200, 12}} {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace finds what the logs of all nodes say of one flow: the decisions
-// on its packets, and, if asked for, what happened to the nodes around them.
+// Package trace extracts the history of one flow from the logs of all nodes: the decisions on its
+// packets and, on request, the events of nodes around the same time.
 package trace
 
 import (
@@ -16,7 +16,7 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-// Line is one line of a node's log. Fields that a line does not have are empty.
+// Line is one line of a node's log. Fields that are absent from the line are empty.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Node    string    `json:"node"`
@@ -36,15 +36,15 @@
 	Omitted   uint64 `json:"omitted,omitempty"`
 }
 
-// perFlow are the events that are about one flow each.
-var perFlow = []logging.Event{logging.EventOpening, logging.EventRefused, logging.EventDropped}
+// flowEvents are the events that concern a single flow.
+var flowEvents = []logging.Event{logging.EventOpening, logging.EventRefused, logging.EventDropped}
 
-// maxLineBytes bounds a line of a log.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// Read gives the lines of a log. What stands before a line's JSON object, as
-// collectors of logs put there, and lines without one are passed over; so is an
-// object that is no line of a node. skipped counts those.
+// Read parses the lines of a log. Text before the JSON object of a line, such as the prefix of a
+// log collector, is ignored, and so are lines without an object. An object that is not a log line
+// of a node is ignored too, and counted in skipped.
 func Read(log io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
@@ -64,10 +64,9 @@
 	return lines, skipped, errors.Wrap(scanner.Err(), "read the log")
 }
 
-// Of gives the lines of one flow, named as in the field flow, in order of time,
-// and the lines about nodes that were written at most around before or after
-// one of them. Clocks of nodes may differ: the order between two nodes is that
-// of their clocks.
+// Of returns, sorted by time, the lines of one flow, named as in the field "flow", and the lines
+// about nodes that were written within the duration around, before or after one of them. The clocks
+// of nodes may differ, and the order follows these clocks.
 func Of(lines []Line, flow string, around time.Duration) []Line {
 	var times []time.Time
 	for _, line := range lines {
@@ -79,7 +78,7 @@
 		if line.Flow == flow {
 			return false
 		}
-		return around <= 0 || slices.Contains(perFlow, logging.Event(line.Event)) || !isNear(line.Time, times, around)
+		return around <= 0 || slices.Contains(flowEvents, logging.Event(line.Event)) || !isNear(line.Time, times, around)
 	})
 	slices.SortStableFunc(found, func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Node, b.Node))
@@ -87,7 +86,7 @@
 	return found
 }
 
-// isNear tells whether the time is at most around from one of the times.
+// isNear reports whether the time is within the duration around of one of the times.
 func isNear(at time.Time, times []time.Time, around time.Duration) bool {
 	return slices.ContainsFunc(times, func(other time.Time) bool { return at.Sub(other).Abs() <= around })
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -18,12 +18,12 @@
 	`{"node":"a","event":"opening","flow":"100.64.0.4:1>198.18.0.13:80","time":"2026-07-09T15:08:44.100Z"}`,
 	`{"node":"c","event":"stopping","time":"2026-07-09T15:08:44.000Z"}`,
 	`{"node":"c","event":"stopped","time":"2026-07-09T15:08:45.301Z"}`,
-	`a line of something else`,
+	`a line of another program`,
 	`{"cut of`,
 	`{"other":1}`,
 }, "\n")
 
-func TestOfOneFlow(t *testing.T) {
+func TestLinesOfOneFlow(t *testing.T) {
 	lines, skipped, err := trace.Read(strings.NewReader(logs))
 	is := is.New(t)
 	is.NoErr(err)
@@ -48,10 +48,10 @@
 	is.Equal(refused.Reason, "unknown-service")
 	is.Equal(refused.AgeMillis, int64(197))
 	is.Equal(refused.Version, uint64(26))
-	is.Equal(len(trace.Of(lines, "nobody's", time.Hour)), 0)
+	is.Equal(len(trace.Of(lines, "unknown", time.Hour)), 0)
 }
 
-func TestLineThatIsTooLong(t *testing.T) {
+func TestTooLongLineIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, _, err := trace.Read(strings.NewReader("{" + strings.Repeat("x", 2<<20)))
 	is.True(err != nil)
--- a/internal/tree/tree.go
+++ b/internal/tree/tree.go
@@ -1,7 +1,6 @@
-// Package tree places the nodes of a fleet in trees, one over each zone, by
-// which they sum up what they have seen and are told what follows from it. Who
-// is first is not agreed on: each node goes by its own list of members, and
-// messages between two that differ are lost or counted twice for moments.
+// Package tree arranges the nodes of each zone in a tree, over which they aggregate observations
+// upwards and distribute decisions downwards. The nodes do not agree on the tree: each computes it
+// from its own membership list. While two lists differ, messages may be lost or counted twice.
 package tree
 
 import (
@@ -10,8 +9,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Width is how many nodes report to one: a zone of a thousand nodes is four
-// levels deep, and no node hears more than eight reports in a window.
+// Width is the maximum number of children of a node. A zone of a thousand nodes has four levels,
+// and no node receives more than eight reports in a window.
 const Width = 8
 
 // Node is one node of the fleet.
@@ -20,25 +19,25 @@
 	Control netip.AddrPort
 }
 
-// Place is where a node is in the tree over its zone.
+// Place is the position of a node in the tree over its zone.
 type Place struct {
-	// First: this node decides for its zone. Parent is invalid then.
+	// First is set for the root of the tree, which decides for its zone. Parent is then invalid.
 	First    bool
 	Parent   netip.AddrPort
 	Children []netip.AddrPort
-	// Nodes is how many nodes the fleet has, and ZoneNodes the zone.
+	// Nodes is the number of nodes in the fleet, and ZoneNodes the number in the zone.
 	Nodes, ZoneNodes int
-	// Heads are the first nodes of the other zones, for the first one.
+	// Heads holds the root nodes of the other zones. It is set only for a root node.
 	Heads []netip.AddrPort
 }
 
-// Neighbours gives the nodes that this one exchanges messages with, all but one: the sender of
-// what is passed on.
-func (p *Place) Neighbours(but netip.AddrPort) []netip.AddrPort {
+// Neighbours returns all nodes with which this node exchanges messages, except the given one: the
+// sender, when a message is forwarded.
+func (p *Place) Neighbours(except netip.AddrPort) []netip.AddrPort {
 	var neighbours []netip.AddrPort
 	for _, nodes := range [][]netip.AddrPort{{p.Parent}, p.Children, p.Heads} {
 		for _, node := range nodes {
-			if node.IsValid() && node != but {
+			if node.IsValid() && node != except {
 				neighbours = append(neighbours, node)
 			}
 		}
@@ -46,10 +45,10 @@
 	return neighbours
 }
 
-// PlaceOf gives the place of a node in the tree over its zone's nodes, which are
-// in order of rank. heads are the first nodes of the other zones, and nodes is
-// how many the fleet has. A node that is not in its zone's list, taken for dead by its own
-// membership, has no place: it hears of decisions again when it is back.
+// PlaceOf returns the place of a node in the tree over its zone's nodes, which must be sorted by
+// rank. heads holds the root nodes of the other zones, and nodes is the number of nodes in the
+// fleet. A node that is missing from its zone's list, because its own membership considers it dead,
+// has neither parent nor children, and receives no decisions until it is in the list again.
 func PlaceOf(self lb.NodeID, zone, heads []Node, nodes int) Place {
 	rank := -1
 	for index := range zone {
--- a/internal/tree/tree_test.go
+++ b/internal/tree/tree_test.go
@@ -10,9 +10,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TestEveryNodeReportsToTheFirst: the places of all nodes form one tree, of bounded
-// width, whose root alone tells the other zones.
-func TestEveryNodeReportsToTheFirst(t *testing.T) {
+// TestPlacesFormOneTree checks that the places of all nodes form a single tree of bounded width,
+// and that only its root is connected to the other zones.
+func TestPlacesFormOneTree(t *testing.T) {
 	is := is.New(t)
 	heads := []Node{{ID: "head", Control: netip.MustParseAddrPort("10.9.0.1:7946")}}
 	for _, count := range []int{1, 2, 9, 10, 300} {
@@ -29,7 +29,7 @@
 			is.Equal(len(place.Heads) == 1, place.First)
 			is.True(len(place.Children) <= Width)
 			for _, child := range place.Children {
-				is.Equal(parents[child], netip.AddrPort{}) // one parent
+				is.Equal(parents[child], netip.AddrPort{}) // only one parent
 				parents[child] = peer.Control
 			}
 		}
@@ -38,14 +38,15 @@
 			is.Equal(PlaceOf(peer.ID, zone, heads, count).Parent, parents[peer.Control])
 		}
 	}
-	unknown := PlaceOf("elsewhere", heads, nil, 1)
+	unknown := PlaceOf("unknown", heads, nil, 1)
 	is.Equal(unknown.First, false)
 	is.Equal(unknown.Parent.IsValid(), false)
 }
 
-// TestNeighboursPassOnToAll: what any node tells its neighbours, and they theirs but the sender,
-// comes once to each node of the zone, and to the first nodes of the others.
-func TestNeighboursPassOnToAll(t *testing.T) {
+// TestForwardingToNeighboursReachesEveryNodeOnce checks that a message from any node, which each
+// recipient forwards to its neighbours except the sender, reaches each other node of the zone and
+// the root nodes of the other zones exactly once.
+func TestForwardingToNeighboursReachesEveryNodeOnce(t *testing.T) {
 	is := is.New(t)
 	head := Node{ID: "head", Control: netip.MustParseAddrPort("10.9.0.1:7946")}
 	var zone []Node
@@ -56,20 +57,20 @@
 		byAddress[peer.Control] = peer.ID
 	}
 	for _, start := range []int{0, 1, 57, 99} {
-		heard := make(map[netip.AddrPort]int)
-		var tell func(self Node, but netip.AddrPort)
-		tell = func(self Node, but netip.AddrPort) {
+		received := make(map[netip.AddrPort]int)
+		var forward func(self Node, except netip.AddrPort)
+		forward = func(self Node, except netip.AddrPort) {
 			place := PlaceOf(self.ID, zone, []Node{head}, 101)
-			for _, to := range place.Neighbours(but) {
-				heard[to]++
+			for _, to := range place.Neighbours(except) {
+				received[to]++
 				if to != head.Control {
-					tell(Node{ID: byAddress[to], Control: to}, self.Control)
+					forward(Node{ID: byAddress[to], Control: to}, self.Control)
 				}
 			}
 		}
-		tell(zone[start], netip.AddrPort{})
-		is.Equal(len(heard), 100) // all but the sender, and the head
-		for _, times := range heard {
+		forward(zone[start], netip.AddrPort{})
+		is.Equal(len(received), 100) // all nodes but the sender, and the root of the other zone
+		for _, times := range received {
 			is.Equal(times, 1)
 		}
 	}
