--- a/internal/dataplane/batch.go
+++ b/internal/dataplane/batch.go
@@ -68,7 +68,7 @@
 // output returns the empty buffer for the next datagram to be written.
 func (batch *batch) output() []byte { return batch.outputs[batch.queued].Buffers[0][:0] }
 
-// queue adds a datagram, built in the buffer that output returned, to those to be written.
+// queue adds a datagram, built in the buffer that output returned, for the next write.
 func (batch *batch) queue(datagram []byte, to netip.AddrPort) {
 	batch.outputs[batch.queued].Buffers[0] = datagram
 	address := &batch.addresses[batch.queued]
--- a/internal/dataplane/counters.go
+++ b/internal/dataplane/counters.go
@@ -34,7 +34,7 @@
 	Unanswered uint64
 	// UnknownPeer counts packets to be relayed to a node without a known address.
 	UnknownPeer uint64
-	// Unsendable counts packets to be sent to this node itself or to an address that is not that of
+	// Unsendable counts packets to be sent to this node itself or to an address that does not name
 	// a single host.
 	Unsendable uint64
 	// WrongService counts packets to be forwarded to a host that the Guard does not allow.
--- a/internal/dataplane/guard.go
+++ b/internal/dataplane/guard.go
@@ -9,7 +9,7 @@
 
 // Guard is the last check before a packet is written to a host: the host must belong to the service
 // that has the packet's front end. The guard does not use the tables and records from which the
-// host was chosen, so that no fault in these can send a packet to another service. It is safe for
+// host was chosen, so that no fault in them can send a packet to another service. It is safe for
 // concurrent use.
 type Guard struct {
 	lock     sync.RWMutex
--- a/internal/outlier/core.go
+++ b/internal/outlier/core.go
@@ -42,11 +42,11 @@
 	MinReporters     float64
 	ReporterInterval time.Duration
 	// FailingBadRatio is the assumed ratio of bad outcomes of a failing back end. The assumed ratio
-	// of a healthy one is that of the other back ends of its service, limited to the range from
-	// MinHealthyBadRatio to MaxHealthyBadRatio. Wald's sequential probability ratio test decides
-	// between the two, on the outcomes reported since the suspect was first watched: the back end
-	// is ejected when the logarithm of the likelihood ratio reaches EjectThreshold, and cleared
-	// when it falls to ClearThreshold.
+	// of a healthy back end is the ratio of the other back ends of its service, limited to the
+	// range from MinHealthyBadRatio to MaxHealthyBadRatio. Wald's sequential probability ratio test
+	// decides between the two, on the outcomes reported since the suspect was first watched: the
+	// back end is ejected when the logarithm of the likelihood ratio reaches EjectThreshold, and
+	// cleared when it falls to ClearThreshold.
 	FailingBadRatio                        float64
 	MinHealthyBadRatio, MaxHealthyBadRatio float64
 	EjectThreshold, ClearThreshold         float64
@@ -58,8 +58,8 @@
 	EjectionTime time.Duration
 	// MaxEjectedFraction is the largest fraction of a service's back ends that may be ejected.
 	MaxEjectedFraction float64
-	// MaxSuspects bounds the suspects that are watched at one time, those with the most bad
-	// outcomes first.
+	// MaxSuspects bounds the suspects that are watched at one time, starting with the most bad
+	// outcomes.
 	MaxSuspects int
 	// MaxReportEntries bounds the back ends in one report.
 	MaxReportEntries int
@@ -243,7 +243,8 @@
 	verdictInterval = 400 * time.Millisecond
 )
 
-// applyVerdict replaces the watched and ejected back ends of this node by those of the verdict.
+// applyVerdict replaces the watched and ejected back ends of this node with the lists of the
+// verdict.
 func (c *Core) applyVerdict(verdict *message.OutcomeVerdict, effects *Effects) {
 	clear(c.watched)
 	for _, identity := range verdict.Watched {
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -109,7 +109,7 @@
 	if seen := d.ownOutcomes[service]; seen != nil {
 		outcomes = seen.decay(now, d.settings.RecentHalfLife) * float64(d.nodes) / float64(len(identities))
 	}
-	bad := d.baseline(identities, func(known *record) float64 { return known.recent.decay(now, d.settings.RecentHalfLife) })
+	bad := d.baseline(identities, func(rec *record) float64 { return rec.recent.decay(now, d.settings.RecentHalfLife) })
 	ratio := 2 * (bad + priorBadOutcomes) / (outcomes + 1)
 	return min(max(ratio, d.settings.MinHealthyBadRatio), d.settings.MaxHealthyBadRatio)
 }
@@ -120,44 +120,44 @@
 
 // add adds reported outcomes of a back end.
 func (d *detector) add(now time.Duration, identity Identity, bad, good, reporters int) {
-	known := d.records[identity]
-	if known == nil {
+	rec := d.records[identity]
+	if rec == nil {
 		if _, serves := d.serviceOf[identity]; !serves || bad == 0 || len(d.records) >= maxPendingBackends {
 			return
 		}
-		known = &record{at: now}
-		d.records[identity] = known
+		rec = &record{at: now}
+		d.records[identity] = rec
 	}
-	d.decay(known, now)
-	known.bad += float64(bad)
-	known.good += float64(good)
-	known.reporters += float64(reporters)
-	known.recent.value = known.recent.decay(now, d.settings.RecentHalfLife) + float64(bad)
-	if known.watched {
-		known.watchedBad += bad
-		known.watchedGood += good
+	d.decay(rec, now)
+	rec.bad += float64(bad)
+	rec.good += float64(good)
+	rec.reporters += float64(reporters)
+	rec.recent.value = rec.recent.decay(now, d.settings.RecentHalfLife) + float64(bad)
+	if rec.watched {
+		rec.watchedBad += bad
+		rec.watchedGood += good
 	}
-	if known.ejectedUntil > 0 && bad > 0 {
-		known.ejectedUntil = now + d.settings.EjectionTime
+	if rec.ejectedUntil > 0 && bad > 0 {
+		rec.ejectedUntil = now + d.settings.EjectionTime
 	}
 }
 
 // decay applies the decay since the last call to the sums of a record.
-func (d *detector) decay(known *record, now time.Duration) {
-	factor := math.Exp2(-(now - known.at).Seconds() / d.settings.HalfLife.Seconds())
-	known.bad *= factor
-	known.good *= factor
-	known.reporters *= factor
-	known.at = now
+func (d *detector) decay(rec *record, now time.Duration) {
+	factor := math.Exp2(-(now - rec.at).Seconds() / d.settings.HalfLife.Seconds())
+	rec.bad *= factor
+	rec.good *= factor
+	rec.reporters *= factor
+	rec.at = now
 }
 
 // evaluate returns the verdict, or nil if none must be sent now, and the back ends that were
 // ejected or restored.
 func (d *detector) evaluate(now time.Duration) (*message.OutcomeVerdict, []Change) {
 	affected := make(map[lb.ServiceName]bool)
-	for identity, known := range d.records {
-		d.decay(known, now)
-		if known.bad < minRecordBad && known.ejectedUntil == 0 {
+	for identity, rec := range d.records {
+		d.decay(rec, now)
+		if rec.bad < minRecordBad && rec.ejectedUntil == 0 {
 			delete(d.records, identity)
 			continue
 		}
@@ -175,25 +175,25 @@
 
 // evaluateService compares the back ends of one service with each other and returns the changes.
 func (d *detector) evaluateService(now time.Duration, service lb.ServiceName, identities []Identity) []Change {
-	baseline := d.baseline(identities, func(known *record) float64 { return known.bad })
+	baseline := d.baseline(identities, func(rec *record) float64 { return rec.bad })
 	healthy := d.healthyBadRatio(now, service, identities)
 	var changes []Change
-	addChange := func(identity Identity, known *record) {
+	addChange := func(identity Identity, rec *record) {
 		changes = append(changes, Change{
-			Identity: identity, Service: service, Ejected: known.ejectedUntil > 0,
-			Bad: known.bad, Good: known.good, Reporters: known.reporters, Others: baseline,
+			Identity: identity, Service: service, Ejected: rec.ejectedUntil > 0,
+			Bad: rec.bad, Good: rec.good, Reporters: rec.reporters, Others: baseline,
 		})
 	}
 	ejected := 0
 	var candidates []Identity
 	for _, identity := range identities {
-		known := d.records[identity]
+		rec := d.records[identity]
 		switch {
-		case known == nil:
-		case known.ejectedUntil > 0 && now >= known.ejectedUntil:
-			*known = record{at: now}
-			addChange(identity, known)
-		case known.ejectedUntil > 0:
+		case rec == nil:
+		case rec.ejectedUntil > 0 && now >= rec.ejectedUntil:
+			*rec = record{at: now}
+			addChange(identity, rec)
+		case rec.ejectedUntil > 0:
 			ejected++
 		default:
 			candidates = append(candidates, identity)
@@ -205,19 +205,19 @@
 	slots := int(d.settings.MaxEjectedFraction*float64(len(identities))) - ejected
 	suspects := d.countSuspects()
 	for _, identity := range candidates {
-		known := d.records[identity]
+		rec := d.records[identity]
 		if slots <= 0 {
-			known.watched = false // it cannot be ejected, and other suspects need the slot
+			rec.watched = false // it cannot be ejected, and other suspects need the slot
 			continue
 		}
-		mayWatch := known.watched || suspects < d.settings.MaxSuspects
-		wasWatched := known.watched
-		if d.shouldEject(now, known, baseline, healthy, mayWatch) {
-			known.ejectedUntil = now + d.settings.EjectionTime
-			addChange(identity, known)
+		mayWatch := rec.watched || suspects < d.settings.MaxSuspects
+		wasWatched := rec.watched
+		if d.shouldEject(now, rec, baseline, healthy, mayWatch) {
+			rec.ejectedUntil = now + d.settings.EjectionTime
+			addChange(identity, rec)
 			slots--
 		}
-		if known.watched && !wasWatched {
+		if rec.watched && !wasWatched {
 			suspects++
 		}
 	}
@@ -227,8 +227,8 @@
 // countSuspects returns the number of watched back ends that are not ejected.
 func (d *detector) countSuspects() int {
 	count := 0
-	for _, known := range d.records {
-		if known.watched && known.ejectedUntil == 0 {
+	for _, rec := range d.records {
+		if rec.watched && rec.ejectedUntil == 0 {
 			count++
 		}
 	}
@@ -238,24 +238,24 @@
 // shouldEject reports whether a back end is to be ejected. A suspect is first watched: the nodes
 // then report its good outcomes too, which clear it if it is healthy. A suspect that may not be
 // watched yet waits for a free slot.
-func (d *detector) shouldEject(now time.Duration, known *record, baseline, healthy float64, mayWatch bool) bool {
-	suspected := known.bad >= d.settings.MinBad && known.reporters >= d.settings.MinBad &&
-		known.bad >= d.settings.BaselineRatio*max(baseline, d.settings.BaselineFloor)
-	if !suspected || !known.watched {
-		known.watched = suspected && mayWatch
-		known.watchedAt = now
-		known.watchedBad, known.watchedGood = 0, 0
+func (d *detector) shouldEject(now time.Duration, rec *record, baseline, healthy float64, mayWatch bool) bool {
+	suspected := rec.bad >= d.settings.MinBad && rec.reporters >= d.settings.MinBad &&
+		rec.bad >= d.settings.BaselineRatio*max(baseline, d.settings.BaselineFloor)
+	if !suspected || !rec.watched {
+		rec.watched = suspected && mayWatch
+		rec.watchedAt = now
+		rec.watchedBad, rec.watchedGood = 0, 0
 		return false
 	}
 	failing := d.settings.FailingBadRatio
-	likelihood := float64(known.watchedBad)*math.Log(failing/healthy) +
-		float64(known.watchedGood)*math.Log((1-failing)/(1-healthy))
+	likelihood := float64(rec.watchedBad)*math.Log(failing/healthy) +
+		float64(rec.watchedGood)*math.Log((1-failing)/(1-healthy))
 	if likelihood <= d.settings.ClearThreshold {
-		*known = record{at: known.at, recent: known.recent}
+		*rec = record{at: rec.at, recent: rec.recent}
 		return false
 	}
-	return likelihood >= d.settings.EjectThreshold && known.reporters >= d.settings.MinReporters &&
-		now-known.watchedAt >= d.settings.MinWatchTime
+	return likelihood >= d.settings.EjectThreshold && rec.reporters >= d.settings.MinReporters &&
+		now-rec.watchedAt >= d.settings.MinWatchTime
 }
 
 // baseline returns the mean of the bad outcomes of a service's back ends. It leaves out the back
@@ -264,8 +264,8 @@
 	bad := make([]float64, 0, len(identities))
 	for _, identity := range identities {
 		sum := 0.0
-		if known := d.records[identity]; known != nil {
-			sum = badOf(known)
+		if rec := d.records[identity]; rec != nil {
+			sum = badOf(rec)
 		}
 		bad = append(bad, sum)
 	}
@@ -281,12 +281,12 @@
 // nextVerdict returns the verdict that must be sent now, or nil if none must.
 func (d *detector) nextVerdict(now time.Duration, changed bool) *message.OutcomeVerdict {
 	verdict := &message.OutcomeVerdict{Number: d.number + 1}
-	newSuspect := false // the zone does not know of a suspect yet
-	for identity, known := range d.records {
-		if known.ejectedUntil > 0 {
+	newSuspect := false // a suspect is not yet in a published verdict
+	for identity, rec := range d.records {
+		if rec.ejectedUntil > 0 {
 			verdict.Avoided = append(verdict.Avoided, uint64(identity))
 		}
-		if known.watched || known.ejectedUntil > 0 {
+		if rec.watched || rec.ejectedUntil > 0 {
 			verdict.Watched = append(verdict.Watched, uint64(identity))
 			newSuspect = newSuspect || !d.lastWatched[uint64(identity)]
 		}
--- a/internal/outlier/pending.go
+++ b/internal/outlier/pending.go
@@ -15,8 +15,8 @@
 // maxPendingBackends bounds the back ends with outcomes waiting to be reported.
 const maxPendingBackends = 1024
 
-// pending holds the outcomes waiting to be reported: those that this node observed since its last
-// report, and those that its children reported.
+// pending holds the outcomes waiting to be reported: the own outcomes of this node since its last
+// report, and the outcomes that its children reported.
 type pending struct {
 	own, below map[Identity]*tally
 	// lastCounted holds when this node last counted as a reporter of each back end.
@@ -33,27 +33,27 @@
 // tallyOf returns the tally of a back end, creating it if needed. It returns nil when there are too
 // many.
 func tallyOf(tallies map[Identity]*tally, identity Identity) *tally {
-	known := tallies[identity]
-	if known == nil && len(tallies) < maxPendingBackends {
-		known = &tally{}
-		tallies[identity] = known
+	counts := tallies[identity]
+	if counts == nil && len(tallies) < maxPendingBackends {
+		counts = &tally{}
+		tallies[identity] = counts
 	}
-	return known
+	return counts
 }
 
 // record counts an outcome that this node observed. Good outcomes count only for back ends that are
 // watched or that have bad outcomes waiting to be reported.
 func (p *pending) record(outcome Outcome, watched bool) {
-	known := p.own[outcome.Identity]
-	if known == nil && (outcome.Bad || watched) {
-		known = tallyOf(p.own, outcome.Identity)
+	counts := p.own[outcome.Identity]
+	if counts == nil && (outcome.Bad || watched) {
+		counts = tallyOf(p.own, outcome.Identity)
 	}
 	switch {
-	case known == nil:
+	case counts == nil:
 	case outcome.Bad:
-		known.bad++
+		counts.bad++
 	default:
-		known.good++
+		counts.good++
 	}
 }
 
--- a/internal/passivehealth/factor.go
+++ b/internal/passivehealth/factor.go
@@ -27,9 +27,9 @@
 // recordLatency adds the response time of one request to the moving averages.
 func (o *Observer) recordLatency(now time.Duration, service lb.ServiceName, identity Identity, took time.Duration) {
 	seconds := took.Seconds()
-	typical, known := o.typical[service]
+	typical, found := o.typical[service]
 	switch {
-	case !known:
+	case !found:
 		typical = seconds
 	case seconds < typical:
 		typical += (seconds - typical) * typicalFallRate
--- a/internal/passivehealth/observer.go
+++ b/internal/passivehealth/observer.go
@@ -115,9 +115,9 @@
 // Signs returns the observations since the last call. The slice is valid until the next call of any
 // method.
 func (o *Observer) Signs() []Sign {
-	signs := o.observations
+	observations := o.observations
 	o.observations = o.observations[:0]
-	return signs
+	return observations
 }
 
 // New returns an observer without any observations.
@@ -134,24 +134,24 @@
 }
 
 func (o *Observer) stateOf(identity Identity) *backendState {
-	known := o.backends[identity]
-	if known == nil {
-		known = &backendState{}
-		o.backends[identity] = known
+	state := o.backends[identity]
+	if state == nil {
+		state = &backendState{}
+		o.backends[identity] = state
 	}
-	return known
+	return state
 }
 
 // Opened records that an opening was forwarded to a back end.
 func (o *Observer) Opened(now time.Duration, flow lb.FlowID, identity Identity) {
-	known, found := o.openings[flow]
-	if found && known.identity == identity {
+	earlier, found := o.openings[flow]
+	if found && earlier.identity == identity {
 		return // a retransmission
 	}
 	if len(o.openings) < o.settings.MaxFlows {
 		o.addInFlight(identity)
 		if found {
-			o.removeInFlight(known.identity)
+			o.removeInFlight(earlier.identity)
 		}
 		o.openings[flow] = opening{identity: identity, at: now}
 	}
@@ -161,29 +161,29 @@
 // false if that back end left the opening unanswered and no answer of it was observed since, or if
 // it left later openings unanswered.
 func (o *Observer) Placed(now time.Duration, flow lb.FlowID) (Identity, bool) {
-	known, found := o.openings[flow]
-	if !found || now-known.at > o.settings.OpeningRetention {
+	earlier, found := o.openings[flow]
+	if !found || now-earlier.at > o.settings.OpeningRetention {
 		return 0, false
 	}
-	o.checkOverdue(now, flow, known)
-	if now-known.at >= o.settings.AnswerTimeout && (o.noAnswerSince(known.identity, known.at) || o.Suspect(known.identity)) {
+	o.checkOverdue(now, flow, earlier)
+	if now-earlier.at >= o.settings.AnswerTimeout && (o.noAnswerSince(earlier.identity, earlier.at) || o.Suspect(earlier.identity)) {
 		return 0, false
 	}
-	return known.identity, true
+	return earlier.identity, true
 }
 
 // Pending returns the back end to which the opening of a flow was forwarded, until a later packet
 // of the flow arrives.
 func (o *Observer) Pending(flow lb.FlowID) (Identity, bool) {
-	known, found := o.openings[flow]
-	return known.identity, found
+	pending, found := o.openings[flow]
+	return pending.identity, found
 }
 
 // Suspect reports whether a back end has left an opening unanswered and no answer of it was
 // observed since.
 func (o *Observer) Suspect(identity Identity) bool {
-	known := o.backends[identity]
-	return known != nil && known.missingAnswers > 0
+	state := o.backends[identity]
+	return state != nil && state.missingAnswers > 0
 }
 
 // Later records a later packet of a flow. The packet shows that the back end has answered the
@@ -222,36 +222,36 @@
 func (o *Observer) addInFlight(identity Identity) { o.stateOf(identity).inFlight++ }
 
 func (o *Observer) removeInFlight(identity Identity) {
-	if known := o.backends[identity]; known != nil && known.inFlight > 0 {
-		known.inFlight--
+	if state := o.backends[identity]; state != nil && state.inFlight > 0 {
+		state.inFlight--
 	}
 }
 
 // Busy returns the number of openings and requests that passed this balancer and are in flight at a
 // back end, as far as the balancer can observe.
 func (o *Observer) Busy(identity Identity) int {
-	known := o.backends[identity]
-	if known == nil {
+	state := o.backends[identity]
+	if state == nil {
 		return 0
 	}
-	return known.inFlight
+	return state.inFlight
 }
 
 func (o *Observer) recordAnswer(now time.Duration, identity Identity) {
 	o.observations = append(o.observations, Sign{Identity: identity})
-	known := o.stateOf(identity)
-	if known.missingAnswers > 0 {
+	state := o.stateOf(identity)
+	if state.missingAnswers > 0 {
 		o.changes = append(o.changes, Change{Identity: identity})
 	}
-	known.lastAnswerAt = now
-	known.missingAnswers = 0
-	known.unresponsiveUntil = 0
+	state.lastAnswerAt = now
+	state.missingAnswers = 0
+	state.unresponsiveUntil = 0
 }
 
 // noAnswerSince reports whether no answer of the back end was observed after the given time.
 func (o *Observer) noAnswerSince(identity Identity, since time.Duration) bool {
-	known := o.backends[identity]
-	return known == nil || known.lastAnswerAt <= since
+	state := o.backends[identity]
+	return state == nil || state.lastAnswerAt <= since
 }
 
 // checkOverdue counts the answer to an opening as missing when AnswerTimeout has passed.
@@ -266,15 +266,15 @@
 	}
 	o.recordOutcome(pending.identity, true)
 	o.observations = append(o.observations, Sign{Identity: pending.identity, Missing: true, Sent: pending.at})
-	known := o.stateOf(pending.identity)
-	known.missingAnswers++
-	if now >= known.unresponsiveUntil {
-		change := Change{Identity: pending.identity, Silent: true, Missing: known.missingAnswers}
+	state := o.stateOf(pending.identity)
+	state.missingAnswers++
+	if now >= state.unresponsiveUntil {
+		change := Change{Identity: pending.identity, Silent: true, Missing: state.missingAnswers}
 		o.changes = append(o.changes, change)
 	}
 	const maxDoublings = 8
-	duration := o.settings.UnresponsiveTime << min(known.missingAnswers-1, maxDoublings)
-	known.unresponsiveUntil = max(known.unresponsiveUntil, now+min(duration, o.settings.MaxUnresponsiveTime))
+	duration := o.settings.UnresponsiveTime << min(state.missingAnswers-1, maxDoublings)
+	state.unresponsiveUntil = max(state.unresponsiveUntil, now+min(duration, o.settings.MaxUnresponsiveTime))
 }
 
 // sweepInterval is the time between two sweeps over all openings and requests.
--- a/internal/passivehealth/outcome.go
+++ b/internal/passivehealth/outcome.go
@@ -43,8 +43,8 @@
 // Exchanging returns the back end to which the last request of a flow was forwarded and the
 // acknowledgement number of that request, within exchangeRetention of the request.
 func (o *Observer) Exchanging(flow lb.FlowID) (identity Identity, acknowledged uint32, found bool) {
-	known, found := o.exchanges[flow]
-	return known.identity, known.acknowledged, found
+	last, found := o.exchanges[flow]
+	return last.identity, last.acknowledged, found
 }
 
 // Reopened records that a new flow begins with the same addresses and ports.
@@ -53,11 +53,11 @@
 // Measure uses a later packet of a flow to measure an answer: its size is the advance of the
 // caller's acknowledgement number between a request and the next request or the close.
 func (o *Observer) Measure(now time.Duration, flow lb.FlowID, frontend lb.FrontendKey, identity Identity, acknowledged uint32, hasData, closing bool) {
-	known, waiting := o.exchanges[flow]
-	if waiting && (hasData || closing) && known.acknowledged != acknowledged {
+	last, waiting := o.exchanges[flow]
+	if waiting && (hasData || closing) && last.acknowledged != acknowledged {
 		delete(o.exchanges, flow)
 		waiting = false
-		o.recordOutcome(identity, o.answerSizesOf(frontend).addSize(acknowledged-known.acknowledged))
+		o.recordOutcome(identity, o.answerSizesOf(frontend).addSize(acknowledged-last.acknowledged))
 	}
 	if hasData && !waiting && len(o.exchanges) < o.settings.MaxFlows {
 		o.exchanges[flow] = exchange{identity: identity, frontend: frontend, at: now, acknowledged: acknowledged}
@@ -65,12 +65,12 @@
 }
 
 func (o *Observer) answerSizesOf(frontend lb.FrontendKey) *answerSizes {
-	known := o.sizes[frontend]
-	if known == nil {
-		known = &answerSizes{}
-		o.sizes[frontend] = known
+	sizes := o.sizes[frontend]
+	if sizes == nil {
+		sizes = &answerSizes{}
+		o.sizes[frontend] = sizes
 	}
-	return known
+	return sizes
 }
 
 // answerSizes holds the typical answer size of a front end: mean and variance of the logarithm of
--- a/internal/placement/transition.go
+++ b/internal/placement/transition.go
@@ -262,9 +262,9 @@
 	}
 }
 
-// Collapse drops every second generation between the first after the base and the current one. Buckets
-// on which a dropped generation disagrees with the base get history. The first generation after the
-// base is kept, so that a document under constant change can still settle.
+// Collapse drops every second generation between the first after the base and the current one.
+// Buckets on which a dropped generation disagrees with the base get history. The first generation
+// after the base is kept, so that a document under constant change can still settle.
 func Collapse() Change {
 	return func(document *lb.Placement) error {
 		collapse(document)
