--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -5,7 +5,7 @@
 //
 // A refusal goes to one of the addresses in Options.ReplyTo, not to the source address of the
 // datagram. The tail, which refuses, receives the datagram from another balancer, and the source
-// port of a Geneve datagram is a hash of the flow, on which no process need listen (RFC 8926,
+// port of a Geneve datagram is a hash of the flow, on which no process needs to listen (RFC 8926,
 // section 3.3).
 package dataplane
 
--- a/internal/outlier/core_test.go
+++ b/internal/outlier/core_test.go
@@ -31,7 +31,7 @@
 	failureRate func(Identity) float64
 	// requestRate is the number of requests a second at all nodes together.
 	requestRate                float64
-	messages, maxReportEntries int // largest number of entries in a report
+	messages, maxReportEntries int // messages sent; largest number of entries in a report
 	maxSuspects                int // largest number of watched back ends in a verdict that are not ejected
 	badRequests                int // requests with a bad outcome
 }
--- a/internal/passivehealth/observer.go
+++ b/internal/passivehealth/observer.go
@@ -187,8 +187,9 @@
 }
 
 // Later records a later packet of a flow. The packet shows that the back end has answered the
-// opening and, if it acknowledges new data, the request before; took is then the response time.
-// hasData is set when the packet carries data; begun is set when a request begins with it.
+// opening. If it acknowledges new data, the back end has also answered the previous request:
+// answered is then true, and took is the response time. hasData must be true if the packet carries
+// data. begun is true if a new request begins with the packet.
 func (o *Observer) Later(now time.Duration, flow lb.FlowID, service lb.ServiceName, identity Identity, acknowledged uint32, hasData bool) (took time.Duration, answered, begun bool) {
 	if pending, found := o.openings[flow]; found {
 		delete(o.openings, flow)
--- a/internal/passivehealth/outcome.go
+++ b/internal/passivehealth/outcome.go
@@ -33,7 +33,7 @@
 	identity     Identity
 	frontend     lb.FrontendKey
 	at           time.Duration
-	acknowledged uint32 // when the request began
+	acknowledged uint32 // the caller's acknowledgement number when the request began
 }
 
 // exchangeRetention is how long an exchange is kept: the answer size shows with the next request of
@@ -97,7 +97,8 @@
 	minShortDifference = 0.25
 	// shortWeight is the relative weight with which short answers change the mean, so that a front
 	// end whose answers have become short does not stay bad forever. Short answers leave the
-	// deviation unchanged: a few of them would otherwise widen it until no answer counted as short.
+	// deviation unchanged: otherwise a few of them would widen it so far that further ones no
+	// longer counted as short.
 	shortWeight = 0.1
 )
 
