--- a/internal/follower/api.go
+++ b/internal/follower/api.go
@@ -58,8 +58,8 @@
 	ReasonStart       Reason = "start"        // it has no view yet
 	ReasonHistoryGone Reason = "history_gone" // a watch cannot go on from its revision
 	ReasonReader      Reason = "reader"       // it reads for the others
-	ReasonReaderGone  Reason = "reader_gone"  // who read for the others stops or has ended
-	ReasonUnconfirmed Reason = "unconfirmed"  // nobody has confirmed its view yet
+	ReasonWatcherLost  Reason = "reader_gone"  // who read for the others stops or has ended
+	ReasonUnverified Reason = "unconfirmed"  // nobody has confirmed its view yet
 	ReasonPatience    Reason = "patience"     // its view has not been confirmed in time
 	ReasonSilence     Reason = "silence"      // no other node tells of the view
 )
--- a/internal/follower/tell.go
+++ b/internal/follower/dissemination.go
@@ -9,26 +9,26 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// tells tells whether this node is one that others hear of the view from: who
+// sendsDigests tells whether this node is one that others hear of the view from: who
 // reads for them, and where nobody is heard to, the first of each zone.
-func (core *Core) tells() bool {
-	if !core.confirmed {
+func (core *Core) sendsDigests() bool {
+	if !core.verified {
 		return false
 	}
-	return core.acting || core.rank == 0 && core.now-core.heardAt >= missedDigests*core.settings.DigestInterval
+	return core.active || core.rank == 0 && core.now-core.lastUpdateAt >= missedDigestLimit*core.settings.DigestInterval
 }
 
-// missedDigests is how many digest intervals without a word make the first of
+// missedDigestLimit is how many digest intervals without a word make the first of
 // a zone tell it what it knows: one may be lost.
-const missedDigests = 2
+const missedDigestLimit = 2
 
 // digest says how new the view is.
 func (core *Core) digest(route message.Route) message.ViewDigest {
 	return message.ViewDigest{
 		Revision:  core.replica.Revision(),
-		LastNews:  core.replica.LastNews(),
+		LastNews:  core.replica.MinCurrentRevision(),
 		AgeMillis: core.age().Milliseconds(),
-		Reading:   core.readingNow(),
+		Reading:   core.watcherStatus(),
 		Route:     route,
 	}
 }
@@ -36,25 +36,25 @@
 // sendDigest tells the fleet how new the view is.
 func (core *Core) sendDigest(effects *Effects) {
 	core.nextDigest = core.now + core.settings.DigestInterval
-	core.spread(effects, func(route message.Route) message.Message { return core.digest(route) })
+	core.disseminate(effects, func(route message.Route) message.Message { return core.digest(route) })
 }
 
-// spread tells the first nodes of the other zones, which pass it on there, and
+// disseminate tells the first nodes of the other zones, which pass it on there, and
 // the own zone, through the tree of which this node is the root.
-func (core *Core) spread(effects *Effects, told func(message.Route) message.Message) {
-	core.send(told(message.Route{ForZone: true}), core.heads, effects)
-	core.tellZone(effects, told)
+func (core *Core) disseminate(effects *Effects, told func(message.Route) message.Message) {
+	core.send(told(message.Route{ForZone: true}), core.relays, effects)
+	core.sendToZone(effects, told)
 }
 
-func (core *Core) tellZone(effects *Effects, told func(message.Route) message.Message) {
+func (core *Core) sendToZone(effects *Effects, told func(message.Route) message.Message) {
 	core.send(told(message.Route{Origin: core.settings.Self}), core.children(core.settings.Self), effects)
 }
 
-// passOn tells those whom a route names, with this node in its place in the tree.
-func (core *Core) passOn(route message.Route, effects *Effects, told func(message.Route) message.Message) {
+// forward tells those whom a route names, with this node in its place in the tree.
+func (core *Core) forward(route message.Route, effects *Effects, told func(message.Route) message.Message) {
 	switch {
 	case route.ForZone:
-		core.tellZone(effects, told)
+		core.sendToZone(effects, told)
 	case route.Origin != "":
 		core.send(told(route), core.children(route.Origin), effects)
 	}
@@ -79,39 +79,39 @@
 func (core *Core) children(origin lb.NodeID) []Peer {
 	position := core.position(core.settings.Self)
 	root := core.position(origin)
-	count := len(core.ranked)
+	count := len(core.zoneNodes)
 	if position < 0 || root < 0 {
 		return nil
 	}
 	place := (position - root + count) % count
 	var children []Peer
-	for child := place*core.settings.TreeWidth + 1; child <= (place+1)*core.settings.TreeWidth && child < count; child++ {
-		children = append(children, core.ranked[(child+root)%count])
+	for child := place*core.settings.TreeFanout + 1; child <= (place+1)*core.settings.TreeFanout && child < count; child++ {
+		children = append(children, core.zoneNodes[(child+root)%count])
 	}
 	return children
 }
 
-// push tells the zone what changed after a revision, unasked.
-func (core *Core) push(after int64, effects *Effects) {
+// pushDelta tells the zone what changed after a revision, unasked.
+func (core *Core) pushDelta(after int64, effects *Effects) {
 	if after == 0 {
 		return // this node has just started; others know it already
 	}
-	changed := core.replica.Tell(core.now, after, 0)
+	changed := core.replica.DeltaPart(core.now, after, 0)
 	if changed.Part != nil {
 		core.sendDigest(effects) // they ask for it, in parts
 		return
 	}
-	delta := core.telling(changed)
-	core.spread(effects, func(route message.Route) message.Message {
+	delta := core.deltaMessage(changed)
+	core.disseminate(effects, func(route message.Route) message.Message {
 		delta.Route = route
 		return delta
 	})
 }
 
-// telling says who reads and how old the view is with what it tells.
-func (core *Core) telling(told *view.Delta) message.ViewDelta {
-	delta := message.ViewDelta{Reading: core.readingNow(), Delta: *told}
-	if !core.confirmed {
+// deltaMessage says who reads and how old the view is with what it tells.
+func (core *Core) deltaMessage(told *view.Delta) message.ViewDelta {
+	delta := message.ViewDelta{Reading: core.watcherStatus(), Delta: *told}
+	if !core.verified {
 		delta.Unconfirmed = true
 		return delta
 	}
@@ -123,32 +123,32 @@
 func (core *Core) receive(from *PeerMessage, effects *Effects) {
 	switch received := from.Message.(type) {
 	case message.ViewDigest:
-		core.takeDigest(from, &received, effects)
+		core.applyDigest(from, &received, effects)
 	case message.ViewWant:
-		core.answerWant(from, &received, effects)
+		core.answerRequest(from, &received, effects)
 	case message.ViewDelta:
-		core.takeDelta(from, &received, effects)
+		core.applyDelta(from, &received, effects)
 	}
 }
 
-func (core *Core) takeDigest(from *PeerMessage, digest *message.ViewDigest, effects *Effects) {
-	news := core.now-core.heardAt >= core.settings.DigestInterval/2
-	core.heardAt = core.now
-	reader := core.reader
-	core.noteReader(digest.Reading, digest.Route)
-	news = news || core.reader != reader
+func (core *Core) applyDigest(from *PeerMessage, digest *message.ViewDigest, effects *Effects) {
+	news := core.now-core.lastUpdateAt >= core.settings.DigestInterval/2
+	core.lastUpdateAt = core.now
+	reader := core.watcher
+	core.updateWatcher(digest.Reading, digest.Route)
+	news = news || core.watcher != reader
 	confirmedAt := core.now - time.Duration(digest.AgeMillis)*time.Millisecond
 	switch {
 	case digest.LastNews > core.replica.Revision():
-		core.want(from.Address, effects)
+		core.requestFrom(from.Address, effects)
 		news = true
 	case digest.Revision >= core.replica.Revision() && core.replica.Revision() > 0:
-		news = news || confirmedAt-core.confirmedAt >= leastNews
+		news = news || confirmedAt-core.verifiedAt >= minAgeGain
 		core.replica.Advance(digest.Revision)
-		core.confirm(confirmedAt)
+		core.markVerified(confirmedAt)
 	}
 	if news {
-		core.passOn(digest.Route, effects, func(route message.Route) message.Message {
+		core.forward(digest.Route, effects, func(route message.Route) message.Message {
 			passed := *digest
 			passed.Route = route
 			return passed
@@ -156,24 +156,24 @@
 	}
 }
 
-// leastNews is by how much a digest must make a node's view younger to be
+// minAgeGain is by how much a digest must make a node's view younger to be
 // passed on: when many nodes read, as at the start of a fleet, one word does.
-const leastNews = 200 * time.Millisecond
+const minAgeGain = 200 * time.Millisecond
 
-func (core *Core) takeDelta(from *PeerMessage, told *message.ViewDelta, effects *Effects) {
-	core.heardAt = core.now
-	core.noteReader(told.Reading, told.Route)
+func (core *Core) applyDelta(from *PeerMessage, told *message.ViewDelta, effects *Effects) {
+	core.lastUpdateAt = core.now
+	core.updateWatcher(told.Reading, told.Route)
 	if told.Delta.After > core.replica.Revision() {
-		core.want(from.Address, effects)
+		core.requestFrom(from.Address, effects)
 		return
 	}
 	if told.Delta.Part != nil {
-		core.takePart(from, told, effects)
+		core.applyPart(from, told, effects)
 		return
 	}
-	core.noteAge()
+	core.setReplicaAge()
 	applied, changed := core.replica.ApplyDelta(core.now, &told.Delta)
-	core.passOn(told.Route, effects, func(route message.Route) message.Message {
+	core.forward(told.Route, effects, func(route message.Route) message.Message {
 		passed := *told
 		passed.Route = route
 		return passed
@@ -183,37 +183,37 @@
 	}
 	core.assembly = view.Assembly{} // its parts were asked for after an older revision
 	if !told.Unconfirmed {
-		core.confirm(core.now - time.Duration(told.AgeMillis)*time.Millisecond)
+		core.markVerified(core.now - time.Duration(told.AgeMillis)*time.Millisecond)
 	}
 	if !changed {
 		return
 	}
-	core.noteChange(effects, string(from.From))
-	if core.confirmed && told.Route == (message.Route{}) && core.rank == 0 {
+	core.recordChange(effects, string(from.From))
+	if core.verified && told.Route == (message.Route{}) && core.rank == 0 {
 		// It was asked for: the zone may lack it, too.
-		core.tellZone(effects, func(route message.Route) message.Message { return core.digest(route) })
+		core.sendToZone(effects, func(route message.Route) message.Message { return core.digest(route) })
 	}
 }
 
-// takePart takes a part of what this node lacks and asks for the next one, or takes it
+// applyPart takes a part of what this node lacks and asks for the next one, or takes it
 // all when that was the last. What it gives is as old as the oldest part, so that
 // nobody has confirmed it yet.
-func (core *Core) takePart(from *PeerMessage, told *message.ViewDelta, effects *Effects) {
+func (core *Core) applyPart(from *PeerMessage, told *message.ViewDelta, effects *Effects) {
 	if told.Delta.Revision <= core.replica.Revision() {
 		core.assembly = view.Assembly{} // this node has learned as much in another way
 		return
 	}
-	before := core.assembly.Next()
+	before := core.assembly.NextBucket()
 	delta := core.assembly.Add(&told.Delta)
-	if delta == nil && core.assembly.Next() == before {
+	if delta == nil && core.assembly.NextBucket() == before {
 		return // it was asked for twice, or is of another delta
 	}
 	if delta != nil {
-		core.noteAge()
+		core.setReplicaAge()
 		if _, changed := core.replica.ApplyDelta(core.now, delta); changed {
-			core.noteChange(effects, string(from.From))
+			core.recordChange(effects, string(from.From))
 		}
 	}
-	core.nextWant = core.now // the question before has been answered
-	core.want(from.Address, effects)
+	core.nextRequest = core.now // the question before has been answered
+	core.requestFrom(from.Address, effects)
 }
--- a/internal/follower/evacuation_test.go
+++ b/internal/follower/evacuation_test.go
@@ -26,7 +26,7 @@
 func TestEvacuationIsInForceWhateverFailsWithIt(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		fleet := changeWithFailures(t, seed, usualLimit)
+		fleet := changeWithFailures(t, seed, defaultLimit)
 		fleet.store.Evacuate("zone-0")
 		if random.IntN(2) == 0 {
 			fleet.compacted = fleet.store.Revision()
--- a/internal/follower/fleet_change_test.go
+++ b/internal/follower/fleet_change_test.go
@@ -28,10 +28,10 @@
 // TestChangeIsInForceWhateverFailsWithIt has the readers, or any other nodes,
 // fail at the moment of a change in every way, at every phase of their watch.
 func TestChangeIsInForceWhateverFailsWithIt(t *testing.T) {
-	for _, limit := range []time.Duration{usualLimit, time.Second, longestLimit} {
+	for _, limit := range []time.Duration{defaultLimit, time.Second, maxLimit} {
 		for seed := range uint64(60) {
 			fleet := changeWithFailures(t, seed, limit)
-			allowed := time.Duration(float64(inForceLimit) * limit.Seconds() / usualLimit.Seconds())
+			allowed := time.Duration(float64(inForceLimit) * limit.Seconds() / defaultLimit.Seconds())
 			fleet.run(allowed)
 			if behind := fleet.behind(); behind > 0 {
 				t.Errorf("limit %s, seed %d: %d of %d nodes are behind after %s", limit, seed, behind, len(fleet.nodes), allowed)
--- a/internal/follower/fleet_telling_test.go
+++ b/internal/follower/fleet_dissemination_test.go
@@ -19,7 +19,7 @@
 		for _, node := range fleet.nodes {
 			age, known := node.core.Age(fleet.now)
 			is.True(known)
-			is.True(age < node.core.settings.Patience)
+			is.True(age < node.core.settings.TakeoverAge)
 		}
 	}
 	for _, node := range fleet.nodes {
@@ -73,7 +73,7 @@
 			answered += len(outgoing.To)
 		}
 	}
-	is.Equal(answered, longAnswers)
+	is.Equal(answered, maxLargeAnswers)
 }
 
 // TestWholeViewIsOnItsWay: a node that asks again before the answer can have
@@ -97,9 +97,9 @@
 		return count
 	}
 	is.Equal(wholes(), 1)
-	fleet.now += longInterval / 2
+	fleet.now += largeAnswerInterval / 2
 	is.Equal(wholes(), 0)
-	fleet.now += longInterval / 2
+	fleet.now += largeAnswerInterval / 2
 	is.Equal(wholes(), 1)
 }
 
--- a/internal/follower/fleet_store_test.go
+++ b/internal/follower/fleet_store_test.go
@@ -87,7 +87,7 @@
 func TestFirstStartOfAFleetListsAtFewNodes(t *testing.T) {
 	for _, backends := range []int{1, 6000} { // a peer tells all of it in one message, or in parts
 		is := is.New(t)
-		fleet := newFleet(t, 3, 40, 1, longestLimit)
+		fleet := newFleet(t, 3, 40, 1, maxLimit)
 		fleet.store.Configure(1, 80, 81)
 		fill(fleet.store, backends)
 		fleet.run(200 * time.Millisecond)
@@ -107,7 +107,7 @@
 // TestFirstStartWithoutSeeds: those that wait for a snapshot that nobody leaves list at last.
 func TestFirstStartWithoutSeeds(t *testing.T) {
 	is := is.New(t)
-	fleet := newFleet(t, 3, 10, 1, longestLimit)
+	fleet := newFleet(t, 3, 10, 1, maxLimit)
 	fleet.store.Configure(1, 80, 81)
 	fill(fleet.store, 10)
 	fleet.nodes[0].dead = true // the seed of all others
--- a/internal/follower/fleet_test.go
+++ b/internal/follower/fleet_test.go
@@ -81,7 +81,7 @@
 				address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(zone), 0, byte(index)}), 7946),
 			}
 			fleet.nodes = append(fleet.nodes, node)
-			node.core = New(fleet.settingsOf(node, seed).Within(limit))
+			node.core = New(fleet.settingsOf(node, seed).ScaledTo(limit))
 		}
 	}
 	return fleet
@@ -251,7 +251,7 @@
 	result := PublishResult{Publication: *publication}
 	if node.fault == faultNone {
 		fleet.snapshot = publication.Snapshot
-		result.Revision = fleet.store.Touch()
+		result.Revision = fleet.store.WriteUnrelated()
 	} else {
 		result.Failure = FailureUnavailable
 	}
@@ -262,7 +262,7 @@
 func (fleet *fleet) behind() int {
 	count := 0
 	for _, node := range fleet.nodes {
-		if !node.dead && node.core.Replica().LastNews() < fleet.store.LastChange() {
+		if !node.dead && node.core.Replica().MinCurrentRevision() < fleet.store.LastChange() {
 			count++
 		}
 	}
@@ -279,7 +279,7 @@
 
 // calm gives a fleet that has started and settled.
 func calm(t *testing.T, zones, perZone int, seed uint64) *fleet {
-	return calmWithin(t, zones, perZone, seed, usualLimit)
+	return calmWithin(t, zones, perZone, seed, defaultLimit)
 }
 
 // calmWithin is calm with settings for a limit.
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -31,53 +31,53 @@
 	rank int
 	// zoneRank is the place of its zone, by the first nodes of all zones.
 	zoneRank int
-	// heads are the first nodes of the other zones.
-	heads []Peer
+	// relays are the first nodes of the other zones.
+	relays []Peer
 	// acting: this node reads the store for the others.
-	acting bool
-	// reader is who else was last heard to do so; readerGone: it stops or has
+	active bool
+	// watcher is who else was last heard to do so; readerGone: it stops or has
 	// ended, noticed at readerGoneAt, and nobody has taken over yet.
-	reader       lb.NodeID
-	readerStays  bool // it is among peers
-	readerGone   bool
-	readerGoneAt time.Duration
+	watcher       lb.NodeID
+	watcherAvailable  bool // it is among peers
+	watcherLost   bool
+	watcherLostAt time.Duration
 	// readerLists: it then listed all entries.
-	readerLists bool
-	// readerHeardAt is when the reader last said that it reads, directly or through others.
-	readerHeardAt time.Duration
-	// wants are those who want the whole view, or a part.
-	wants []longWant
+	watcherListing bool
+	// watcherReportedAt is when the reader last said that it reads, directly or through others.
+	watcherReportedAt time.Duration
+	// largeRequests are those who want the whole view, or a part.
+	largeRequests []largeRequest
 	// answeredAt is when they were last answered, for longInterval.
-	answeredAt map[longWant]time.Duration
+	answeredAt map[largeRequest]time.Duration
 	// assembly has the parts that have come of what this node lacks.
 	assembly view.Assembly
-	// ranked are the nodes of the own zone by rank, self included, those that
+	// zoneNodes are the nodes of the own zone by rank, self included, those that
 	// leave behind the others.
-	ranked []Peer
+	zoneNodes []Peer
 	// leaves: this node is in a planned stop.
-	leaves bool
+	leaving bool
 
-	// confirmAfter is how long after its start this node waits for others to
+	// verifyDelay is how long after its start this node waits for others to
 	// confirm its first view.
-	confirmAfter time.Duration
-	// listAfter is how long after its start it lists entries where no snapshot is.
-	listAfter   time.Duration
-	confirmedAt time.Duration // when the view was last known to be the newest
-	confirmed   bool
-	heardAt     time.Duration // when a peer last told of the view
-	reading     bool
+	verifyDelay time.Duration
+	// listDelay is how long after its start it lists entries where no snapshot is.
+	listDelay   time.Duration
+	verifiedAt time.Duration // when the view was last known to be the newest
+	verified   bool
+	lastUpdateAt     time.Duration // when a peer last told of the view
+	readPending     bool
 	readAt      time.Duration // when the call under way, or the last one, was started
-	relist      bool          // the history is gone
+	needsListing      bool          // the history is gone
 	noSnapshot  bool          // the store has none that can be used
-	missed      int           // how often it had none
-	publishing  bool
-	published   int64 // the store's revision of the last snapshot written by this node
+	snapshotMisses      int           // how often it had none
+	publishPending  bool
+	publishedRevision   int64 // the store's revision of the last snapshot written by this node
 	nextPublish time.Duration
 	nextRead    time.Duration
 	failures    int
 	nextDigest  time.Duration
-	nextWant    time.Duration
-	asked       int // how often others were asked before the first view was confirmed
+	nextRequest    time.Duration
+	requestCount       int // how often others were asked before the first view was confirmed
 	nextPrune   time.Duration
 }
 
@@ -88,10 +88,10 @@
 		random:   rand.New(rand.NewPCG(settings.Seed, uint64(settings.Self.Hash()))),
 		replica:  view.NewReplica(),
 
-		answeredAt: make(map[longWant]time.Duration),
+		answeredAt: make(map[largeRequest]time.Duration),
 	}
-	core.confirmAfter = core.confirmTime()
-	core.listAfter = core.listTime()
+	core.verifyDelay = core.drawVerifyDelay()
+	core.listDelay = core.drawListDelay()
 	return core
 }
 
@@ -100,14 +100,14 @@
 
 // Age is the time since the view was last known to be the newest; false: it never was.
 func (core *Core) Age(now time.Duration) (time.Duration, bool) {
-	return now - core.confirmedAt, core.confirmed
+	return now - core.verifiedAt, core.verified
 }
 
 // Rank is this node's place among those of its zone, by which they lose patience.
 func (core *Core) Rank() int { return core.rank }
 
 // Reads tells whether this node reads the store for the others.
-func (core *Core) Reads() bool { return core.acting }
+func (core *Core) Reads() bool { return core.active }
 
 // Step takes one event at a time that never goes back and fills effects.
 func (core *Core) Step(now time.Duration, event *Event, effects *Effects) {
@@ -137,39 +137,39 @@
 	if core.now >= core.nextPrune {
 		core.nextPrune = core.now + time.Second
 		if core.replica.Prune(core.now) {
-			core.noteChange(effects, "prune")
+			core.recordChange(effects, "prune")
 		}
 	}
-	if core.lacksWord() {
-		core.askForView(effects)
+	if core.shouldRequestView() {
+		core.requestView(effects)
 	}
 	if core.replica.Revision() == 0 {
 		return
 	}
-	core.answerLong(effects)
-	if core.tells() && core.now >= core.nextDigest {
+	core.answerLargeRequests(effects)
+	if core.sendsDigests() && core.now >= core.nextDigest {
 		core.sendDigest(effects)
 	}
 }
 
-func (core *Core) noteChange(effects *Effects, source string) {
+func (core *Core) recordChange(effects *Effects, source string) {
 	effects.Changed = true
 	effects.Source = source
 }
 
-// confirm notes that the view was the newest at the time.
-func (core *Core) confirm(at time.Duration) {
-	if !core.confirmed || at > core.confirmedAt {
-		core.confirmed = true
-		core.confirmedAt = at
+// markVerified notes that the view was the newest at the time.
+func (core *Core) markVerified(at time.Duration) {
+	if !core.verified || at > core.verifiedAt {
+		core.verified = true
+		core.verifiedAt = at
 	}
 }
 
-// noteAge tells the replica how old it is, before something is applied to it.
-func (core *Core) noteAge() {
-	if core.confirmed {
+// setReplicaAge tells the replica how old it is, before something is applied to it.
+func (core *Core) setReplicaAge() {
+	if core.verified {
 		core.replica.NoteAge(core.age())
 	}
 }
 
-func (core *Core) age() time.Duration { return core.now - core.confirmedAt }
+func (core *Core) age() time.Duration { return core.now - core.verifiedAt }
--- a/internal/follower/parts_test.go
+++ b/internal/follower/parts_test.go
@@ -114,7 +114,7 @@
 	store.Remove("i-00000000")
 	var effects Effects
 	p.teller.Step(p.now, &Event{Read: &ReadResult{Read: Read{Kind: ReadWatch}, Changes: store.Changes(before)}}, &effects)
-	is.True(p.teller.replica.Tell(p.now, before, 0).Part != nil)
+	is.True(p.teller.replica.DeltaPart(p.now, before, 0).Part != nil)
 	p.run(5 * time.Second)
 	is.Equal(p.asker.Replica().Revision(), store.Revision())
 	gone := 0
@@ -131,7 +131,7 @@
 // The node that reads lists all again; the others learn from it what has changed.
 func TestForgottenHistoryCostsNoCallANode(t *testing.T) {
 	is := is.New(t)
-	fleet := newFleet(t, 3, 20, 1, longestLimit)
+	fleet := newFleet(t, 3, 20, 1, maxLimit)
 	fleet.store.Configure(1, 80, 81)
 	fill(fleet.store, 9000)
 	fleet.run(200 * time.Millisecond)
@@ -143,7 +143,7 @@
 		fleet.store.Remove(lb.BackendName(fmt.Sprintf("i-%08x", uint32(round)*2654435761)))
 		fleet.compacted = fleet.store.Revision()
 		fleet.run(500 * time.Millisecond)
-		fleet.compacted = fleet.store.Touch()
+		fleet.compacted = fleet.store.WriteUnrelated()
 		fleet.run(500 * time.Millisecond)
 	}
 	fleet.run(time.Second)
@@ -161,12 +161,12 @@
 	for _, ends := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reader ends %t", ends), func(t *testing.T) {
 			is := is.New(t)
-			fleet := calmWithin(t, 3, 40, 1, longestLimit)
+			fleet := calmWithin(t, 3, 40, 1, maxLimit)
 			fleet.listDelay = 2500 * time.Millisecond
 			before := fleet.calls()
 			fleet.run(time.Second)
 			fleet.store.Configure(2, 81)
-			fleet.compacted = fleet.store.Touch()
+			fleet.compacted = fleet.store.WriteUnrelated()
 			if ends {
 				fleet.run(1500 * time.Millisecond)
 				fleet.readers()[0].dead = true
--- a/internal/follower/publish.go
+++ b/internal/follower/publish.go
@@ -44,11 +44,11 @@
 
 // duePublication gives the snapshot that is to be written now, or nil.
 func (core *Core) duePublication() *Publication {
-	due := core.acting && !core.publishing && core.now >= core.nextPublish
-	if !due || !core.replica.Configured() || core.replica.LastNews() <= core.published {
+	due := core.active && !core.publishPending && core.now >= core.nextPublish
+	if !due || !core.replica.Configured() || core.replica.MinCurrentRevision() <= core.publishedRevision {
 		return nil
 	}
-	core.publishing = true
+	core.publishPending = true
 	core.nextPublish = core.now + publishInterval
 	return &Publication{Snapshot: core.replica.Snapshot(core.now), Timeout: core.settings.CallTimeout}
 }
@@ -56,15 +56,15 @@
 // finishPublication takes the end of a write. One that was lost may have been
 // done, and is done again.
 func (core *Core) finishPublication(result *PublishResult) {
-	core.publishing = false
+	core.publishPending = false
 	revision := result.Publication.Snapshot.View.Revision
 	if result.Failure == FailureConflict {
-		core.published = revision // another node has left one as new as that
+		core.publishedRevision = revision // another node has left one as new as that
 	}
 	if result.Failure != FailureNone {
 		return
 	}
-	core.published = revision
+	core.publishedRevision = revision
 	if result.Revision == revision+1 && revision == core.replica.Revision() {
 		core.replica.Advance(result.Revision) // nothing but the write has happened since
 	}
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -15,28 +15,28 @@
 
 // startRead starts a call if one is due.
 func (core *Core) startRead(effects *Effects) {
-	if core.reading || core.now < core.nextRead {
+	if core.readPending || core.now < core.nextRead {
 		return
 	}
 	read := core.dueRead()
 	if read == nil {
 		return
 	}
-	core.reading = true
+	core.readPending = true
 	core.readAt = core.now
 	effects.Read = read
 }
 
 // dueRead gives the call that is due, or nil.
 func (core *Core) dueRead() *Read {
-	if core.replica.Revision() == 0 || core.relist {
-		return core.listing()
+	if core.replica.Revision() == 0 || core.needsListing {
+		return core.fullRead()
 	}
-	reason, due := core.reasonToRead()
+	reason, due := core.readReason()
 	if !due {
 		return nil
 	}
-	wait := shortestWait
+	wait := minWatchWait
 	if reason == ReasonReader {
 		wait = core.watchWait()
 	}
@@ -50,13 +50,13 @@
 	}
 }
 
-// listing is a call for everything: at the start for a snapshot that the reader
+// fullRead is a call for everything: at the start for a snapshot that the reader
 // has left, or else for all entries. An answer that is seconds old will do then:
 // a peer or a watch from its revision confirms it. One older than a view that
 // cannot go on would be of no use.
-func (core *Core) listing() *Read {
+func (core *Core) fullRead() *Read {
 	read := &Read{Kind: ReadList, Reason: ReasonStart, Timeout: core.settings.CallTimeout, Pause: core.settings.CallTimeout}
-	if core.relist {
+	if core.needsListing {
 		read.Reason = ReasonHistoryGone
 		return read
 	}
@@ -67,25 +67,25 @@
 	return read
 }
 
-// confirmParts is the part of the others' patience, one in so many, that is
+// watchMarginDivisor is the part of the others' patience, one in so many, that is
 // left when a watch ends.
-const confirmParts = 6
+const watchMarginDivisor = 6
 
-// shortestWait is the wait of a watch that is to confirm the view at once, before others lose patience, too.
-const shortestWait = 20 * time.Millisecond
+// minWatchWait is the wait of a watch that is to confirm the view at once, before others lose patience, too.
+const minWatchWait = 20 * time.Millisecond
 
 // watchWait is how long a watch may wait, so that its end confirms the view
 // before the other nodes lose patience and read too.
 func (core *Core) watchWait() time.Duration {
-	left := core.settings.Patience - core.age() - core.settings.Patience/confirmParts
-	return max(shortestWait, min(core.settings.WatchWait, left))
+	left := core.settings.TakeoverAge - core.age() - core.settings.TakeoverAge/watchMarginDivisor
+	return max(minWatchWait, min(core.settings.WatchWait, left))
 }
 
 // finishRead takes the end of a call.
 func (core *Core) finishRead(result *ReadResult, effects *Effects) {
-	core.reading = false
+	core.readPending = false
 	if result.Failure != FailureNone {
-		core.noteFailure(result, effects)
+		core.handleFailure(result, effects)
 		return
 	}
 	core.failures = 0
@@ -94,20 +94,20 @@
 	changed := core.apply(result)
 	if result.Read.Stale {
 		if changed {
-			core.noteChange(effects, sourceStore)
+			core.recordChange(effects, sourceStore)
 		}
-		core.nextWant = core.now
-		core.askForView(effects)
+		core.nextRequest = core.now
+		core.requestView(effects)
 		return
 	}
-	core.confirm(core.confirmedBy(result))
-	core.takeOver(result.Read.Reason, core.settings.Patience)
+	core.markVerified(core.verificationTime(result))
+	core.takeOver(result.Read.Reason, core.settings.TakeoverAge)
 	if changed || before == core.replica.Revision() {
 		core.nextRead = core.now + core.settings.ChangeInterval
 	}
 	if changed {
-		core.noteChange(effects, sourceStore)
-		core.push(before, effects)
+		core.recordChange(effects, sourceStore)
+		core.pushDelta(before, effects)
 		return
 	}
 	core.sendDigest(effects) // at once, before others lose patience
@@ -115,43 +115,43 @@
 
 // apply takes what a call gave, and tells whether anything changed.
 func (core *Core) apply(result *ReadResult) bool {
-	core.noteAge()
+	core.setReplicaAge()
 	core.assembly = view.Assembly{} // its parts were asked for after an older revision
 	if result.Snapshot != nil {
 		return core.replica.ApplySnapshot(core.now, result.Snapshot)
 	}
 	if result.Listing != nil {
-		core.relist = false
+		core.needsListing = false
 		return core.replica.ApplyListing(core.now, result.Listing)
 	}
 	return core.replica.ApplyChanges(core.now, result.Changes)
 }
 
-// confirmedBy is when the view was the newest by a call: a watch tells what there
+// verificationTime is when the view was the newest by a call: a watch tells what there
 // is when it ends, a listing what there was at its first page.
-func (core *Core) confirmedBy(result *ReadResult) time.Duration {
+func (core *Core) verificationTime(result *ReadResult) time.Duration {
 	if result.Listing != nil {
 		return core.readAt
 	}
 	return core.now
 }
 
-// noteFailure waits before the next call, the longer the more have failed. Where the
+// handleFailure waits before the next call, the longer the more have failed. Where the
 // history is gone the store answers all the same: who has asked because nobody else did
 // lists for the others, and says so at once, since that may take seconds.
-func (core *Core) noteFailure(result *ReadResult, effects *Effects) {
+func (core *Core) handleFailure(result *ReadResult, effects *Effects) {
 	failure := result.Failure
 	if failure == FailureCompacted {
-		core.relist = true
+		core.needsListing = true
 		core.nextRead = core.now
-		core.takeOver(result.Read.Reason, core.settings.SilenceLimit)
-		if core.tells() {
+		core.takeOver(result.Read.Reason, core.settings.SilenceTimeout)
+		if core.sendsDigests() {
 			core.sendDigest(effects)
 		}
 		return
 	}
 	if failure == FailureMissing {
-		core.noteMissing()
+		core.handleMissingSnapshot()
 		return
 	}
 	core.failures++
@@ -168,8 +168,8 @@
 		const maxDoublings = 8
 		wait = min(wait, core.settings.BackoffBase<<min(core.failures-1, maxDoublings))
 	}
-	if core.rank > 0 && core.hears() {
-		wait = max(wait, time.Duration(len(core.ranked))*core.settings.LateStep)
+	if core.rank > 0 && core.receivesUpdates() {
+		wait = max(wait, time.Duration(len(core.zoneNodes))*core.settings.SlowTakeoverStep)
 	}
 	return wait/2 + time.Duration(core.random.Int64N(int64(wait)))
 }
--- a/internal/follower/ask_test.go
+++ b/internal/follower/request_test.go
@@ -41,7 +41,7 @@
 			near, all := 0, 0
 			seen := map[netip.AddrPort]bool{}
 			for range 1000 {
-				for _, asked := range core.whomToAsk() {
+				for _, asked := range core.requestTargets() {
 					is.True(asked != control(0))
 					seen[asked] = true
 					all++
--- a/internal/follower/silence_test.go
+++ b/internal/follower/stalled_connection_test.go
@@ -11,8 +11,8 @@
 // made then is in force in the time of every other change, at any phase of the
 // watch, and no view grows older than that.
 func TestOpenConnectionsFallSilentForGood(t *testing.T) {
-	for _, limit := range []time.Duration{usualLimit, time.Second, longestLimit} {
-		allowed := time.Duration(float64(inForceLimit) * limit.Seconds() / usualLimit.Seconds())
+	for _, limit := range []time.Duration{defaultLimit, time.Second, maxLimit} {
+		allowed := time.Duration(float64(inForceLimit) * limit.Seconds() / defaultLimit.Seconds())
 		for seed := range uint64(40) {
 			random := rand.New(rand.NewPCG(seed, 4))
 			fleet := calmWithin(t, 1+int(seed%3), 1+random.IntN(5), seed, limit)
--- a/internal/follower/reader_test.go
+++ b/internal/follower/watcher_test.go
@@ -76,7 +76,7 @@
 	fleet.announce()
 	fleet.run(time.Second)
 	is.Equal(len(fleet.readers()), 2) // the dead one included
-	is.True(fleet.oldest() < fleet.nodes[0].core.settings.Patience)
+	is.True(fleet.oldest() < fleet.nodes[0].core.settings.TakeoverAge)
 	is.True(fleet.calls()-before <= 8)
 }
 
@@ -94,7 +94,7 @@
 	before := fleet.calls()
 	fleet.run(9 * time.Second)
 	is.True(fleet.calls()-before <= 25) // a watch of 1.4 s, and what finding a reader took
-	is.True(fleet.oldest() < fleet.nodes[0].core.settings.PatienceLimit)
+	is.True(fleet.oldest() < fleet.nodes[0].core.settings.TakeoverAgeLimit)
 	fleet.store.Configure(2, 81)
 	fleet.run(inForceLimit)
 	is.Equal(fleet.behind(), 0)
@@ -253,10 +253,10 @@
 func TestTimesFollowTheLimit(t *testing.T) {
 	is := is.New(t)
 	usual := DefaultSettings("n", "zone", 1)
-	short, long := usual.Within(usualLimit/2), usual.Within(time.Minute)
-	is.Equal(short.Patience, usual.Patience/2)
-	is.Equal(long, usual.Within(longestLimit))
-	is.Equal(long.Patience.Round(time.Millisecond), 3117*time.Millisecond) // 1.7 s of 3 s, for 5.5 s
+	short, long := usual.ScaledTo(defaultLimit/2), usual.ScaledTo(time.Minute)
+	is.Equal(short.TakeoverAge, usual.TakeoverAge/2)
+	is.Equal(long, usual.ScaledTo(maxLimit))
+	is.Equal(long.TakeoverAge.Round(time.Millisecond), 3117*time.Millisecond) // 1.7 s of 3 s, for 5.5 s
 	is.Equal(long.BackoffLimit, usual.BackoffLimit)
 }
 
@@ -325,7 +325,7 @@
 			answered += len(outgoing.To)
 		}
 	}
-	is.Equal(answered, longAnswers)
+	is.Equal(answered, maxLargeAnswers)
 }
 
 // TestMissingSnapshotIsNoOutage: the store answers, which the log must not call lost.
@@ -365,7 +365,7 @@
 	readers := fleet.readers()
 	is.Equal(len(readers), 1)
 	is.True(readers[0] != reader)
-	is.True(fleet.oldest() < fleet.nodes[0].core.settings.Patience)
+	is.True(fleet.oldest() < fleet.nodes[0].core.settings.TakeoverAge)
 }
 
 // TestUnconfirmedViewConfirmsNothing: a peer that has just started itself gives
--- a/internal/tokennode/engine.go
+++ b/internal/tokennode/engine.go
@@ -96,7 +96,7 @@
 	deciding.ColdStart.Overage = settings.Limits.ColdOverage
 	deciding.ColdStart.Slack = settings.Limits.ColdSlack
 	following := follower.DefaultSettings(settings.Node, settings.Zone, incarnation).
-		Within(min(settings.Timings.ChangeLimit, settings.Timings.LeaveLimit, settings.Timings.EvacuationLimit))
+		ScaledTo(min(settings.Timings.ChangeLimit, settings.Timings.LeaveLimit, settings.Timings.EvacuationLimit))
 	for _, seed := range settings.Seeds {
 		if seed == settings.ControlAddress {
 			following.IsSeed = true
--- a/internal/view/cold_test.go
+++ b/internal/view/cold_test.go
@@ -12,58 +12,62 @@
 	"robinpulley.example/robinpulley/internal/view/viewtest"
 )
 
+// coldUntil returns when the first back end has warmed up.
 func coldUntil(replica *view.Replica) time.Duration { return replica.Backends()[0].ColdUntil }
 
-// TestColdTimeIsNeverToldTooShort: what waits on its way makes it longer.
-func TestColdTimeIsNeverToldTooShort(t *testing.T) {
+// TestColdPeriodIsNeverShortened checks that delays in transit only lengthen the cold period of a
+// back end.
+func TestColdPeriodIsNeverShortened(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.PutCold("a", 2*time.Second)
-	reader := view.NewReplica()
-	reader.ApplyListing(time.Second, store.List())
-	is.Equal(coldUntil(reader), 3*time.Second)
-	is.Equal(reader.ApplyListing(2500*time.Millisecond, store.List()), false)
-	is.Equal(coldUntil(reader), 3*time.Second) // the same entry, read again
+	sender := view.NewReplica()
+	sender.ApplyListing(time.Second, store.List())
+	is.Equal(coldUntil(sender), 3*time.Second)
+	is.Equal(sender.ApplyListing(2500*time.Millisecond, store.List()), false)
+	is.Equal(coldUntil(sender), 3*time.Second) // listing the same entry again does not extend the period
 
-	told := view.NewReplica()
-	told.ApplyDelta(2200*time.Millisecond, reader.Delta(2*time.Second, 0)) // 200 ms on the way
-	is.Equal(coldUntil(told), 3200*time.Millisecond)
-	snapshot := reader.Snapshot(2 * time.Second)
+	receiver := view.NewReplica()
+	receiver.ApplyDelta(2200*time.Millisecond, sender.Delta(2*time.Second, 0)) // the delta takes 200 ms
+	is.Equal(coldUntil(receiver), 3200*time.Millisecond)
+	snapshot := sender.Snapshot(2 * time.Second)
 	started := view.NewReplica()
 	started.ApplySnapshot(10*time.Second, snapshot)
 	is.Equal(coldUntil(started), 11*time.Second)
 	warm := view.NewReplica()
-	warm.ApplyDelta(4*time.Second, reader.Delta(4*time.Second, 0))
+	warm.ApplyDelta(4*time.Second, sender.Delta(4*time.Second, 0))
 	is.Equal(coldUntil(warm), 4*time.Second)
 }
 
+// configuration returns a configuration with one route and the given rates.
 func configuration(version uint64, rates ...view.ColdRate) *view.Configuration {
 	return &view.Configuration{Version: version, Routes: []view.Route{viewtest.Route(80, "web")}, ColdRates: rates}
 }
 
-// TestColdRatesFollowTheConfiguration: told when they have changed, and only then.
-func TestColdRatesFollowTheConfiguration(t *testing.T) {
+// TestColdRatesAreSentWhenTheyChange checks that a delta contains the rates if they have changed,
+// and only then.
+func TestColdRatesAreSentWhenTheyChange(t *testing.T) {
 	is := is.New(t)
-	reader, told := view.NewReplica(), view.NewReplica()
+	sender, receiver := view.NewReplica(), view.NewReplica()
 	apply := func(revision int64, configuration *view.Configuration) {
 		changes := &view.Changes{Revision: revision, Changes: []view.Change{{Revision: revision, Configuration: configuration}}}
-		reader.ApplyChanges(0, changes)
+		sender.ApplyChanges(0, changes)
 	}
 	rate := view.ColdRate{Service: "web", PerSecond: 7.5}
 	apply(2, configuration(1, rate))
-	told.ApplyDelta(0, reader.Delta(0, 0))
-	is.Equal(told.ColdRates(), map[lb.ServiceName]float64{"web": 7.5})
+	receiver.ApplyDelta(0, sender.Delta(0, 0))
+	is.Equal(receiver.ColdRates(), map[lb.ServiceName]float64{"web": 7.5})
 
 	apply(3, configuration(2, rate))
-	is.Equal(reader.Delta(0, 2).ColdRates, nil) // as before
-	told.ApplyDelta(0, reader.Delta(0, 2))
+	is.Equal(sender.Delta(0, 2).ColdRates, nil) // unchanged
+	receiver.ApplyDelta(0, sender.Delta(0, 2))
 	apply(4, configuration(3))
-	told.ApplyDelta(0, reader.Delta(0, 3))
-	is.Equal(len(told.ColdRates()), 0)
-	is.Equal(told.Revision(), int64(4))
+	receiver.ApplyDelta(0, sender.Delta(0, 3))
+	is.Equal(len(receiver.ColdRates()), 0)
+	is.Equal(receiver.Revision(), int64(4))
 }
 
-func TestColdRatesAreChecked(t *testing.T) {
+func TestInvalidColdRatesAreRejected(t *testing.T) {
 	is := is.New(t)
 	for want, rate := range map[string]view.ColdRate{
 		"cold_rates: rates[0]: service is missing":           {PerSecond: 1},
@@ -76,7 +80,7 @@
 	}
 }
 
-// TestNumberOfColdRatesIsBounded: as those of all else that a delta holds.
+// TestNumberOfColdRatesIsBounded checks that a delta with too many rates is rejected.
 func TestNumberOfColdRatesIsBounded(t *testing.T) {
 	is := is.New(t)
 	rates := make([]view.ColdRate, 1<<14)
@@ -88,5 +92,5 @@
 	delta.ColdRates.Rates = append(rates, view.ColdRate{Service: "more", PerSecond: 1})
 	err := delta.Validate()
 	is.True(err != nil)
-	is.Equal(err.Error(), "cold_rates: 16385 of them are too many")
+	is.Equal(err.Error(), "cold_rates: 16385 rates are too many")
 }
--- a/internal/view/columns.go
+++ b/internal/view/columns.go
@@ -11,13 +11,14 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Back ends are kept and told column by column: neighbours in a column are alike, so that
-// they take 12 bytes each in a snapshot of 10,000 once compressed, where JSON takes 37. A
-// start of 1,000 nodes fills the store's link of 1,000 Mbit/s for a second with them. What
-// a node tells of the 90 back ends a second that a release replaces is sent to eight
-// others, within what it may send for control.
+// Snapshots and large messages encode back ends column by column. Neighbouring values of a column
+// are similar, so that a back end takes 12 bytes in a compressed snapshot of 10,000, where JSON
+// takes 37. The size matters in two cases: 1,000 nodes that start together occupy the store's link
+// of 1,000 Mbit/s for a second with these snapshots, and a node that publishes the 90 back ends per
+// second that a release replaces sends them to eight other nodes, within its limit for control
+// traffic.
 
-// columnWriter appends to a column.
+// columnWriter appends values to a column.
 type columnWriter struct{ data []byte }
 
 func (w *columnWriter) number(value uint64) { w.data = binary.AppendUvarint(w.data, value) }
@@ -37,75 +38,76 @@
 	w.data = append(w.data, 0)
 }
 
-// dictionary gives texts that come often a number.
+// dictionary assigns numbers to strings that occur often.
 type dictionary struct {
-	numbers map[string]uint64
+	indexes map[string]uint64
 	texts   []string
 }
 
-func (d *dictionary) number(text string) uint64 {
-	number, known := d.numbers[text]
+func (d *dictionary) indexOf(text string) uint64 {
+	index, known := d.indexes[text]
 	if !known {
-		number = uint64(len(d.texts))
-		d.numbers[text] = number
+		index = uint64(len(d.texts))
+		d.indexes[text] = index
 		d.texts = append(d.texts, text)
 	}
-	return number
+	return index
 }
 
-// writeColumns gives back ends column by column.
+// writeColumns encodes back ends column by column.
 func writeColumns(entries []BackendEntry) []byte {
-	words := &dictionary{numbers: make(map[string]uint64)}
+	table := &dictionary{indexes: make(map[string]uint64)}
 	columns := &columnWriter{}
 	each := func(write func(entry *BackendEntry)) {
 		for index := range entries {
 			write(&entries[index])
 		}
 	}
-	each(func(e *BackendEntry) { columns.number(words.number(string(e.Backend.Service))) })
-	each(func(e *BackendEntry) { columns.number(words.number(string(e.Backend.Zone))) })
-	each(func(e *BackendEntry) { columns.number(words.number(string(e.Backend.State))) })
-	before := ""
+	each(func(e *BackendEntry) { columns.number(table.indexOf(string(e.Backend.Service))) })
+	each(func(e *BackendEntry) { columns.number(table.indexOf(string(e.Backend.Zone))) })
+	each(func(e *BackendEntry) { columns.number(table.indexOf(string(e.Backend.State))) })
+	previousName := ""
 	each(func(e *BackendEntry) {
 		name := string(e.Backend.Name)
-		shared := sharedPrefix(before, name)
+		shared := sharedPrefix(previousName, name)
 		columns.number(uint64(shared))
 		columns.text(name[shared:])
-		before = name
+		previousName = name
 	})
-	var written []uint64
+	var explicit []uint64
 	each(func(e *BackendEntry) {
-		named := e.Backend.Identity == numberIn(e.Backend.Name)
-		columns.flag(named)
-		if !named {
-			written = append(written, e.Backend.Identity)
+		derived := e.Backend.Identity == identityFromName(e.Backend.Name)
+		columns.flag(derived)
+		if !derived {
+			explicit = append(explicit, e.Backend.Identity)
 		}
 	})
-	for _, identity := range written {
+	for _, identity := range explicit {
 		columns.number(identity)
 	}
 	each(func(e *BackendEntry) { columns.text(string(e.Backend.Address.Addr().AsSlice())) })
 	each(func(e *BackendEntry) { columns.number(uint64(e.Backend.Address.Port())) })
 	each(func(e *BackendEntry) { columns.signed(e.Backend.Created) })
 	each(func(e *BackendEntry) { columns.signed(e.Revision - e.Backend.Created) })
-	born := int64(0)
+	previousStart := int64(0)
 	each(func(e *BackendEntry) {
-		columns.signed(e.Backend.Born - born)
-		born = e.Backend.Born
+		columns.signed(e.Backend.Born - previousStart)
+		previousStart = e.Backend.Born
 	})
 	each(func(e *BackendEntry) { columns.signed(int64(e.Backend.Slots)) })
 	each(func(e *BackendEntry) { columns.signed(e.Backend.ColdMillis) })
-	each(func(e *BackendEntry) { columns.flag(e.Gone) })
-	each(func(e *BackendEntry) { columns.signed(e.GoneMillis) })
-	head := &columnWriter{}
-	head.number(uint64(len(entries)))
-	head.number(uint64(len(words.texts)))
-	for _, text := range words.texts {
-		head.text(text)
+	each(func(e *BackendEntry) { columns.flag(e.Deleted) })
+	each(func(e *BackendEntry) { columns.signed(e.DeletedMillis) })
+	header := &columnWriter{}
+	header.number(uint64(len(entries)))
+	header.number(uint64(len(table.texts)))
+	for _, text := range table.texts {
+		header.text(text)
 	}
-	return append(head.data, columns.data...)
+	return append(header.data, columns.data...)
 }
 
+// sharedPrefix returns the length of the common prefix of two strings.
 func sharedPrefix(left, right string) int {
 	length := min(len(left), len(right))
 	for index := range length {
@@ -116,35 +118,36 @@
 	return length
 }
 
-// numberIn reads the hex digits at the end of a name, which many platforms make it of; 0: there are none.
-func numberIn(name lb.BackendName) uint64 {
+// identityFromName parses the hexadecimal digits at the end of a name, which many platforms derive
+// from the identity. It returns 0 if the name ends otherwise.
+func identityFromName(name lb.BackendName) uint64 {
 	digits := string(name)
-	if place := strings.LastIndexByte(digits, '-'); place >= 0 {
-		digits = digits[place+1:]
+	if separator := strings.LastIndexByte(digits, '-'); separator >= 0 {
+		digits = digits[separator+1:]
 	}
 	number, err := strconv.ParseUint(digits, 16, 64)
 	if err != nil {
-		return 0 // no number: the identity is written out
+		return 0 // not a number: the identity is encoded explicitly
 	}
 	return number
 }
 
-// columnReader reads columns. After the first value that is not there it reads zeros,
-// and err says so.
+// columnReader reads columns. After the first missing value, it returns zeros and sets err.
 type columnReader struct {
 	data []byte
 	err  error
 }
 
-var errColumns = errors.New("back ends: columns end too early, or name what is not there")
+var errColumns = errors.New("back ends: columns are truncated or refer to a missing string")
 
 func (r *columnReader) fail() {
 	r.err = errColumns
 	r.data = nil
 }
 
-// pass goes on behind a number of a size; below 1: it is not there, or too long for its type.
-func (r *columnReader) pass(size int) {
+// advance skips an encoded number of the given size. A size below 1 means that the number is
+// missing or too large for its type.
+func (r *columnReader) advance(size int) {
 	if size < 1 {
 		r.fail()
 		return
@@ -154,13 +157,13 @@
 
 func (r *columnReader) number() uint64 {
 	value, size := binary.Uvarint(r.data)
-	r.pass(size)
+	r.advance(size)
 	return value
 }
 
 func (r *columnReader) signed() int64 {
 	value, size := binary.Varint(r.data)
-	r.pass(size)
+	r.advance(size)
 	return value
 }
 
@@ -177,70 +180,70 @@
 
 func (r *columnReader) flag() bool { return r.number() != 0 }
 
-// Bounds of what columns may hold, so that no text makes a node take more memory than it
-// has: some 30 MB.
+// Limits of the number of entries and strings in columns, so that no input makes a node allocate
+// more memory than it has; they allow about 30 MB.
 const (
 	maxColumnEntries = 1 << 17
-	maxColumnWords   = 1 << 14
+	maxColumnStrings = 1 << 14
 )
 
-// count reads a number of things that take a byte each at least.
-func (r *columnReader) count(most uint64) int {
+// count reads the number of items that follow, each of which occupies at least one byte.
+func (r *columnReader) count(maximum uint64) int {
 	count := r.number()
-	if count > min(most, uint64(len(r.data))) {
+	if count > min(maximum, uint64(len(r.data))) {
 		r.fail()
 		return 0
 	}
 	return int(count)
 }
 
-// readColumns reads back ends that writeColumns wrote. Their texts share their bytes.
+// readColumns decodes back ends that writeColumns encoded. Equal strings share their memory.
 func readColumns(data []byte) ([]BackendEntry, error) {
 	columns := &columnReader{data: data}
 	entries := make([]BackendEntry, columns.count(maxColumnEntries))
-	words := make([]string, columns.count(maxColumnWords))
-	for index := range words {
-		words[index] = string(columns.bytes())
+	table := make([]string, columns.count(maxColumnStrings))
+	for index := range table {
+		table[index] = string(columns.bytes())
 	}
-	word := func() string {
-		number := columns.number()
-		if number >= uint64(len(words)) {
+	nextString := func() string {
+		index := columns.number()
+		if index >= uint64(len(table)) {
 			columns.fail()
 			return ""
 		}
-		return words[number]
+		return table[index]
 	}
 	each := func(read func(entry *BackendEntry)) {
 		for index := 0; index < len(entries) && columns.err == nil; index++ {
 			read(&entries[index])
 		}
 	}
-	each(func(e *BackendEntry) { e.Backend.Service = lb.ServiceName(word()) })
-	each(func(e *BackendEntry) { e.Backend.Zone = lb.Zone(word()) })
-	each(func(e *BackendEntry) { e.Backend.State = lb.BackendState(word()) })
-	before := ""
+	each(func(e *BackendEntry) { e.Backend.Service = lb.ServiceName(nextString()) })
+	each(func(e *BackendEntry) { e.Backend.Zone = lb.Zone(nextString()) })
+	each(func(e *BackendEntry) { e.Backend.State = lb.BackendState(nextString()) })
+	name := ""
 	each(func(e *BackendEntry) {
 		shared := columns.number()
-		if shared > uint64(len(before)) {
+		if shared > uint64(len(name)) {
 			columns.fail()
 			return
 		}
-		before = before[:shared] + string(columns.bytes())
-		e.Backend.Name = lb.BackendName(before)
+		name = name[:shared] + string(columns.bytes())
+		e.Backend.Name = lb.BackendName(name)
 	})
-	var written []*BackendEntry
+	var explicit []*BackendEntry
 	each(func(e *BackendEntry) {
 		if !columns.flag() {
-			written = append(written, e)
+			explicit = append(explicit, e)
 			return
 		}
-		e.Backend.Identity = numberIn(e.Backend.Name)
+		e.Backend.Identity = identityFromName(e.Backend.Name)
 	})
-	for _, e := range written {
+	for _, e := range explicit {
 		e.Backend.Identity = columns.number()
 	}
 	each(func(e *BackendEntry) {
-		address, _ := netip.AddrFromSlice(columns.bytes()) // an invalid one is refused by Validate
+		address, _ := netip.AddrFromSlice(columns.bytes()) // Validate rejects an invalid address
 		e.Backend.Address = netip.AddrPortFrom(address, 0)
 	})
 	each(func(e *BackendEntry) {
@@ -248,14 +251,14 @@
 	})
 	each(func(e *BackendEntry) { e.Backend.Created = columns.signed() })
 	each(func(e *BackendEntry) { e.Revision = e.Backend.Created + columns.signed() })
-	born := int64(0)
+	start := int64(0)
 	each(func(e *BackendEntry) {
-		born += columns.signed()
-		e.Backend.Born = born
+		start += columns.signed()
+		e.Backend.Born = start
 	})
 	each(func(e *BackendEntry) { e.Backend.Slots = int(columns.signed()) })
 	each(func(e *BackendEntry) { e.Backend.ColdMillis = columns.signed() })
-	each(func(e *BackendEntry) { e.Gone = columns.flag() })
-	each(func(e *BackendEntry) { e.GoneMillis = columns.signed() })
+	each(func(e *BackendEntry) { e.Deleted = columns.flag() })
+	each(func(e *BackendEntry) { e.DeletedMillis = columns.signed() })
 	return entries, columns.err
 }
--- a/internal/view/delta.go
+++ b/internal/view/delta.go
@@ -8,32 +8,32 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// RouteEntry is a route, or what is remembered of a removed one.
+// RouteEntry is a route with its revision, or the tombstone of a deleted route.
 type RouteEntry struct {
 	Revision int64 `json:"revision"` // of the last change
-	Gone     bool  `json:"gone,omitempty"`
+	Deleted  bool  `json:"gone,omitempty"`
 	Route    Route `json:"route"`
 }
 
-// BackendEntry is a back end, or what is remembered of one that has gone.
+// BackendEntry is a back end with its revision, or its tombstone.
 type BackendEntry struct {
 	Revision int64 `json:"revision"` // of the last change
-	Gone     bool  `json:"gone,omitempty"`
-	// GoneMillis is how long the sender has known it as gone.
-	GoneMillis int64   `json:"gone_ms,omitempty"`
-	Backend    Backend `json:"backend"`
+	Deleted  bool  `json:"gone,omitempty"`
+	// DeletedMillis is the time since the sender learned of the deletion.
+	DeletedMillis int64   `json:"gone_ms,omitempty"`
+	Backend       Backend `json:"backend"`
 }
 
-// BackendEntries are back ends as messages have them: a few in JSON, whose words the
-// transport's dictionary has, and more in columns, as a text in base64.
+// BackendEntries is a list of back ends as messages encode it: a few back ends as JSON, whose words
+// are in the transport's compression dictionary, and more of them as columns in base64.
 type BackendEntries []BackendEntry
 
-// columnsFrom is how many back ends are told in columns: from here on they are shorter.
-const columnsFrom = 6
+// minColumnEntries is the number of back ends from which on columns are shorter than JSON.
+const minColumnEntries = 6
 
 // MarshalJSON implements json.Marshaler.
 func (e BackendEntries) MarshalJSON() ([]byte, error) {
-	if len(e) < columnsFrom {
+	if len(e) < minColumnEntries {
 		return json.Marshal([]BackendEntry(e))
 	}
 	return json.Marshal(writeColumns(e))
@@ -53,51 +53,55 @@
 	return err
 }
 
-// GoneEntry is a back end of which only the removal is known: it went while a listing
-// was read.
-type GoneEntry struct {
+// RemovalEntry is the deletion of a back end whose entry the sender never read, because it was
+// deleted while the sender read a listing.
+type RemovalEntry struct {
 	Revision int64          `json:"revision"`
 	Name     lb.BackendName `json:"name"`
 }
 
-// Delta is what one replica tells another: all that changed after After. What has
-// changed after it and is not told has gone.
+// Delta is an update that one replica sends to another. It contains everything that changed after
+// the revision After. Items that changed after that revision at the receiver, but are missing from
+// the delta, have been deleted.
 type Delta struct {
-	// After is zero for a whole view.
+	// After is zero for the whole view.
 	After    int64 `json:"after"`
 	Revision int64 `json:"revision"`
-	// Unseen has the revisions of which the sender knows nothing; nil: it has followed all.
+	// Unseen contains the revisions whose changes the sender has not observed one by one; nil means
+	// that it has observed all of them.
 	Unseen *Span `json:"unseen,omitempty"`
-	// Part is which part of the delta this is; nil: all of it.
+	// Part identifies which part of a larger delta this is; nil means that the delta is complete.
 	Part *Part `json:"part,omitempty"`
-	// AllRoutes: Routes has all that are in force, as in a whole view.
+	// AllRoutes is set if Routes contains all routes in force, as in a whole view.
 	AllRoutes bool `json:"all_routes,omitempty"`
-	// Version and ConfigurationRevision are those of the configuration; zero: there is none.
+	// Version and ConfigurationRevision belong to the configuration; both are zero if there is
+	// none.
 	Version               uint64         `json:"version"`
 	ConfigurationRevision int64          `json:"configuration_revision"`
 	Routes                []RouteEntry   `json:"routes,omitempty"`
 	Backends              BackendEntries `json:"backends,omitempty"`
-	// Gone are back ends that the sender never knew but by their removal.
-	Gone        []GoneEntry       `json:"gone,omitempty"`
-	Evacuations []EvacuationEntry `json:"evacuations,omitempty"`
-	// ColdRates is nil if they have not changed.
+	// UnknownRemovals are deletions of back ends that the sender never had in its replica.
+	UnknownRemovals []RemovalEntry    `json:"gone,omitempty"`
+	Evacuations     []EvacuationEntry `json:"evacuations,omitempty"`
+	// ColdRates is nil if the rates have not changed.
 	ColdRates *ColdRates `json:"cold_rates,omitempty"`
 }
 
-// maxColdMillis bounds how long a back end says that it stays cold: a day.
+// maxColdMillis bounds the cold period that a back end may state: one day.
 const maxColdMillis = 24 * 60 * 60 * 1000
 
-// Limits of what a delta may hold.
+// Limits of the content of a delta.
 const (
 	maxRoutes   = 1 << 14
 	maxBackends = 1 << 14
 	maxTargets  = 64
 )
 
-// Validate names the first value that cannot be used.
+// Validate returns an error that names the first unusable value or the item of which there are too
+// many.
 func (d *Delta) Validate() error {
-	if len(d.Gone) > maxBackends {
-		return errors.Newf("%d gone back ends are too many", len(d.Gone))
+	if len(d.UnknownRemovals) > maxBackends {
+		return errors.Newf("%d removed back ends are too many", len(d.UnknownRemovals))
 	}
 	if len(d.Routes) > maxRoutes || len(d.Backends) > maxBackends || len(d.Evacuations) > maxEvacuations {
 		return errors.Newf("%d routes, %d back ends or %d evacuated zones are too many", len(d.Routes), len(d.Backends), len(d.Evacuations))
@@ -105,7 +109,7 @@
 	return d.validate()
 }
 
-// validate is Validate without bounds on how much the delta holds.
+// validate does the checks of Validate except those on the size of the delta.
 func (d *Delta) validate() error {
 	if d.After < 0 || d.Revision < d.After {
 		return errors.Newf("after %d and revision %d are out of order", d.After, d.Revision)
@@ -116,7 +120,7 @@
 		}
 	}
 	if d.Unseen != nil && (d.Unseen.From < 0 || d.Unseen.To < d.Unseen.From || d.Unseen.To > d.Revision) {
-		return errors.Newf("unseen: from %d to %d is out of order, or beyond revision %d", d.Unseen.From, d.Unseen.To, d.Revision)
+		return errors.Newf("unseen: from %d to %d is out of order or beyond revision %d", d.Unseen.From, d.Unseen.To, d.Revision)
 	}
 	for index := range d.Routes {
 		if err := d.Routes[index].Route.Validate(); err != nil {
@@ -141,13 +145,13 @@
 	return nil
 }
 
-// Validate names the first value that cannot be used.
+// Validate returns an error that names the first unusable value.
 func (r *Route) Validate() error {
 	if !r.Frontend.Address.IsValid() {
 		return errors.Newf("frontend: address %q is invalid", r.Frontend.Address)
 	}
 	if len(r.Targets) == 0 || len(r.Targets) > maxTargets {
-		return errors.Newf("targets: %d of them, want 1 to %d", len(r.Targets), maxTargets)
+		return errors.Newf("targets: got %d, want 1 to %d", len(r.Targets), maxTargets)
 	}
 	var sum uint64
 	for index, target := range r.Targets {
@@ -162,14 +166,14 @@
 	return errors.Wrap(r.Objective.Validate(), "objective")
 }
 
-// Validate names the first value that cannot be used.
+// Validate returns an error that names the first unusable value.
 func (b *Backend) Validate() error {
 	if b.Name == "" || b.Service == "" {
 		return errors.Newf("name %q or service %q is missing", b.Name, b.Service)
 	}
 	address := b.Address.Addr()
 	if !b.Address.IsValid() || address.IsUnspecified() || address.IsMulticast() || b.Address.Port() == 0 {
-		return errors.Newf("address %q is no address of one host", b.Address)
+		return errors.Newf("address %q is not the address of a single host", b.Address)
 	}
 	if b.Born < 0 {
 		return errors.Newf("born %d is below 0", b.Born)
--- a/internal/view/evacuation.go
+++ b/internal/view/evacuation.go
@@ -10,12 +10,12 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// EvacuationEntry is a zone whose back ends get no new flows by the operators'
-// word, or what is remembered of one that they have restored. It stands beside
-// the back ends, not in them: it may be known before, after and without them.
+// EvacuationEntry is a zone whose back ends receive no new flows because operators have evacuated
+// it, or the tombstone of a zone that they have restored. It is separate from the back ends: a
+// replica may receive it before or after them, or without any back end of the zone.
 type EvacuationEntry struct {
 	Revision int64   `json:"revision"`       // of the last change
-	Gone     bool    `json:"gone,omitempty"` // the zone was restored
+	Restored bool    `json:"gone,omitempty"` // operators have restored the zone
 	Zone     lb.Zone `json:"zone"`
 }
 
@@ -25,11 +25,11 @@
 	Zone     lb.Zone
 }
 
-// maxEvacuations bounds the zones in a delta, and the restored ones that are
-// remembered: far more than a fleet has zones.
+// maxEvacuations bounds the zones in a delta and the number of restored zones that a replica
+// remembers. It is far larger than the number of zones of a fleet.
 const maxEvacuations = 1 << 8
 
-// Validate names the first value that cannot be used.
+// Validate returns an error that names the first unusable value.
 func (e *EvacuationEntry) Validate() error {
 	if e.Zone == "" {
 		return errors.New("zone: is missing")
@@ -37,11 +37,11 @@
 	return nil
 }
 
-// Evacuated gives the zones whose back ends get no new flows, sorted.
+// Evacuated returns the zones whose back ends receive no new flows, sorted.
 func (r *Replica) Evacuated() []lb.Zone {
 	var zones []lb.Zone
 	for zone, entry := range r.evacuations {
-		if !entry.Gone {
+		if !entry.Restored {
 			zones = append(zones, zone)
 		}
 	}
@@ -49,37 +49,39 @@
 	return zones
 }
 
-// setEvacuation takes an entry, unless one as new is known.
+// setEvacuation applies an entry unless the replica has an equally new one.
 func (r *Replica) setEvacuation(entry EvacuationEntry) {
-	known := r.evacuations[entry.Zone]
-	if known != nil && known.Revision >= entry.Revision {
+	existing := r.evacuations[entry.Zone]
+	if existing != nil && existing.Revision >= entry.Revision {
 		return
 	}
 	r.evacuations[entry.Zone] = &entry
-	r.changed = max(r.changed, entry.Revision)
+	r.lastChange = max(r.lastChange, entry.Revision)
 }
 
-// restoreUnlisted restores the zones that were evacuated between two revisions, of
-// which the second is in it, and are not among those listed.
+// restoreUnlisted restores the zones that were evacuated after the revision after, up to and
+// including revision, and are not listed.
 func (r *Replica) restoreUnlisted(after, revision int64, listed map[lb.Zone]bool) {
 	for zone, entry := range r.evacuations {
-		if !listed[zone] && !entry.Gone && entry.Revision > after && entry.Revision <= revision {
+		if !listed[zone] && !entry.Restored && entry.Revision > after && entry.Revision <= revision {
 			r.restore(revision, zone)
 		}
 	}
 }
 
+// restore marks a zone as restored unless its entry is newer than the revision.
 func (r *Replica) restore(revision int64, zone lb.Zone) {
-	known := r.evacuations[zone]
-	if known == nil || known.Gone || known.Revision > revision {
+	existing := r.evacuations[zone]
+	if existing == nil || existing.Restored || existing.Revision > revision {
 		return
 	}
-	known.Gone = true
-	known.Revision = revision
-	r.changed = max(r.changed, revision)
+	existing.Restored = true
+	existing.Revision = revision
+	r.lastChange = max(r.lastChange, revision)
 }
 
-func (r *Replica) listEvacuations(listing *Listing) {
+// applyListedEvacuations replaces the evacuated zones by those of a listing.
+func (r *Replica) applyListedEvacuations(listing *Listing) {
 	listed := make(map[lb.Zone]bool, len(listing.Evacuations))
 	for _, stored := range listing.Evacuations {
 		listed[stored.Zone] = true
@@ -88,20 +90,22 @@
 	r.restoreUnlisted(0, listing.Revision, listed)
 }
 
+// applyEvacuations applies the evacuated and restored zones of a delta.
 func (r *Replica) applyEvacuations(delta *Delta) {
-	told := make(map[lb.Zone]bool, len(delta.Evacuations))
+	evacuated := make(map[lb.Zone]bool, len(delta.Evacuations))
 	for _, entry := range delta.Evacuations {
-		told[entry.Zone] = !entry.Gone
+		evacuated[entry.Zone] = !entry.Restored
 		r.setEvacuation(entry)
 	}
-	r.restoreUnlisted(delta.After, delta.Revision, told)
+	r.restoreUnlisted(delta.After, delta.Revision, evacuated)
 }
 
-// evacuationsAfter gives what changed after a revision; after 0, what is in force.
+// evacuationsAfter returns the entries that changed after a revision; for revision 0, it returns
+// only the zones that are still evacuated.
 func (r *Replica) evacuationsAfter(after int64) []EvacuationEntry {
 	var entries []EvacuationEntry
 	for _, entry := range r.evacuations {
-		if entry.Revision > after && (after > 0 || !entry.Gone) {
+		if entry.Revision > after && (after > 0 || !entry.Restored) {
 			entries = append(entries, *entry)
 		}
 	}
@@ -109,15 +113,15 @@
 	return entries
 }
 
-// pruneEvacuations forgets restored zones if they are many.
+// pruneEvacuations drops all restored zones once there are many entries.
 func (r *Replica) pruneEvacuations() {
 	if len(r.evacuations) <= maxEvacuations {
 		return
 	}
 	maps.DeleteFunc(r.evacuations, func(_ lb.Zone, entry *EvacuationEntry) bool {
-		if entry.Gone {
-			r.history.floor = max(r.history.floor, entry.Revision)
+		if entry.Restored {
+			r.history.compactedRevision = max(r.history.compactedRevision, entry.Revision)
 		}
-		return entry.Gone
+		return entry.Restored
 	})
 }
--- a/internal/view/evacuation_test.go
+++ b/internal/view/evacuation_test.go
@@ -11,49 +11,51 @@
 	"robinpulley.example/robinpulley/internal/view/viewtest"
 )
 
-// TestEvacuationReachesAReplicaByEveryWay: listing, watch, delta, whole view and snapshot, each way back, too.
-func TestEvacuationReachesAReplicaByEveryWay(t *testing.T) {
-	type way func(replica, teller *view.Replica, store *viewtest.Store)
-	ways := map[string]way{
+// TestEveryUpdateTransfersEvacuations checks that a listing, changes from a watch, a delta, a whole
+// view and a snapshot each transfer the evacuation of a zone, and its restoration.
+func TestEveryUpdateTransfersEvacuations(t *testing.T) {
+	type update func(replica, peer *view.Replica, store *viewtest.Store)
+	updates := map[string]update{
 		"listing": func(replica, _ *view.Replica, store *viewtest.Store) { replica.ApplyListing(0, store.List()) },
 		"watch": func(replica, _ *view.Replica, store *viewtest.Store) {
 			replica.ApplyChanges(0, store.Changes(replica.Revision()))
 		},
-		"delta": func(replica, teller *view.Replica, _ *viewtest.Store) {
-			replica.ApplyDelta(0, teller.Delta(0, replica.Revision()))
+		"delta": func(replica, peer *view.Replica, _ *viewtest.Store) {
+			replica.ApplyDelta(0, peer.Delta(0, replica.Revision()))
 		},
-		"whole view": func(replica, teller *view.Replica, _ *viewtest.Store) {
-			replica.ApplyDelta(0, teller.Delta(0, 0))
+		"whole view": func(replica, peer *view.Replica, _ *viewtest.Store) {
+			replica.ApplyDelta(0, peer.Delta(0, 0))
 		},
-		"snapshot": func(replica, teller *view.Replica, _ *viewtest.Store) {
-			replica.ApplySnapshot(0, teller.Snapshot(0))
+		"snapshot": func(replica, peer *view.Replica, _ *viewtest.Store) {
+			replica.ApplySnapshot(0, peer.Snapshot(0))
 		},
 	}
-	for name, hear := range ways {
+	for name, apply := range updates {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			store := viewtest.NewStore()
 			store.Put("a", lb.BackendActive)
-			replica, teller := view.NewReplica(), view.NewReplica()
+			replica, peer := view.NewReplica(), view.NewReplica()
 			replica.ApplyListing(0, store.List())
-			teller.ApplyListing(0, store.List())
+			peer.ApplyListing(0, store.List())
 
 			store.Evacuate("zone-a")
-			teller.ApplyChanges(0, store.Changes(teller.Revision()))
-			hear(replica, teller, store)
+			peer.ApplyChanges(0, store.Changes(peer.Revision()))
+			apply(replica, peer, store)
 			is.Equal(replica.Evacuated(), []lb.Zone{"zone-a"})
-			is.Equal(replica.LastNews(), store.Revision())
+			is.Equal(replica.MinCurrentRevision(), store.Revision())
 
 			store.Restore("zone-a")
-			teller.ApplyChanges(0, store.Changes(teller.Revision()))
-			hear(replica, teller, store)
+			peer.ApplyChanges(0, store.Changes(peer.Revision()))
+			apply(replica, peer, store)
 			is.Equal(len(replica.Evacuated()), 0)
 		})
 	}
 }
 
-// TestOlderWordOfAZoneIsIgnored: a delta that was on the way while the zone was restored.
-func TestOlderWordOfAZoneIsIgnored(t *testing.T) {
+// TestOlderChangeOfAZoneIsIgnored checks that changes delayed in transit do not evacuate a zone
+// that has been restored meanwhile.
+func TestOlderChangeOfAZoneIsIgnored(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	replica := view.NewReplica()
@@ -67,7 +69,7 @@
 	is.Equal(len(replica.Evacuated()), 0)
 }
 
-func TestRestoredZonesAreForgottenWhenMany(t *testing.T) {
+func TestManyRestoredZonesArePruned(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	replica := view.NewReplica()
@@ -84,12 +86,12 @@
 	is.Equal(len(replica.Delta(0, before).Evacuations), 300)
 	replica.Prune(0)
 	delta := replica.Delta(0, before)
-	is.Equal(delta.After, int64(0)) // the whole view, since restorations are forgotten
+	is.Equal(delta.After, int64(0)) // the whole view, because the tombstones are dropped
 	is.Equal(len(delta.Evacuations), 1)
 	is.Equal(replica.Evacuated(), []lb.Zone{"zone-0"})
 }
 
-func TestEvacuationWithoutAZoneIsRefused(t *testing.T) {
+func TestEvacuationWithoutAZoneIsRejected(t *testing.T) {
 	is := is.New(t)
 	delta := &view.Delta{Revision: 2, Evacuations: []view.EvacuationEntry{{Revision: 2}}}
 	err := delta.Validate()
--- a/internal/view/export_test.go
+++ b/internal/view/export_test.go
@@ -1,6 +1,6 @@
 package view
 
-// What tests of other packages need of this one.
+// These names export internals to the tests in package view_test.
 var (
 	WriteColumns = writeColumns
 	ReadColumns  = readColumns
--- a/internal/view/history.go
+++ b/internal/view/history.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Span is the revisions between two, without both.
+// Span is the range of revisions between From and To, both exclusive.
 type Span struct {
 	From int64 `json:"from"`
 	To   int64 `json:"to"`
 }
 
-// contains tells whether a revision lies in the span.
+// contains returns whether a revision lies in the span.
 func (s Span) contains(revision int64) bool { return s.From < revision && revision < s.To }
 
-// hullOf gives the span that has both in it; nil is none.
-func hullOf(left, right *Span) *Span {
+// enclosingSpan returns the smallest span that contains both spans; nil stands for an empty span.
+func enclosingSpan(left, right *Span) *Span {
 	switch {
 	case left == nil:
 		return right
@@ -22,71 +22,73 @@
 	return &Span{From: min(left.From, right.From), To: max(left.To, right.To)}
 }
 
-// history says how a replica has come to its revision. Mostly it was told each change.
-// After a listing, or a whole view, it knows what differs between the view before and
-// the one after, and has jumped over the revisions between: what was made and removed
-// there it has never known.
+// history describes how a replica reached its revision. Usually it received each change. A listing
+// or a whole view, however, only shows the difference between the states before and after it: items
+// that were created and deleted in between are unknown to the replica. The revisions in between
+// form a gap.
 type history struct {
-	// floor is the revision up to which removals may be forgotten.
-	floor int64
-	// jumps are in order and do not overlap.
-	jumps []Span
+	// compactedRevision is the revision up to which the replica may have dropped tombstones.
+	compactedRevision int64
+	// gaps are in order and do not overlap.
+	gaps []Span
 }
 
-// maxJumps bounds the jumps that are remembered. The two oldest become one, so that
-// views from between them are told a little more than they lack.
-const maxJumps = 32
+// maxGaps bounds the gaps that are remembered. Beyond it, the two oldest gaps are merged, so that
+// replicas at a revision between them receive slightly more than they lack.
+const maxGaps = 32
 
-// jump notes that the replica knows nothing of the revisions between two.
-func (h *history) jump(from, to int64) {
+// recordGap records that the replica did not observe the changes between two revisions.
+func (h *history) recordGap(from, to int64) {
 	added := Span{From: from, To: to}
 	if to-from < 2 {
 		return
 	}
-	kept := h.jumps[:0]
-	for _, known := range h.jumps {
-		if known.To <= added.From || added.To <= known.From {
-			kept = append(kept, known)
+	separate := h.gaps[:0]
+	for _, gap := range h.gaps {
+		if gap.To <= added.From || added.To <= gap.From {
+			separate = append(separate, gap)
 			continue
 		}
-		added = Span{From: min(added.From, known.From), To: max(added.To, known.To)}
+		added = Span{From: min(added.From, gap.From), To: max(added.To, gap.To)}
 	}
-	place, _ := slices.BinarySearchFunc(kept, added.From, func(known Span, from int64) int { return int(known.From - from) })
-	h.jumps = slices.Insert(kept, place, added)
-	if len(h.jumps) > maxJumps {
-		h.jumps[1].From = h.jumps[0].From
-		h.jumps = slices.Delete(h.jumps, 0, 1)
+	index, _ := slices.BinarySearchFunc(separate, added.From, func(gap Span, from int64) int { return int(gap.From - from) })
+	h.gaps = slices.Insert(separate, index, added)
+	if len(h.gaps) > maxGaps {
+		h.gaps[1].From = h.gaps[0].From
+		h.gaps = slices.Delete(h.gaps, 0, 1)
 	}
 }
 
-// base gives the revision after which all that a view at a revision lacks can be told:
-// that revision, or one before a jump over it; 0: only the whole view will do.
-func (h *history) base(revision int64) int64 {
-	for _, jump := range h.jumps {
-		if jump.contains(revision) {
-			revision = jump.From
+// baseRevision returns the revision from which a delta must start to contain everything that a
+// replica at the given revision lacks. This is the given revision, or the start of the gap that
+// contains it. It returns 0 if only the whole view is sufficient.
+func (h *history) baseRevision(revision int64) int64 {
+	for _, gap := range h.gaps {
+		if gap.contains(revision) {
+			revision = gap.From
 		}
 	}
-	if revision < h.floor {
+	if revision < h.compactedRevision {
 		return 0
 	}
 	return revision
 }
 
-// unseen gives a span that has all jumps beyond a revision in it; nil: there are none.
-func (h *history) unseen(after int64) *Span {
-	for _, jump := range h.jumps {
-		if jump.To > after {
-			return &Span{From: jump.From, To: h.jumps[len(h.jumps)-1].To}
+// unseenAfter returns a span that contains all gaps beyond a revision; nil means that there are
+// none.
+func (h *history) unseenAfter(after int64) *Span {
+	for _, gap := range h.gaps {
+		if gap.To > after {
+			return &Span{From: gap.From, To: h.gaps[len(h.gaps)-1].To}
 		}
 	}
 	return nil
 }
 
-// lastJump is where the last jump has led; 0: there was none.
-func (h *history) lastJump() int64 {
-	if len(h.jumps) == 0 {
+// lastGapEnd returns the revision at which the last gap ends; 0 means that there was none.
+func (h *history) lastGapEnd() int64 {
+	if len(h.gaps) == 0 {
 		return 0
 	}
-	return h.jumps[len(h.jumps)-1].To
+	return h.gaps[len(h.gaps)-1].To
 }
--- a/internal/view/main_test.go
+++ b/internal/view/main_test.go
@@ -7,5 +7,5 @@
 	"robinpulley.example/robinpulley/internal/rapidseed"
 )
 
-// TestMain fixes the seed of the property tests, so that every run has the same verdict.
+// TestMain fixes the seed of the property tests, so that every run has the same result.
 func TestMain(m *testing.M) { os.Exit(rapidseed.Run(m)) }
--- a/internal/view/parts.go
+++ b/internal/view/parts.go
@@ -9,69 +9,72 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// What one message cannot tell is told in parts, each asked for by itself, so that a lost
-// one is repeated alone and a node that answers many others sends a little to each in
-// turn. Each part is as of its own revision.
+// A delta that is too large for one message is sent in parts. The receiver requests each part
+// separately, so that only a lost part is repeated, and a sender that serves many receivers sends
+// each of them a little at a time. Each part represents the state at its own revision.
 
-// buckets is into how many buckets the names of back ends are hashed. A part has one of
-// them at least, so that it bounds the back ends of a view to buckets x MaxTold.
-const buckets = 256
+// bucketCount is the number of buckets into which the names of back ends are hashed. A part
+// contains at least one whole bucket, which limits the number of back ends of a view to bucketCount
+// x MaxBackendsPerDelta.
+const bucketCount = 256
 
-// bucketOf gives the bucket of a back end, from 0 to below buckets.
-func bucketOf(name lb.BackendName) int { return int(xxhash.Sum64String(string(name)) % buckets) }
+// bucketOf returns the bucket of a back end, from 0 up to bucketCount-1.
+func bucketOf(name lb.BackendName) int { return int(xxhash.Sum64String(string(name)) % bucketCount) }
 
-// MaxTold is how many back ends one message tells of: some 20 KB, which is a hundredth of
-// a second of a link of 20 Mbit/s.
-const MaxTold = 1000
+// MaxBackendsPerDelta is the maximum number of back ends in one message: about 20 KB, which
+// occupies a link of 20 Mbit/s for a hundredth of a second.
+const MaxBackendsPerDelta = 1000
 
-// Part says of which back ends a delta tells: those in buckets From to below To. The
-// first part has the routes, evacuated zones and cold rates, too.
+// Part identifies the back ends that a partial delta contains: those in the buckets from From up
+// to, but excluding, To. The first part also contains the routes, evacuated zones and cold rates.
 type Part struct {
 	From int `json:"from"`
 	To   int `json:"to"`
 }
 
-// Validate names the first value that cannot be used.
+// Validate returns an error that names the first unusable value.
 func (p *Part) Validate() error {
-	if p.From < 0 || p.From >= p.To || p.To > buckets {
-		return errors.Newf("from %d and to %d are not in order from 0 to %d", p.From, p.To, buckets)
+	if p.From < 0 || p.From >= p.To || p.To > bucketCount {
+		return errors.Newf("from %d and to %d are not in order from 0 to %d", p.From, p.To, bucketCount)
 	}
 	return nil
 }
 
-func (p *Part) has(name lb.BackendName) bool {
+// contains returns whether a back end belongs to the part.
+func (p *Part) contains(name lb.BackendName) bool {
 	bucket := bucketOf(name)
 	return p.From <= bucket && bucket < p.To
 }
 
-// ValidatePartStart tells why no part can begin at a bucket.
+// ValidatePartStart returns an error if no part can start at the bucket.
 func ValidatePartStart(from int) error {
-	if from < 0 || from >= buckets {
-		return errors.Newf("%d is not from 0 to below %d", from, buckets)
+	if from < 0 || from >= bucketCount {
+		return errors.Newf("%d is not in the range from 0 to below %d", from, bucketCount)
 	}
 	return nil
 }
 
-// Tell gives Delta, or the part of it that begins at a bucket, as large as one message
-// can tell. A delta that one message can tell has no parts.
-func (r *Replica) Tell(now time.Duration, after int64, from int) *Delta {
-	base, allRoutes := r.baseOf(after)
-	counts, sum := r.countAfter(base)
-	if from == 0 && sum <= MaxTold {
+// DeltaPart returns the result of Delta if it fits into one message, or else the part that starts
+// at the given bucket and is as large as one message allows. A delta that fits into one message has
+// no parts.
+func (r *Replica) DeltaPart(now time.Duration, after int64, from int) *Delta {
+	base, allRoutes := r.deltaBase(after)
+	counts, sum := r.countBackendsAfter(base)
+	if from == 0 && sum <= MaxBackendsPerDelta {
 		return r.Delta(now, after)
 	}
-	told := &Delta{After: base, Revision: r.revision, Unseen: r.history.unseen(base)}
+	partial := &Delta{After: base, Revision: r.revision, Unseen: r.history.unseenAfter(base)}
 	if from == 0 {
-		told = r.frame(base, allRoutes)
+		partial = r.deltaHeader(base, allRoutes)
 	}
-	part := partOf(&counts, from)
-	told.Part = &part
-	told.Backends = r.backendsAfter(now, base, &part)
-	return told
+	part := largestPart(&counts, from)
+	partial.Part = &part
+	partial.Backends = r.backendsAfter(now, base, &part)
+	return partial
 }
 
-// countAfter counts the back ends that changed after a revision, by bucket.
-func (r *Replica) countAfter(after int64) (counts [buckets]int, sum int) {
+// countBackendsAfter counts the back ends that changed after a revision, per bucket and in total.
+func (r *Replica) countBackendsAfter(after int64) (counts [bucketCount]int, sum int) {
 	for name, entry := range r.backends {
 		if entry.Revision > after {
 			counts[bucketOf(name)]++
@@ -81,57 +84,58 @@
 	return counts, sum
 }
 
-// partOf gives the largest part from a bucket on that one message can tell, of one
-// bucket at least.
-func partOf(counts *[buckets]int, from int) Part {
+// largestPart returns the largest part that starts at a bucket and fits into one message. It
+// contains at least one bucket.
+func largestPart(counts *[bucketCount]int, from int) Part {
 	count := counts[from]
 	end := from + 1
-	for ; end < buckets; end++ {
-		if count += counts[end]; count > MaxTold {
+	for ; end < bucketCount; end++ {
+		if count += counts[end]; count > MaxBackendsPerDelta {
 			break
 		}
 	}
 	return Part{From: from, To: end}
 }
 
-// Assembly collects the parts of a delta. The zero value has none.
+// Assembly collects the parts of a delta. The zero value is empty.
 type Assembly struct {
-	told *Delta // of the parts so far, as one part; nil: there are none
+	assembled *Delta // all parts received so far, as one part; nil: there are none
 }
 
-// Next gives the bucket at which the missing part begins; 0: none has come.
-func (a *Assembly) Next() int {
-	if a.told == nil {
+// NextBucket returns the bucket at which the next missing part starts; 0 means that no part has
+// been added.
+func (a *Assembly) NextBucket() int {
+	if a.assembled == nil {
 		return 0
 	}
-	return a.told.Part.To
+	return a.assembled.Part.To
 }
 
-// Add takes the next part, and gives the delta when it is the last one. The delta is as
-// of its oldest part: what has changed since is told from there. A part that is not the
-// next one is ignored. One that begins elsewhere, as that of a peer which does not know
-// all that the first one knew, cannot follow: all is asked for anew.
+// Add adds the next part and returns the complete delta after the last one, else nil. The delta has
+// the revision of its oldest part; later changes must be requested from there on. Add ignores a
+// part that is not the next one. A part with a different After, as from a peer that lacks some
+// history of the first sender, cannot be combined with the others, so Add discards all parts.
 func (a *Assembly) Add(part *Delta) *Delta {
-	if a.told != nil && part.After != a.told.After {
+	if a.assembled != nil && part.After != a.assembled.After {
 		*a = Assembly{}
 	}
-	if part.Part.From != a.Next() {
+	if part.Part.From != a.NextBucket() {
 		return nil
 	}
-	if a.told == nil {
+	if a.assembled == nil {
 		first := *part
-		a.told = &first
+		a.assembled = &first
 	} else {
-		a.told.Revision = min(a.told.Revision, part.Revision)
-		a.told.Unseen = hullOf(a.told.Unseen, part.Unseen)
-		a.told.Backends = append(a.told.Backends, part.Backends...)
+		a.assembled.Revision = min(a.assembled.Revision, part.Revision)
+		a.assembled.Unseen = enclosingSpan(a.assembled.Unseen, part.Unseen)
+		a.assembled.Backends = append(a.assembled.Backends, part.Backends...)
 	}
-	a.told.Part = &Part{To: part.Part.To}
-	if a.Next() < buckets {
+	a.assembled.Part = &Part{To: part.Part.To}
+	if a.NextBucket() < bucketCount {
 		return nil
 	}
-	told := a.told
-	told.Part = nil
+	complete := a.assembled
+	complete.Part = nil
 	*a = Assembly{}
-	return told
+	return complete
 }
--- a/internal/view/prune.go
+++ b/internal/view/prune.go
@@ -6,55 +6,56 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// maxGoneRoutes bounds the removed routes that are remembered.
-const maxGoneRoutes = 1 << 12
+// maxDeletedRoutes bounds the deleted routes that are remembered.
+const maxDeletedRoutes = 1 << 12
 
-// Prune forgets what has been gone for long, and removed routes and restored
-// zones if they are many, and tells whether a back end, or an earlier run of one, was forgotten.
+// Prune drops tombstones older than GoneRetention, and deleted routes and restored zones if there
+// are many of them. It returns whether it dropped a back end or a previous instance of a back end.
 func (r *Replica) Prune(now time.Duration) bool {
 	r.pruneRoutes()
 	r.pruneEvacuations()
-	r.pruneStrangers(now)
-	found := false
-	for name := range r.fading {
-		found = r.pruneBackend(now, name) || found
+	r.pruneUnknownRemovals(now)
+	dropped := false
+	for name := range r.expiring {
+		dropped = r.pruneBackend(now, name) || dropped
 	}
-	return found
+	return dropped
 }
 
-// pruneBackend forgets what has been remembered of a back end for long, and tells whether
-// it forgot anything.
+// pruneBackend drops the tombstone or the previous instance of a back end if it has expired. It
+// returns whether it dropped anything.
 func (r *Replica) pruneBackend(now time.Duration, name lb.BackendName) bool {
 	entry := r.backends[name]
 	switch {
-	case entry.Gone && now-entry.goneAt > GoneRetention:
-		r.history.floor = max(r.history.floor, entry.Revision)
+	case entry.Deleted && now-entry.deletedAt > GoneRetention:
+		r.history.compactedRevision = max(r.history.compactedRevision, entry.Revision)
 		delete(r.backends, name)
-		delete(r.fading, name)
-	case entry.earlier != nil && now-entry.earlier.EndedAt > GoneRetention:
-		entry.earlier = nil
-		if !entry.Gone {
-			delete(r.fading, name)
+		delete(r.expiring, name)
+	case entry.previous != nil && now-entry.previous.EndedAt > GoneRetention:
+		entry.previous = nil
+		if !entry.Deleted {
+			delete(r.expiring, name)
 		}
 	default:
 		return false
 	}
-	r.touch(name)
+	r.markChanged(name)
 	return true
 }
 
+// pruneRoutes drops the tombstones of all routes if there are more than maxDeletedRoutes.
 func (r *Replica) pruneRoutes() {
-	var gone []lb.Frontend
+	var deleted []lb.Frontend
 	for frontend, entry := range r.routes {
-		if entry.Gone {
-			gone = append(gone, frontend)
+		if entry.Deleted {
+			deleted = append(deleted, frontend)
 		}
 	}
-	if len(gone) <= maxGoneRoutes {
+	if len(deleted) <= maxDeletedRoutes {
 		return
 	}
-	for _, frontend := range gone {
-		r.history.floor = max(r.history.floor, r.routes[frontend].Revision)
+	for _, frontend := range deleted {
+		r.history.compactedRevision = max(r.history.compactedRevision, r.routes[frontend].Revision)
 		delete(r.routes, frontend)
 	}
 }
--- a/internal/view/replica.go
+++ b/internal/view/replica.go
@@ -9,15 +9,15 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// GoneRetention is how long a back end that has gone from the store is
-// remembered: some serve their flows on without an entry.
+// GoneRetention is how long a replica remembers a back end whose entry was deleted: some back ends
+// continue to serve their flows without an entry.
 const GoneRetention = 75 * time.Second
 
-// Replica is one balancer's copy. It is not safe for concurrent use.
+// Replica is a balancer's copy of the store's state. It is not safe for concurrent use.
 type Replica struct {
 	revision int64
-	// changed is the revision of the last change of a route, back end or zone.
-	changed               int64
+	// lastChange is the revision of the last change of a route, back end or zone.
+	lastChange            int64
 	history               history
 	version               uint64
 	configurationRevision int64
@@ -25,132 +25,141 @@
 	backends              map[lb.BackendName]*backendEntry
 	evacuations           map[lb.Zone]*EvacuationEntry
 	coldRates             ColdRates
-	// away: what is applied next comes after a time without word of the store.
-	away bool
-	// fading are the back ends of which something is remembered for a while only.
-	fading map[lb.BackendName]bool
-	// strangers are back ends of which only the removal is known; see GoneEntry.
-	strangers map[lb.BackendName]stranger
-	// touched are the back ends that have changed since Touched was called; nil: it never was.
-	touched map[lb.BackendName]bool
+	// afterOutage is set if the next update is the first one after a time without contact to the
+	// store.
+	afterOutage bool
+	// expiring contains the back ends that are deleted or have a previous instance, both of which
+	// are remembered only for a limited time.
+	expiring map[lb.BackendName]bool
+	// unknownRemovals are back ends of which only the deletion is known; see RemovalEntry.
+	unknownRemovals map[lb.BackendName]unknownRemoval
+	// changedBackends are the back ends that have changed since the last call of Touched; it is nil
+	// before the first call.
+	changedBackends map[lb.BackendName]bool
 }
 
+// backendEntry is a back end with the times and the previous instance that the replica tracks.
 type backendEntry struct {
 	BackendEntry
-	goneAt time.Duration
-	// away: it went while nothing was heard of the store.
-	away bool
-	// coldUntil is when it has warmed up, at the latest.
+	deletedAt time.Duration
+	// deletedDuringOutage is set if the entry was deleted while the balancer had no contact to the
+	// store.
+	deletedDuringOutage bool
+	// coldUntil is the latest time at which the back end has warmed up.
 	coldUntil time.Duration
-	// earlier is the run before this one; nil: none is remembered.
-	earlier *EarlierRun
+	// previous is the instance before this one; nil if none is remembered.
+	previous *PreviousInstance
 }
 
-// EarlierRun is the run of a back end that ended when the present one began. Callers may
-// still send on its flows.
-type EarlierRun struct {
+// PreviousInstance is the instance of a back end that ended when the present one started. Clients
+// may still send packets on its flows.
+type PreviousInstance struct {
 	Born    int64 // as in Backend
 	EndedAt time.Duration
 }
 
-// earlierThan gives the run before a back end's, of what is known under its name. One of
-// another service is not remembered: its packets must not get there.
-func (e *backendEntry) earlierThan(now time.Duration, next *Backend) *EarlierRun {
+// previousInstance returns the instance before next, based on the present entry e of the same name.
+// It returns nil if the old instance belonged to another service, because packets for that service
+// must not reach the new instance.
+func (e *backendEntry) previousInstance(now time.Duration, next *Backend) *PreviousInstance {
 	switch {
 	case e == nil || e.Backend.Service != next.Service:
 		return nil
 	case e.Backend.Run() == next.Run():
-		return e.earlier
+		return e.previous
 	}
-	return &EarlierRun{Born: e.Backend.Born, EndedAt: now}
+	return &PreviousInstance{Born: e.Backend.Born, EndedAt: now}
 }
 
-// NewReplica gives a replica that knows nothing.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
 	return &Replica{
-		routes:      make(map[lb.Frontend]*RouteEntry),
-		backends:    make(map[lb.BackendName]*backendEntry),
-		evacuations: make(map[lb.Zone]*EvacuationEntry),
-		fading:      make(map[lb.BackendName]bool),
-		strangers:   make(map[lb.BackendName]stranger),
+		routes:          make(map[lb.Frontend]*RouteEntry),
+		backends:        make(map[lb.BackendName]*backendEntry),
+		evacuations:     make(map[lb.Zone]*EvacuationEntry),
+		expiring:        make(map[lb.BackendName]bool),
+		unknownRemovals: make(map[lb.BackendName]unknownRemoval),
 	}
 }
 
-// Revision is the store's revision up to which everything is known; 0: nothing is.
+// Revision returns the store's revision up to which the replica is complete; 0 means that the
+// replica is empty.
 func (r *Replica) Revision() int64 { return r.revision }
 
-// LastNews is the revision from which on another replica lacks nothing that
-// this one knows, and has nothing that this one knows as removed. It is at most
-// Revision: what a listing of several pages told of later changes comes again.
-func (r *Replica) LastNews() int64 {
-	return min(r.revision, max(r.changed, r.history.floor, r.history.lastJump()))
+// MinCurrentRevision returns the lowest revision at which another replica is as current as this
+// one: it lacks no change that this replica has, and contains nothing that this replica has
+// recorded as deleted. The result is at most Revision, because a listing of several pages may
+// contain later changes, which the replica receives again.
+func (r *Replica) MinCurrentRevision() int64 {
+	return min(r.revision, max(r.lastChange, r.history.compactedRevision, r.history.lastGapEnd()))
 }
 
-// Version is that of the configuration; 0: there is none.
+// Version returns the version of the configuration; 0 means that there is none.
 func (r *Replica) Version() uint64 { return r.version }
 
-// ConfigurationRevision is the store's revision of the configuration; 0: there is none.
+// ConfigurationRevision returns the store's revision of the configuration; 0 means that there is
+// none.
 func (r *Replica) ConfigurationRevision() int64 { return r.configurationRevision }
 
-// Touched gives the back ends that have changed since the last call, in no particular
-// order; all: it is the first call, and all may have.
+// Touched returns the back ends that have changed since the last call, in no particular order. On
+// the first call, all is true, and any back end may have changed.
 func (r *Replica) Touched() (names []lb.BackendName, all bool) {
-	all = r.touched == nil
-	names = slices.Collect(maps.Keys(r.touched))
-	r.touched = make(map[lb.BackendName]bool)
+	all = r.changedBackends == nil
+	names = slices.Collect(maps.Keys(r.changedBackends))
+	r.changedBackends = make(map[lb.BackendName]bool)
 	return names, all
 }
 
-// put takes an entry in place of what was known under its name.
-func (r *Replica) put(entry *backendEntry) {
+// setEntry replaces the entry of a back end.
+func (r *Replica) setEntry(entry *backendEntry) {
 	name := entry.Backend.Name
 	r.backends[name] = entry
-	delete(r.strangers, name)
-	r.touch(name)
-	delete(r.fading, name)
-	if entry.Gone || entry.earlier != nil {
-		r.fading[name] = true
+	delete(r.unknownRemovals, name)
+	r.markChanged(name)
+	delete(r.expiring, name)
+	if entry.Deleted || entry.previous != nil {
+		r.expiring[name] = true
 	}
 }
 
-// touch notes that a back end has changed.
-func (r *Replica) touch(name lb.BackendName) {
-	if r.touched != nil {
-		r.touched[name] = true
+// markChanged records that a back end has changed.
+func (r *Replica) markChanged(name lb.BackendName) {
+	if r.changedBackends != nil {
+		r.changedBackends[name] = true
 	}
 }
 
-// Backend gives a back end that is known; found is false if none has the name.
+// Backend returns the back end with a name; found is false if there is none.
 func (r *Replica) Backend(name lb.BackendName) (known Known, found bool) {
 	entry := r.backends[name]
 	if entry == nil {
 		return Known{}, false
 	}
-	return entry.known(), true
+	return entry.knownBackend(), true
 }
 
-// Configured tells whether a configuration is known.
+// Configured returns whether the replica has a configuration.
 func (r *Replica) Configured() bool { return r.configurationRevision > 0 }
 
-// awayAge is the age of a view from which on the store is taken to have been
-// away: readers that fail leave no view this old.
-const awayAge = 2500 * time.Millisecond
+// outageAge is the age of a view from which on the store is assumed to have been unreachable. The
+// failure of a single node that reads the store does not let a view become this old.
+const outageAge = 2500 * time.Millisecond
 
-// NoteAge says, before something is applied, how old the view is by then.
-func (r *Replica) NoteAge(age time.Duration) { r.away = age >= awayAge }
+// NoteAge sets the age of the view. Callers call it before they apply an update.
+func (r *Replica) NoteAge(age time.Duration) { r.afterOutage = age >= outageAge }
 
-// Advance notes that nothing has changed up to revision.
+// Advance records that nothing has changed up to a revision.
 func (r *Replica) Advance(revision int64) {
 	r.revision = max(r.revision, revision)
 }
 
-// ApplyListing takes a listing and tells whether anything changed. One older
-// than the replica is ignored.
+// ApplyListing applies a listing and returns whether anything changed. It ignores a listing that is
+// older than the replica.
 func (r *Replica) ApplyListing(now time.Duration, listing *Listing) bool {
 	if listing.Revision < r.revision {
 		return false
 	}
-	before, known := r.changed, r.revision
+	previousChange, previousRevision := r.lastChange, r.revision
 	if stored := listing.Configuration; stored != nil {
 		r.setConfiguration(stored.Revision, &stored.Configuration)
 	}
@@ -162,23 +171,23 @@
 	}
 	for _, rejected := range listing.Rejected {
 		listed[rejected.Backend] = true
-		r.withdraw(rejected.Revision, rejected.Backend)
+		r.drainUnreadable(rejected.Revision, rejected.Backend)
 	}
 	for name, entry := range r.backends {
-		if !listed[name] && !entry.Gone && entry.Revision <= listing.Revision {
+		if !listed[name] && !entry.Deleted && entry.Revision <= listing.Revision {
 			r.removeBackend(now, listing.Revision, name)
 		}
 	}
-	r.listEvacuations(listing)
+	r.applyListedEvacuations(listing)
 	r.Advance(listing.Revision)
-	r.history.jump(known, listing.Revision)
-	return r.changed != before
+	r.history.recordGap(previousRevision, listing.Revision)
+	return r.lastChange != previousChange
 }
 
-// ApplyChanges takes changes that begin at or before the replica's revision
-// and tells whether anything changed.
+// ApplyChanges applies changes that start at or before the replica's revision, and returns whether
+// anything changed.
 func (r *Replica) ApplyChanges(now time.Duration, changes *Changes) bool {
-	before := r.changed
+	previousChange := r.lastChange
 	for index := range changes.Changes {
 		change := &changes.Changes[index]
 		switch {
@@ -187,7 +196,7 @@
 		case change.Backend != nil:
 			r.setBackend(now, change.Revision, change.Backend)
 		case change.Withdrawn != "":
-			r.withdraw(change.Revision, change.Withdrawn)
+			r.drainUnreadable(change.Revision, change.Withdrawn)
 		case change.Evacuated != "":
 			r.setEvacuation(EvacuationEntry{Revision: change.Revision, Zone: change.Evacuated})
 		case change.Restored != "":
@@ -197,95 +206,100 @@
 		}
 	}
 	r.Advance(changes.Revision)
-	return r.changed != before
+	return r.lastChange != previousChange
 }
 
+// setConfiguration applies a configuration unless the replica has an equally new one.
 func (r *Replica) setConfiguration(revision int64, configuration *Configuration) {
 	if revision <= r.configurationRevision {
 		return
 	}
 	r.configurationRevision = revision
 	r.version = configuration.Version
-	r.changed = max(r.changed, revision)
+	r.lastChange = max(r.lastChange, revision)
 	r.setColdRates(revision, configuration.ColdRates)
 	present := make(map[lb.Frontend]bool, len(configuration.Routes))
 	for index := range configuration.Routes {
 		route := &configuration.Routes[index]
 		if present[route.Frontend] {
-			continue // the first route of a front end counts
+			continue // only the first route of a front end is used
 		}
 		present[route.Frontend] = true
 		r.setRoute(revision, route)
 	}
 	for frontend, entry := range r.routes {
-		if !present[frontend] && !entry.Gone {
-			entry.Gone = true
+		if !present[frontend] && !entry.Deleted {
+			entry.Deleted = true
 			entry.Revision = revision
 		}
 	}
 }
 
+// setRoute replaces a route. An unchanged route keeps its revision.
 func (r *Replica) setRoute(revision int64, route *Route) {
-	known := r.routes[route.Frontend]
-	if known != nil && !known.Gone && known.Route.equal(route) {
+	existing := r.routes[route.Frontend]
+	if existing != nil && !existing.Deleted && existing.Route.equal(route) {
 		return
 	}
 	r.routes[route.Frontend] = &RouteEntry{Revision: revision, Route: *route}
 }
 
+// setBackend replaces a back end unless the replica has an equally new entry.
 func (r *Replica) setBackend(now time.Duration, revision int64, backend *Backend) {
-	known := r.backends[backend.Name]
-	if known != nil && known.Revision >= revision {
+	existing := r.backends[backend.Name]
+	if existing != nil && existing.Revision >= revision {
 		return
 	}
-	r.put(&backendEntry{
+	r.setEntry(&backendEntry{
 		BackendEntry: BackendEntry{Revision: revision, Backend: *backend},
 		coldUntil:    now + time.Duration(backend.ColdMillis)*time.Millisecond,
-		earlier:      known.earlierThan(now, backend),
+		previous:     existing.previousInstance(now, backend),
 	})
-	r.changed = max(r.changed, revision)
+	r.lastChange = max(r.lastChange, revision)
 }
 
-// withdraw takes a back end whose entry says nothing that can be used from those that
-// get new flows, as if it drained: it may well live, and keeps the flows that it has.
-// One that was not known stays so.
-func (r *Replica) withdraw(revision int64, name lb.BackendName) {
-	known := r.backends[name]
-	if known == nil || known.Revision >= revision {
+// drainUnreadable marks a back end as draining because its entry has become unreadable. The back
+// end may well be alive, so it keeps its open flows, but it receives no new ones. A back end that
+// is not in the replica is not added.
+func (r *Replica) drainUnreadable(revision int64, name lb.BackendName) {
+	existing := r.backends[name]
+	if existing == nil || existing.Revision >= revision {
 		return
 	}
-	drains := known.Backend
-	drains.State = lb.BackendDraining
-	r.put(&backendEntry{
-		BackendEntry: BackendEntry{Revision: revision, Backend: drains},
-		earlier:      known.earlier,
+	drained := existing.Backend
+	drained.State = lb.BackendDraining
+	r.setEntry(&backendEntry{
+		BackendEntry: BackendEntry{Revision: revision, Backend: drained},
+		previous:     existing.previous,
 	})
-	r.changed = max(r.changed, revision)
+	r.lastChange = max(r.lastChange, revision)
 }
 
+// removeBackend replaces a back end by its tombstone. The deletion of a back end that is not in the
+// replica is recorded as an unknown removal.
 func (r *Replica) removeBackend(now time.Duration, revision int64, name lb.BackendName) {
-	known := r.backends[name]
-	if known == nil {
-		r.noteStranger(now, revision, name)
+	existing := r.backends[name]
+	if existing == nil {
+		r.recordUnknownRemoval(now, revision, name)
 		return
 	}
-	if known.Gone || known.Revision > revision {
+	if existing.Deleted || existing.Revision > revision {
 		return
 	}
-	known.Gone = true
-	known.Revision = revision
-	known.goneAt = now
-	known.away = r.away
-	r.fading[name] = true
-	r.touch(name)
-	r.changed = max(r.changed, revision)
+	existing.Deleted = true
+	existing.Revision = revision
+	existing.deletedAt = now
+	existing.deletedDuringOutage = r.afterOutage
+	r.expiring[name] = true
+	r.markChanged(name)
+	r.lastChange = max(r.lastChange, revision)
 }
 
-// Routes gives the routes in force, by front end.
+// Routes returns the routes in force, ordered by front end.
 func (r *Replica) Routes() []Route {
 	routes := make([]Route, 0, len(r.routes))
 	for _, entry := range r.routes {
-		if !entry.Gone {
+		if !entry.Deleted {
 			routes = append(routes, entry.Route)
 		}
 	}
@@ -293,26 +307,27 @@
 	return routes
 }
 
-// Known is a back end as the replica knows it.
+// Known is a back end with the state that the replica tracks for it.
 type Known struct {
 	Backend Backend
-	// Gone: it has no entry any more. GoneAt is when that was learned.
+	// Gone is set if the entry was deleted. GoneAt is the time at which the replica learned of the
+	// deletion.
 	Gone   bool
 	GoneAt time.Duration
-	// Away: it went while nothing was heard of the store, which drops the
-	// entries of back ends that cannot reach it meanwhile.
+	// Away is set if the entry was deleted while the balancer had no contact to the store. During
+	// an outage, the store drops the entries of back ends that cannot reach it.
 	Away bool
-	// ColdUntil is when it has warmed up, at the latest.
+	// ColdUntil is the latest time at which the back end has warmed up.
 	ColdUntil time.Duration
-	// Earlier is the run before this one, if it ended a short time ago; else nil.
-	Earlier *EarlierRun
+	// Earlier is the previous instance if it ended a short time ago, else nil.
+	Earlier *PreviousInstance
 }
 
-// Backends gives all back ends that are known, those that have gone included, by name.
+// Backends returns all back ends, including deleted ones that are still remembered, sorted by name.
 func (r *Replica) Backends() []Known {
 	known := make([]Known, 0, len(r.backends))
 	for _, entry := range r.backends {
-		known = append(known, entry.known())
+		known = append(known, entry.knownBackend())
 	}
 	slices.SortFunc(known, func(left, right Known) int {
 		return strings.Compare(string(left.Backend.Name), string(right.Backend.Name))
@@ -320,8 +335,9 @@
 	return known
 }
 
-func (e *backendEntry) known() Known {
+// knownBackend returns the exported form of the entry.
+func (e *backendEntry) knownBackend() Known {
 	return Known{
-		Backend: e.Backend, Gone: e.Gone, GoneAt: e.goneAt, Away: e.away, ColdUntil: e.coldUntil, Earlier: e.earlier,
+		Backend: e.Backend, Gone: e.Deleted, GoneAt: e.deletedAt, Away: e.deletedDuringOutage, ColdUntil: e.coldUntil, Earlier: e.previous,
 	}
 }
--- a/internal/view/replica_test.go
+++ b/internal/view/replica_test.go
@@ -14,7 +14,7 @@
 	"robinpulley.example/robinpulley/internal/view/viewtest"
 )
 
-// describe prints what a replica takes as in force.
+// describe formats the state that a replica considers in force.
 func describe(replica *view.Replica) string {
 	text := fmt.Sprintf("version %d", replica.Version())
 	for _, route := range replica.Routes() {
@@ -31,18 +31,17 @@
 	return text
 }
 
-// expected is what a replica of the store's present state prints.
+// expected formats the store's present state as describe does.
 func expected(store *viewtest.Store) string {
 	fresh := view.NewReplica()
 	fresh.ApplyListing(0, store.List())
 	return describe(fresh)
 }
 
-// TestDeltaOfFreshReplicaRemovesRoutes is the fault behind hunt-644a-39 of
-// rdp-central: a node that had just listed the store told a peer what had
-// changed since the peer's revision, without the routes that had been removed
-// before it listed, of which it had never known.
-func TestDeltaOfFreshReplicaRemovesRoutes(t *testing.T) {
+// TestDeltaOfNewReplicaRemovesRoutes guards against routes that stay in force after their removal.
+// A node that has just listed the store never had the routes removed before. A delta for an older
+// peer that contains only changed routes would omit the removed ones.
+func TestDeltaOfNewReplicaRemovesRoutes(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.Configure(7, 80, 81)
@@ -55,10 +54,10 @@
 	applied, changed := older.ApplyDelta(0, fresh.Delta(0, older.Revision()))
 	is.True(applied)
 	is.True(changed)
-	is.Equal(describe(older), expected(store)) // the route on port 80 is gone
+	is.Equal(describe(older), expected(store)) // the route on port 80 is removed
 }
 
-func TestOlderTellingsAreIgnored(t *testing.T) {
+func TestOlderUpdatesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.Configure(1, 80)
@@ -93,7 +92,7 @@
 	is.Equal(behind.Revision(), int64(2))
 }
 
-func TestGoneBackendsAreRememberedForAWhile(t *testing.T) {
+func TestDeletedBackendsAreRememberedForAWhile(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.Put("a", lb.BackendActive)
@@ -108,12 +107,12 @@
 	is.Equal(replica.Prune(time.Second+view.GoneRetention), false)
 	is.True(replica.Prune(time.Second + view.GoneRetention + 1))
 	is.Equal(len(replica.Backends()), 0)
-	is.Equal(replica.Delta(0, before).After, int64(0)) // the whole view, since the removal is forgotten
+	is.Equal(replica.Delta(0, before).After, int64(0)) // the whole view, because the tombstone is dropped
 }
 
-// TestReplicasFollowTheStore has replicas listen to the store and to each
-// other in any order. A replica at the store's revision always equals it.
-func TestReplicasFollowTheStore(t *testing.T) {
+// TestReplicasConvergeToTheStore updates replicas from the store and from each other in any order.
+// A replica at the store's revision must always equal the store.
+func TestReplicasConvergeToTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := viewtest.NewStore()
 		replicas := []*view.Replica{view.NewReplica(), view.NewReplica(), view.NewReplica()}
@@ -146,9 +145,9 @@
 			case 7:
 				replica.Prune(now)
 			case 8:
-				peer := replicas[rapid.IntRange(0, 2).Draw(t, "teller")]
-				if peer.LastNews() <= revision && revision > 0 {
-					replica.Advance(peer.Revision()) // as after a digest
+				peer := replicas[rapid.IntRange(0, 2).Draw(t, "sender")]
+				if peer.MinCurrentRevision() <= revision && revision > 0 {
+					replica.Advance(peer.Revision()) // as a digest from the peer does
 				}
 			case 9:
 				store.Evacuate(drawZone(t))
@@ -157,7 +156,7 @@
 			case 11:
 				replica.ApplyListing(now, store.ListPaged(drawName(t), func() {
 					for range rapid.IntRange(0, 3).Draw(t, "between") {
-						if rapid.Bool().Draw(t, "goes") {
+						if rapid.Bool().Draw(t, "removed") {
 							store.Remove(drawName(t))
 						} else {
 							store.Put(drawName(t), lb.BackendActive)
@@ -166,11 +165,11 @@
 				}))
 			}
 			if replica.Revision() < revision {
-				t.Fatalf("revision went from %d to %d", revision, replica.Revision())
+				t.Fatalf("revision decreased from %d to %d", revision, replica.Revision())
 			}
 			for index, replica := range replicas {
 				if replica.Revision() == store.Revision() && describe(replica) != expected(store) {
-					t.Fatalf("replica %d: %s, the store: %s", index, describe(replica), expected(store))
+					t.Fatalf("replica %d: got %s, store has %s", index, describe(replica), expected(store))
 				}
 			}
 		}
@@ -185,7 +184,7 @@
 	return rapid.SampledFrom([]lb.Zone{"zone-a", "zone-b"}).Draw(t, "zone")
 }
 
-func TestRemovedRoutesAreForgottenWhenMany(t *testing.T) {
+func TestManyDeletedRoutesArePruned(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	ports := make([]uint16, 5000)
@@ -204,29 +203,30 @@
 	is.Equal(len(replica.Delta(0, 0).Routes), 1)
 }
 
-// TestWholeViewRemovesWhatCameBack: one replica knows a back end as gone, and not
-// that it came back and went again; another knows only that it came back.
-func TestWholeViewRemovesWhatCameBack(t *testing.T) {
+// TestWholeViewRemovesARecreatedBackend guards against a back end that stays in a replica after its
+// deletion. The sender observed the first deletion of the back end, but not that it was created and
+// deleted again. The receiver only observed that it was created again.
+func TestWholeViewRemovesARecreatedBackend(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
-	teller, told := view.NewReplica(), view.NewReplica()
+	sender, receiver := view.NewReplica(), view.NewReplica()
 	store.Put("a", lb.BackendActive)
-	teller.ApplyListing(0, store.List())
-	before := teller.Revision()
+	sender.ApplyListing(0, store.List())
+	before := sender.Revision()
 	store.Remove("a")
-	teller.ApplyChanges(0, store.Changes(before))
+	sender.ApplyChanges(0, store.Changes(before))
 	store.Put("a", lb.BackendActive)
-	told.ApplyListing(0, store.List())
+	receiver.ApplyListing(0, store.List())
 	store.Remove("a")
-	teller.ApplyListing(0, store.List())
-	applied, _ := told.ApplyDelta(0, teller.Delta(0, told.Revision()))
+	sender.ApplyListing(0, store.List())
+	applied, _ := receiver.ApplyDelta(0, sender.Delta(0, receiver.Revision()))
 	is.True(applied)
-	is.Equal(describe(told), expected(store))
+	is.Equal(describe(receiver), expected(store))
 }
 
-// TestObjectivesFollowTheConfiguration: a route whose objective alone has
-// changed is told to peers, and one that has not is not.
-func TestObjectivesFollowTheConfiguration(t *testing.T) {
+// TestChangedObjectivesAreSent checks that a delta contains a route of which only the objective has
+// changed, and does not contain unchanged routes.
+func TestChangedObjectivesAreSent(t *testing.T) {
 	is := is.New(t)
 	configure := func(revision int64, targets ...uint32) *view.Listing {
 		stored := &view.StoredConfiguration{Revision: revision, Configuration: view.Configuration{Version: uint64(revision)}}
@@ -240,21 +240,21 @@
 		}
 		return &view.Listing{Revision: revision, Configuration: stored}
 	}
-	teller, hearer := view.NewReplica(), view.NewReplica()
-	teller.ApplyListing(0, configure(1, 100, 200))
-	hearer.ApplyListing(0, configure(1, 100, 200))
-	teller.ApplyListing(0, configure(2, 100, 300))
-	delta := teller.Delta(0, 1)
-	is.Equal(delta.After, int64(1)) // a teller that has listed again tells what differs
+	sender, receiver := view.NewReplica(), view.NewReplica()
+	sender.ApplyListing(0, configure(1, 100, 200))
+	receiver.ApplyListing(0, configure(1, 100, 200))
+	sender.ApplyListing(0, configure(2, 100, 300))
+	delta := sender.Delta(0, 1)
+	is.Equal(delta.After, int64(1)) // the sender sends only the difference after its second listing
 	is.Equal(len(delta.Routes), 1)
 	is.NoErr(delta.Validate())
-	hearer.ApplyDelta(0, delta)
-	is.Equal(hearer.Routes(), teller.Routes())
-	is.Equal(hearer.Routes()[1].Objective.TargetMillis, uint32(300))
+	receiver.ApplyDelta(0, delta)
+	is.Equal(receiver.Routes(), sender.Routes())
+	is.Equal(receiver.Routes()[1].Objective.TargetMillis, uint32(300))
 
 	changes := &view.Changes{Revision: 3, Changes: []view.Change{{Revision: 3, Configuration: &configure(3, 150, 300).Configuration.Configuration}}}
-	teller.ApplyChanges(0, changes)
-	delta = teller.Delta(0, 2)
+	sender.ApplyChanges(0, changes)
+	delta = sender.Delta(0, 2)
 	is.Equal(len(delta.Routes), 1)
 	is.Equal(delta.Routes[0].Route.Objective.TargetMillis, uint32(150))
 	delta.Routes[0].Route.Objective.TargetMillis = lb.MaxTargetMillis + 1
--- a/internal/view/restart_test.go
+++ b/internal/view/restart_test.go
@@ -12,8 +12,8 @@
 	"robinpulley.example/robinpulley/internal/view/viewtest"
 )
 
-// ways are those by which news of back ends comes to a replica.
-var ways = map[string]func(t *testing.T, replica *view.Replica, now time.Duration, store *viewtest.Store){
+// updates are the ways in which changes of back ends reach a replica.
+var updates = map[string]func(t *testing.T, replica *view.Replica, now time.Duration, store *viewtest.Store){
 	"listing": func(_ *testing.T, replica *view.Replica, now time.Duration, store *viewtest.Store) {
 		replica.ApplyListing(now, store.List())
 	},
@@ -21,15 +21,15 @@
 		replica.ApplyChanges(now, store.Changes(replica.Revision()))
 	},
 	"delta": func(_ *testing.T, replica *view.Replica, now time.Duration, store *viewtest.Store) {
-		peer := followed(replica, now, store)
+		peer := watchingPeer(replica, now, store)
 		replica.ApplyDelta(now, peer.Delta(now, replica.Revision()))
 	},
 	"whole view": func(_ *testing.T, replica *view.Replica, now time.Duration, store *viewtest.Store) {
-		peer := followed(replica, now, store)
+		peer := watchingPeer(replica, now, store)
 		replica.ApplyDelta(now, peer.Delta(now, 0))
 	},
 	"snapshot": func(t *testing.T, replica *view.Replica, now time.Duration, store *viewtest.Store) {
-		packed, err := followed(replica, now, store).Snapshot(now).Pack()
+		packed, err := watchingPeer(replica, now, store).Snapshot(now).Pack()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,62 +41,64 @@
 	},
 }
 
-// followed gives a peer that knows what a replica knows, and has watched the store since.
-func followed(replica *view.Replica, now time.Duration, store *viewtest.Store) *view.Replica {
+// watchingPeer returns a peer that starts with the content of a replica and has watched the store
+// since.
+func watchingPeer(replica *view.Replica, now time.Duration, store *viewtest.Store) *view.Replica {
 	peer := view.NewReplica()
 	peer.ApplyDelta(now, replica.Delta(now, 0))
 	peer.ApplyChanges(now, store.Changes(peer.Revision()))
 	return peer
 }
 
-func TestRunsOfOneBackendDiffer(t *testing.T) {
+func TestInstancesOfABackendHaveDifferentIDs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := view.Backend{Identity: rapid.Uint64().Draw(t, "identity"), Born: rapid.Int64Range(0, 1<<52).Draw(t, "born")}
 		second := first
 		if second.Run() != first.Run() {
-			t.Fatal("one run has two numbers")
+			t.Fatal("one instance has two IDs")
 		}
 		second.Born = rapid.Int64Range(0, 1<<52).Filter(func(born int64) bool { return born != first.Born }).Draw(t, "other")
 		if second.Run() == first.Run() {
-			t.Fatalf("two runs have one number: %d and %d", first.Born, second.Born)
+			t.Fatalf("two instances, started at %d and %d, have one ID", first.Born, second.Born)
 		}
 	})
 }
 
-// TestRestartedBackendIsAnotherRun, by whatever way it is learned: nothing of the old
-// run is left, such as how long it stays cold.
-func TestRestartedBackendIsAnotherRun(t *testing.T) {
-	for way, learn := range ways {
-		t.Run(way, func(t *testing.T) {
+// TestRestartedBackendIsANewInstance checks, for each kind of update, that no state of the old
+// instance remains after a restart, such as the end of its cold period.
+func TestRestartedBackendIsANewInstance(t *testing.T) {
+	for name, update := range updates {
+		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			store := viewtest.NewStore()
 			store.Configure(1, 80)
-			store.PutBorn("a", 1000, 0)
+			store.PutInstance("a", 1000, 0)
 			replica := view.NewReplica()
 			replica.ApplyListing(0, store.List())
-			old := replica.Backends()[0].Backend.Run()
-			late := store.Changes(0)
-			store.PutBorn("a", 2000, 3*time.Second)
-			learn(t, replica, time.Second, store)
+			oldInstance := replica.Backends()[0].Backend.Run()
+			delayed := store.Changes(0)
+			store.PutInstance("a", 2000, 3*time.Second)
+			update(t, replica, time.Second, store)
 			check := func() {
 				known := replica.Backends()
 				is.Equal(len(known), 1)
 				is.Equal(known[0].Backend.Born, int64(2000))
-				is.True(known[0].Backend.Run() != old)
+				is.True(known[0].Backend.Run() != oldInstance)
 				is.Equal(known[0].ColdUntil, 4*time.Second)
 			}
 			check()
-			replica.ApplyChanges(2*time.Second, late) // of the old run, and late
+			replica.ApplyChanges(2*time.Second, delayed) // delayed changes of the old instance
 			check()
 		})
 	}
 }
 
-// TestUnreadableEntryGetsNoNewFlows, by whatever way it is learned: the back end may
-// live, so that it keeps its flows, until an entry that can be read comes.
-func TestUnreadableEntryGetsNoNewFlows(t *testing.T) {
-	for way, learn := range ways {
-		t.Run(way, func(t *testing.T) {
+// TestBackendWithUnreadableEntryIsDrained checks, for each kind of update, that a back end whose
+// entry becomes unreadable receives no new flows but is not deleted, because it may be alive, and
+// that it becomes active again with a readable entry.
+func TestBackendWithUnreadableEntryIsDrained(t *testing.T) {
+	for name, update := range updates {
+		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			store := viewtest.NewStore()
 			store.Configure(1, 80)
@@ -104,21 +106,21 @@
 			store.Put("b", lb.BackendActive)
 			replica := view.NewReplica()
 			replica.ApplyListing(0, store.List())
-			store.Spoil("a")
-			learn(t, replica, 0, store)
+			store.PutUnreadable("a")
+			update(t, replica, 0, store)
 			is.Equal(describe(replica), "version 1 tcp://192.0.2.1:80 a=draining b=active")
 			is.Equal(replica.Revision(), store.Revision())
 			store.Put("a", lb.BackendActive)
-			learn(t, replica, 0, store)
+			update(t, replica, 0, store)
 			is.Equal(describe(replica), "version 1 tcp://192.0.2.1:80 a=active b=active")
 		})
 	}
 }
 
-// TestUnreadableEntriesNameNoBackend has replicas learn in any order of entries that can
-// be read and entries that cannot: one at the store's revision gives new flows to none
-// but the runs that the store names.
-func TestUnreadableEntriesNameNoBackend(t *testing.T) {
+// TestUnreadableEntriesActivateNoBackend updates replicas in any order from a store with readable
+// and unreadable entries. A replica at the store's revision must send new flows only to the
+// instances that the store's readable entries describe.
+func TestUnreadableEntriesActivateNoBackend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := viewtest.NewStore()
 		store.Configure(1, 80)
@@ -127,9 +129,9 @@
 			replica := replicas[rapid.IntRange(0, 2).Draw(t, "replica")]
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
-				store.PutBorn(drawName(t), rapid.Int64Range(1, 3).Draw(t, "born"), 0)
+				store.PutInstance(drawName(t), rapid.Int64Range(1, 3).Draw(t, "born"), 0)
 			case 2:
-				store.Spoil(drawName(t))
+				store.PutUnreadable(drawName(t))
 			case 3:
 				store.Remove(drawName(t))
 			case 4:
@@ -144,15 +146,16 @@
 			}
 			for _, replica := range replicas {
 				if replica.Revision() == store.Revision() {
-					checkRuns(t, store, replica)
+					checkInstances(t, store, replica)
 				}
 			}
 		}
 	})
 }
 
-// checkRuns fails unless the replica gives new flows to just those runs that the store names.
-func checkRuns(t *rapid.T, store *viewtest.Store, replica *view.Replica) {
+// checkInstances fails unless the replica sends new flows to exactly the instances that the store's
+// readable entries describe.
+func checkInstances(t *rapid.T, store *viewtest.Store, replica *view.Replica) {
 	active := map[lb.BackendName]bool{}
 	for _, known := range replica.Backends() {
 		if known.Gone || known.Backend.State != lb.BackendActive {
@@ -161,12 +164,12 @@
 		active[known.Backend.Name] = true
 		entry, found := store.Entry(known.Backend.Name)
 		if !found || entry.Run() != known.Backend.Run() {
-			t.Fatalf("%s born %d gets new flows; its entry: %t, born %d", known.Backend.Name, known.Backend.Born, found, entry.Born)
+			t.Fatalf("%s started at %d receives new flows; store entry found: %t, started at %d", known.Backend.Name, known.Backend.Born, found, entry.Born)
 		}
 	}
 	for _, name := range []lb.BackendName{"a", "b", "c"} {
 		if _, found := store.Entry(name); found && !active[name] {
-			t.Fatalf("%s has an entry and gets no new flows", name)
+			t.Fatalf("%s has a readable entry but receives no new flows", name)
 		}
 	}
 }
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -10,38 +10,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Snapshot is a whole view that one balancer leaves in the store, so that
-// balancers that start need not list all entries. It may be seconds old, and
-// says nothing of the present: a peer or a watch from its revision does.
+// Snapshot is a whole view that a balancer writes to the store, so that balancers that start need
+// not list all entries. It may be several seconds old. To learn the present state, a balancer asks
+// a peer or watches the store from the snapshot's revision.
 type Snapshot struct {
 	View Delta
 }
 
-// snapshotFormat is the first byte of a packed snapshot: the length and the JSON of the
-// view without its back ends, then these in columns, all compressed (RFC 1951). Others
-// before it are not read: nodes that start list all entries until the next one is written.
+// snapshotFormat is the first byte of an encoded snapshot. A compressed block (RFC 1951) follows:
+// the length and the JSON of the view without its back ends, and then the back ends in columns.
+// Earlier formats are not supported: nodes that start list all entries until the next snapshot is
+// written.
 const snapshotFormat = 0x03
 
-// maxSnapshotBytes bounds what an unpacked snapshot may hold.
+// maxSnapshotBytes bounds the size of a decompressed snapshot.
 const maxSnapshotBytes = 16 << 20
 
-// Snapshot gives the whole view as it is now.
+// Snapshot returns the whole view at the present time.
 func (r *Replica) Snapshot(now time.Duration) *Snapshot {
 	return &Snapshot{View: *r.Delta(now, 0)}
 }
 
-// ApplySnapshot takes a snapshot and tells whether anything changed. One older
-// than the replica is ignored.
+// ApplySnapshot applies a snapshot and returns whether anything changed. It ignores a snapshot that
+// is older than the replica.
 func (r *Replica) ApplySnapshot(now time.Duration, snapshot *Snapshot) bool {
 	_, changed := r.ApplyDelta(now, &snapshot.View)
 	return changed
 }
 
-// Pack gives the snapshot in the form in which it is kept.
+// Pack encodes the snapshot for the store.
 func (s *Snapshot) Pack() ([]byte, error) {
-	frame := s.View
-	frame.Backends = nil
-	head, err := json.Marshal(&frame)
+	header := s.View
+	header.Backends = nil
+	headerText, err := json.Marshal(&header)
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
@@ -52,7 +53,7 @@
 		return nil, errors.Wrap(err, "snapshot")
 	}
 	plain := &columnWriter{}
-	plain.text(string(head))
+	plain.text(string(headerText))
 	if _, err := writer.Write(append(plain.data, writeColumns(s.View.Backends)...)); err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
@@ -62,32 +63,32 @@
 	return packed.Bytes(), nil
 }
 
-// UnpackSnapshot reads a snapshot. One of another format, or with a value that
-// cannot be used, is an error.
+// UnpackSnapshot decodes a snapshot. It returns an error if the format is unknown or a value is
+// unusable.
 func UnpackSnapshot(packed []byte) (*Snapshot, error) {
 	if len(packed) == 0 || packed[0] != snapshotFormat {
-		return nil, errors.New("snapshot: of no known format")
+		return nil, errors.New("snapshot: unknown format")
 	}
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed[1:])), maxSnapshotBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	parts := &columnReader{data: plain}
-	head := parts.bytes()
-	if parts.err != nil {
-		return nil, errors.New("snapshot: has no view")
+	reader := &columnReader{data: plain}
+	header := reader.bytes()
+	if reader.err != nil {
+		return nil, errors.New("snapshot: the view is missing")
 	}
 	snapshot := &Snapshot{}
-	if err := json.Unmarshal(head, &snapshot.View); err != nil {
+	if err := json.Unmarshal(header, &snapshot.View); err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
-	if snapshot.View.Backends, err = readColumns(parts.data); err != nil {
+	if snapshot.View.Backends, err = readColumns(reader.data); err != nil {
 		return nil, errors.Wrap(err, "snapshot")
 	}
 	if snapshot.View.After != 0 {
-		return nil, errors.Newf("snapshot: after %d, want a whole view", snapshot.View.After)
+		return nil, errors.Newf("snapshot: starts after revision %d, want a whole view", snapshot.View.After)
 	}
-	if err := snapshot.View.validate(); err != nil { // its bytes are its bound
+	if err := snapshot.View.validate(); err != nil { // maxSnapshotBytes already bounds its size
 		return nil, errors.Wrap(err, "snapshot")
 	}
 	return snapshot, nil
--- a/internal/view/snapshot_test.go
+++ b/internal/view/snapshot_test.go
@@ -16,7 +16,7 @@
 	"robinpulley.example/robinpulley/internal/view/viewtest"
 )
 
-func TestSnapshotGivesTheSameView(t *testing.T) {
+func TestSnapshotRestoresTheView(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.Configure(1, 80, 81)
@@ -30,19 +30,20 @@
 	replica.ApplyChanges(0, store.Changes(before))
 	packed, err := replica.Snapshot(time.Second).Pack()
 	is.NoErr(err)
-	is.True(len(packed) < 12<<10) // listings of as many back ends take about 300 KB
+	is.True(len(packed) < 12<<10) // a listing of as many back ends takes about 300 KB
 	snapshot, err := view.UnpackSnapshot(packed)
 	is.NoErr(err)
 	started := view.NewReplica()
 	is.True(started.ApplySnapshot(0, snapshot))
 	is.Equal(describe(started), describe(replica))
 	is.Equal(started.Revision(), replica.Revision())
-	is.Equal(len(started.Backends()), 600) // the one that has gone is remembered, too
+	is.Equal(len(started.Backends()), 600) // the deleted one is included
 	is.Equal(started.ApplySnapshot(0, snapshot), false)
 }
 
-// packedWithoutZones is a snapshot as it was before views had evacuated zones.
-func packedWithoutZones(t *testing.T) []byte {
+// packedWithFormat1 returns an encoded snapshot with the format number of an earlier encoding,
+// which had no evacuated zones.
+func packedWithFormat1(t *testing.T) []byte {
 	t.Helper()
 	packed, err := view.NewReplica().Snapshot(0).Pack()
 	if err != nil {
@@ -52,7 +53,7 @@
 	return packed
 }
 
-func TestSnapshotThatCannotBeUsed(t *testing.T) {
+func TestUnusableSnapshotsAreRejected(t *testing.T) {
 	whole := view.NewReplica().Snapshot(0)
 	whole.View.After, whole.View.Revision = 3, 4
 	partial, err := whole.Pack()
@@ -60,7 +61,7 @@
 		t.Fatal(err)
 	}
 	for name, packed := range map[string][]byte{
-		"empty": {}, "other format": {9, 1, 2}, "without zones": packedWithoutZones(t), "broken off": {3, 0xff}, "not whole": partial,
+		"empty": {}, "other format": {9, 1, 2}, "format 1": packedWithFormat1(t), "truncated": {3, 0xff}, "partial view": partial,
 	} {
 		if _, err := view.UnpackSnapshot(packed); err == nil {
 			t.Errorf("%s: no error", name)
@@ -68,8 +69,8 @@
 	}
 }
 
-// sizedSnapshot is that of a fleet before many back ends, most of which have started long
-// ago, as a platform names them: by numbers in hex, at addresses of a few networks.
+// sizedSnapshot returns a snapshot with many back ends, most of which started long ago. Names are
+// hexadecimal numbers and addresses are from a few networks, as platforms assign them.
 func sizedSnapshot(count int) *view.Snapshot {
 	delta := view.Delta{Revision: 1 << 20, ConfigurationRevision: 5, Version: 3}
 	for index := range count {
@@ -86,9 +87,10 @@
 	return &view.Snapshot{View: delta}
 }
 
-// TestStartOfAllFitsTheLink: 1,000 nodes that start at once before 10,000 back ends leave the
-// store's link of 1,000 Mbit/s free after about a second, and 2,000 before 20,000 after five.
-func TestStartOfAllFitsTheLink(t *testing.T) {
+// TestSnapshotsForAWholeFleetFitTheLink checks that the snapshots for 1,000 nodes that start
+// together with 10,000 back ends occupy the store's link of 1,000 Mbit/s for little more than a
+// second, and those for 2,000 nodes with 20,000 back ends for at most six.
+func TestSnapshotsForAWholeFleetFitTheLink(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []struct {
 		nodes, backends int
@@ -97,21 +99,21 @@
 		packed, err := sizedSnapshot(size.backends).Pack()
 		is.NoErr(err)
 		const bytesPerSecond = 1e9 / 8
-		text := float64(len(packed)) * 4 / 3 // the store gives values in base64
-		is.True(float64(size.nodes)*text/bytesPerSecond < size.seconds)
-		is.True(len(packed) < 1<<20) // what the store takes for a value
+		encoded := float64(len(packed)) * 4 / 3 // the store returns values in base64
+		is.True(float64(size.nodes)*encoded/bytesPerSecond < size.seconds)
+		is.True(len(packed) < 1<<20) // the store's limit for a value
 		unpacked, err := view.UnpackSnapshot(packed)
 		is.NoErr(err)
 		is.Equal(unpacked.View.Backends, sizedSnapshot(size.backends).View.Backends)
 	}
 }
 
-// drawEntry gives any back end that can be used.
+// drawEntry returns an arbitrary valid back end.
 func drawEntry(t *rapid.T) view.BackendEntry {
 	name := rapid.SampledFrom([]string{"i-7f3a91c2", "i-7f3a91c3", "i-00000000", "web", "", "a-b-c", "i-ffffffffffffffff", "é-1"}).Draw(t, "name") + rapid.String().Draw(t, "more")
 	return view.BackendEntry{
-		Revision: rapid.Int64Range(0, 1<<60).Draw(t, "revision"), Gone: rapid.Bool().Draw(t, "gone"),
-		GoneMillis: rapid.Int64Range(-5, 1<<40).Draw(t, "gone_ms"),
+		Revision: rapid.Int64Range(0, 1<<60).Draw(t, "revision"), Deleted: rapid.Bool().Draw(t, "gone"),
+		DeletedMillis: rapid.Int64Range(-5, 1<<40).Draw(t, "gone_ms"),
 		Backend: view.Backend{
 			Name: lb.BackendName("n" + name), Identity: rapid.Uint64().Draw(t, "identity"), Service: "web",
 			Address:    netip.AddrPortFrom(netip.MustParseAddr(rapid.SampledFrom([]string{"10.0.0.1", "2001:db8::1"}).Draw(t, "address")), 80),
@@ -125,7 +127,7 @@
 	}
 }
 
-func TestSnapshotsAreReadAsTheyWereWritten(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := &view.Snapshot{View: view.Delta{Revision: 9, Backends: rapid.SliceOfN(rapid.Custom(drawEntry), 0, 20).Draw(t, "backends")}}
 		packed, err := snapshot.Pack()
@@ -137,12 +139,13 @@
 			t.Fatal(err)
 		}
 		if !slices.Equal(unpacked.View.Backends, snapshot.View.Backends) {
-			t.Fatalf("%v, written: %v", unpacked.View.Backends, snapshot.View.Backends)
+			t.Fatalf("read %v, wrote %v", unpacked.View.Backends, snapshot.View.Backends)
 		}
 	})
 }
 
-// FuzzUnpackSnapshot: what another writer left under the key is refused or can be used.
+// FuzzUnpackSnapshot checks that arbitrary content of the snapshot's key is either rejected or can
+// be applied.
 func FuzzUnpackSnapshot(f *testing.F) {
 	packed, err := sizedSnapshot(5).Pack()
 	if err != nil {
@@ -157,7 +160,8 @@
 	})
 }
 
-// FuzzColumns is FuzzUnpackSnapshot past the compression, which few inputs survive.
+// FuzzColumns fuzzes the columns directly, because few inputs of FuzzUnpackSnapshot pass the
+// decompression.
 func FuzzColumns(f *testing.F) {
 	f.Add(view.WriteColumns(sizedSnapshot(3).View.Backends))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -167,13 +171,13 @@
 		}
 		again, err := view.ReadColumns(view.WriteColumns(entries))
 		if err != nil || len(again) != len(entries) {
-			t.Fatalf("%d back ends were read again as %d: %v", len(entries), len(again), err)
+			t.Fatalf("%d back ends became %d after encoding and decoding: %v", len(entries), len(again), err)
 		}
 	})
 }
 
-// BenchmarkSnapshot is what leaving a snapshot costs the node that reads the store, and
-// reading it one that starts.
+// BenchmarkSnapshot measures encoding a snapshot, which the watcher of the fleet does, and decoding
+// it, which nodes that start do.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, count := range []int{600, 10000, 20000} {
 		snapshot := sizedSnapshot(count)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,8 +1,7 @@
-// Package view holds a balancer's copy of the configuration and the back ends
-// that the platform's store keeps: the replica, what sources tell it, and the
-// deltas by which balancers tell each other. A replica has the store's
-// revision and never goes back to a lower one. The package has no I/O and no
-// clock.
+// Package view replicates the configuration and the back ends of the platform's store to a
+// balancer. It contains the replica itself, the inputs that the store supplies (listings, changes
+// and snapshots), and the deltas that balancers exchange. A replica carries the store's revision
+// and never returns to a lower one. The package has no I/O and no clock.
 package view
 
 import (
@@ -13,32 +12,33 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// Backend is one back end as it keeps itself in the store.
+// Backend is a back end as described by its entry in the store, which the back end writes itself.
 type Backend struct {
 	Name lb.BackendName `json:"name"`
-	// Identity is the number by which packets name the back end. One that starts again
-	// may keep it; see Run.
+	// Identity is the number by which packets name the back end. A back end that restarts may keep
+	// its identity; see Run.
 	Identity uint64         `json:"identity"`
 	Service  lb.ServiceName `json:"service"`
 	Address  netip.AddrPort `json:"address"`
 	Zone     lb.Zone        `json:"zone,omitempty"`
 	// State is BackendActive or BackendDraining.
 	State lb.BackendState `json:"state"`
-	// Created is the store's revision at which the entry was made.
+	// Created is the store's revision at which the entry was created.
 	Created int64 `json:"created"`
-	// Slots is how many requests the back end works on at once; 0: it does not say.
+	// Slots is the number of requests that the back end processes concurrently; 0 means that it
+	// does not state a number.
 	Slots int `json:"slots,omitempty"`
-	// ColdMillis is how much longer the back end stays cold, from the moment at which
-	// this was read or told. What waits on its way only makes it longer.
+	// ColdMillis is how much longer the back end stays cold, counted from the moment at which a
+	// node reads or receives this value. Delays in transit therefore only lengthen the cold period.
 	ColdMillis int64 `json:"cold_ms,omitempty"`
-	// Born is when the back end has started, in milliseconds since 1970 by its own
-	// clock; 0: it does not say, and has another Identity after each start.
+	// Born is the start time of the back end in milliseconds since 1970, by its own clock. It is 0
+	// if the back end does not state it; such a back end has a different Identity after each start.
 	Born int64 `json:"born,omitempty"`
 }
 
-// Run names one life of the back end, from its start to its end. What is learned of a
-// back end belongs to its run: one that starts again under its name is a stranger.
-// All nodes give a run the same number.
+// Run returns a number for this instance of the back end, that is, for the time between one start
+// and the next. Everything that a node learns about a back end belongs to one instance and does not
+// apply to a later one under the same name. All nodes compute the same number for an instance.
 func (b *Backend) Run() uint64 {
 	if b.Born == 0 {
 		return b.Identity
@@ -46,30 +46,32 @@
 	return rendezvous.Mix(b.Identity ^ rendezvous.Mix(uint64(b.Born)))
 }
 
-// Target is one part of a split: a service and its weight in the sum of all.
+// Target is one share of a traffic split: a service and its weight relative to the sum of all
+// weights.
 type Target struct {
 	Service lb.ServiceName `json:"service"`
 	Weight  uint32         `json:"weight"`
 }
 
-// Route says where the new flows of a front end go.
+// Route defines which services receive the new flows of a front end.
 type Route struct {
 	Frontend lb.Frontend `json:"frontend"`
 	Targets  []Target    `json:"targets"`
-	// Objective is what the operators ask for its requests.
+	// Objective is the service-level objective that the operators set for requests of this front
+	// end.
 	Objective lb.Objective `json:"objective,omitzero"`
 }
 
-// equal tells whether two routes of one front end say the same.
+// equal returns whether two routes of the same front end have the same content.
 func (r *Route) equal(other *Route) bool {
 	return r.Objective == other.Objective && slices.Equal(r.Targets, other.Targets)
 }
 
-// Configuration is what the operator has put in force.
+// Configuration is the configuration that the operator has put in force.
 type Configuration struct {
 	Version uint64
 	Routes  []Route
-	// ColdRates are those of the services that state one.
+	// ColdRates contains the rates of the services that state one.
 	ColdRates []ColdRate
 }
 
@@ -85,40 +87,41 @@
 	Configuration Configuration
 }
 
-// Listing is everything that the store holds, as of Revision or later.
+// Listing is the whole content of the store. Its pages are read one after another, so that later
+// pages may contain changes newer than Revision.
 type Listing struct {
 	Revision      int64
-	Configuration *StoredConfiguration // nil: there is none
+	Configuration *StoredConfiguration // nil: the store has no configuration
 	Backends      []StoredBackend
 	Evacuations   []StoredEvacuation
 	Rejected      []Rejection
 }
 
-// Changes are the changes after one revision up to Revision, in order.
+// Changes contains the changes after some revision up to Revision, in order.
 type Changes struct {
 	Revision int64
 	Changes  []Change
 	Rejected []Rejection
 }
 
-// Change is one change. Exactly one of Configuration, Backend, Gone, Withdrawn,
-// Evacuated and Restored is set.
+// Change is one change. Exactly one of Configuration, Backend, Gone, Withdrawn, Evacuated and
+// Restored is set.
 type Change struct {
 	Revision      int64
 	Configuration *Configuration
 	Backend       *Backend
-	Gone          lb.BackendName
-	Withdrawn     lb.BackendName // its entry cannot be read any more; see Replica.withdraw
-	Evacuated     lb.Zone        // its back ends get no new flows from now on
-	Restored      lb.Zone        // they do again
+	Gone          lb.BackendName // the entry of this back end was deleted
+	Withdrawn     lb.BackendName // its entry has become unreadable; see Replica.drainUnreadable
+	Evacuated     lb.Zone        // back ends of this zone receive no new flows from now on
+	Restored      lb.Zone        // back ends of this zone receive new flows again
 }
 
-// Rejection is an entry of the store that could not be read. A configuration that
-// was known before stays in force; a back end takes no new flows.
+// Rejection is an entry of the store that could not be read. The previous configuration stays in
+// force; a back end with an unreadable entry receives no new flows.
 type Rejection struct {
 	Key      string
 	Revision int64
-	// Backend is whose entry it is; empty: no back end's.
+	// Backend is the back end to which the entry belongs; it is empty for other entries.
 	Backend lb.BackendName
 	Error   error
 }
