--- a/internal/follower/api.go
+++ b/internal/follower/api.go
@@ -9,23 +9,23 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// Peer is a living balancer.
+// Peer is a balancer that is alive.
 type Peer struct {
 	ID      lb.NodeID
 	Zone    lb.Zone
 	Control netip.AddrPort
-	// Leaving: it is in a planned stop. It is told of changes as long as it
-	// lives, but does not read for others.
+	// Leaving is set during a planned stop. A leaving peer receives updates as long as it lives,
+	// but does not read the store for others.
 	Leaving bool
 }
 
-// Event is one input. At most one field is set; none makes a tick, which is
-// due every TickInterval.
+// Event is one input of the core. At most one field is set. An event without a field is a tick,
+// which is due every TickInterval.
 type Event struct {
-	Peers   []Peer // all that are alive, self included
+	Peers   []Peer // all live balancers, including this one
 	Message *PeerMessage
 	Read    *ReadResult
-	// Published is how the writing of a snapshot has ended.
+	// Published is the result of writing a snapshot.
 	Published *PublishResult
 }
 
@@ -39,63 +39,65 @@
 	Message message.Message
 }
 
-// ReadKind is the kind of a reading call.
+// ReadKind is the kind of a read of the store.
 type ReadKind string
 
-// The kinds of reading calls.
+// The kinds of reads.
 const (
 	ReadList     ReadKind = "list"
 	ReadWatch    ReadKind = "watch"
 	ReadSnapshot ReadKind = "snapshot"
 )
 
-// Reason says why a node reads the store. Each call has a price, so that the
-// sum over a fleet must be explained by its parts.
+// Reason states why a node reads the store. Each read has a cost, and the total over a fleet must
+// be attributable to its causes.
 type Reason string
 
-// The reasons.
+// The reasons for a read.
 const (
-	ReasonStart       Reason = "start"        // it has no view yet
-	ReasonHistoryGone Reason = "history_gone" // a watch cannot go on from its revision
-	ReasonReader      Reason = "reader"       // it reads for the others
-	ReasonWatcherLost  Reason = "reader_gone"  // who read for the others stops or has ended
-	ReasonUnverified Reason = "unconfirmed"  // nobody has confirmed its view yet
-	ReasonPatience    Reason = "patience"     // its view has not been confirmed in time
-	ReasonSilence     Reason = "silence"      // no other node tells of the view
+	ReasonStart       Reason = "start"        // the node has no view yet
+	ReasonCompacted   Reason = "history_gone" // a watch cannot continue, because the store has compacted the history
+	ReasonReader      Reason = "reader"       // the node is the designated watcher
+	ReasonWatcherLost Reason = "reader_gone"  // the designated watcher is leaving or has failed
+	ReasonUnverified  Reason = "unconfirmed"  // the node does not know yet whether its view is current
+	ReasonPatience    Reason = "patience"     // nobody has verified the node's view in time
+	ReasonSilence     Reason = "silence"      // no peer sends messages about the view
 )
 
-// Read is a call to the store.
+// Read describes a read of the store, which may take several requests.
 type Read struct {
 	Kind   ReadKind
 	Reason Reason
-	// Stale is for ReadList and ReadSnapshot: an answer that is seconds old will do.
+	// Stale is used with ReadList and ReadSnapshot. It permits an answer that is several seconds
+	// old.
 	Stale bool
-	// After and Wait are for ReadWatch.
+	// After and Wait are used with ReadWatch: the revision after which changes are requested, and
+	// how long the store waits for one.
 	After int64
 	Wait  time.Duration
-	// Timeout bounds the time until a call's answer begins, and Pause each
-	// pause in it: on a thin link a long answer takes its time. A listing of
-	// several pages takes several calls.
+	// Timeout bounds the time until the first byte of an answer, and Pause bounds each interruption
+	// within it: over a slow link, a large answer takes long. A listing of several pages takes
+	// several requests.
 	Timeout, Pause time.Duration
 }
 
-// Failure says why a call gave nothing.
+// Failure states why a read or write failed.
 type Failure string
 
 // The failures.
 const (
 	FailureNone        Failure = ""
 	FailureLost        Failure = "lost"        // no usable answer in time
-	FailureThrottled   Failure = "throttled"   // beyond the store's rate
-	FailureUnavailable Failure = "unavailable" // the store says that it does not serve
-	FailureCompacted   Failure = "compacted"   // the history after Read.After is gone
-	FailureRejected    Failure = "rejected"    // the store refuses the call as such
-	FailureMissing     Failure = "missing"     // there is no snapshot that can be used
+	FailureThrottled   Failure = "throttled"   // the request exceeded the store's rate limit
+	FailureUnavailable Failure = "unavailable" // the store reports that it is out of service
+	FailureCompacted   Failure = "compacted"   // the history after Read.After is compacted
+	FailureRejected    Failure = "rejected"    // the store rejects the request as invalid
+	FailureMissing     Failure = "missing"     // there is no usable snapshot
 	FailureConflict    Failure = "conflict"    // another node has written a newer snapshot
 )
 
-// Answered tells whether the store answered for what it is asked, as it does when
-// it has no snapshot, has forgotten its history, or keeps a newer snapshot.
+// Answered returns whether the store processed the request. This includes the cases that it has no
+// snapshot, has compacted its history, or already has a newer snapshot.
 func (failure Failure) Answered() bool {
 	switch failure {
 	case FailureNone, FailureCompacted, FailureMissing, FailureConflict:
@@ -104,32 +106,34 @@
 	return false
 }
 
-// ReadResult is how a call ended. Listing, Snapshot or Changes is set if Failure is FailureNone.
+// ReadResult is the result of a read. Listing, Snapshot or Changes is set if Failure is
+// FailureNone.
 type ReadResult struct {
 	Read    Read
 	Failure Failure
-	// Requests is how many requests the call took: one for each page of a
-	// listing, and one for each that was made again.
+	// Requests is the number of requests that the read took: one for each page of a listing, and
+	// one for each retry.
 	Requests int
 	Listing  *view.Listing
 	Snapshot *view.Snapshot
 	Changes  *view.Changes
 }
 
-// Outgoing is a message to control addresses.
+// Outgoing is a message to one or more control addresses.
 type Outgoing struct {
 	To      []netip.AddrPort
 	Message message.Message
 }
 
-// Effects is filled by one Step. The caller reuses it; Step resets it first.
+// Effects contains the results of one Step. The caller reuses it; Step resets it first.
 type Effects struct {
-	// Publication is a snapshot to be written; there is one at a time.
+	// Publication is a snapshot to be written. At most one write is pending at a time.
 	Publication *Publication
-	// Read is a call to be started; there is one at a time.
+	// Read is a read to be started. At most one read is pending at a time.
 	Read     *Read
 	Messages []Outgoing
-	// Changed: the view is another than before, by word of Source.
+	// Changed is set if the step has changed the view. Source then names the origin of the change:
+	// a peer, the store, or pruning.
 	Changed bool
 	Source  string
 }
--- a/internal/follower/bench_test.go
+++ b/internal/follower/bench_test.go
@@ -11,9 +11,10 @@
 	"robinpulley.example/robinpulley/internal/view/viewtest"
 )
 
-// fleetSizes are those that docs/CAPACITY.md speaks of.
+// fleetSizes are the numbers of nodes in docs/CAPACITY.md.
 var fleetSizes = []int{300, 1000, 12875}
 
+// manyPeers returns peers that are spread over zones.
 func manyPeers(count, zones int) []Peer {
 	peers := make([]Peer, count)
 	for index := range peers {
@@ -26,7 +27,7 @@
 	return peers
 }
 
-// BenchmarkPeers is what a change of the membership costs the follower.
+// BenchmarkPeers measures the processing of a membership change.
 func BenchmarkPeers(b *testing.B) {
 	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// BenchmarkDigest is what it costs to take a digest and to pass it on in the zone.
+// BenchmarkDigest measures the processing of a digest that is forwarded in the zone.
 func BenchmarkDigest(b *testing.B) {
 	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/follower/dissemination.go
+++ b/internal/follower/dissemination.go
@@ -9,8 +9,8 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// sendsDigests tells whether this node is one that others hear of the view from: who
-// reads for them, and where nobody is heard to, the first of each zone.
+// sendsDigests returns whether this node publishes digests: the designated watcher does, and if no
+// messages about the view arrive, so does the first node of each zone.
 func (core *Core) sendsDigests() bool {
 	if !core.verified {
 		return false
@@ -18,11 +18,11 @@
 	return core.active || core.rank == 0 && core.now-core.lastUpdateAt >= missedDigestLimit*core.settings.DigestInterval
 }
 
-// missedDigestLimit is how many digest intervals without a word make the first of
-// a zone tell it what it knows: one may be lost.
+// missedDigestLimit is the number of digest intervals without a message after which the first node
+// of a zone sends digests to it. One digest may be lost.
 const missedDigestLimit = 2
 
-// digest says how new the view is.
+// digest returns a message that states how current the view is.
 func (core *Core) digest(route message.Route) message.ViewDigest {
 	return message.ViewDigest{
 		Revision:  core.replica.Revision(),
@@ -33,34 +33,36 @@
 	}
 }
 
-// sendDigest tells the fleet how new the view is.
+// sendDigest sends a digest to the fleet.
 func (core *Core) sendDigest(effects *Effects) {
 	core.nextDigest = core.now + core.settings.DigestInterval
 	core.disseminate(effects, func(route message.Route) message.Message { return core.digest(route) })
 }
 
-// disseminate tells the first nodes of the other zones, which pass it on there, and
-// the own zone, through the tree of which this node is the root.
-func (core *Core) disseminate(effects *Effects, told func(message.Route) message.Message) {
-	core.send(told(message.Route{ForZone: true}), core.relays, effects)
-	core.sendToZone(effects, told)
+// disseminate sends a message to the first nodes of the other zones, which forward it there, and to
+// the local zone through the tree rooted at this node. newMessage creates the message for a route.
+func (core *Core) disseminate(effects *Effects, newMessage func(message.Route) message.Message) {
+	core.send(newMessage(message.Route{ForZone: true}), core.relays, effects)
+	core.sendToZone(effects, newMessage)
 }
 
-func (core *Core) sendToZone(effects *Effects, told func(message.Route) message.Message) {
-	core.send(told(message.Route{Origin: core.settings.Self}), core.children(core.settings.Self), effects)
+// sendToZone sends a message to the local zone through the tree rooted at this node.
+func (core *Core) sendToZone(effects *Effects, newMessage func(message.Route) message.Message) {
+	core.send(newMessage(message.Route{Origin: core.settings.Self}), core.children(core.settings.Self), effects)
 }
 
-// forward tells those whom a route names, with this node in its place in the tree.
-func (core *Core) forward(route message.Route, effects *Effects, told func(message.Route) message.Message) {
+// forward forwards a message along its route, from this node's position in the tree.
+func (core *Core) forward(route message.Route, effects *Effects, newMessage func(message.Route) message.Message) {
 	switch {
 	case route.ForZone:
-		core.sendToZone(effects, told)
+		core.sendToZone(effects, newMessage)
 	case route.Origin != "":
-		core.send(told(route), core.children(route.Origin), effects)
+		core.send(newMessage(route), core.children(route.Origin), effects)
 	}
 }
 
-func (core *Core) send(told message.Message, peers []Peer, effects *Effects) {
+// send adds a message to several peers to effects.
+func (core *Core) send(outgoing message.Message, peers []Peer, effects *Effects) {
 	if len(peers) == 0 {
 		return
 	}
@@ -68,14 +70,14 @@
 	for index := range peers {
 		addresses[index] = peers[index].Control
 	}
-	effects.Messages = append(effects.Messages, Outgoing{To: addresses, Message: told})
+	effects.Messages = append(effects.Messages, Outgoing{To: addresses, Message: outgoing})
 }
 
-// children gives the nodes of the zone that this one tells of what the origin
-// has said: a tree of TreeWidth over the nodes by rank, with the origin as its
-// root, so that no node sends more than TreeWidth messages, however many nodes
-// the zone has. Nodes whose views of the zone differ may leave somebody out;
-// that one reads by itself or asks after the next digest.
+// children returns the nodes of the zone to which this node forwards a message from the origin. The
+// nodes of the zone form a tree with TreeFanout children per node, ordered by rank and rooted at
+// the origin, so that no node sends more than TreeFanout copies, however large the zone is. If the
+// memberships of nodes differ, the trees may omit a node; it then sends a request after the next
+// digest, or reads the store itself.
 func (core *Core) children(origin lb.NodeID) []Peer {
 	position := core.position(core.settings.Self)
 	root := core.position(origin)
@@ -83,43 +85,43 @@
 	if position < 0 || root < 0 {
 		return nil
 	}
-	place := (position - root + count) % count
+	treeIndex := (position - root + count) % count
 	var children []Peer
-	for child := place*core.settings.TreeFanout + 1; child <= (place+1)*core.settings.TreeFanout && child < count; child++ {
+	for child := treeIndex*core.settings.TreeFanout + 1; child <= (treeIndex+1)*core.settings.TreeFanout && child < count; child++ {
 		children = append(children, core.zoneNodes[(child+root)%count])
 	}
 	return children
 }
 
-// pushDelta tells the zone what changed after a revision, unasked.
+// pushDelta sends the changes after a revision to the fleet without a request.
 func (core *Core) pushDelta(after int64, effects *Effects) {
 	if after == 0 {
-		return // this node has just started; others know it already
+		return // this node has just started; the others have this view already
 	}
-	changed := core.replica.DeltaPart(core.now, after, 0)
-	if changed.Part != nil {
-		core.sendDigest(effects) // they ask for it, in parts
+	update := core.replica.DeltaPart(core.now, after, 0)
+	if update.Part != nil {
+		core.sendDigest(effects) // the receivers request the delta in parts
 		return
 	}
-	delta := core.deltaMessage(changed)
+	outgoing := core.deltaMessage(update)
 	core.disseminate(effects, func(route message.Route) message.Message {
-		delta.Route = route
-		return delta
+		outgoing.Route = route
+		return outgoing
 	})
 }
 
-// deltaMessage says who reads and how old the view is with what it tells.
-func (core *Core) deltaMessage(told *view.Delta) message.ViewDelta {
-	delta := message.ViewDelta{Reading: core.watcherStatus(), Delta: *told}
+// deltaMessage returns a message with a delta, the designated watcher and the age of the view.
+func (core *Core) deltaMessage(update *view.Delta) message.ViewDelta {
+	outgoing := message.ViewDelta{Reading: core.watcherStatus(), Delta: *update}
 	if !core.verified {
-		delta.Unconfirmed = true
-		return delta
+		outgoing.Unconfirmed = true
+		return outgoing
 	}
-	delta.AgeMillis = core.age().Milliseconds()
-	return delta
+	outgoing.AgeMillis = core.age().Milliseconds()
+	return outgoing
 }
 
-// receive takes a message of a peer.
+// receive processes a message from a peer.
 func (core *Core) receive(from *PeerMessage, effects *Effects) {
 	switch received := from.Message.(type) {
 	case message.ViewDigest:
@@ -131,82 +133,86 @@
 	}
 }
 
+// applyDigest applies a digest. It forwards the digest only if it changes what this node knows:
+// after a pause, with another watcher, with unknown changes, or if it makes the view's age
+// noticeably lower.
 func (core *Core) applyDigest(from *PeerMessage, digest *message.ViewDigest, effects *Effects) {
-	news := core.now-core.lastUpdateAt >= core.settings.DigestInterval/2
+	relevant := core.now-core.lastUpdateAt >= core.settings.DigestInterval/2
 	core.lastUpdateAt = core.now
-	reader := core.watcher
+	previousWatcher := core.watcher
 	core.updateWatcher(digest.Reading, digest.Route)
-	news = news || core.watcher != reader
-	confirmedAt := core.now - time.Duration(digest.AgeMillis)*time.Millisecond
+	relevant = relevant || core.watcher != previousWatcher
+	verifiedAt := core.now - time.Duration(digest.AgeMillis)*time.Millisecond
 	switch {
 	case digest.LastNews > core.replica.Revision():
 		core.requestFrom(from.Address, effects)
-		news = true
+		relevant = true
 	case digest.Revision >= core.replica.Revision() && core.replica.Revision() > 0:
-		news = news || confirmedAt-core.verifiedAt >= minAgeGain
+		relevant = relevant || verifiedAt-core.verifiedAt >= minAgeGain
 		core.replica.Advance(digest.Revision)
-		core.markVerified(confirmedAt)
+		core.markVerified(verifiedAt)
 	}
-	if news {
+	if relevant {
 		core.forward(digest.Route, effects, func(route message.Route) message.Message {
-			passed := *digest
-			passed.Route = route
-			return passed
+			forwarded := *digest
+			forwarded.Route = route
+			return forwarded
 		})
 	}
 }
 
-// minAgeGain is by how much a digest must make a node's view younger to be
-// passed on: when many nodes read, as at the start of a fleet, one word does.
+// minAgeGain is the minimum amount by which a digest must reduce the age of a node's view to be
+// forwarded. When many nodes read at once, as at the start of a fleet, one digest is enough.
 const minAgeGain = 200 * time.Millisecond
 
-func (core *Core) applyDelta(from *PeerMessage, told *message.ViewDelta, effects *Effects) {
+// applyDelta applies a delta and forwards it along its route.
+func (core *Core) applyDelta(from *PeerMessage, received *message.ViewDelta, effects *Effects) {
 	core.lastUpdateAt = core.now
-	core.updateWatcher(told.Reading, told.Route)
-	if told.Delta.After > core.replica.Revision() {
+	core.updateWatcher(received.Reading, received.Route)
+	if received.Delta.After > core.replica.Revision() {
 		core.requestFrom(from.Address, effects)
 		return
 	}
-	if told.Delta.Part != nil {
-		core.applyPart(from, told, effects)
+	if received.Delta.Part != nil {
+		core.applyPart(from, received, effects)
 		return
 	}
 	core.setReplicaAge()
-	applied, changed := core.replica.ApplyDelta(core.now, &told.Delta)
-	core.forward(told.Route, effects, func(route message.Route) message.Message {
-		passed := *told
-		passed.Route = route
-		return passed
+	applied, changed := core.replica.ApplyDelta(core.now, &received.Delta)
+	core.forward(received.Route, effects, func(route message.Route) message.Message {
+		forwarded := *received
+		forwarded.Route = route
+		return forwarded
 	})
 	if !applied {
 		return
 	}
-	core.assembly = view.Assembly{} // its parts were asked for after an older revision
-	if !told.Unconfirmed {
-		core.markVerified(core.now - time.Duration(told.AgeMillis)*time.Millisecond)
+	core.assembly = view.Assembly{} // its parts start at an older revision
+	if !received.Unconfirmed {
+		core.markVerified(core.now - time.Duration(received.AgeMillis)*time.Millisecond)
 	}
 	if !changed {
 		return
 	}
 	core.recordChange(effects, string(from.From))
-	if core.verified && told.Route == (message.Route{}) && core.rank == 0 {
-		// It was asked for: the zone may lack it, too.
+	if core.verified && received.Route == (message.Route{}) && core.rank == 0 {
+		// This node requested the delta, so the rest of the zone may lack it too.
 		core.sendToZone(effects, func(route message.Route) message.Message { return core.digest(route) })
 	}
 }
 
-// applyPart takes a part of what this node lacks and asks for the next one, or takes it
-// all when that was the last. What it gives is as old as the oldest part, so that
-// nobody has confirmed it yet.
-func (core *Core) applyPart(from *PeerMessage, told *message.ViewDelta, effects *Effects) {
-	if told.Delta.Revision <= core.replica.Revision() {
-		core.assembly = view.Assembly{} // this node has learned as much in another way
+// applyPart adds a part of the requested delta and requests the next one. After the last part, it
+// applies the complete delta. The delta is only as current as its oldest part, so that it does not
+// verify the view.
+func (core *Core) applyPart(from *PeerMessage, received *message.ViewDelta, effects *Effects) {
+	if received.Delta.Revision <= core.replica.Revision() {
+		core.assembly = view.Assembly{} // the view has reached this revision by other means
 		return
 	}
-	before := core.assembly.NextBucket()
-	delta := core.assembly.Add(&told.Delta)
-	if delta == nil && core.assembly.NextBucket() == before {
-		return // it was asked for twice, or is of another delta
+	expected := core.assembly.NextBucket()
+	delta := core.assembly.Add(&received.Delta)
+	if delta == nil && core.assembly.NextBucket() == expected {
+		return // a duplicate, or a part of another delta
 	}
 	if delta != nil {
 		core.setReplicaAge()
@@ -214,6 +220,6 @@
 			core.recordChange(effects, string(from.From))
 		}
 	}
-	core.nextRequest = core.now // the question before has been answered
+	core.nextRequest = core.now // the previous request has been answered
 	core.requestFrom(from.Address, effects)
 }
--- a/internal/follower/evacuation_test.go
+++ b/internal/follower/evacuation_test.go
@@ -9,8 +9,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// unaware counts the living nodes whose evacuated zones are not those of the store.
-func (fleet *fleet) unaware(evacuated ...lb.Zone) int {
+// withOtherEvacuations counts the live nodes whose evacuated zones differ from the given ones.
+func (fleet *fleet) withOtherEvacuations(evacuated ...lb.Zone) int {
 	count := 0
 	for _, node := range fleet.nodes {
 		if !node.dead && !slices.Equal(node.core.Replica().Evacuated(), evacuated) {
@@ -20,10 +20,10 @@
 	return count
 }
 
-// TestEvacuationIsInForceWhateverFailsWithIt has readers or other nodes fail as a
-// zone is evacuated and again as it is restored, a node start in between, and the
-// store's history go. The time allowed is that of every other change.
-func TestEvacuationIsInForceWhateverFailsWithIt(t *testing.T) {
+// TestEvacuationTakesEffectDespiteFailures lets watchers or other nodes fail when a zone is
+// evacuated, and again when it is restored. In between, a node restarts, and the store may compact
+// its history. An evacuation must be in force within the same time as any other change.
+func TestEvacuationTakesEffectDespiteFailures(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		fleet := changeWithFailures(t, seed, defaultLimit)
@@ -32,34 +32,34 @@
 			fleet.compacted = fleet.store.Revision()
 		}
 		fleet.run(inForceLimit)
-		if unaware := fleet.unaware("zone-0"); unaware > 0 {
-			t.Errorf("seed %d: %d of %d nodes do not know of the evacuation", seed, unaware, len(fleet.nodes))
+		if outdated := fleet.withOtherEvacuations("zone-0"); outdated > 0 {
+			t.Errorf("seed %d: %d of %d nodes do not have the evacuation", seed, outdated, len(fleet.nodes))
 		}
 		for _, node := range fleet.nodes {
 			node.fault = faultNone
 		}
-		fleet.restart(fleet.living(random), seed+1000)
+		fleet.restart(fleet.randomAlive(random), seed+1000)
 		fleet.announce()
 		fleet.run(5 * time.Second)
-		if unaware := fleet.unaware("zone-0"); unaware > 0 {
-			t.Errorf("seed %d: %d nodes do not know of it after a restart", seed, unaware)
+		if outdated := fleet.withOtherEvacuations("zone-0"); outdated > 0 {
+			t.Errorf("seed %d: %d nodes do not have it after a restart", seed, outdated)
 		}
-		if silent := fleet.living(random); fleet.alive() > 1 { // somebody must reach the store
-			silent.fault = faultSilent
+		if unresponsive := fleet.randomAlive(random); fleet.countAlive() > 1 { // at least one node must reach the store
+			unresponsive.fault = faultUnresponsive
 		}
 		fleet.store.Restore("zone-0")
 		if random.IntN(2) == 0 {
 			fleet.compacted = fleet.store.Revision()
 		}
 		fleet.run(inForceLimit)
-		if unaware := fleet.unaware(); unaware > 0 {
-			t.Errorf("seed %d: %d nodes do not know that the zone is restored", seed, unaware)
+		if outdated := fleet.withOtherEvacuations(); outdated > 0 {
+			t.Errorf("seed %d: %d nodes still have the restored zone as evacuated", seed, outdated)
 		}
 	}
 }
 
-// living gives one of the living nodes.
-func (fleet *fleet) living(random *rand.Rand) *fleetNode {
+// randomAlive returns a random live node.
+func (fleet *fleet) randomAlive(random *rand.Rand) *fleetNode {
 	for {
 		if node := fleet.nodes[random.IntN(len(fleet.nodes))]; !node.dead {
 			return node
@@ -67,7 +67,8 @@
 	}
 }
 
-func (fleet *fleet) alive() int {
+// countAlive counts the live nodes.
+func (fleet *fleet) countAlive() int {
 	count := 0
 	for _, node := range fleet.nodes {
 		if !node.dead {
--- a/internal/follower/fleet_change_test.go
+++ b/internal/follower/fleet_change_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-func TestChangesInQuickSuccessionCostFewCalls(t *testing.T) {
+func TestFrequentChangesTakeFewReads(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 1, 4, 1)
+	fleet := settledFleet(t, 1, 4, 1)
 	before := fleet.calls()
 	for version := range uint64(40) {
 		fleet.store.Configure(version+2, 80)
@@ -21,13 +21,13 @@
 	is.Equal(fleet.behind(), 0)
 }
 
-// inForceLimit is the time in which a change must be in force everywhere, with
-// some room below the bound of 3 s that users ask for.
+// inForceLimit is the time within which a change must be in force everywhere. It leaves some margin
+// below the guaranteed bound of 3 s.
 const inForceLimit = 2600 * time.Millisecond
 
-// TestChangeIsInForceWhateverFailsWithIt has the readers, or any other nodes,
-// fail at the moment of a change in every way, at every phase of their watch.
-func TestChangeIsInForceWhateverFailsWithIt(t *testing.T) {
+// TestChangeTakesEffectDespiteFailures lets watchers or other nodes fail in every way at the moment
+// of a change, at all phases of their watches.
+func TestChangeTakesEffectDespiteFailures(t *testing.T) {
 	for _, limit := range []time.Duration{defaultLimit, time.Second, maxLimit} {
 		for seed := range uint64(60) {
 			fleet := changeWithFailures(t, seed, limit)
@@ -40,18 +40,19 @@
 	}
 }
 
-// changeWithFailures gives a fleet in which some nodes fail as a change is written.
+// changeWithFailures returns a fleet in which some nodes fail at the moment at which a change is
+// written.
 func changeWithFailures(t *testing.T, seed uint64, limit time.Duration) *fleet {
-	faults := []storeFault{faultSilent, faultRefused, faultThrottled}
+	faults := []storeFault{faultUnresponsive, faultRefused, faultThrottled}
 	random := rand.New(rand.NewPCG(seed, 2))
-	fleet := calmWithin(t, 1+int(seed%3), 2+random.IntN(4), seed, limit)
+	fleet := settledFleetWithin(t, 1+int(seed%3), 2+random.IntN(4), seed, limit)
 	fleet.run(time.Duration(random.IntN(200)) * simulationStep)
-	hit := fleet.readers()
+	failing := fleet.watchers()
 	if random.IntN(3) == 0 {
-		hit = append(hit, fleet.nodes[random.IntN(len(fleet.nodes))])
+		failing = append(failing, fleet.nodes[random.IntN(len(fleet.nodes))])
 	}
 	alive := len(fleet.nodes)
-	for _, node := range hit {
+	for _, node := range failing {
 		if random.IntN(2) == 0 {
 			node.fault = faults[random.IntN(len(faults))]
 		} else if !node.dead && alive > 1 {
--- a/internal/follower/fleet_dissemination_test.go
+++ b/internal/follower/fleet_dissemination_test.go
@@ -10,10 +10,10 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// TestAgeIsTold: a node that does not read knows how old its view is.
-func TestAgeIsTold(t *testing.T) {
+// TestAgeIsDisseminated checks that nodes that do not read the store know the age of their views.
+func TestAgeIsDisseminated(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 1, 3, 1)
+	fleet := settledFleet(t, 1, 3, 1)
 	for range 30 {
 		fleet.run(100 * time.Millisecond)
 		for _, node := range fleet.nodes {
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, node := range fleet.nodes {
-		node.fault = faultSilent
+		node.fault = faultUnresponsive
 	}
 	fleet.run(5 * time.Second)
 	for _, node := range fleet.nodes {
@@ -32,11 +32,11 @@
 	}
 }
 
-// TestTellingDoesNotGrowWithTheZone: however many nodes a zone has, each sends
-// few messages, a change reaches all of them, and one node reads.
-func TestTellingDoesNotGrowWithTheZone(t *testing.T) {
+// TestMessagesPerNodeDoNotGrowWithTheZone checks that in a large zone, each node sends only a few
+// messages, a change reaches all nodes, and only one node reads the store.
+func TestMessagesPerNodeDoNotGrowWithTheZone(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 2, 100, 1)
+	fleet := settledFleet(t, 2, 100, 1)
 	before := fleet.calls()
 	fleet.store.Configure(2, 81)
 	fleet.run(500 * time.Millisecond)
@@ -45,25 +45,25 @@
 	is.True(fleet.calls()-before <= 10)
 	for _, node := range fleet.nodes {
 		for second, sent := range node.sent {
-			if second > 3 { // the start is over
-				is.True(sent <= 5*8) // at most five rounds of TreeWidth
+			if second > 3 { // after the start
+				is.True(sent <= 5*8) // at most five rounds to TreeFanout children
 			}
 		}
 	}
 }
 
-// TestWholeViewsAreBounded: a node that many ask for its whole view answers a
-// few of them at a time.
+// TestWholeViewsAreBounded checks that a node that receives many requests for its whole view
+// answers only a few of them per tick.
 func TestWholeViewsAreBounded(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 1, 2, 1)
+	fleet := settledFleet(t, 1, 2, 1)
 	seed := fleet.nodes[0]
 	var effects Effects
 	answered := 0
-	for asker := range 100 {
-		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, byte(asker)}), 7946)
-		want := &PeerMessage{From: "asker", Address: address, Message: message.ViewWant{}}
-		seed.core.Step(fleet.now, &Event{Message: want}, &effects)
+	for requester := range 100 {
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, byte(requester)}), 7946)
+		request := &PeerMessage{From: "requester", Address: address, Message: message.ViewWant{}}
+		seed.core.Step(fleet.now, &Event{Message: request}, &effects)
 		is.Equal(len(effects.Messages), 0)
 	}
 	seed.core.Step(fleet.now, &Event{}, &effects)
@@ -76,17 +76,17 @@
 	is.Equal(answered, maxLargeAnswers)
 }
 
-// TestWholeViewIsOnItsWay: a node that asks again before the answer can have
-// come is not answered again; later it is.
-func TestWholeViewIsOnItsWay(t *testing.T) {
+// TestRepeatedWholeViewRequestIsIgnored checks that a node does not answer a repeated request while
+// the first answer may be in transit, but answers it later.
+func TestRepeatedWholeViewRequestIsIgnored(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 1, 2, 1)
+	fleet := settledFleet(t, 1, 2, 1)
 	seed := fleet.nodes[0]
 	address := netip.MustParseAddrPort("10.9.0.1:7946")
 	var effects Effects
-	wholes := func() int {
-		want := &PeerMessage{From: "asker", Address: address, Message: message.ViewWant{}}
-		seed.core.Step(fleet.now, &Event{Message: want}, &effects)
+	wholeViews := func() int {
+		request := &PeerMessage{From: "requester", Address: address, Message: message.ViewWant{}}
+		seed.core.Step(fleet.now, &Event{Message: request}, &effects)
 		seed.core.Step(fleet.now, &Event{}, &effects)
 		count := 0
 		for _, outgoing := range effects.Messages {
@@ -96,20 +96,21 @@
 		}
 		return count
 	}
-	is.Equal(wholes(), 1)
+	is.Equal(wholeViews(), 1)
 	fleet.now += largeAnswerInterval / 2
-	is.Equal(wholes(), 0)
+	is.Equal(wholeViews(), 0)
 	fleet.now += largeAnswerInterval / 2
-	is.Equal(wholes(), 1)
+	is.Equal(wholeViews(), 1)
 }
 
-// TestNewNodeVouchesForNoOlderView: a back end goes while a node cannot read;
-// a node that starts then, and never knew of it, does not hide that.
-func TestNewNodeVouchesForNoOlderView(t *testing.T) {
+// TestNewNodeDoesNotVerifyOlderViews guards against a deletion that a node never learns of. A back
+// end is deleted while the node cannot read the store. A peer that starts afterwards has never had
+// the back end in its view. Its digests must not make the older view appear current.
+func TestNewNodeDoesNotVerifyOlderViews(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 1, 2, 1)
-	old, started := fleet.nodes[0], fleet.nodes[1]
-	old.fault = faultRefused
+	fleet := settledFleet(t, 1, 2, 1)
+	outdated, started := fleet.nodes[0], fleet.nodes[1]
+	outdated.fault = faultRefused
 	started.dead = true
 	fleet.announce()
 	fleet.store.Remove("a")
@@ -118,6 +119,6 @@
 	started.read = nil
 	fleet.announce()
 	fleet.run(inForceLimit)
-	is.Equal(old.core.Replica().Revision(), fleet.store.Revision())
-	is.True(old.core.Replica().Backends()[0].Gone)
+	is.Equal(outdated.core.Replica().Revision(), fleet.store.Revision())
+	is.True(outdated.core.Replica().Backends()[0].Gone)
 }
--- a/internal/follower/fleet_store_test.go
+++ b/internal/follower/fleet_store_test.go
@@ -8,19 +8,19 @@
 	"github.com/matryer/is"
 )
 
-func TestOneNodeOfTheFleetReads(t *testing.T) {
+func TestOneNodeReadsForTheFleet(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 3, 4, 1)
+	fleet := settledFleet(t, 3, 4, 1)
 	is.Equal(fleet.behind(), 0)
-	is.Equal(len(fleet.readers()), 1)
+	is.Equal(len(fleet.watchers()), 1)
 	before := fleet.calls()
 	fleet.run(15 * time.Second)
-	is.True(fleet.calls()-before <= 12) // a watch of 1.4 s, nothing else
+	is.True(fleet.calls()-before <= 12) // only watches of 1.4 s each
 }
 
-func TestNodesWithoutTheStoreLearnFromOthers(t *testing.T) {
+func TestNodesWithoutStoreAccessReceiveChanges(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 2, 3, 1)
+	fleet := settledFleet(t, 2, 3, 1)
 	for _, node := range fleet.nodes {
 		if node.zone == "zone-1" {
 			node.fault = faultRefused // the whole zone
@@ -32,11 +32,11 @@
 	is.Equal(fleet.behind(), 0)
 }
 
-func TestNodeStartsFromPeersWhileTheStoreIsDown(t *testing.T) {
+func TestNodeStartsFromPeersDuringOutage(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 1, 3, 1)
+	fleet := settledFleet(t, 1, 3, 1)
 	for _, node := range fleet.nodes {
-		node.fault = faultSilent
+		node.fault = faultUnresponsive
 	}
 	restarted := fleet.nodes[2]
 	settings := DefaultSettings(restarted.id, restarted.zone, 9)
@@ -48,15 +48,17 @@
 	is.Equal(fleet.behind(), 0)
 }
 
-func TestOutageCostsFewCallsAndEndsQuickly(t *testing.T) {
+// TestRecoveryFromOutage checks that an outage of the store costs few reads per node, and that all
+// nodes have the changes soon after its end.
+func TestRecoveryFromOutage(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 3, 3, 1)
+	fleet := settledFleet(t, 3, 3, 1)
 	for _, node := range fleet.nodes {
 		node.fault = faultRefused
 	}
 	before := fleet.calls()
 	fleet.run(10 * time.Second)
-	is.True(fleet.calls()-before <= 9*14) // about one a second for each node
+	is.True(fleet.calls()-before <= 9*14) // about one read per second and node
 	fleet.store.Configure(2, 81)
 	for _, node := range fleet.nodes {
 		node.fault = faultNone
@@ -65,16 +67,16 @@
 	is.Equal(fleet.behind(), 0)
 }
 
-func TestLostHistoryIsListedAgain(t *testing.T) {
+func TestCompactedHistoryIsListedAgain(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 2, 2, 1)
-	reader := fleet.readers()[0]
-	reader.fault = faultSilent
+	fleet := settledFleet(t, 2, 2, 1)
+	watcher := fleet.watchers()[0]
+	watcher.fault = faultUnresponsive
 	fleet.store.Configure(2, 81)
 	fleet.store.Remove("a")
 	fleet.compacted = fleet.store.Revision()
 	fleet.run(200 * time.Millisecond)
-	reader.fault = faultNone
+	watcher.fault = faultNone
 	fleet.run(3 * time.Second)
 	is.Equal(fleet.behind(), 0)
 	for _, node := range fleet.nodes {
@@ -82,14 +84,14 @@
 	}
 }
 
-// TestFirstStartOfAFleetListsAtFewNodes: there is no snapshot yet. Whoever reads first leaves
-// one, and the others wait for it, or for a view of a peer.
-func TestFirstStartOfAFleetListsAtFewNodes(t *testing.T) {
-	for _, backends := range []int{1, 6000} { // a peer tells all of it in one message, or in parts
+// TestFewNodesListAtFirstStart starts a fleet without a snapshot. The first nodes to read write
+// one, and the others wait for it, or for the view of a peer, instead of listing all entries.
+func TestFewNodesListAtFirstStart(t *testing.T) {
+	for _, backends := range []int{1, 6000} { // a peer sends the view in one message, or in parts
 		is := is.New(t)
 		fleet := newFleet(t, 3, 40, 1, maxLimit)
 		fleet.store.Configure(1, 80, 81)
-		fill(fleet.store, backends)
+		putMany(fleet.store, backends)
 		fleet.run(200 * time.Millisecond)
 		fleet.announce()
 		fleet.run(4 * time.Second)
@@ -97,29 +99,31 @@
 		listed := 0
 		for _, node := range fleet.nodes {
 			listed += node.listed
-			_, confirmed := node.core.Age(fleet.now)
-			is.True(confirmed)
+			_, verified := node.core.Age(fleet.now)
+			is.True(verified)
 		}
 		is.True(listed <= 3)
 	}
 }
 
-// TestFirstStartWithoutSeeds: those that wait for a snapshot that nobody leaves list at last.
+// TestFirstStartWithoutSeeds checks that nodes list all entries eventually if no seed is alive to
+// write a snapshot.
 func TestFirstStartWithoutSeeds(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(t, 3, 10, 1, maxLimit)
 	fleet.store.Configure(1, 80, 81)
-	fill(fleet.store, 10)
-	fleet.nodes[0].dead = true // the seed of all others
+	putMany(fleet.store, 10)
+	fleet.nodes[0].dead = true // the only seed of the others
 	fleet.run(200 * time.Millisecond)
 	fleet.announce()
 	fleet.run(9 * time.Second)
 	is.Equal(fleet.behind(), 0)
 }
 
-// TestStartOfAFleetCostsFewCalls: one of the nodes goes on reading before the others lose patience.
-func TestStartOfAFleetCostsFewCalls(t *testing.T) {
+// TestFleetStartTakesFewReads checks that one node continues to read before the other nodes start
+// to read as well.
+func TestFleetStartTakesFewReads(t *testing.T) {
 	is := is.New(t)
-	fleet := calm(t, 3, 20, 1)   // 10 s
-	is.True(fleet.calls() <= 14) // listings apart, which may be stale
+	fleet := settledFleet(t, 3, 20, 1) // takes 10 s
+	is.True(fleet.calls() <= 14)       // excluding listings that may be stale
 }
--- a/internal/follower/fleet_test.go
+++ b/internal/follower/fleet_test.go
@@ -19,14 +19,14 @@
 	storeDelay     = 20 * time.Millisecond
 )
 
-// storeFault is what the store does to the calls of one node.
+// storeFault is how the store fails for the reads of one node.
 type storeFault string
 
 const (
-	faultNone      storeFault = ""
-	faultSilent    storeFault = "silent" // no answer before the timeout
-	faultRefused   storeFault = "refused"
-	faultThrottled storeFault = "throttled"
+	faultNone         storeFault = ""
+	faultUnresponsive storeFault = "unresponsive" // no answer before the timeout
+	faultRefused      storeFault = "refused"
+	faultThrottled    storeFault = "throttled"
 )
 
 // fleetNode is one simulated node.
@@ -38,15 +38,16 @@
 	core    *Core
 	dead    bool
 	fault   storeFault
-	stuck   bool // the connection of the call under way has fallen silent; the next call opens another
+	stuck   bool // the connection of the pending read is stalled; the next read opens a new one
 	read    *Read
-	readAt  time.Duration // when read was started
-	calls   int           // stale ones, which cost a tenth, apart
-	stale   int
-	listed  int                   // how often it listed all entries
-	sent    map[time.Duration]int // messages, by second
+	readAt  time.Duration         // when the pending read was started
+	calls   int                   // reads and writes, without reads that may be stale, which cost a tenth
+	stale   int                   // reads that may be stale
+	listed  int                   // listings of all entries
+	sent    map[time.Duration]int // number of messages, by second
 }
 
+// delivery is a message in transit.
 type delivery struct {
 	at   time.Duration
 	from *fleetNode
@@ -54,21 +55,22 @@
 	sent message.Message
 }
 
-// fleet runs followers in virtual time against a modelled store.
+// fleet runs followers in virtual time against a model of the store.
 type fleet struct {
-	t          *testing.T
-	store      *viewtest.Store
-	compacted  int64          // history up to here is gone
-	snapshot   *view.Snapshot // that was left in the store
-	older      *view.Listing  // what stale listings give; nil: the present state
-	nodes      []*fleetNode
-	deliveries []delivery
-	listDelay  time.Duration // what a listing takes besides storeDelay
-	deaf       *fleetNode    // hears only what it has asked for
-	cut        lb.Zone       // its nodes reach no other zone, but the store
-	now        time.Duration
+	t               *testing.T
+	store           *viewtest.Store
+	compacted       int64          // the history up to this revision is compacted
+	snapshot        *view.Snapshot // the last snapshot written to the store
+	staleListing    *view.Listing  // the result of stale listings; nil: the present state
+	nodes           []*fleetNode
+	deliveries      []delivery
+	listDelay       time.Duration // additional duration of a listing, besides storeDelay
+	requestsOnly    *fleetNode    // receives only answers to its requests
+	partitionedZone lb.Zone       // nodes of this zone reach the store, but no other zone
+	now             time.Duration
 }
 
+// newFleet returns a fleet that has not started.
 func newFleet(t *testing.T, zones, perZone int, seed uint64, limit time.Duration) *fleet {
 	fleet := &fleet{t: t, store: viewtest.NewStore()}
 	for zone := range zones {
@@ -87,7 +89,7 @@
 	return fleet
 }
 
-// settingsOf gives the settings of a node; the first one is the seed of the others.
+// settingsOf returns the settings of a node. The first node of the fleet is the seed of all others.
 func (fleet *fleet) settingsOf(node *fleetNode, seed uint64) Settings {
 	settings := DefaultSettings(node.id, node.zone, seed)
 	settings.IsSeed = node == fleet.nodes[0]
@@ -97,7 +99,7 @@
 	return settings
 }
 
-// announce tells every node who is alive, as the membership does.
+// announce passes the live nodes to every node, as the membership does.
 func (fleet *fleet) announce() {
 	var peers []Peer
 	for _, node := range fleet.nodes {
@@ -110,6 +112,7 @@
 	}
 }
 
+// step passes an event to a node and processes its effects.
 func (fleet *fleet) step(node *fleetNode, event *Event) {
 	if node.dead {
 		return
@@ -144,7 +147,7 @@
 	node.calls++
 }
 
-// run lets the time pass.
+// run advances the virtual time.
 func (fleet *fleet) run(duration time.Duration) {
 	for end := fleet.now + duration; fleet.now < end; {
 		fleet.now += simulationStep
@@ -158,6 +161,7 @@
 	}
 }
 
+// deliver delivers the messages that are due.
 func (fleet *fleet) deliver() {
 	var later []delivery
 	due := fleet.deliveries
@@ -167,12 +171,12 @@
 			later = append(later, item)
 			continue
 		}
-		if tooLong(item.sent) {
+		if isTooLong(item.sent) {
 			continue
 		}
 		for _, node := range fleet.nodes {
-			apart := node.zone != item.from.zone && (node.zone == fleet.cut || item.from.zone == fleet.cut)
-			if node.address == item.to && !apart && !(node == fleet.deaf && routed(item.sent)) {
+			separated := node.zone != item.from.zone && (node.zone == fleet.partitionedZone || item.from.zone == fleet.partitionedZone)
+			if node.address == item.to && !separated && !(node == fleet.requestsOnly && routed(item.sent)) {
 				fleet.step(node, &Event{Message: &PeerMessage{From: item.from.id, Address: item.from.address, Message: item.sent}})
 			}
 		}
@@ -180,28 +184,28 @@
 	fleet.deliveries = append(later, fleet.deliveries...)
 }
 
-// tooLong tells whether the transport would drop a message.
-func tooLong(sent message.Message) bool {
-	told, found := sent.(message.ViewDelta)
-	if !found || len(told.Delta.Backends) < 1000 {
+// isTooLong returns whether the transport would drop a message because of its size.
+func isTooLong(sent message.Message) bool {
+	delta, found := sent.(message.ViewDelta)
+	if !found || len(delta.Delta.Backends) < 1000 {
 		return false
 	}
-	_, err := message.Encode(nil, "n", told)
+	_, err := message.Encode(nil, "n", delta)
 	return err != nil
 }
 
-// routed tells whether a message comes unasked, down a tree.
+// routed returns whether a message is sent without a request, through a tree.
 func routed(sent message.Message) bool {
-	switch told := sent.(type) {
+	switch received := sent.(type) {
 	case message.ViewDigest:
-		return told.Route != (message.Route{})
+		return received.Route != (message.Route{})
 	case message.ViewDelta:
-		return told.Route != (message.Route{})
+		return received.Route != (message.Route{})
 	}
 	return false
 }
 
-// answer ends a node's call if its time has come.
+// answer completes the pending read of a node if it is due.
 func (fleet *fleet) answer(node *fleetNode) {
 	if node.read == nil || node.dead {
 		return
@@ -221,7 +225,7 @@
 		result.Failure = FailureUnavailable
 	case node.fault == faultThrottled:
 		result.Failure = FailureThrottled
-	case node.fault == faultSilent:
+	case node.fault == faultUnresponsive:
 		if waited < node.read.Timeout {
 			return
 		}
@@ -230,9 +234,9 @@
 		result.Failure = FailureMissing
 	case node.read.Kind == ReadSnapshot:
 		result.Snapshot = fleet.snapshot
-	case node.read.Stale && fleet.older != nil:
-		older := *fleet.older
-		result.Listing = &older
+	case node.read.Stale && fleet.staleListing != nil:
+		listing := *fleet.staleListing
+		result.Listing = &listing
 	case node.read.Kind == ReadList:
 		result.Listing = fleet.store.List()
 	case node.read.After < fleet.compacted:
@@ -246,7 +250,7 @@
 	fleet.step(node, &Event{Read: &result})
 }
 
-// publish ends the writing of a snapshot at once.
+// publish completes the write of a snapshot immediately.
 func (fleet *fleet) publish(node *fleetNode, publication *Publication) {
 	result := PublishResult{Publication: *publication}
 	if node.fault == faultNone {
@@ -258,7 +262,7 @@
 	fleet.step(node, &Event{Published: &result})
 }
 
-// behind counts the living nodes without the store's last change.
+// behind counts the live nodes that lack the store's last change.
 func (fleet *fleet) behind() int {
 	count := 0
 	for _, node := range fleet.nodes {
@@ -269,6 +273,7 @@
 	return count
 }
 
+// calls returns the number of reads and writes of all nodes, without reads that may be stale.
 func (fleet *fleet) calls() int {
 	sum := 0
 	for _, node := range fleet.nodes {
@@ -277,13 +282,13 @@
 	return sum
 }
 
-// calm gives a fleet that has started and settled.
-func calm(t *testing.T, zones, perZone int, seed uint64) *fleet {
-	return calmWithin(t, zones, perZone, seed, defaultLimit)
+// settledFleet returns a fleet that has started and settled.
+func settledFleet(t *testing.T, zones, perZone int, seed uint64) *fleet {
+	return settledFleetWithin(t, zones, perZone, seed, defaultLimit)
 }
 
-// calmWithin is calm with settings for a limit.
-func calmWithin(t *testing.T, zones, perZone int, seed uint64, limit time.Duration) *fleet {
+// settledFleetWithin returns a settled fleet with settings for a limit.
+func settledFleetWithin(t *testing.T, zones, perZone int, seed uint64, limit time.Duration) *fleet {
 	fleet := newFleet(t, zones, perZone, seed, limit)
 	fleet.store.Configure(1, 80, 81)
 	fleet.store.Put("a", lb.BackendActive)
@@ -293,12 +298,13 @@
 	return fleet
 }
 
-func (fleet *fleet) readers() []*fleetNode {
-	var readers []*fleetNode
+// watchers returns the nodes that consider themselves the designated watcher, including dead ones.
+func (fleet *fleet) watchers() []*fleetNode {
+	var watchers []*fleetNode
 	for _, node := range fleet.nodes {
 		if node.core.Reads() {
-			readers = append(readers, node)
+			watchers = append(watchers, node)
 		}
 	}
-	return readers
+	return watchers
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,8 +1,8 @@
-// Package follower keeps a balancer's view as new as the store's: it decides
-// who reads the store for whom, when, and what balancers tell each other. One
-// node reads for the fleet; one whose view has not been confirmed in time
-// reads itself. There is no leader that safety rests on: a second reader costs
-// calls, nothing else. It is a deterministic core without I/O, clock or global
+// Package follower keeps a balancer's view as current as the store. It decides which node reads the
+// store for which others, and when, and what balancers send to each other. One node, the designated
+// watcher, reads the store for the fleet. A node whose view has not been verified in time reads the
+// store itself. Correctness does not depend on a single watcher: a second one costs requests to the
+// store, but does no other harm. The package is a deterministic core without I/O, clock or global
 // randomness; see docs/design-platform.md, "Reading the store".
 package follower
 
@@ -14,7 +14,7 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// sourceStore is the Source of what the store itself has told.
+// sourceStore is the Source of changes that were read from the store.
 const sourceStore = "store"
 
 // Core is the follower of one node. It is not safe for concurrent use.
@@ -26,62 +26,68 @@
 	started  bool
 	startAt  time.Duration
 
-	peers []Peer // without self
-	// rank is this node's place among the staying nodes of its zone.
+	peers []Peer // without this node
+	// rank is this node's position among the nodes of its zone, in rendezvous order with leaving
+	// nodes last.
 	rank int
-	// zoneRank is the place of its zone, by the first nodes of all zones.
+	// zoneRank is the position of this node's zone among all zones, which are ordered by their
+	// first nodes.
 	zoneRank int
-	// relays are the first nodes of the other zones.
+	// relays are the first nodes of the other zones. They forward messages within their zones.
 	relays []Peer
-	// acting: this node reads the store for the others.
+	// active is set while this node is the designated watcher, which reads the store for the
+	// others.
 	active bool
-	// watcher is who else was last heard to do so; readerGone: it stops or has
-	// ended, noticed at readerGoneAt, and nobody has taken over yet.
-	watcher       lb.NodeID
-	watcherAvailable  bool // it is among peers
-	watcherLost   bool
-	watcherLostAt time.Duration
-	// readerLists: it then listed all entries.
+	// watcher is the other node that was last reported as the designated watcher. watcherLost is
+	// set if that node is leaving or has failed, which this node noticed at watcherLostAt, and no
+	// other node has taken over yet.
+	watcher          lb.NodeID
+	watcherAvailable bool // it is among peers and not leaving
+	watcherLost      bool
+	watcherLostAt    time.Duration
+	// watcherListing is set if the watcher was listing all entries at its last report.
 	watcherListing bool
-	// watcherReportedAt is when the reader last said that it reads, directly or through others.
+	// watcherReportedAt is the time at which the watcher last stated that it reads the store,
+	// whether the report arrived directly or through other nodes.
 	watcherReportedAt time.Duration
-	// largeRequests are those who want the whole view, or a part.
+	// largeRequests are the queued requests for the whole view or for a part.
 	largeRequests []largeRequest
-	// answeredAt is when they were last answered, for longInterval.
+	// answeredAt contains when large requests were answered, for the last largeAnswerInterval.
 	answeredAt map[largeRequest]time.Duration
-	// assembly has the parts that have come of what this node lacks.
+	// assembly contains the received parts of the delta that this node lacks.
 	assembly view.Assembly
-	// zoneNodes are the nodes of the own zone by rank, self included, those that
-	// leave behind the others.
+	// zoneNodes are the nodes of the local zone by rank, including this one, with leaving nodes
+	// last.
 	zoneNodes []Peer
-	// leaves: this node is in a planned stop.
+	// leaving is set during a planned stop of this node.
 	leaving bool
 
-	// verifyDelay is how long after its start this node waits for others to
-	// confirm its first view.
+	// verifyDelay is how long after its start this node waits for others to verify its first view
+	// before it reads the store.
 	verifyDelay time.Duration
-	// listDelay is how long after its start it lists entries where no snapshot is.
-	listDelay   time.Duration
-	verifiedAt time.Duration // when the view was last known to be the newest
-	verified   bool
-	lastUpdateAt     time.Duration // when a peer last told of the view
-	readPending     bool
-	readAt      time.Duration // when the call under way, or the last one, was started
-	needsListing      bool          // the history is gone
-	noSnapshot  bool          // the store has none that can be used
-	snapshotMisses      int           // how often it had none
-	publishPending  bool
-	publishedRevision   int64 // the store's revision of the last snapshot written by this node
-	nextPublish time.Duration
-	nextRead    time.Duration
-	failures    int
-	nextDigest  time.Duration
-	nextRequest    time.Duration
-	requestCount       int // how often others were asked before the first view was confirmed
-	nextPrune   time.Duration
+	// listDelay is how long after its start this node waits for a snapshot before it lists all
+	// entries.
+	listDelay         time.Duration
+	verifiedAt        time.Duration // the latest time at which the view was known to be current
+	verified          bool
+	lastUpdateAt      time.Duration // when a peer last sent a message about the view
+	readPending       bool
+	readAt            time.Duration // when the pending read, or else the last one, was started
+	needsListing      bool          // the store has compacted the history after the replica's revision
+	noSnapshot        bool          // the store has no usable snapshot
+	snapshotMisses    int           // how often the store had no snapshot
+	publishPending    bool
+	publishedRevision int64 // the store's revision of the last snapshot that this node wrote
+	nextPublish       time.Duration
+	nextRead          time.Duration
+	failures          int
+	nextDigest        time.Duration
+	nextRequest       time.Duration
+	requestCount      int // number of requests to peers before the first view was verified
+	nextPrune         time.Duration
 }
 
-// New gives a follower that knows nothing.
+// New returns a follower with an empty view.
 func New(settings Settings) *Core {
 	core := &Core{
 		settings: settings,
@@ -95,21 +101,23 @@
 	return core
 }
 
-// Replica is the view. The caller does not change it.
+// Replica returns the view. The caller must not change it.
 func (core *Core) Replica() *view.Replica { return core.replica }
 
-// Age is the time since the view was last known to be the newest; false: it never was.
+// Age returns the time since the view was last known to be current. The second result is false if
+// it never was.
 func (core *Core) Age(now time.Duration) (time.Duration, bool) {
 	return now - core.verifiedAt, core.verified
 }
 
-// Rank is this node's place among those of its zone, by which they lose patience.
+// Rank returns this node's position among the nodes of its zone in the takeover order.
 func (core *Core) Rank() int { return core.rank }
 
-// Reads tells whether this node reads the store for the others.
+// Reads returns whether this node is the designated watcher.
 func (core *Core) Reads() bool { return core.active }
 
-// Step takes one event at a time that never goes back and fills effects.
+// Step processes one event and fills effects. If the time is earlier than in the previous step, the
+// core keeps the previous time.
 func (core *Core) Step(now time.Duration, event *Event, effects *Effects) {
 	*effects = Effects{Messages: effects.Messages[:0]}
 	core.now = max(now, core.now)
@@ -133,6 +141,8 @@
 	effects.Publication = core.duePublication()
 }
 
+// tick prunes the view, requests it from peers if necessary, and sends answers and digests that are
+// due.
 func (core *Core) tick(effects *Effects) {
 	if core.now >= core.nextPrune {
 		core.nextPrune = core.now + time.Second
@@ -152,12 +162,13 @@
 	}
 }
 
+// recordChange records in effects that the view has changed.
 func (core *Core) recordChange(effects *Effects, source string) {
 	effects.Changed = true
 	effects.Source = source
 }
 
-// markVerified notes that the view was the newest at the time.
+// markVerified records that the view was current at a time.
 func (core *Core) markVerified(at time.Duration) {
 	if !core.verified || at > core.verifiedAt {
 		core.verified = true
@@ -165,11 +176,12 @@
 	}
 }
 
-// setReplicaAge tells the replica how old it is, before something is applied to it.
+// setReplicaAge passes the view's age to the replica before an update is applied.
 func (core *Core) setReplicaAge() {
 	if core.verified {
 		core.replica.NoteAge(core.age())
 	}
 }
 
+// age returns the time since the view was last known to be current.
 func (core *Core) age() time.Duration { return core.now - core.verifiedAt }
--- a/internal/follower/parts_test.go
+++ b/internal/follower/parts_test.go
@@ -13,53 +13,55 @@
 	"robinpulley.example/robinpulley/internal/view/viewtest"
 )
 
-// fill writes the entries of back ends.
-func fill(store *viewtest.Store, count int) {
+// putMany writes the entries of many back ends.
+func putMany(store *viewtest.Store, count int) {
 	for index := range count {
 		store.Put(lb.BackendName(fmt.Sprintf("i-%08x", uint32(index)*2654435761)), lb.BackendActive)
 	}
 }
 
-// pair is two nodes, one of which has a confirmed view.
+// pair is a sender with a verified view and a requester that starts without one.
 type pair struct {
-	t             *testing.T
-	teller, asker *Core
-	now           time.Duration
-	lost          int // the message to the asker that is lost, from 1
-	sent          int
+	t                 *testing.T
+	sender, requester *Core
+	now               time.Duration
+	lost              int // index of the message to the requester that is lost, from 1
+	sent              int // number of messages to the requester
 }
 
 var (
-	tellerAddress = netip.MustParseAddrPort("10.0.0.1:7946")
-	askerAddress  = netip.MustParseAddrPort("10.0.0.2:7946")
+	senderAddress    = netip.MustParseAddrPort("10.0.0.1:7946")
+	requesterAddress = netip.MustParseAddrPort("10.0.0.2:7946")
 )
 
+// newPair returns a pair whose sender has the store's present state.
 func newPair(t *testing.T, store *viewtest.Store) *pair {
-	p := &pair{t: t, teller: New(DefaultSettings("teller", "zone", 1)), asker: New(DefaultSettings("asker", "zone", 2))}
-	p.asker.settings.Seeds = []netip.AddrPort{tellerAddress}
+	p := &pair{t: t, sender: New(DefaultSettings("sender", "zone", 1)), requester: New(DefaultSettings("requester", "zone", 2))}
+	p.requester.settings.Seeds = []netip.AddrPort{senderAddress}
 	var effects Effects
-	p.teller.Step(0, &Event{}, &effects)
-	p.teller.Step(0, &Event{Read: &ReadResult{Read: Read{Kind: ReadList}, Listing: store.List()}}, &effects)
-	p.asker.Step(0, &Event{}, &effects)
+	p.sender.Step(0, &Event{}, &effects)
+	p.sender.Step(0, &Event{Read: &ReadResult{Read: Read{Kind: ReadList}, Listing: store.List()}}, &effects)
+	p.requester.Step(0, &Event{}, &effects)
 	return p
 }
 
-// run ticks both nodes for a time and carries their messages, each of which must be one
-// that the transport takes.
+// run sends ticks to both nodes for a time and delivers their messages. The transport must accept
+// each message.
 func (p *pair) run(duration time.Duration) {
 	for end := p.now + duration; p.now < end; {
 		p.now += 10 * time.Millisecond
-		p.step(p.teller, &Event{})
-		p.step(p.asker, &Event{})
+		p.step(p.sender, &Event{})
+		p.step(p.requester, &Event{})
 	}
 }
 
+// step passes an event to a node and delivers the resulting messages.
 func (p *pair) step(core *Core, event *Event) {
 	var effects Effects
 	core.Step(p.now, event, &effects)
-	to, from, address := p.asker, lb.NodeID("teller"), tellerAddress
-	if core == p.asker {
-		to, from, address = p.teller, "asker", askerAddress
+	to, from, address := p.requester, lb.NodeID("sender"), senderAddress
+	if core == p.requester {
+		to, from, address = p.sender, "requester", requesterAddress
 	}
 	for _, outgoing := range effects.Messages {
 		line, err := message.Encode(nil, from, outgoing.Message)
@@ -70,7 +72,7 @@
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		if to == p.asker {
+		if to == p.requester {
 			if p.sent++; p.sent == p.lost {
 				continue
 			}
@@ -79,61 +81,62 @@
 	}
 }
 
-// TestWholeViewOfAnySizeIsTold: the load is that of a node that starts, or was cut off for
-// long, while the store is away. No size makes a message that cannot be sent; a part that
-// is lost is asked for again, and no other with it.
-func TestWholeViewOfAnySizeIsTold(t *testing.T) {
+// TestWholeViewOfAnySizeIsTransferred covers a node that starts, or was disconnected for a long
+// time, during an outage of the store. A view of any size must result in messages that can be sent,
+// and a lost part must be requested again without repeating the other parts.
+func TestWholeViewOfAnySizeIsTransferred(t *testing.T) {
 	for _, count := range []int{600, 5000, 10000, 20000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			is := is.New(t)
 			store := viewtest.NewStore()
 			store.Configure(1, 80, 81)
-			fill(store, count)
+			putMany(store, count)
 			p := newPair(t, store)
 			p.lost = 3
 			p.run(10 * time.Second)
-			is.Equal(p.asker.Replica().Revision(), store.Revision())
-			is.Equal(len(p.asker.Replica().Backends()), count)
-			_, confirmed := p.asker.Age(p.now)
-			is.True(confirmed)
+			is.Equal(p.requester.Replica().Revision(), store.Revision())
+			is.Equal(len(p.requester.Replica().Backends()), count)
+			_, verified := p.requester.Age(p.now)
+			is.True(verified)
 		})
 	}
 }
 
-// TestManyChangesAreToldInParts: so many that one message cannot tell them, after a long cut.
-func TestManyChangesAreToldInParts(t *testing.T) {
+// TestManyChangesAreSentInParts covers a node that reconnects after a long disconnection and lacks
+// more changes than one message can contain.
+func TestManyChangesAreSentInParts(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.Configure(1, 80)
-	fill(store, 10000)
+	putMany(store, 10000)
 	p := newPair(t, store)
 	p.run(5 * time.Second)
-	is.Equal(p.asker.Replica().Revision(), store.Revision())
+	is.Equal(p.requester.Replica().Revision(), store.Revision())
 	before := store.Revision()
-	fill(store, 4000)
+	putMany(store, 4000)
 	store.Remove("i-00000000")
 	var effects Effects
-	p.teller.Step(p.now, &Event{Read: &ReadResult{Read: Read{Kind: ReadWatch}, Changes: store.Changes(before)}}, &effects)
-	is.True(p.teller.replica.DeltaPart(p.now, before, 0).Part != nil)
+	p.sender.Step(p.now, &Event{Read: &ReadResult{Read: Read{Kind: ReadWatch}, Changes: store.Changes(before)}}, &effects)
+	is.True(p.sender.replica.DeltaPart(p.now, before, 0).Part != nil)
 	p.run(5 * time.Second)
-	is.Equal(p.asker.Replica().Revision(), store.Revision())
-	gone := 0
-	for _, known := range p.asker.Replica().Backends() {
+	is.Equal(p.requester.Replica().Revision(), store.Revision())
+	deleted := 0
+	for _, known := range p.requester.Replica().Backends() {
 		if known.Gone {
-			gone++
+			deleted++
 		}
 	}
-	is.Equal(gone, 1)
+	is.Equal(deleted, 1)
 }
 
-// TestForgottenHistoryCostsNoCallANode: the load is that of a fleet before more back ends
-// than one message can tell of, while the store forgets its history every half a second.
-// The node that reads lists all again; the others learn from it what has changed.
-func TestForgottenHistoryCostsNoCallANode(t *testing.T) {
+// TestCompactionCausesNoReadsByOtherNodes guards against listings by every node. A fleet has more
+// back ends than one message can contain, and the store compacts its history every half second. The
+// designated watcher lists all entries again, and the other nodes receive the changes from it.
+func TestCompactionCausesNoReadsByOtherNodes(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(t, 3, 20, 1, maxLimit)
 	fleet.store.Configure(1, 80, 81)
-	fill(fleet.store, 9000)
+	putMany(fleet.store, 9000)
 	fleet.run(200 * time.Millisecond)
 	fleet.announce()
 	fleet.run(10 * time.Second)
@@ -148,28 +151,28 @@
 	}
 	fleet.run(time.Second)
 	is.Equal(fleet.behind(), 0)
-	is.True(fleet.calls()-before <= 60) // a watch that ends without its history and a listing, thrice a second
+	is.True(fleet.calls()-before <= 60) // a watch that fails because of compaction and a listing, three times a second
 	for _, node := range fleet.nodes {
 		is.Equal(node.core.Replica().Version(), uint64(11))
 	}
 }
 
-// TestOthersWaitForAListing: the load is that of a store that has forgotten its history,
-// before so many back ends that to list them takes seconds. The others leave that to the
-// node that reads, as long as it is heard; should it end, the next one lists.
-func TestOthersWaitForAListing(t *testing.T) {
-	for _, ends := range []bool{false, true} {
-		t.Run(fmt.Sprintf("reader ends %t", ends), func(t *testing.T) {
+// TestOtherNodesWaitForAListing checks that after a compaction of the store's history, the other
+// nodes leave the listing, which takes seconds, to the designated watcher as long as its messages
+// arrive. If it fails, the next node lists.
+func TestOtherNodesWaitForAListing(t *testing.T) {
+	for _, fails := range []bool{false, true} {
+		t.Run(fmt.Sprintf("watcher fails %t", fails), func(t *testing.T) {
 			is := is.New(t)
-			fleet := calmWithin(t, 3, 40, 1, maxLimit)
+			fleet := settledFleetWithin(t, 3, 40, 1, maxLimit)
 			fleet.listDelay = 2500 * time.Millisecond
 			before := fleet.calls()
 			fleet.run(time.Second)
 			fleet.store.Configure(2, 81)
 			fleet.compacted = fleet.store.WriteUnrelated()
-			if ends {
+			if fails {
 				fleet.run(1500 * time.Millisecond)
-				fleet.readers()[0].dead = true
+				fleet.watchers()[0].dead = true
 			}
 			fleet.run(7500 * time.Millisecond)
 			is.Equal(fleet.behind(), 0)
--- a/internal/follower/peers.go
+++ b/internal/follower/peers.go
@@ -8,10 +8,11 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// watcherKey ranks the nodes of a zone for reading the store.
+// watcherKey is the rendezvous key that ranks the nodes of a zone for the role of the designated
+// watcher.
 var watcherKey = rendezvous.NewKey("readers")
 
-// setPeers ranks the nodes of each zone.
+// setPeers replaces the live nodes and ranks the nodes of each zone.
 func (core *Core) setPeers(peers []Peer) {
 	core.peers = core.peers[:0]
 	core.zoneNodes = nil
@@ -29,37 +30,37 @@
 	slices.SortFunc(core.zoneNodes, compareRank)
 	core.rank = core.position(core.settings.Self)
 	if core.rank < 0 {
-		core.rank = len(core.zoneNodes) // it has been taken for dead: others read first
+		core.rank = len(core.zoneNodes) // this node has been declared dead: all others come first
 	}
 	core.setRelays()
 	core.checkWatcher()
 }
 
-// Zone gives the nodes of the own zone by rank, this one included. It holds until
+// Zone returns the nodes of the local zone by rank, including this one. The result is valid until
 // the next step.
 func (core *Core) Zone() []Peer { return core.zoneNodes }
 
-// Heads gives the first nodes of the other zones. It holds until the next step.
+// Heads returns the first nodes of the other zones. The result is valid until the next step.
 func (core *Core) Heads() []Peer { return core.relays }
 
-// position is the place of a node of the own zone by rank; -1: it is not there.
+// position returns the index of a node of the local zone by rank, or -1 if it is not in the zone.
 func (core *Core) position(id lb.NodeID) int {
 	return slices.IndexFunc(core.zoneNodes, func(peer Peer) bool { return peer.ID == id })
 }
 
-// setRelays finds the first node of each other zone.
+// setRelays determines the first node of each other zone, and the rank of the local zone.
 func (core *Core) setRelays() {
 	first := make(map[lb.Zone]Peer)
 	for _, peer := range core.peers {
-		head, found := first[peer.Zone]
-		if !found || compareRank(peer, head) < 0 {
+		candidate, found := first[peer.Zone]
+		if !found || compareRank(peer, candidate) < 0 {
 			first[peer.Zone] = peer
 		}
 	}
 	delete(first, core.settings.Zone)
 	core.zoneRank = 0
-	for _, head := range first {
-		if len(core.zoneNodes) == 0 || compareRank(head, core.zoneNodes[0]) < 0 {
+	for _, candidate := range first {
+		if len(core.zoneNodes) == 0 || compareRank(candidate, core.zoneNodes[0]) < 0 {
 			core.zoneRank++
 		}
 	}
@@ -68,7 +69,7 @@
 	})
 }
 
-// compareRank orders nodes by rank, those that leave behind the others.
+// compareRank orders nodes by rank, with leaving nodes last.
 func compareRank(left, right Peer) int {
 	if left.Leaving != right.Leaving {
 		if right.Leaving {
@@ -83,6 +84,7 @@
 	return 1
 }
 
+// candidateOf returns a peer as a candidate for rendezvous hashing.
 func candidateOf(peer *Peer) rendezvous.Candidate {
 	return rendezvous.Candidate{ID: peer.ID, Hash: peer.ID.Hash()}
 }
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -7,13 +7,13 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// Source carries out calls to the platform's store. Read returns when the call
-// has ended, at the latest a few seconds after it began, or when ctx has ended.
+// Source carries out reads of the platform's store. Read returns when the read has ended, which is
+// at most a few seconds after its start, or when ctx is done.
 type Source interface {
 	Read(ctx context.Context, read Read) ReadResult
 }
 
-// startRead starts a call if one is due.
+// startRead starts a read if one is due.
 func (core *Core) startRead(effects *Effects) {
 	if core.readPending || core.now < core.nextRead {
 		return
@@ -27,7 +27,7 @@
 	effects.Read = read
 }
 
-// dueRead gives the call that is due, or nil.
+// dueRead returns the read that is due, or nil.
 func (core *Core) dueRead() *Read {
 	if core.replica.Revision() == 0 || core.needsListing {
 		return core.fullRead()
@@ -50,14 +50,15 @@
 	}
 }
 
-// fullRead is a call for everything: at the start for a snapshot that the reader
-// has left, or else for all entries. An answer that is seconds old will do then:
-// a peer or a watch from its revision confirms it. One older than a view that
-// cannot go on would be of no use.
+// fullRead returns a read of the whole state. At the start, this is the snapshot that the
+// designated watcher has written, or else a listing of all entries. The answer may be several
+// seconds old, because a peer or a watch from its revision supplies the later changes. If the store
+// has compacted its history, only a current listing is useful, because a stale one may be older
+// than the present view.
 func (core *Core) fullRead() *Read {
 	read := &Read{Kind: ReadList, Reason: ReasonStart, Timeout: core.settings.CallTimeout, Pause: core.settings.CallTimeout}
 	if core.needsListing {
-		read.Reason = ReasonHistoryGone
+		read.Reason = ReasonCompacted
 		return read
 	}
 	read.Stale = true
@@ -67,21 +68,22 @@
 	return read
 }
 
-// watchMarginDivisor is the part of the others' patience, one in so many, that is
-// left when a watch ends.
+// watchMarginDivisor defines the fraction of TakeoverAge, one in watchMarginDivisor, that is left
+// when a watch ends.
 const watchMarginDivisor = 6
 
-// minWatchWait is the wait of a watch that is to confirm the view at once, before others lose patience, too.
+// minWatchWait is the wait of a watch that should verify the view immediately, before other nodes
+// start to read as well.
 const minWatchWait = 20 * time.Millisecond
 
-// watchWait is how long a watch may wait, so that its end confirms the view
-// before the other nodes lose patience and read too.
+// watchWait returns how long a watch may wait for a change, so that its end verifies the view
+// before other nodes start to read as well.
 func (core *Core) watchWait() time.Duration {
-	left := core.settings.TakeoverAge - core.age() - core.settings.TakeoverAge/watchMarginDivisor
-	return max(minWatchWait, min(core.settings.WatchWait, left))
+	remaining := core.settings.TakeoverAge - core.age() - core.settings.TakeoverAge/watchMarginDivisor
+	return max(minWatchWait, min(core.settings.WatchWait, remaining))
 }
 
-// finishRead takes the end of a call.
+// finishRead processes the result of a read.
 func (core *Core) finishRead(result *ReadResult, effects *Effects) {
 	core.readPending = false
 	if result.Failure != FailureNone {
@@ -90,7 +92,7 @@
 	}
 	core.failures = 0
 	core.nextRead = core.now
-	before := core.replica.Revision()
+	previousRevision := core.replica.Revision()
 	changed := core.apply(result)
 	if result.Read.Stale {
 		if changed {
@@ -102,21 +104,21 @@
 	}
 	core.markVerified(core.verificationTime(result))
 	core.takeOver(result.Read.Reason, core.settings.TakeoverAge)
-	if changed || before == core.replica.Revision() {
+	if changed || previousRevision == core.replica.Revision() {
 		core.nextRead = core.now + core.settings.ChangeInterval
 	}
 	if changed {
 		core.recordChange(effects, sourceStore)
-		core.pushDelta(before, effects)
+		core.pushDelta(previousRevision, effects)
 		return
 	}
-	core.sendDigest(effects) // at once, before others lose patience
+	core.sendDigest(effects) // without delay, before other nodes start to read
 }
 
-// apply takes what a call gave, and tells whether anything changed.
+// apply applies the result of a read and returns whether anything changed.
 func (core *Core) apply(result *ReadResult) bool {
 	core.setReplicaAge()
-	core.assembly = view.Assembly{} // its parts were asked for after an older revision
+	core.assembly = view.Assembly{} // its parts start at an older revision
 	if result.Snapshot != nil {
 		return core.replica.ApplySnapshot(core.now, result.Snapshot)
 	}
@@ -127,8 +129,8 @@
 	return core.replica.ApplyChanges(core.now, result.Changes)
 }
 
-// verificationTime is when the view was the newest by a call: a watch tells what there
-// is when it ends, a listing what there was at its first page.
+// verificationTime returns the time at which a read shows the view to be current: for a watch, this
+// is its end, and for a listing, the request of its first page.
 func (core *Core) verificationTime(result *ReadResult) time.Duration {
 	if result.Listing != nil {
 		return core.readAt
@@ -136,9 +138,10 @@
 	return core.now
 }
 
-// handleFailure waits before the next call, the longer the more have failed. Where the
-// history is gone the store answers all the same: who has asked because nobody else did
-// lists for the others, and says so at once, since that may take seconds.
+// handleFailure schedules the next read after a failure; the delay grows with the number of
+// failures. If the history is compacted, the store does answer. A node that read because nobody
+// else did then becomes the designated watcher. It publishes this before the listing, which may
+// take seconds.
 func (core *Core) handleFailure(result *ReadResult, effects *Effects) {
 	failure := result.Failure
 	if failure == FailureCompacted {
@@ -159,9 +162,10 @@
 	core.stepDown(effects)
 }
 
-// backoff doubles from BackoffBase to BackoffLimit, with jitter of half to
-// one and a half. A throttled node begins where others end. Where the first of
-// a zone is heard, which tries often, the others together make a try each LateStep.
+// backoff returns the delay before the next read. It doubles from BackoffBase to BackoffLimit, with
+// a random factor between a half and one and a half. A throttled node starts at the limit. A node
+// that receives updates, and is not the first of its zone, waits longer: the first node retries
+// often, and the others together make one attempt per SlowTakeoverStep.
 func (core *Core) backoff(failure Failure) time.Duration {
 	wait := core.settings.BackoffLimit
 	if failure != FailureThrottled && failure != FailureRejected {
--- a/internal/follower/request.go
+++ b/internal/follower/request.go
@@ -9,17 +9,18 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// minRequestInterval is the shortest time between two requests for what is missing.
+// minRequestInterval is the minimum time between two requests for missing changes.
 const minRequestInterval = 100 * time.Millisecond
 
-// Parts of the time after which a node reads by itself, when it asks others first.
+// A node requests the view from peers before it reads the store itself. These are the fractions of
+// the respective limits after which it does so.
 const (
-	requestSilenceFraction  = 0.75
-	requestAgeFraction = 0.9 // above the age that a view has when the reader's watch ends
+	requestSilenceFraction = 0.75
+	requestAgeFraction     = 0.9 // of TakeoverAge; larger than the age of a view at the end of the designated watcher's watch
 )
 
-// shouldRequestView tells whether this node is to ask others for the view: it has none
-// that anybody has confirmed, or will soon have to read by itself.
+// shouldRequestView returns whether this node should request the view from peers: its view has not
+// been verified yet, or the node would soon have to read the store itself.
 func (core *Core) shouldRequestView() bool {
 	if !core.verified {
 		return true
@@ -27,28 +28,30 @@
 	if core.active {
 		return false
 	}
-	silence := time.Duration(requestSilenceFraction * float64(core.settings.SilenceTimeout))
-	patience := time.Duration(requestAgeFraction * float64(core.settings.TakeoverAge))
-	return core.age() >= patience || core.age() >= silence && core.now-core.lastUpdateAt >= silence
+	silenceLimit := time.Duration(requestSilenceFraction * float64(core.settings.SilenceTimeout))
+	ageLimit := time.Duration(requestAgeFraction * float64(core.settings.TakeoverAge))
+	return core.age() >= ageLimit || core.age() >= silenceLimit && core.now-core.lastUpdateAt >= silenceLimit
 }
 
-// requestView asks a seed and a peer for the view, or for what is missing in
-// one that nobody has confirmed, unless the store has just been asked and will
-// answer sooner.
+// requestView requests the view, or the changes that this node lacks, from the nodes that
+// requestTargets selects. It sends nothing shortly after the start, when a read of the store is
+// under way and will be answered sooner, or shortly after the last request.
 func (core *Core) requestView(effects *Effects) {
 	if core.now < core.nextRequest || core.now-core.startAt < minRequestInterval {
 		return
 	}
 	core.nextRequest = core.now + core.nextRequestInterval()
-	if asked := core.requestTargets(); len(asked) > 0 {
-		effects.Messages = append(effects.Messages, Outgoing{To: asked, Message: core.viewRequest()})
+	if targets := core.requestTargets(); len(targets) > 0 {
+		effects.Messages = append(effects.Messages, Outgoing{To: targets, Message: core.viewRequest()})
 	}
 }
 
-// maxRequestDoublings bounds how far the time between two questions grows while
-// nobody confirms the first view: all nodes may have started at once.
+// maxRequestDoublings bounds the growth of the time between two requests while nobody verifies the
+// first view: all nodes may have started at the same time.
 const maxRequestDoublings = 2
 
+// nextRequestInterval returns the time until the next request, which grows until the first view is
+// verified.
 func (core *Core) nextRequestInterval() time.Duration {
 	if core.verified {
 		return core.settings.DigestInterval
@@ -58,49 +61,51 @@
 	return interval
 }
 
-// sufficientPeers is how many peers a node must know to leave the seeds in peace.
+// sufficientPeers is the number of peers from which on a node no longer sends requests to the
+// seeds.
 const sufficientPeers = 8
 
-// requestTargets gives a peer by chance, and another one or, where few are known, a seed.
+// requestTargets returns the addresses of two random peers. If few peers are known, a random seed
+// replaces one of them.
 func (core *Core) requestTargets() []netip.AddrPort {
-	var asked []netip.AddrPort
+	var targets []netip.AddrPort
 	count := len(core.peers)
 	if seeds := len(core.settings.Seeds); seeds > 0 && count < sufficientPeers {
-		asked = append(asked, core.settings.Seeds[core.random.IntN(seeds)])
+		targets = append(targets, core.settings.Seeds[core.random.IntN(seeds)])
 	} else if count > 0 {
-		asked = append(asked, core.randomPeer().Control)
+		targets = append(targets, core.randomPeer().Control)
 	}
 	if count > 0 {
-		asked = append(asked, core.randomPeer().Control)
+		targets = append(targets, core.randomPeer().Control)
 	}
-	return asked
+	return targets
 }
 
-// crossZoneDivisor is the part of questions, one in so many, that go to nodes of all zones
-// where the own one has enough. While hundreds start at once, a node is answered with
-// some six whole views before one is confirmed: of 299 nodes before 3,000 back ends,
-// starting twice, two thirds of all bytes of control between zones were such answers
-// (11.8 MB of 18). The own zone hears what others know through its first node.
+// crossZoneDivisor defines the fraction of requests, one in crossZoneDivisor, that go to a node of
+// any zone if there are enough nodes in the local zone. While hundreds of nodes start together,
+// each receives about six whole views before its view is verified. With 299 nodes and 3,000 back
+// ends, starting twice, such answers were two thirds of all control traffic between zones (11.8 MB
+// of 18 MB). The local zone receives the state of other zones through its first node.
 const crossZoneDivisor = 8
 
-// randomPeer gives a peer by chance, of the own zone mostly if enough are known there.
+// randomPeer returns a random peer, in most cases from the local zone if it has enough nodes.
 func (core *Core) randomPeer() Peer {
 	self := core.position(core.settings.Self)
-	near := len(core.zoneNodes)
+	localCount := len(core.zoneNodes)
 	if self >= 0 {
-		near--
+		localCount--
 	}
-	if near < sufficientPeers || core.random.IntN(crossZoneDivisor) == 0 {
+	if localCount < sufficientPeers || core.random.IntN(crossZoneDivisor) == 0 {
 		return core.peers[core.random.IntN(len(core.peers))]
 	}
-	index := core.random.IntN(near)
+	index := core.random.IntN(localCount)
 	if self >= 0 && index >= self {
 		index++
 	}
 	return core.zoneNodes[index]
 }
 
-// requestFrom asks a peer for what this node lacks.
+// requestFrom requests the changes that this node lacks from one peer.
 func (core *Core) requestFrom(address netip.AddrPort, effects *Effects) {
 	if !address.IsValid() || core.now < core.nextRequest {
 		return
@@ -109,74 +114,81 @@
 	effects.Messages = append(effects.Messages, Outgoing{To: []netip.AddrPort{address}, Message: core.viewRequest()})
 }
 
-// viewRequest is what this node asks for: what has changed after its own view, or the next
-// part of that if some have come.
+// viewRequest returns the request for the changes after this node's revision, or for the next part
+// of them if some parts have been received.
 func (core *Core) viewRequest() message.ViewWant {
 	return message.ViewWant{After: core.replica.Revision(), From: core.assembly.NextBucket()}
 }
 
-func (core *Core) answerRequest(from *PeerMessage, want *message.ViewWant, effects *Effects) {
-	if !from.Address.IsValid() || core.replica.Revision() == 0 || core.replica.Revision() < want.After {
+// answerRequest answers a request of a peer. A peer at the same revision receives a digest, and a
+// small delta is sent at once. Larger answers are queued. A node with an older view does not
+// answer.
+func (core *Core) answerRequest(from *PeerMessage, request *message.ViewWant, effects *Effects) {
+	if !from.Address.IsValid() || core.replica.Revision() == 0 || core.replica.Revision() < request.After {
 		return
 	}
-	if core.replica.Revision() == want.After {
+	if core.replica.Revision() == request.After {
 		if core.verified {
 			core.send(core.digest(message.Route{}), []Peer{{Control: from.Address}}, effects)
 		}
 		return
 	}
-	if core.replica.HasHistorySince(want.After) && want.From == 0 {
-		if told := core.replica.DeltaPart(core.now, want.After, 0); told.Part == nil {
-			effects.Messages = append(effects.Messages, Outgoing{To: []netip.AddrPort{from.Address}, Message: core.deltaMessage(told)})
+	if core.replica.HasHistorySince(request.After) && request.From == 0 {
+		if delta := core.replica.DeltaPart(core.now, request.After, 0); delta.Part == nil {
+			effects.Messages = append(effects.Messages, Outgoing{To: []netip.AddrPort{from.Address}, Message: core.deltaMessage(delta)})
 			return
 		}
 	}
-	core.queueLargeRequest(largeRequest{address: from.Address, ViewWant: *want})
+	core.queueLargeRequest(largeRequest{address: from.Address, ViewWant: *request})
 }
 
-// largeRequest is who wants the whole view, or so much that it is told in parts.
+// largeRequest is a request for the whole view, or for a delta that is sent in parts, with the
+// address of the requester.
 type largeRequest struct {
 	address netip.AddrPort
 	message.ViewWant
 }
 
-// queueLargeRequest remembers who wants the whole view, or a part. They are answered together at
-// the next tick, longAnswers of them; the others ask again, elsewhere too. So a
-// start of the whole fleet costs its seeds no more than a few views a second.
-// Who has been answered a short time ago has the answer on the way.
-func (core *Core) queueLargeRequest(want largeRequest) {
-	answeredAt, answered := core.answeredAt[want]
+// queueLargeRequest queues a request for the whole view or for a part. At most maxLargeAnswers
+// requests are answered, together, at the next tick. Requesters that are left out repeat the
+// request, also to other nodes, so that a start of the whole fleet costs its seeds only a few views
+// per second. A request that was answered a short time ago is ignored, because the answer is still
+// in transit.
+func (core *Core) queueLargeRequest(request largeRequest) {
+	answeredAt, answered := core.answeredAt[request]
 	if answered && core.now-answeredAt < largeAnswerInterval {
 		return
 	}
-	if len(core.largeRequests) < maxLargeAnswers && !slices.Contains(core.largeRequests, want) {
-		core.largeRequests = append(core.largeRequests, want)
+	if len(core.largeRequests) < maxLargeAnswers && !slices.Contains(core.largeRequests, request) {
+		core.largeRequests = append(core.largeRequests, request)
 	}
 }
 
-// largeAnswerInterval is the shortest time between two answers to the same long question of a node.
+// largeAnswerInterval is the minimum time between two answers to the same large request of a node.
 const largeAnswerInterval = time.Second
 
-// maxLargeAnswers is how many of them are sent at a tick at the most.
+// maxLargeAnswers is the maximum number of large requests that are answered at one tick.
 const maxLargeAnswers = 8
 
+// answerLargeRequests answers the queued requests. Equal requests of several nodes share one
+// message.
 func (core *Core) answerLargeRequests(effects *Effects) {
 	if len(core.largeRequests) == 0 {
 		return
 	}
 	maps.DeleteFunc(core.answeredAt, func(_ largeRequest, at time.Duration) bool { return core.now-at >= largeAnswerInterval })
-	askers := make(map[message.ViewWant][]netip.AddrPort)
-	var asked []message.ViewWant
-	for _, want := range core.largeRequests {
-		core.answeredAt[want] = core.now
-		if askers[want.ViewWant] == nil {
-			asked = append(asked, want.ViewWant)
+	requesters := make(map[message.ViewWant][]netip.AddrPort)
+	var distinct []message.ViewWant
+	for _, request := range core.largeRequests {
+		core.answeredAt[request] = core.now
+		if requesters[request.ViewWant] == nil {
+			distinct = append(distinct, request.ViewWant)
 		}
-		askers[want.ViewWant] = append(askers[want.ViewWant], want.address)
+		requesters[request.ViewWant] = append(requesters[request.ViewWant], request.address)
 	}
-	for _, want := range asked {
-		told := core.deltaMessage(core.replica.DeltaPart(core.now, want.After, want.From))
-		effects.Messages = append(effects.Messages, Outgoing{To: askers[want], Message: told})
+	for _, request := range distinct {
+		answer := core.deltaMessage(core.replica.DeltaPart(core.now, request.After, request.From))
+		effects.Messages = append(effects.Messages, Outgoing{To: requesters[request], Message: answer})
 	}
 	core.largeRequests = nil
 }
--- a/internal/follower/request_test.go
+++ b/internal/follower/request_test.go
@@ -10,14 +10,14 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TestQuestionsStayInTheZone: the load is that of hundreds of nodes that start at
-// once, each answered with whole views. Some questions leave the zone even so, and
-// all may where few are known in it; none goes to the asking node.
-func TestQuestionsStayInTheZone(t *testing.T) {
+// TestMostRequestsStayInTheZone guards against excessive traffic between zones when hundreds of
+// nodes start together and request whole views. A small fraction of requests leaves the zone
+// nevertheless, and all may if few nodes of the zone are known. A node sends no request to itself.
+func TestMostRequestsStayInTheZone(t *testing.T) {
 	cases := []struct {
-		name        string
-		near        int
-		least, most float64 // part of questions in the zone
+		name     string
+		local    int
+		min, max float64 // fraction of requests that stay in the zone
 	}{
 		{"many", 20, 0.8, 0.95},
 		{"few", 4, 0.02, 0.3},
@@ -31,28 +31,28 @@
 				return netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+number))
 			}
 			peers := []Peer{{ID: "near-0", Zone: "za", Control: control(0)}}
-			for number := 1; number <= test.near; number++ {
+			for number := 1; number <= test.local; number++ {
 				peers = append(peers, Peer{ID: lb.NodeID(fmt.Sprintf("near-%d", number)), Zone: "za", Control: control(number)})
 			}
 			for number := range 40 {
 				peers = append(peers, Peer{ID: lb.NodeID(fmt.Sprintf("far-%d", number)), Zone: "zb", Control: control(100 + number)})
 			}
 			core.setPeers(peers)
-			near, all := 0, 0
-			seen := map[netip.AddrPort]bool{}
+			local, total := 0, 0
+			targets := map[netip.AddrPort]bool{}
 			for range 1000 {
-				for _, asked := range core.requestTargets() {
-					is.True(asked != control(0))
-					seen[asked] = true
-					all++
-					if asked.Port() < 1100 {
-						near++
+				for _, target := range core.requestTargets() {
+					is.True(target != control(0))
+					targets[target] = true
+					total++
+					if target.Port() < 1100 {
+						local++
 					}
 				}
 			}
-			part := float64(near) / float64(all)
-			is.True(part >= test.least && part <= test.most)
-			is.Equal(len(seen), test.near+40)
+			fraction := float64(local) / float64(total)
+			is.True(fraction >= test.min && fraction <= test.max)
+			is.Equal(len(targets), test.local+40)
 		})
 	}
 }
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -7,84 +7,88 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Settings of a follower. See DefaultSettings.
+// Settings configures a follower. See DefaultSettings.
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// Seeds are control addresses asked for a view while there is none.
+	// Seeds are the control addresses to which a node that knows few peers sends requests for the
+	// view.
 	Seeds []netip.AddrPort
-	// IsSeed: others ask this node.
+	// IsSeed is set if other nodes use this node as a seed.
 	IsSeed bool
-	// Seed of the random jitter.
+	// Seed is the seed of the random jitter.
 	Seed uint64
-	// WatchWait is how long a watch waits in the store for a change.
+	// WatchWait is how long the store waits for a change during a watch.
 	WatchWait time.Duration
-	// CallTimeout bounds the silence of the store in a call, besides WatchWait.
+	// CallTimeout bounds the time without data from the store during a read, in addition to
+	// WatchWait.
 	CallTimeout time.Duration
-	// ChangeInterval is the shortest time from an answer with changes to the
-	// next watch, so that changes in quick succession cost one call together.
+	// ChangeInterval is the minimum time from an answer with changes to the next watch, so that
+	// several changes in quick succession take one request.
 	ChangeInterval time.Duration
-	// TakeoverAge is the age of the view at which the first node in turn reads
-	// itself, PatienceStep what each further turn adds, up to PatienceLimit.
+	// TakeoverAge is the age of the view at which the first node in the takeover order reads the
+	// store itself. TakeoverStep is added for each further position, up to TakeoverAgeLimit.
 	TakeoverAge, TakeoverStep, TakeoverAgeLimit time.Duration
-	// SlowTakeoverStep is what each turn adds where nothing is urgent: the view is
-	// fresh, or others try already and the store fails them.
+	// SlowTakeoverStep is added for each further position if a takeover is not urgent: the view is
+	// current, or other nodes are already trying and the store does not answer them.
 	SlowTakeoverStep time.Duration
-	// SilenceTimeout is the age at which it does so if no node has told of the view since.
+	// SilenceTimeout is the age of the view at which a node reads the store itself if no peer has
+	// sent a message about the view for this time.
 	SilenceTimeout time.Duration
-	// DigestInterval is the time between digests to the zone.
+	// DigestInterval is the time between two digests.
 	DigestInterval time.Duration
-	// TreeFanout is how many nodes one node tells of what it has heard.
+	// TreeFanout is the number of nodes to which one node forwards a message within a zone.
 	TreeFanout int
-	// VerifyWait is how long after its start a node at least waits for others to
-	// confirm its first view, if there are seeds to ask.
+	// VerifyWait is the minimum time after its start for which a node waits for others to verify
+	// its first view, if it has seeds to send requests to.
 	VerifyWait time.Duration
-	// SnapshotWait is how long after its start a node waits at least for a snapshot, or a
-	// peer's view, before it lists all entries; SnapshotRetry is the mean time to the
-	// second question for a snapshot, which doubles with each further one. Those who read first when a fleet starts do not wait.
+	// SnapshotWait is the minimum time after its start for which a node waits for a snapshot, or
+	// for a peer's view, before it lists all entries. SnapshotRetry is the mean time to the second
+	// read of the snapshot, which doubles for each further one. Seeds, and nodes without seeds,
+	// read first when a fleet starts, and do not wait.
 	SnapshotWait, SnapshotRetry time.Duration
-	// BackoffBase and BackoffLimit bound the time to the next call after a failed one.
+	// BackoffBase and BackoffLimit bound the delay before the next read after a failed one.
 	BackoffBase, BackoffLimit time.Duration
 }
 
-// DefaultSettings gives the defaults for a node. Together they put a change
-// into force within 2.6 s of its acknowledgement even when the reader fails
-// at that moment. A step is longer than a read and its telling take (30 to 50 ms).
+// DefaultSettings returns the default settings of a node. With them, a change is in force within
+// 2.6 s after the store has acknowledged it, even if the designated watcher fails at that moment.
+// TakeoverStep exceeds the time for a read and its dissemination (30 to 50 ms), so that a node
+// learns of a takeover before its own turn.
 func DefaultSettings(self lb.NodeID, zone lb.Zone, seed uint64) Settings {
 	return Settings{
-		Self:           self,
-		Zone:           zone,
-		Seed:           seed,
-		WatchWait:      1500 * time.Millisecond,
-		CallTimeout:    700 * time.Millisecond,
-		ChangeInterval: 200 * time.Millisecond,
-		TakeoverAge:       1700 * time.Millisecond,
-		TakeoverStep:   60 * time.Millisecond,
-		TakeoverAgeLimit:  2200 * time.Millisecond,
-		SlowTakeoverStep:       400 * time.Millisecond,
+		Self:             self,
+		Zone:             zone,
+		Seed:             seed,
+		WatchWait:        1500 * time.Millisecond,
+		CallTimeout:      700 * time.Millisecond,
+		ChangeInterval:   200 * time.Millisecond,
+		TakeoverAge:      1700 * time.Millisecond,
+		TakeoverStep:     60 * time.Millisecond,
+		TakeoverAgeLimit: 2200 * time.Millisecond,
+		SlowTakeoverStep: 400 * time.Millisecond,
 		SilenceTimeout:   1200 * time.Millisecond,
-		DigestInterval: 400 * time.Millisecond,
-		TreeFanout:      4,
-		VerifyWait:     1500 * time.Millisecond,
-		SnapshotWait:   4 * time.Second, // the first reader lists 10,000 entries over 20 Mbit/s in half of it
-		SnapshotRetry:  500 * time.Millisecond,
-		BackoffBase:    100 * time.Millisecond,
-		BackoffLimit:   time.Second,
+		DigestInterval:   400 * time.Millisecond,
+		TreeFanout:       4,
+		VerifyWait:       1500 * time.Millisecond,
+		SnapshotWait:     4 * time.Second, // the first node lists 10,000 entries over 20 Mbit/s in half this time
+		SnapshotRetry:    500 * time.Millisecond,
+		BackoffBase:      100 * time.Millisecond,
+		BackoffLimit:     time.Second,
 	}
 }
 
-// defaultLimit is the time in which DefaultSettings put a change into force.
+// defaultLimit is the time within which DefaultSettings put a change into force.
 const defaultLimit = 3 * time.Second
 
-// maxLimit bounds how far Within stretches the times: a change is then in
-// force within 4.8 s (2.6 s of 3 s), and the fleet is to manage within 5 s.
+// maxLimit is the largest limit that ScaledTo applies. With it, a change is in force within 4.8 s
+// (as 2.6 s for a limit of 3 s), and the fleet must manage within 5 s.
 const maxLimit = 5500 * time.Millisecond
 
-// ScaledTo gives settings that put a change into force within a limit: all times
-// are shortened or stretched alike, so that a fleet whose users can wait longer
-// makes fewer calls. CallTimeout is shortened, too, since a call that is lost must
-// end and be made again within the limit, but not stretched, and a node that finds
-// the store failing tries again no later than before.
+// ScaledTo returns settings that put a change into force within a limit. It scales all times by the
+// same ratio, so that a fleet whose users tolerate more delay makes fewer requests. CallTimeout is
+// never increased, because a lost request must end and be repeated within the limit. BackoffLimit
+// is never increased either, so that retries against a failing store do not become slower.
 func (settings Settings) ScaledTo(limit time.Duration) Settings {
 	limit = min(limit, maxLimit)
 	ratio := limit.Seconds() / defaultLimit.Seconds()
--- a/internal/follower/stalled_connection_test.go
+++ b/internal/follower/stalled_connection_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestOpenConnectionsFallSilentForGood: all calls under way at one moment end
-// without an answer when their time is up, while new connections work. A change
-// made then is in force in the time of every other change, at any phase of the
-// watch, and no view grows older than that.
-func TestOpenConnectionsFallSilentForGood(t *testing.T) {
+// TestChangeTakesEffectDespiteStalledConnections lets all pending reads end without an answer at
+// their timeouts, while new connections work. A change made at that moment must be in force within
+// the same time as any other change, at all phases of the watch, and no view may become older than
+// that.
+func TestChangeTakesEffectDespiteStalledConnections(t *testing.T) {
 	for _, limit := range []time.Duration{defaultLimit, time.Second, maxLimit} {
 		allowed := time.Duration(float64(inForceLimit) * limit.Seconds() / defaultLimit.Seconds())
 		for seed := range uint64(40) {
 			random := rand.New(rand.NewPCG(seed, 4))
-			fleet := calmWithin(t, 1+int(seed%3), 1+random.IntN(5), seed, limit)
+			fleet := settledFleetWithin(t, 1+int(seed%3), 1+random.IntN(5), seed, limit)
 			fleet.run(time.Duration(random.IntN(250)) * simulationStep)
 			for _, node := range fleet.nodes {
 				node.stuck = node.read != nil
--- a/internal/follower/watcher.go
+++ b/internal/follower/watcher.go
@@ -8,36 +8,37 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// One node reads the store for the fleet: who has read because nobody else did
-// in time, until it hears of one that comes before it, fails, or leaves. Nodes
-// lose patience in turn, so that mostly one of them reads.
+// The designated watcher is the one node that reads the store for the fleet. A node becomes the
+// designated watcher after it has read the store because nobody else did so in time. It remains the
+// watcher until it learns of a watcher that precedes it, until its reads fail, or until it leaves.
+// Nodes wait for different times, in takeover order, so that usually only one of them reads.
 
-// readReason tells why this node is to read by itself, if it is.
+// readReason returns whether this node should read the store, and why.
 func (core *Core) readReason() (reason Reason, due bool) {
-	turn := core.takeoverPosition()
-	extra := time.Duration(turn) * core.settings.TakeoverStep
+	position := core.takeoverPosition()
+	delay := time.Duration(position) * core.settings.TakeoverStep
 	switch {
 	case core.active:
 		return ReasonReader, true
 	case !core.verified:
 		return ReasonUnverified, core.now-core.startAt >= core.verifyDelay
-	case core.watcherLost && core.now-core.watcherLostAt >= time.Duration(turn)*core.settings.SlowTakeoverStep:
+	case core.watcherLost && core.now-core.watcherLostAt >= time.Duration(position)*core.settings.SlowTakeoverStep:
 		return ReasonWatcherLost, true
-	case core.age() >= core.takeoverAge(turn):
+	case core.age() >= core.takeoverAge(position):
 		return ReasonPatience, true
 	}
-	silence := core.settings.SilenceTimeout + extra
-	heard := max(core.lastUpdateAt, core.startAt+warmUpTime)
-	return ReasonSilence, core.now-heard >= silence && core.age() >= silence
+	silenceLimit := core.settings.SilenceTimeout + delay
+	lastUpdate := max(core.lastUpdateAt, core.startAt+warmUpTime)
+	return ReasonSilence, core.now-lastUpdate >= silenceLimit && core.age() >= silenceLimit
 }
 
-// seedVerifyDelay is how long after its start a seed waits for others to confirm
-// its first view: what one that starts alone needs to ask the other seeds.
+// seedVerifyDelay is how long after its start a seed waits for others to verify its first view. It
+// is the time that a seed that starts alone needs to send requests to the other seeds.
 const seedVerifyDelay = 300 * time.Millisecond
 
-// drawVerifyDelay gives how long a node waits for others to confirm its first view.
-// Where all start at once and know nobody yet, the seeds read, and the others ask
-// them; should no seed live, the others read spread over some time.
+// drawVerifyDelay returns how long a node waits for others to verify its first view. If all nodes
+// start together and know no peers yet, the seeds read the store, and the others send requests to
+// the seeds. If no seed is alive, the reads of the others are spread over a random time.
 func (core *Core) drawVerifyDelay() time.Duration {
 	if core.isInitialReader() {
 		return seedVerifyDelay
@@ -45,10 +46,11 @@
 	return core.settings.VerifyWait + time.Duration(core.random.Int64N(int64(core.settings.TakeoverAgeLimit)))
 }
 
-// drawListDelay gives how long a node waits for the snapshot that the first reader leaves, where
-// there is none: a fleet that starts for the first time, or with a form of snapshots that
-// the nodes before did not write. A thousand listings of 10,000 entries fill the store's
-// link for half a minute. Should no seed live, the others list spread over some time.
+// drawListDelay returns how long a node waits, in the absence of a snapshot, for the one that the
+// first watcher writes. There is no snapshot when a fleet starts for the first time, or after an
+// upgrade to another snapshot format. A thousand listings of 10,000 entries would saturate the
+// store's link for half a minute. If no seed is alive, the listings of the nodes are spread over a
+// random time.
 func (core *Core) drawListDelay() time.Duration {
 	if core.isInitialReader() {
 		return 0
@@ -56,11 +58,12 @@
 	return core.settings.SnapshotWait + time.Duration(core.random.Int64N(int64(core.settings.TakeoverAgeLimit)))
 }
 
-// maxMissedDoublings bounds the time between two questions for a snapshot: two seconds in
-// the mean, within which a node is to start once there is one.
+// maxMissedDoublings bounds the time between two reads of the snapshot, to a mean of two seconds,
+// so that a node starts within this time once there is a snapshot.
 const maxMissedDoublings = 2
 
-// handleMissingSnapshot goes on where there is no snapshot.
+// handleMissingSnapshot schedules the next read if the store has no snapshot: another read of the
+// snapshot, or a listing after listDelay.
 func (core *Core) handleMissingSnapshot() {
 	core.noSnapshot = core.now-core.startAt >= core.listDelay
 	core.nextRead = core.now
@@ -71,60 +74,68 @@
 	}
 }
 
-// warmUpTime is how long after its start a node may not be told yet by others, since
-// their memberships lack it; it asks them.
+// warmUpTime is how long after its start a node may receive no updates, because the memberships of
+// its peers do not contain it yet. Meanwhile it sends requests to them.
 const warmUpTime = 5 * time.Second
 
-// warmUpPosition is the first turn of such a node: four others have theirs before it.
+// warmUpPosition is the minimum takeover position of a node during its warm-up: four other nodes
+// precede it.
 const warmUpPosition = 4
 
-// isInitialReader tells whether this node is one of those who read the store first when a fleet starts: a seed, or one that knows of none.
-func (core *Core) isInitialReader() bool { return core.settings.IsSeed || len(core.settings.Seeds) == 0 }
+// isInitialReader returns whether this node reads the store first when a fleet starts. This holds
+// for a seed and for a node without seeds.
+func (core *Core) isInitialReader() bool {
+	return core.settings.IsSeed || len(core.settings.Seeds) == 0
+}
 
-// takeoverPosition is this node's place in the order in which nodes lose patience: the
-// first of each zone come before all others of their zones. A node that has just
-// started has not yet heard of the others and does not take itself as the first.
+// takeoverPosition returns this node's position in the takeover order, in which the first node of
+// each zone precedes all other nodes of its zone. A node that has just started does not know its
+// peers yet, and therefore does not act as the first one.
 func (core *Core) takeoverPosition() int {
-	turn := core.rank + core.zoneRank
+	position := core.rank + core.zoneRank
 	if core.now-core.startAt < warmUpTime {
-		turn = max(turn, warmUpPosition)
+		position = max(position, warmUpPosition)
 	}
-	return turn
+	return position
 }
 
-// Patience while the reader is heard to list all entries.
+// Age of the view for a takeover while the designated watcher lists all entries.
 const (
-	// listingAgeQuarters is by how many quarters of PatienceLimit the first in turn waits: another
-	// quarter, in which a listing of 10,000 entries over a link of 20 Mbit/s is half done.
+	// listingAgeQuarters is the age for the first position, in quarters of TakeoverAgeLimit. It
+	// exceeds the usual limit by one quarter, in which a listing of 10,000 entries over a link of
+	// 20 Mbit/s is half complete.
 	listingAgeQuarters = 5
-	// listingTakeoverStep is what each further turn adds: a third of such a listing.
+	// listingTakeoverStep is added for each further position: a third of the duration of such a
+	// listing.
 	listingTakeoverStep = 800 * time.Millisecond
 )
 
-// takeoverAge is the age of the view at which a node reads itself. Where others
-// are heard but cannot confirm the view, those before this one try already: the
-// further turns follow slowly, so that an outage does not cost a call a node. Likewise
-// where the reader is heard to list all entries: who reads meanwhile lists them, too, in
-// as many calls, of which some fifty nodes would make twenty each before 10,000 back ends.
-func (core *Core) takeoverAge(turn int) time.Duration {
+// takeoverAge returns the age of the view at which a node reads the store itself. If updates arrive
+// but do not verify the view, the preceding nodes are already trying to read. The further positions
+// then follow slowly, so that an outage does not cost one request per node. The same holds while
+// the designated watcher lists all entries: every node that reads meanwhile also has to list, in as
+// many requests. With 10,000 back ends, about fifty nodes would make twenty requests each.
+func (core *Core) takeoverAge(position int) time.Duration {
 	if core.watcherListing && core.receivesUpdates() {
-		return core.settings.TakeoverAgeLimit*listingAgeQuarters/4 + time.Duration(turn)*listingTakeoverStep
+		return core.settings.TakeoverAgeLimit*listingAgeQuarters/4 + time.Duration(position)*listingTakeoverStep
 	}
-	patience := core.settings.TakeoverAge + time.Duration(turn)*core.settings.TakeoverStep
-	if patience <= core.settings.TakeoverAgeLimit {
-		return patience
+	age := core.settings.TakeoverAge + time.Duration(position)*core.settings.TakeoverStep
+	if age <= core.settings.TakeoverAgeLimit {
+		return age
 	}
 	if !core.receivesUpdates() {
 		return core.settings.TakeoverAgeLimit
 	}
-	last := int((core.settings.TakeoverAgeLimit - core.settings.TakeoverAge) / core.settings.TakeoverStep)
-	return core.settings.TakeoverAgeLimit + time.Duration(turn-last)*core.settings.SlowTakeoverStep
+	lastFastPosition := int((core.settings.TakeoverAgeLimit - core.settings.TakeoverAge) / core.settings.TakeoverStep)
+	return core.settings.TakeoverAgeLimit + time.Duration(position-lastFastPosition)*core.settings.SlowTakeoverStep
 }
 
-// receivesUpdates tells whether other nodes tell this one of the view.
-func (core *Core) receivesUpdates() bool { return core.now-core.lastUpdateAt < core.settings.SilenceTimeout }
+// receivesUpdates returns whether peers have sent messages about the view recently.
+func (core *Core) receivesUpdates() bool {
+	return core.now-core.lastUpdateAt < core.settings.SilenceTimeout
+}
 
-// watcherStatus says who reads for the others, as far as this node knows.
+// watcherStatus returns which node reads the store for the others, as far as this node knows.
 func (core *Core) watcherStatus() message.Reading {
 	switch {
 	case core.active:
@@ -136,31 +147,31 @@
 	return message.Reading{Reader: core.watcher, ReaderAgeMillis: age.Milliseconds(), Listing: core.watcherListing}
 }
 
-// takeOver makes this node the reader after a successful read that nobody else
-// made in time. One that leaves does not begin with it.
-// Where somebody has named a reader within a time, this node was not told, which is no
-// reason to read for others; nor is that nobody has confirmed its first view, if
-// there are seeds, which read then.
+// takeOver makes this node the designated watcher after a successful read that no other node made
+// in time. A leaving node does not take over. Neither does this node if a watcher was reported
+// within the given time, because then updates have merely failed to reach this node. A read to
+// verify the first view is no reason either, unless this node is an initial reader, because
+// otherwise the seeds read.
 func (core *Core) takeOver(reason Reason, within time.Duration) {
-	if core.active || reason == ReasonHistoryGone || core.leaving {
+	if core.active || reason == ReasonCompacted || core.leaving {
 		return
 	}
 	if reason == ReasonUnverified && !core.isInitialReader() {
 		return
 	}
-	named := core.watcher != "" && !core.watcherLost && core.watcherReportedAt > 0
-	if named && core.now-core.watcherReportedAt < within {
+	reported := core.watcher != "" && !core.watcherLost && core.watcherReportedAt > 0
+	if reported && core.now-core.watcherReportedAt < within {
 		return
 	}
 	core.active = true
 	core.watcherLost = false
 }
 
-// maxWatcherFailures is how many calls in a row may fail until the reader leaves
-// reading to others: a single one may be lost.
+// maxWatcherFailures is the number of consecutive failed reads after which the designated watcher
+// resigns. A single read may be lost.
 const maxWatcherFailures = 2
 
-// stepDown leaves reading to others when the store fails this node.
+// stepDown ends this node's role as the designated watcher if its reads fail.
 func (core *Core) stepDown(effects *Effects) {
 	if core.active && core.failures >= maxWatcherFailures {
 		core.active = false
@@ -169,56 +180,59 @@
 	}
 }
 
-// updateWatcher takes what a telling says of who reads. One that answers a
-// question says what its sender knows, which may have just started.
-func (core *Core) updateWatcher(told message.Reading, route message.Route) {
-	reader := told.Reader
-	if reader != "" {
-		if at := core.now - time.Duration(told.ReaderAgeMillis)*time.Millisecond; at >= core.watcherReportedAt {
+// updateWatcher applies what a message states about the designated watcher. An answer to a request,
+// which has no route, only states what its sender knows. The sender may have just started, so the
+// absence of a watcher in it means nothing.
+func (core *Core) updateWatcher(received message.Reading, route message.Route) {
+	reported := received.Reader
+	if reported != "" {
+		if at := core.now - time.Duration(received.ReaderAgeMillis)*time.Millisecond; at >= core.watcherReportedAt {
 			core.watcherReportedAt = at
-			core.watcherListing = told.Listing
+			core.watcherListing = received.Listing
 		}
 	}
 	switch {
-	case reader == "":
+	case reported == "":
 		if route != (message.Route{}) {
 			core.markWatcherLost()
 		}
-	case reader == core.settings.Self:
-	case core.active && !core.yieldsTo(reader):
-	case !core.isAvailable(reader):
+	case reported == core.settings.Self:
+	case core.active && !core.yieldsTo(reported):
+	case !core.isAvailable(reported):
 		if !core.watcherAvailable {
-			core.watcher = reader
+			core.watcher = reported
 		}
 	default:
 		core.active = false
-		core.watcher = reader
+		core.watcher = reported
 		core.watcherAvailable = true
 		core.watcherLost = false
 	}
 }
 
-// yieldsTo tells whether this node, which reads, leaves it to another that does, too.
-func (core *Core) yieldsTo(reader lb.NodeID) bool {
-	if !core.isAvailable(reader) {
+// yieldsTo returns whether this node yields the role of the designated watcher to another node that
+// also has it.
+func (core *Core) yieldsTo(other lb.NodeID) bool {
+	if !core.isAvailable(other) {
 		return false
 	}
 	if core.failures > 0 || core.leaving {
 		return true
 	}
-	return compareRank(Peer{ID: reader}, Peer{ID: core.settings.Self}) < 0
+	return compareRank(Peer{ID: other}, Peer{ID: core.settings.Self}) < 0
 }
 
-// checkWatcher notices that the reader is not among those who stay any more. Of
-// one that was never among them this node has not heard yet.
+// checkWatcher marks the designated watcher as lost if it has left the available nodes. A watcher
+// that has never been among them is not lost: this node's membership just does not contain it yet.
 func (core *Core) checkWatcher() {
-	stays := core.isAvailable(core.watcher)
-	if core.watcherAvailable && !stays {
+	available := core.isAvailable(core.watcher)
+	if core.watcherAvailable && !available {
 		core.markWatcherLost()
 	}
-	core.watcherAvailable = stays
+	core.watcherAvailable = available
 }
 
+// markWatcherLost records that the designated watcher is leaving or has failed.
 func (core *Core) markWatcherLost() {
 	if core.watcherLost || core.active {
 		return
@@ -227,7 +241,7 @@
 	core.watcherLostAt = core.now
 }
 
-// isAvailable tells whether a node is a living one that does not leave.
+// isAvailable returns whether a peer is alive and not leaving.
 func (core *Core) isAvailable(id lb.NodeID) bool {
 	return slices.ContainsFunc(core.peers, func(peer Peer) bool { return peer.ID == id && !peer.Leaving })
 }
--- a/internal/follower/watcher_test.go
+++ b/internal/follower/watcher_test.go
@@ -12,13 +12,13 @@
 	"robinpulley.example/robinpulley/internal/view/viewtest"
 )
 
-// Parts of a fleet that the store turns away.
-const turnedAwayParts = 3
+// refusedDivisor defines the nodes whose reads the store refuses: one in refusedDivisor.
+const refusedDivisor = 3
 
-// large gives a fleet of three zones with 40 nodes each that has settled.
-func large(t *testing.T) *fleet { return calm(t, 3, 40, 1) }
+// largeFleet returns a settled fleet of three zones with 40 nodes each.
+func largeFleet(t *testing.T) *fleet { return settledFleet(t, 3, 40, 1) }
 
-// announceLeaving tells all nodes that one of them leaves.
+// announceLeaving passes the live nodes to every node, with one of them leaving.
 func (fleet *fleet) announceLeaving(leaving *fleetNode) {
 	var peers []Peer
 	for _, node := range fleet.nodes {
@@ -31,14 +31,14 @@
 	}
 }
 
-// restart gives a node a new life.
+// restart replaces a node's core by a new one.
 func (fleet *fleet) restart(node *fleetNode, seed uint64) {
 	node.core = New(fleet.settingsOf(node, seed))
 	node.read = nil
 	node.dead = false
 }
 
-// oldest gives the age of the oldest view.
+// oldest returns the age of the oldest view of a live node.
 func (fleet *fleet) oldest() time.Duration {
 	oldest := time.Duration(0)
 	for _, node := range fleet.nodes {
@@ -49,61 +49,63 @@
 	return oldest
 }
 
-// TestReaderThatLeavesIsFollowed: the next one reads before the views grow old,
-// and nobody else does.
-func TestReaderThatLeavesIsFollowed(t *testing.T) {
+// TestLeavingWatcherIsReplaced checks that exactly one node, the next in the takeover order, reads
+// the store before the views become old.
+func TestLeavingWatcherIsReplaced(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	leaving := fleet.readers()[0]
+	fleet := largeFleet(t)
+	leaving := fleet.watchers()[0]
 	before := fleet.calls()
 	fleet.announceLeaving(leaving)
 	fleet.run(500 * time.Millisecond)
-	readers := fleet.readers()
-	is.Equal(len(readers), 1)
-	is.True(readers[0] != leaving)
+	watchers := fleet.watchers()
+	is.Equal(len(watchers), 1)
+	is.True(watchers[0] != leaving)
 	is.True(fleet.oldest() < 500*time.Millisecond)
 	fleet.run(3 * time.Second)
 	is.True(fleet.calls()-before <= 8)
 }
 
-// TestDeadReaderIsFollowed: for two seconds nobody knows that it is dead.
-func TestDeadReaderIsFollowed(t *testing.T) {
+// TestFailedWatcherIsReplaced covers a designated watcher that fails without notice: the membership
+// detects the failure only after two seconds.
+func TestFailedWatcherIsReplaced(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	fleet.readers()[0].dead = true
+	fleet := largeFleet(t)
+	fleet.watchers()[0].dead = true
 	before := fleet.calls()
 	fleet.run(2 * time.Second)
 	fleet.announce()
 	fleet.run(time.Second)
-	is.Equal(len(fleet.readers()), 2) // the dead one included
+	is.Equal(len(fleet.watchers()), 2) // including the dead one
 	is.True(fleet.oldest() < fleet.nodes[0].core.settings.TakeoverAge)
 	is.True(fleet.calls()-before <= 8)
 }
 
-// TestNodesThatAreTurnedAwayKeepQuiet: the store turns away every third node,
-// the reader first; the others read for them.
-func TestNodesThatAreTurnedAwayKeepQuiet(t *testing.T) {
+// TestRefusedNodesRarelyRetry lets the store refuse the reads of every third node, including the
+// designated watcher. The other nodes must read for them.
+func TestRefusedNodesRarelyRetry(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	fleet.readers()[0].fault = faultRefused
+	fleet := largeFleet(t)
+	fleet.watchers()[0].fault = faultRefused
 	for index, node := range fleet.nodes {
-		if index%turnedAwayParts == 0 {
+		if index%refusedDivisor == 0 {
 			node.fault = faultRefused
 		}
 	}
 	before := fleet.calls()
 	fleet.run(9 * time.Second)
-	is.True(fleet.calls()-before <= 25) // a watch of 1.4 s, and what finding a reader took
+	is.True(fleet.calls()-before <= 25) // watches of 1.4 s each, and the takeover
 	is.True(fleet.oldest() < fleet.nodes[0].core.settings.TakeoverAgeLimit)
 	fleet.store.Configure(2, 81)
 	fleet.run(inForceLimit)
 	is.Equal(fleet.behind(), 0)
 }
 
-// TestOutageDoesNotCostACallANode: most nodes hear that others try in vain.
-func TestOutageDoesNotCostACallANode(t *testing.T) {
+// TestOutageDoesNotCauseReadsByAllNodes checks that during an outage, most nodes rely on the
+// failing attempts of the others.
+func TestOutageDoesNotCauseReadsByAllNodes(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
+	fleet := largeFleet(t)
 	for _, node := range fleet.nodes {
 		node.fault = faultRefused
 	}
@@ -117,15 +119,15 @@
 	fleet.run(2 * time.Second)
 	is.Equal(fleet.behind(), 0)
 	fleet.run(2 * time.Second)
-	is.Equal(len(fleet.readers()), 1)
+	is.Equal(len(fleet.watchers()), 1)
 }
 
-// TestStaleStartIsConfirmedByPeers: a node that starts in a running fleet takes
-// an old listing, learns from others what has changed since, and makes no other call.
-func TestStaleStartIsConfirmedByPeers(t *testing.T) {
+// TestPeersVerifyAStaleFirstView checks that a node that joins a running fleet starts from an
+// outdated listing, receives the later changes from peers, and makes no other read.
+func TestPeersVerifyAStaleFirstView(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	fleet.older = fleet.store.List()
+	fleet := largeFleet(t)
+	fleet.staleListing = fleet.store.List()
 	fleet.store.Configure(2, 81)
 	fleet.store.Remove("a")
 	fleet.run(time.Second)
@@ -134,22 +136,23 @@
 	fleet.announce()
 	before := node.calls
 	fleet.run(30 * time.Millisecond)
-	_, confirmed := node.core.Age(fleet.now)
-	is.Equal(confirmed, false) // an old listing says nothing of the present
+	_, verified := node.core.Age(fleet.now)
+	is.Equal(verified, false) // a stale listing does not verify the view
 	fleet.run(300 * time.Millisecond)
-	_, confirmed = node.core.Age(fleet.now)
-	is.True(confirmed)
+	_, verified = node.core.Age(fleet.now)
+	is.True(verified)
 	is.Equal(fleet.behind(), 0)
 	is.True(node.core.Replica().Revision() >= fleet.store.Revision())
 	fleet.run(3 * time.Second)
 	is.Equal(node.calls, before)
 }
 
-// TestStaleStartOfAllIsConfirmed: nobody knows more than an old listing.
-func TestStaleStartOfAllIsConfirmed(t *testing.T) {
+// TestStaleStartOfTheFleet covers a start of all nodes at which no node has more than an outdated
+// listing.
+func TestStaleStartOfTheFleet(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	fleet.older = fleet.store.List()
+	fleet := largeFleet(t)
+	fleet.staleListing = fleet.store.List()
 	fleet.store.Configure(2, 81)
 	fleet.store.Remove("a")
 	before := fleet.calls()
@@ -161,51 +164,53 @@
 	fleet.run(2 * time.Second)
 	is.Equal(fleet.behind(), 0)
 	fleet.run(time.Second)
-	is.Equal(len(fleet.readers()), 1)
+	is.Equal(len(fleet.watchers()), 1)
 	is.True(fleet.calls()-before <= 12)
 }
 
-// TestZoneThatIsCutOffReadsForItself, and has no reader of its own afterwards.
-func TestZoneThatIsCutOffReadsForItself(t *testing.T) {
+// TestPartitionedZoneReadsForItself checks that a zone without contact to the others has its own
+// watcher, and that there is only one watcher again after the partition.
+func TestPartitionedZoneReadsForItself(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
+	fleet := largeFleet(t)
 	zone := fleet.nodes[0].zone
-	if fleet.readers()[0].zone == zone {
+	if fleet.watchers()[0].zone == zone {
 		zone = fleet.nodes[len(fleet.nodes)-1].zone
 	}
-	fleet.cut = zone
+	fleet.partitionedZone = zone
 	before := fleet.calls()
 	fleet.run(10 * time.Second)
-	is.Equal(len(fleet.readers()), 2)
+	is.Equal(len(fleet.watchers()), 2)
 	fleet.store.Configure(2, 81)
 	fleet.run(inForceLimit)
 	is.Equal(fleet.behind(), 0)
 	is.True(fleet.calls()-before <= 30)
-	fleet.cut = ""
+	fleet.partitionedZone = ""
 	fleet.run(2 * time.Second)
-	is.Equal(len(fleet.readers()), 1)
+	is.Equal(len(fleet.watchers()), 1)
 }
 
-// TestPausedReaderYields: a node that wakes up as a reader finds another one.
-func TestPausedReaderYields(t *testing.T) {
+// TestPausedWatcherYields covers a designated watcher that is paused and finds another watcher when
+// it resumes.
+func TestPausedWatcherYields(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	paused := fleet.readers()[0]
+	fleet := largeFleet(t)
+	paused := fleet.watchers()[0]
 	paused.dead = true
 	fleet.run(4 * time.Second)
 	fleet.store.Put("b", lb.BackendActive)
 	fleet.run(time.Second)
 	paused.dead = false
 	fleet.run(3 * time.Second)
-	is.Equal(len(fleet.readers()), 1)
+	is.Equal(len(fleet.watchers()), 1)
 	is.Equal(fleet.behind(), 0)
 }
 
-// TestSnapshotIsLeftForThoseWhoStart: it is written when the view has changed,
-// rarely, and a node that starts takes it in place of a listing.
-func TestSnapshotIsLeftForThoseWhoStart(t *testing.T) {
+// TestSnapshotReplacesListingAtStart checks that a snapshot is written after the view has changed,
+// but rarely, and that a node that starts reads it instead of a listing.
+func TestSnapshotReplacesListingAtStart(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
+	fleet := largeFleet(t)
 	is.True(fleet.snapshot != nil)
 	for version := range uint64(20) {
 		fleet.store.Configure(version+2, 81)
@@ -214,28 +219,28 @@
 	fleet.run(publishInterval)
 	is.Equal(fleet.snapshot.View.Version, uint64(21))
 	before := fleet.calls()
-	kept := fleet.snapshot
+	latest := fleet.snapshot
 	fleet.run(20 * time.Second)
-	is.Equal(fleet.snapshot, kept) // nothing has changed
+	is.Equal(fleet.snapshot, latest) // the view has not changed
 	is.True(fleet.calls()-before <= 16)
 	node := fleet.nodes[7]
 	stale, listed := node.stale, node.listed
 	fleet.restart(node, 9)
 	fleet.announce()
 	fleet.run(30 * time.Millisecond)
-	is.Equal(node.stale, stale+1) // the snapshot
+	is.Equal(node.stale, stale+1) // the read of the snapshot
 	is.Equal(node.listed, listed)
 	is.True(node.core.Replica().Configured())
 	fleet.run(300 * time.Millisecond)
-	_, confirmed := node.core.Age(fleet.now)
-	is.True(confirmed)
+	_, verified := node.core.Age(fleet.now)
+	is.True(verified)
 }
 
-// TestSnapshotOfLostHistory: all nodes start from a snapshot after which the
-// store has forgotten what changed.
-func TestSnapshotOfLostHistory(t *testing.T) {
+// TestSnapshotBeforeCompactedHistory lets all nodes start from a snapshot after which the store has
+// compacted its history.
+func TestSnapshotBeforeCompactedHistory(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
+	fleet := largeFleet(t)
 	fleet.store.Configure(2, 81)
 	fleet.store.Remove("a")
 	fleet.compacted = fleet.store.Revision()
@@ -248,62 +253,63 @@
 	is.Equal(fleet.behind(), 0)
 }
 
-// TestTimesFollowTheLimit: shortened and stretched alike, up to a bound, and
-// calls that fail are not made again any later.
-func TestTimesFollowTheLimit(t *testing.T) {
+// TestSettingsScaleWithTheLimit checks that times are shortened and extended in proportion to the
+// limit, up to maxLimit, and that retries never become slower.
+func TestSettingsScaleWithTheLimit(t *testing.T) {
 	is := is.New(t)
-	usual := DefaultSettings("n", "zone", 1)
-	short, long := usual.ScaledTo(defaultLimit/2), usual.ScaledTo(time.Minute)
-	is.Equal(short.TakeoverAge, usual.TakeoverAge/2)
-	is.Equal(long, usual.ScaledTo(maxLimit))
-	is.Equal(long.TakeoverAge.Round(time.Millisecond), 3117*time.Millisecond) // 1.7 s of 3 s, for 5.5 s
-	is.Equal(long.BackoffLimit, usual.BackoffLimit)
+	defaults := DefaultSettings("n", "zone", 1)
+	short, long := defaults.ScaledTo(defaultLimit/2), defaults.ScaledTo(time.Minute)
+	is.Equal(short.TakeoverAge, defaults.TakeoverAge/2)
+	is.Equal(long, defaults.ScaledTo(maxLimit))
+	is.Equal(long.TakeoverAge.Round(time.Millisecond), 3117*time.Millisecond) // 1.7 s for a limit of 3 s, scaled to 5.5 s
+	is.Equal(long.BackoffLimit, defaults.BackoffLimit)
 }
 
-// TestListingConfirmsAsOfItsStart: what changes after its first page may be missing.
-func TestListingConfirmsAsOfItsStart(t *testing.T) {
+// TestListingVerifiesAsOfItsStart checks that a listing verifies the view as of its first page,
+// because it may lack later changes.
+func TestListingVerifiesAsOfItsStart(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.Configure(1, 80)
 	core := New(DefaultSettings("n", "zone", 1))
 	var effects Effects
 	core.Step(0, &Event{}, &effects)
-	read := Read{Kind: ReadList, Reason: ReasonHistoryGone}
+	read := Read{Kind: ReadList, Reason: ReasonCompacted}
 	core.Step(time.Second, &Event{Read: &ReadResult{Read: read, Listing: store.List()}}, &effects)
-	age, confirmed := core.Age(time.Second)
-	is.True(confirmed)
+	age, verified := core.Age(time.Second)
+	is.True(verified)
 	is.Equal(age, time.Second)
 }
 
-// TestStartBeforeTheMembershipIsKnown: for three seconds no node knows another
-// one but the seed, which reads for all of them.
+// TestStartBeforeTheMembershipIsKnown starts a fleet in which, for three seconds, no node knows any
+// other node except the seed, which reads for all of them.
 func TestStartBeforeTheMembershipIsKnown(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	fleet.older = fleet.store.List()
+	fleet := largeFleet(t)
+	fleet.staleListing = fleet.store.List()
 	fleet.snapshot = nil
 	before := fleet.calls()
 	for index, node := range fleet.nodes {
 		fleet.restart(node, uint64(index))
 	}
 	fleet.run(time.Second)
-	confirmed := 0
+	verified := 0
 	for _, node := range fleet.nodes {
 		if _, known := node.core.Age(fleet.now); known {
-			confirmed++
+			verified++
 		}
 	}
-	is.Equal(confirmed, len(fleet.nodes))
+	is.Equal(verified, len(fleet.nodes))
 	fleet.run(2 * time.Second)
 	fleet.announce()
 	fleet.run(2 * time.Second)
-	is.Equal(len(fleet.readers()), 1)
+	is.Equal(len(fleet.watchers()), 1)
 	is.True(fleet.calls()-before <= 10)
 }
 
-// TestWholeViewsForOldOnesAreBounded: nodes whose views are older than what this
-// one can tell apart are given the whole, a few at a time.
-func TestWholeViewsForOldOnesAreBounded(t *testing.T) {
+// TestWholeViewsForOutdatedNodesAreBounded checks that nodes whose revisions precede this node's
+// history receive whole views, a few per tick.
+func TestWholeViewsForOutdatedNodesAreBounded(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.Configure(1, 80)
@@ -312,10 +318,10 @@
 	var effects Effects
 	core.Step(0, &Event{}, &effects)
 	core.Step(0, &Event{Read: &ReadResult{Read: Read{Kind: ReadList}, Listing: store.List()}}, &effects)
-	for asker := range 20 {
-		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, byte(asker)}), 7946)
-		want := &PeerMessage{From: "asker", Address: address, Message: message.ViewWant{After: 1}}
-		core.Step(time.Second, &Event{Message: want}, &effects)
+	for requester := range 20 {
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, byte(requester)}), 7946)
+		request := &PeerMessage{From: "requester", Address: address, Message: message.ViewWant{After: 1}}
+		core.Step(time.Second, &Event{Message: request}, &effects)
 		is.Equal(len(effects.Messages), 0)
 	}
 	core.Step(time.Second, &Event{}, &effects)
@@ -328,7 +334,8 @@
 	is.Equal(answered, maxLargeAnswers)
 }
 
-// TestMissingSnapshotIsNoOutage: the store answers, which the log must not call lost.
+// TestMissingSnapshotIsNoOutage checks which failures count as answers of the store, so that the
+// log does not report an answer as lost contact.
 func TestMissingSnapshotIsNoOutage(t *testing.T) {
 	is := is.New(t)
 	for _, failure := range []Failure{FailureNone, FailureCompacted, FailureMissing, FailureConflict} {
@@ -339,38 +346,39 @@
 	}
 }
 
-// TestNodeThatIsNotToldAsks: a node whom the trees leave out learns all from the
-// peers that it asks, and makes no call.
-func TestNodeThatIsNotToldAsks(t *testing.T) {
+// TestNodeWithoutUpdatesSendsRequests checks that a node that the trees omit learns all changes
+// from the peers to which it sends requests, and makes no reads.
+func TestNodeWithoutUpdatesSendsRequests(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	fleet.deaf = fleet.nodes[70]
-	is.True(!fleet.deaf.core.Reads())
-	before := fleet.deaf.calls
+	fleet := largeFleet(t)
+	fleet.requestsOnly = fleet.nodes[70]
+	is.True(!fleet.requestsOnly.core.Reads())
+	before := fleet.requestsOnly.calls
 	for version := range uint64(15) {
 		fleet.store.Configure(version+2, 81)
 		fleet.run(2 * time.Second)
 	}
-	is.Equal(fleet.deaf.calls, before)
+	is.Equal(fleet.requestsOnly.calls, before)
 	is.Equal(fleet.behind(), 0)
 }
 
-// TestReaderThatIsTurnedAwaySaysSo, so that another one takes over before the views are old.
-func TestReaderThatIsTurnedAwaySaysSo(t *testing.T) {
+// TestRefusedWatcherResigns checks that a designated watcher whose reads are refused announces
+// this, so that another node takes over before the views become old.
+func TestRefusedWatcherResigns(t *testing.T) {
 	is := is.New(t)
-	fleet := large(t)
-	reader := fleet.readers()[0]
-	reader.fault = faultRefused
-	fleet.run(2500 * time.Millisecond) // its watch ends, and two calls fail
-	readers := fleet.readers()
-	is.Equal(len(readers), 1)
-	is.True(readers[0] != reader)
+	fleet := largeFleet(t)
+	refused := fleet.watchers()[0]
+	refused.fault = faultRefused
+	fleet.run(2500 * time.Millisecond) // its watch ends, and two reads fail
+	watchers := fleet.watchers()
+	is.Equal(len(watchers), 1)
+	is.True(watchers[0] != refused)
 	is.True(fleet.oldest() < fleet.nodes[0].core.settings.TakeoverAge)
 }
 
-// TestUnconfirmedViewConfirmsNothing: a peer that has just started itself gives
-// its view, but cannot say how old it is.
-func TestUnconfirmedViewConfirmsNothing(t *testing.T) {
+// TestUnverifiedViewDoesNotVerifyOthers checks that a view received from a peer that has itself
+// just started, and does not know the age of its view, does not count as verified.
+func TestUnverifiedViewDoesNotVerifyOthers(t *testing.T) {
 	is := is.New(t)
 	store := viewtest.NewStore()
 	store.Configure(1, 80)
@@ -381,16 +389,16 @@
 	peer.Step(0, &Event{Read: &ReadResult{Read: Read{Kind: ReadList, Stale: true}, Listing: store.List()}}, &effects)
 	peer.Step(0, &Event{Message: &PeerMessage{From: "n", Address: address, Message: message.ViewWant{}}}, &effects)
 	peer.Step(time.Second, &Event{}, &effects)
-	var told message.Message
+	var received message.Message
 	for _, outgoing := range effects.Messages {
 		if _, found := outgoing.Message.(message.ViewDelta); found {
-			told = outgoing.Message
+			received = outgoing.Message
 		}
 	}
-	is.True(told != nil)
+	is.True(received != nil)
 	core := New(DefaultSettings("n", "zone", 2))
-	core.Step(time.Second, &Event{Message: &PeerMessage{From: "peer", Message: told}}, &effects)
+	core.Step(time.Second, &Event{Message: &PeerMessage{From: "peer", Message: received}}, &effects)
 	is.True(core.Replica().Configured())
-	_, confirmed := core.Age(time.Second)
-	is.Equal(confirmed, false)
+	_, verified := core.Age(time.Second)
+	is.Equal(verified, false)
 }
--- a/internal/view/replica.go
+++ b/internal/view/replica.go
@@ -141,8 +141,9 @@
 // Configured returns whether the replica has a configuration.
 func (r *Replica) Configured() bool { return r.configurationRevision > 0 }
 
-// outageAge is the age of a view from which on the store is assumed to have been unreachable. The
-// failure of a single node that reads the store does not let a view become this old.
+// outageAge is the age of a view from which on the store is assumed to have been unreachable.
+// Failures of the nodes that read the store do not let a view become this old, because other nodes
+// take over earlier.
 const outageAge = 2500 * time.Millisecond
 
 // NoteAge sets the age of the view. Callers call it before they apply an update.
--- a/internal/view/restart_test.go
+++ b/internal/view/restart_test.go
@@ -57,7 +57,7 @@
 		if second.Run() != first.Run() {
 			t.Fatal("one instance has two IDs")
 		}
-		second.Born = rapid.Int64Range(0, 1<<52).Filter(func(born int64) bool { return born != first.Born }).Draw(t, "other")
+		second.Born = rapid.Int64Range(0, 1<<52).Filter(func(startMillis int64) bool { return startMillis != first.Born }).Draw(t, "other")
 		if second.Run() == first.Run() {
 			t.Fatalf("two instances, started at %d and %d, have one ID", first.Born, second.Born)
 		}
--- a/internal/view/viewtest/store.go
+++ b/internal/view/viewtest/store.go
@@ -55,9 +55,9 @@
 }
 
 // PutInstance writes the entry of a back end with its start time.
-func (store *Store) PutInstance(name lb.BackendName, born int64, cold time.Duration) {
+func (store *Store) PutInstance(name lb.BackendName, startMillis int64, cold time.Duration) {
 	backend := Backend(name, lb.BackendActive)
-	backend.Born = born
+	backend.Born = startMillis
 	backend.ColdMillis = cold.Milliseconds()
 	store.put(backend)
 }
