--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,8 +1,8 @@
-// Package follower keeps a balancer's view as new as the store's: it decides
-// who reads the store for whom, when, and what balancers tell each other. One
-// node reads for the fleet; one whose view has not been confirmed in time
-// reads itself. There is no leader that safety rests on: a second reader costs
-// calls, nothing else. It is a deterministic core without I/O, clock or global
+// Package follower keeps a balancer's view as current as the store. It decides which node reads the
+// store for which others, and when, and what balancers send to each other. One node, the designated
+// watcher, reads the store for the fleet. A node whose view has not been verified in time reads the
+// store itself. Correctness does not depend on a single watcher: a second one costs requests to the
+// store, but does no other harm. The package is a deterministic core without I/O, clock or global
 // randomness; see docs/design-platform.md, "Reading the store".
 package follower
 
@@ -14,7 +14,7 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// sourceStore is the Source of what the store itself has told.
+// sourceStore is the Source of changes that were read from the store.
 const sourceStore = "store"
 
 // Core is the follower of one node. It is not safe for concurrent use.
@@ -26,90 +26,98 @@
 	started  bool
 	startAt  time.Duration
 
-	peers []Peer // without self
-	// rank is this node's place among the staying nodes of its zone.
+	peers []Peer // without this node
+	// rank is this node's position among the nodes of its zone, in rendezvous order with leaving
+	// nodes last.
 	rank int
-	// zoneRank is the place of its zone, by the first nodes of all zones.
+	// zoneRank is the position of this node's zone among all zones, which are ordered by their
+	// first nodes.
 	zoneRank int
-	// heads are the first nodes of the other zones.
-	heads []Peer
-	// acting: this node reads the store for the others.
-	acting bool
-	// reader is who else was last heard to do so; readerGone: it stops or has
-	// ended, noticed at readerGoneAt, and nobody has taken over yet.
-	reader       lb.NodeID
-	readerStays  bool // it is among peers
-	readerGone   bool
-	readerGoneAt time.Duration
-	// readerLists: it then listed all entries.
-	readerLists bool
-	// readerHeardAt is when the reader last said that it reads, directly or through others.
-	readerHeardAt time.Duration
-	// wants are those who want the whole view, or a part.
-	wants []longWant
-	// answeredAt is when they were last answered, for longInterval.
-	answeredAt map[longWant]time.Duration
-	// assembly has the parts that have come of what this node lacks.
+	// relays are the first nodes of the other zones. They forward messages within their zones.
+	relays []Peer
+	// active is set while this node is the designated watcher, which reads the store for the
+	// others.
+	active bool
+	// watcher is the other node that was last reported as the designated watcher. watcherLost is
+	// set if that node is leaving or has failed, which this node noticed at watcherLostAt, and no
+	// other node has taken over yet.
+	watcher          lb.NodeID
+	watcherAvailable bool // it is among peers and not leaving
+	watcherLost      bool
+	watcherLostAt    time.Duration
+	// watcherListing is set if the watcher was listing all entries at its last report.
+	watcherListing bool
+	// watcherReportedAt is the time at which the watcher last stated that it reads the store,
+	// whether the report arrived directly or through other nodes.
+	watcherReportedAt time.Duration
+	// largeRequests are the queued requests for the whole view or for a part.
+	largeRequests []largeRequest
+	// answeredAt contains when large requests were answered, for the last largeAnswerInterval.
+	answeredAt map[largeRequest]time.Duration
+	// assembly contains the received parts of the delta that this node lacks.
 	assembly view.Assembly
-	// ranked are the nodes of the own zone by rank, self included, those that
-	// leave behind the others.
-	ranked []Peer
-	// leaves: this node is in a planned stop.
-	leaves bool
-
-	// confirmAfter is how long after its start this node waits for others to
-	// confirm its first view.
-	confirmAfter time.Duration
-	// listAfter is how long after its start it lists entries where no snapshot is.
-	listAfter   time.Duration
-	confirmedAt time.Duration // when the view was last known to be the newest
-	confirmed   bool
-	heardAt     time.Duration // when a peer last told of the view
-	reading     bool
-	readAt      time.Duration // when the call under way, or the last one, was started
-	relist      bool          // the history is gone
-	noSnapshot  bool          // the store has none that can be used
-	missed      int           // how often it had none
-	publishing  bool
-	published   int64 // the store's revision of the last snapshot written by this node
-	nextPublish time.Duration
-	nextRead    time.Duration
-	failures    int
-	nextDigest  time.Duration
-	nextWant    time.Duration
-	asked       int // how often others were asked before the first view was confirmed
-	nextPrune   time.Duration
+	// zoneNodes are the nodes of the local zone by rank, including this one, with leaving nodes
+	// last.
+	zoneNodes []Peer
+	// leaving is set during a planned stop of this node.
+	leaving bool
+
+	// verifyDelay is how long after its start this node waits for others to verify its first view
+	// before it reads the store.
+	verifyDelay time.Duration
+	// listDelay is how long after its start this node waits for a snapshot before it lists all
+	// entries.
+	listDelay         time.Duration
+	verifiedAt        time.Duration // the latest time at which the view was known to be current
+	verified          bool
+	lastUpdateAt      time.Duration // when a peer last sent a message about the view
+	readPending       bool
+	readAt            time.Duration // when the pending read, or else the last one, was started
+	needsListing      bool          // the store has compacted the history after the replica's revision
+	noSnapshot        bool          // the store has no usable snapshot
+	snapshotMisses    int           // how often the store had no snapshot
+	publishPending    bool
+	publishedRevision int64 // the store's revision of the last snapshot that this node wrote
+	nextPublish       time.Duration
+	nextRead          time.Duration
+	failures          int
+	nextDigest        time.Duration
+	nextRequest       time.Duration
+	requestCount      int // number of requests to peers before the first view was verified
+	nextPrune         time.Duration
 }
 
-// New gives a follower that knows nothing.
+// New returns a follower with an empty view.
 func New(settings Settings) *Core {
 	core := &Core{
 		settings: settings,
 		random:   rand.New(rand.NewPCG(settings.Seed, uint64(settings.Self.Hash()))),
 		replica:  view.NewReplica(),
 
-		answeredAt: make(map[longWant]time.Duration),
+		answeredAt: make(map[largeRequest]time.Duration),
 	}
-	core.confirmAfter = core.confirmTime()
-	core.listAfter = core.listTime()
+	core.verifyDelay = core.drawVerifyDelay()
+	core.listDelay = core.drawListDelay()
 	return core
 }
 
-// Replica is the view. The caller does not change it.
+// Replica returns the view. The caller must not change it.
 func (core *Core) Replica() *view.Replica { return core.replica }
 
-// Age is the time since the view was last known to be the newest; false: it never was.
+// Age returns the time since the view was last known to be current. The second result is false if
+// it never was.
 func (core *Core) Age(now time.Duration) (time.Duration, bool) {
-	return now - core.confirmedAt, core.confirmed
+	return now - core.verifiedAt, core.verified
 }
 
-// Rank is this node's place among those of its zone, by which they lose patience.
+// Rank returns this node's position among the nodes of its zone in the takeover order.
 func (core *Core) Rank() int { return core.rank }
 
-// Reads tells whether this node reads the store for the others.
-func (core *Core) Reads() bool { return core.acting }
+// Reads returns whether this node is the designated watcher.
+func (core *Core) Reads() bool { return core.active }
 
-// Step takes one event at a time that never goes back and fills effects.
+// Step processes one event and fills effects. If the time is earlier than in the previous step, the
+// core keeps the previous time.
 func (core *Core) Step(now time.Duration, event *Event, effects *Effects) {
 	*effects = Effects{Messages: effects.Messages[:0]}
 	core.now = max(now, core.now)
@@ -133,43 +141,47 @@
 	effects.Publication = core.duePublication()
 }
 
+// tick prunes the view, requests it from peers if necessary, and sends answers and digests that are
+// due.
 func (core *Core) tick(effects *Effects) {
 	if core.now >= core.nextPrune {
 		core.nextPrune = core.now + time.Second
 		if core.replica.Prune(core.now) {
-			core.noteChange(effects, "prune")
+			core.recordChange(effects, "prune")
 		}
 	}
-	if core.lacksWord() {
-		core.askForView(effects)
+	if core.shouldRequestView() {
+		core.requestView(effects)
 	}
 	if core.replica.Revision() == 0 {
 		return
 	}
-	core.answerLong(effects)
-	if core.tells() && core.now >= core.nextDigest {
+	core.answerLargeRequests(effects)
+	if core.sendsDigests() && core.now >= core.nextDigest {
 		core.sendDigest(effects)
 	}
 }
 
-func (core *Core) noteChange(effects *Effects, source string) {
+// recordChange records in effects that the view has changed.
+func (core *Core) recordChange(effects *Effects, source string) {
 	effects.Changed = true
 	effects.Source = source
 }
 
-// confirm notes that the view was the newest at the time.
-func (core *Core) confirm(at time.Duration) {
-	if !core.confirmed || at > core.confirmedAt {
-		core.confirmed = true
-		core.confirmedAt = at
+// markVerified records that the view was current at a time.
+func (core *Core) markVerified(at time.Duration) {
+	if !core.verified || at > core.verifiedAt {
+		core.verified = true
+		core.verifiedAt = at
 	}
 }
 
-// noteAge tells the replica how old it is, before something is applied to it.
-func (core *Core) noteAge() {
-	if core.confirmed {
+// setReplicaAge passes the view's age to the replica before an update is applied.
+func (core *Core) setReplicaAge() {
+	if core.verified {
 		core.replica.NoteAge(core.age())
 	}
 }
 
-func (core *Core) age() time.Duration { return core.now - core.confirmedAt }
+// age returns the time since the view was last known to be current.
+func (core *Core) age() time.Duration { return core.now - core.verifiedAt }
