--- a/internal/steering/compiler.go
+++ b/internal/steering/compiler.go
@@ -13,81 +13,87 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// Compiler builds the tables of one balancer, each from the one before: a change of one
-// back end costs a look at those of its service, not at all there are. Before 10,000 back
-// ends a table that is built anew takes 27 ms of a whole core and 6.4 MB, during which
-// packets wait; small machines have a fifth of a core. It is not safe for concurrent use.
+// Compiler builds the tables of one balancer incrementally: each table is derived from the previous
+// one, so that a change of one back end costs work proportional to its service, not to all back
+// ends. With 10,000 back ends, building a table from scratch takes 27 ms of a whole core and 6.4
+// MB, during which packets wait; small machines have a fifth of a core. A Compiler is not safe for
+// concurrent use.
 type Compiler struct {
 	zone  lb.Zone
-	table *Table // the last one; nil: none yet
-	// hosts are those of the last table, by name.
+	table *Table // the table of the last compilation; nil before the first
+	// hosts holds the hosts of the last table, by name.
 	hosts    map[lb.BackendName]*Host
 	services map[lb.ServiceName]*members
-	// passing are the hosts whose place changes with time alone.
-	passing map[lb.BackendName]*Host
-	// zones counts the hosts by zone.
+	// expiring holds the hosts whose role changes with time alone.
+	expiring map[lb.BackendName]*Host
+	// zones counts the hosts of each zone.
 	zones map[lb.Zone]int
-	// routed are the services that routes name, as of a revision of the configuration.
+	// routed holds the services that routes name, as of configuration revision routedAt.
 	routed    map[lb.ServiceName]bool
 	routedAt  int64
 	evacuated map[lb.Zone]bool
 	coldRates map[lb.ServiceName]float64
-	// twins are hosts of which two have one hash, or one run. Which of them counts is said
-	// by a look at all: one pair among 10,000 hosts is found in one fleet of a hundred.
-	twins map[lb.BackendName]bool
-	// clash: a host has come that has the hash, or the run, of another one.
-	clash bool
+	// collisions holds the hosts that share a hash or an instance with another host. A change of
+	// one of them triggers a full compilation, which decides again which of them gets flows.
+	// Collisions are rare: one fleet of 10,000 hosts in a hundred contains such a pair.
+	collisions map[lb.BackendName]bool
+	// newCollision is set when an added host has the hash or the instance of a host already in the
+	// table.
+	newCollision bool
 }
 
-// members are the hosts of one service.
+// members holds the hosts of one service.
 type members struct {
-	made []*Host // in the order in which they were made
-	ring []*Host // by zone and hash, see Service.Ring
-	// stale: the service must be built anew.
+	byCreation []*Host // sorted by creation
+	byRing     []*Host // sorted by zone and hash, see Service.Ring
+	// stale is set when the Service must be rebuilt.
 	stale bool
 }
 
-// NewCompiler gives a compiler for a balancer in a zone.
+// NewCompiler returns a compiler for a balancer in the zone.
 func NewCompiler(zone lb.Zone) *Compiler { return &Compiler{zone: zone} }
 
-// Compile builds the table of a replica at the time now, for a balancer in zone.
+// Compile builds a table from scratch for the state of the replica at the time now, for a balancer
+// in zone.
 func Compile(replica *view.Replica, zone lb.Zone, now time.Duration) *Table {
-	return NewCompiler(zone).whole(replica, now)
+	return NewCompiler(zone).compileFull(replica, now)
 }
 
-// Compile builds the table of a replica at the time now. The replica is the same at each call.
+// Compile builds the table for the state of the replica at the time now. Every call must pass the
+// same replica.
 func (c *Compiler) Compile(replica *view.Replica, now time.Duration) *Table {
 	names, all := replica.Touched()
-	twin := func(name lb.BackendName) bool { return c.twins[name] }
-	if all || c.table == nil || slices.ContainsFunc(names, twin) || c.rulesChanged(replica) {
-		return c.whole(replica, now)
+	collides := func(name lb.BackendName) bool { return c.collisions[name] }
+	if all || c.table == nil || slices.ContainsFunc(names, collides) || c.policyChanged(replica) {
+		return c.compileFull(replica, now)
 	}
 	next := c.table.successor(replica)
 	zones := len(c.zones)
 	for _, name := range names {
-		c.update(next, replica, name, now)
+		c.updateHost(next, replica, name, now)
 	}
-	for name, host := range c.passing {
-		if host.until <= now {
-			c.update(next, replica, name, now)
+	for name, host := range c.expiring {
+		if host.roleUntil <= now {
+			c.updateHost(next, replica, name, now)
 		}
 	}
-	if c.clash {
-		return c.whole(replica, now)
+	if c.newCollision {
+		return c.compileFull(replica, now)
 	}
 	if len(c.zones) != zones {
-		c.staleAll()
+		c.markAllStale()
 	}
 	c.finish(next, replica)
 	return next
 }
 
-// rulesChanged tells whether what all hosts are looked at by has changed.
-func (c *Compiler) rulesChanged(replica *view.Replica) bool {
-	return !maps.Equal(c.evacuated, evacuatedOf(replica)) || !maps.Equal(c.coldRates, replica.ColdRates())
+// policyChanged reports whether a setting that affects every host has changed: the evacuated zones
+// or the cold rates.
+func (c *Compiler) policyChanged(replica *view.Replica) bool {
+	return !maps.Equal(c.evacuated, evacuatedZones(replica)) || !maps.Equal(c.coldRates, replica.ColdRates())
 }
 
-func evacuatedOf(replica *view.Replica) map[lb.Zone]bool {
+func evacuatedZones(replica *view.Replica) map[lb.Zone]bool {
 	evacuated := make(map[lb.Zone]bool)
 	for _, zone := range replica.Evacuated() {
 		evacuated[zone] = true
@@ -95,79 +101,80 @@
 	return evacuated
 }
 
-// whole builds a table from nothing.
-func (c *Compiler) whole(replica *view.Replica, now time.Duration) *Table {
+// compileFull builds a table from scratch.
+func (c *Compiler) compileFull(replica *view.Replica, now time.Duration) *Table {
 	c.clear()
-	c.evacuated, c.coldRates = evacuatedOf(replica), replica.ColdRates()
+	c.evacuated, c.coldRates = evacuatedZones(replica), replica.ColdRates()
 	table := newTable()
-	table.noteView(replica)
-	c.fill(table, replica.Backends(), now)
+	table.setView(replica)
+	c.addAll(table, replica.Backends(), now)
 	c.finish(table, replica)
 	return table
 }
 
 func (c *Compiler) clear() {
 	*c = Compiler{
-		zone:     c.zone,
-		hosts:    make(map[lb.BackendName]*Host),
-		services: make(map[lb.ServiceName]*members),
-		passing:  make(map[lb.BackendName]*Host),
-		zones:    make(map[lb.Zone]int),
-		twins:    make(map[lb.BackendName]bool),
+		zone:       c.zone,
+		hosts:      make(map[lb.BackendName]*Host),
+		services:   make(map[lb.ServiceName]*members),
+		expiring:   make(map[lb.BackendName]*Host),
+		zones:      make(map[lb.Zone]int),
+		collisions: make(map[lb.BackendName]bool),
 	}
 }
 
-// fill adds all hosts to a table that has none.
-func (c *Compiler) fill(table *Table, known []view.Known, now time.Duration) {
+// addAll adds all known back ends to an empty table.
+func (c *Compiler) addAll(table *Table, known []view.Known, now time.Duration) {
 	hosts := make([]*Host, len(known))
 	for index := range known {
 		hosts[index] = c.newHost(&known[index], now)
 	}
-	slices.SortFunc(hosts, compareMade)
+	slices.SortFunc(hosts, compareCreation)
 	for _, host := range hosts {
-		c.admit(table, host)
+		c.appendHost(table, host)
 	}
 	for _, m := range c.services {
-		m.ring = slices.Clone(m.made)
-		slices.SortFunc(m.ring, compareRing)
+		m.byRing = slices.Clone(m.byCreation)
+		slices.SortFunc(m.byRing, compareRingOrder)
 	}
 }
 
-// admit adds a host that was made after all others. One whose hash an earlier one has
-// gets no flows, since their tokens could not be told apart.
-func (c *Compiler) admit(table *Table, host *Host) {
+// appendHost adds a host that was created after all hosts already added. A host whose hash is taken
+// by an earlier host gets no flows, because the tokens of the two could not be told apart.
+func (c *Compiler) appendHost(table *Table, host *Host) {
 	c.zones[host.Zone]++
-	c.noteTwins(host, table.byRun.get(host.Run))
-	table.byRun.set(host.Run, host)
-	if first := table.byHash.get(host.hash); first != nil {
-		c.noteTwins(host, first)
+	c.recordCollision(host, table.byInstance.get(host.Run))
+	table.byInstance.set(host.Run, host)
+	if first := table.byHash.get(host.tokenHash); first != nil {
+		c.recordCollision(host, first)
 		return
 	}
-	c.enter(table, host)
-	m := c.membersOf(host.Service)
-	m.made = append(m.made, host)
+	c.indexHost(table, host)
+	m := c.staleMembers(host.Service)
+	m.byCreation = append(m.byCreation, host)
 }
 
-// noteTwins notes two hosts that cannot be told apart; other may be nil.
-func (c *Compiler) noteTwins(host, other *Host) {
+// recordCollision records that two hosts share a hash or an instance. It does nothing if other is
+// nil.
+func (c *Compiler) recordCollision(host, other *Host) {
 	if other != nil {
-		c.twins[host.Name], c.twins[other.Name] = true, true
+		c.collisions[host.Name], c.collisions[other.Name] = true, true
 	}
 }
 
-// enter notes a host in all but the lists of its service.
-func (c *Compiler) enter(table *Table, host *Host) {
+// indexHost adds a host to every index except the lists of its service.
+func (c *Compiler) indexHost(table *Table, host *Host) {
 	c.hosts[host.Name] = host
-	if host.until != 0 {
-		c.passing[host.Name] = host
+	if host.roleUntil != 0 {
+		c.expiring[host.Name] = host
 	}
-	table.byHash.set(host.hash, host)
-	if host.restarted && table.byHash.get(host.earlier) == nil {
-		table.byHash.set(host.earlier, host)
+	table.byHash.set(host.tokenHash, host)
+	if host.restarted && table.byHash.get(host.previousHash) == nil {
+		table.byHash.set(host.previousHash, host)
 	}
 }
 
-func (c *Compiler) membersOf(service lb.ServiceName) *members {
+func (c *Compiler) staleMembers(service lb.ServiceName) *members {
 	known := c.services[service]
 	if known == nil {
 		known = &members{}
@@ -177,8 +184,8 @@
 	return known
 }
 
-// update brings one host up to date.
-func (c *Compiler) update(table *Table, replica *view.Replica, name lb.BackendName, now time.Duration) {
+// updateHost brings one host of the table up to date with the replica.
+func (c *Compiler) updateHost(table *Table, replica *view.Replica, name lb.BackendName, now time.Duration) {
 	old := c.hosts[name]
 	var next *Host
 	if known, found := replica.Backend(name); found {
@@ -188,96 +195,96 @@
 		return
 	}
 	if old != nil {
-		c.remove(table, old)
+		c.removeHost(table, old)
 	}
 	if next != nil {
-		c.add(table, next)
+		c.insertHost(table, next)
 	}
 }
 
-func (c *Compiler) remove(table *Table, host *Host) {
+func (c *Compiler) removeHost(table *Table, host *Host) {
 	if c.zones[host.Zone]--; c.zones[host.Zone] == 0 {
 		delete(c.zones, host.Zone)
 	}
-	table.byRun.remove(host.Run, host)
-	table.byHash.remove(host.hash, host)
+	table.byInstance.remove(host.Run, host)
+	table.byHash.remove(host.tokenHash, host)
 	if host.restarted {
-		table.byHash.remove(host.earlier, host)
+		table.byHash.remove(host.previousHash, host)
 	}
 	delete(c.hosts, host.Name)
-	delete(c.passing, host.Name)
-	m := c.membersOf(host.Service)
-	m.made = without(m.made, host, compareMade)
-	m.ring = without(m.ring, host, compareRing)
+	delete(c.expiring, host.Name)
+	m := c.staleMembers(host.Service)
+	m.byCreation = removeSorted(m.byCreation, host, compareCreation)
+	m.byRing = removeSorted(m.byRing, host, compareRingOrder)
 }
 
-func (c *Compiler) add(table *Table, host *Host) {
+func (c *Compiler) insertHost(table *Table, host *Host) {
 	c.zones[host.Zone]++
-	if table.byRun.get(host.Run) != nil || table.byHash.get(host.hash) != nil {
-		c.clash = true
+	if table.byInstance.get(host.Run) != nil || table.byHash.get(host.tokenHash) != nil {
+		c.newCollision = true
 		return
 	}
-	table.byRun.set(host.Run, host)
-	c.enter(table, host)
-	m := c.membersOf(host.Service)
-	m.made = with(m.made, host, compareMade)
-	m.ring = with(m.ring, host, compareRing)
+	table.byInstance.set(host.Run, host)
+	c.indexHost(table, host)
+	m := c.staleMembers(host.Service)
+	m.byCreation = insertSorted(m.byCreation, host, compareCreation)
+	m.byRing = insertSorted(m.byRing, host, compareRingOrder)
 }
 
-// with and without change a sorted list that nothing else shares.
-func with(hosts []*Host, host *Host, compare func(a, b *Host) int) []*Host {
-	place, _ := slices.BinarySearchFunc(hosts, host, compare)
-	return slices.Insert(hosts, place, host)
+// insertSorted and removeSorted modify a sorted slice in place. The caller must be its only user.
+func insertSorted(hosts []*Host, host *Host, compare func(a, b *Host) int) []*Host {
+	position, _ := slices.BinarySearchFunc(hosts, host, compare)
+	return slices.Insert(hosts, position, host)
 }
 
-func without(hosts []*Host, host *Host, compare func(a, b *Host) int) []*Host {
-	place, found := slices.BinarySearchFunc(hosts, host, compare)
+func removeSorted(hosts []*Host, host *Host, compare func(a, b *Host) int) []*Host {
+	position, found := slices.BinarySearchFunc(hosts, host, compare)
 	if !found {
 		return hosts
 	}
-	return slices.Delete(hosts, place, place+1)
+	return slices.Delete(hosts, position, position+1)
 }
 
-func compareMade(a, b *Host) int {
+func compareCreation(a, b *Host) int {
 	return cmp.Or(cmp.Compare(a.Created, b.Created), cmp.Compare(a.Name, b.Name))
 }
 
-func compareRing(a, b *Host) int {
-	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.around, b.around), cmp.Compare(a.Run, b.Run), cmp.Compare(a.Name, b.Name))
+func compareRingOrder(a, b *Host) int {
+	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ringKey, b.ringKey), cmp.Compare(a.Run, b.Run), cmp.Compare(a.Name, b.Name))
 }
 
-func (c *Compiler) staleAll() {
+func (c *Compiler) markAllStale() {
 	for _, m := range c.services {
 		m.stale = true
 	}
 }
 
-// finish builds what is stale, once all hosts are up to date.
+// finish rebuilds all stale services, once all hosts are up to date.
 func (c *Compiler) finish(table *Table, replica *view.Replica) {
 	if c.routed == nil || c.routedAt != replica.ConfigurationRevision() {
-		c.route(table, replica)
+		c.compileRoutes(table, replica)
 	}
 	for name, m := range c.services {
 		switch {
-		case len(m.made) == 0 && !c.routed[name]:
+		case len(m.byCreation) == 0 && !c.routed[name]:
 			delete(c.services, name)
 			delete(table.services, name)
 		case m.stale:
-			table.services[name] = c.build(name, m)
+			table.services[name] = c.buildService(name, m)
 			m.stale = false
 		}
 	}
 	table.zones = maps.Clone(c.zones)
-	for _, host := range c.passing {
-		if table.expires == 0 || host.until < table.expires {
-			table.expires = host.until
+	for _, host := range c.expiring {
+		if table.expires == 0 || host.roleUntil < table.expires {
+			table.expires = host.roleUntil
 		}
 	}
 	c.table = table
 }
 
-// route takes the routes of a configuration.
-func (c *Compiler) route(table *Table, replica *view.Replica) {
+// compileRoutes builds the front ends of the table from the routes of the configuration.
+func (c *Compiler) compileRoutes(table *Table, replica *view.Replica) {
 	routes := replica.Routes()
 	c.routed, c.routedAt = make(map[lb.ServiceName]bool), replica.ConfigurationRevision()
 	table.frontends = make(map[lb.FrontendKey]*split, len(routes))
@@ -287,88 +294,89 @@
 		for _, name := range built.services {
 			c.routed[name] = true
 			if c.services[name] == nil {
-				c.membersOf(name)
+				c.staleMembers(name)
 			}
 		}
 	}
 }
 
-// build builds a service of its hosts.
-func (c *Compiler) build(name lb.ServiceName, m *members) *Service {
-	service := &Service{Name: name, ColdRate: c.coldRates[name], Ready: make([]*Host, 0, len(m.made))}
-	for _, host := range m.made {
-		switch host.place {
-		case placeEvacuated:
+// buildService builds a service from its hosts.
+func (c *Compiler) buildService(name lb.ServiceName, m *members) *Service {
+	service := &Service{Name: name, ColdRate: c.coldRates[name], Ready: make([]*Host, 0, len(m.byCreation))}
+	for _, host := range m.byCreation {
+		switch host.role {
+		case roleEvacuated:
 			service.evacuated++
-		case placeLapsed:
+		case roleLapsed:
 			service.Lapsed = append(service.Lapsed, host)
-			if host.away {
-				service.away++
+			if host.goneInOutage {
+				service.goneInOutage++
 			}
-		case placeCold:
+		case roleCold:
 			service.Cold = append(service.Cold, host)
-		case placeReady:
+		case roleReady:
 			service.Ready = append(service.Ready, host)
 		}
 	}
-	service.keepLapsed()
+	service.useLapsed()
 	service.ring = make([]*Host, 0, len(service.Ready))
-	for _, host := range m.ring {
+	for _, host := range m.byRing {
 		if service.Takes(host) {
 			service.ring = append(service.ring, host)
 		}
 	}
 	zones := len(c.zones)
 	if c.zones[c.zone] == 0 {
-		zones++ // its callers are there all the same
+		zones++ // the balancer's own zone has callers even if it has no hosts
 	}
-	service.setShares(c.zone, zones)
-	service.NeedsCold = lb.TotalSlots(service.zones) < lb.TotalSlots(zonesOf(service.Cold))
+	service.setEvenWeights(c.zone, zones)
+	service.NeedsCold = lb.TotalSlots(service.zoneCapacity) < lb.TotalSlots(capacityByZone(service.Cold))
 	return service
 }
 
-// newHost gives a host as it is at a time.
+// newHost returns the host for a back end as of the time now.
 func (c *Compiler) newHost(known *view.Known, now time.Duration) *Host {
 	backend := &known.Backend
 	host := &Host{
-		Backend: *backend, Run: backend.Run(), hash: hashOf(backend.Name, backend.Born),
-		rank: xxhash.Sum64String(string(backend.Name)), away: known.Away,
+		Backend: *backend, Run: backend.Run(), tokenHash: tokenHash(backend.Name, backend.Born),
+		rendezvousKey: xxhash.Sum64String(string(backend.Name)), goneInOutage: known.Away,
 	}
-	host.around = rendezvous.Mix(host.Run)
+	host.ringKey = rendezvous.Mix(host.Run)
 	if known.Earlier != nil {
-		host.restarted, host.earlier = true, hashOf(host.Name, known.Earlier.Born)
+		host.restarted, host.previousHash = true, tokenHash(host.Name, known.Earlier.Born)
 	}
-	c.setPlace(host, known, now)
+	c.setRole(host, known, now)
 	return host
 }
 
-// setPlace says what a host does for new flows, and until when that holds.
-func (c *Compiler) setPlace(host *Host, known *view.Known, now time.Duration) {
+// setRole sets the role of a host for new flows, and until when that role holds.
+func (c *Compiler) setRole(host *Host, known *view.Known, now time.Duration) {
 	starting := known.ColdUntil > now
 	cold := starting && c.coldRates[host.Service] > 0
-	lapsed := known.GoneAt + lapsedLimit
+	lapsed := known.GoneAt + lapsedTimeout
 	switch {
 	case host.State != lb.BackendActive:
 	case c.evacuated[host.Zone]:
-		host.place = placeEvacuated
+		host.role = roleEvacuated
 	case known.Gone && lapsed <= now:
-	case known.Gone && cold: // no last resort: it bears few flows, if it lives
-		host.until = min(known.ColdUntil, lapsed)
+	case known.Gone && cold: // not a last resort: a cold host accepts few flows, if it is alive at all
+		host.roleUntil = min(known.ColdUntil, lapsed)
 	case known.Gone:
-		host.place, host.until = placeLapsed, lapsed
+		host.role, host.roleUntil = roleLapsed, lapsed
 	case cold:
-		host.Cold, host.place, host.until = true, placeCold, known.ColdUntil
+		host.Cold, host.role, host.roleUntil = true, roleCold, known.ColdUntil
 	default:
-		host.place = placeReady
+		host.role = roleReady
 		if starting {
-			host.Warming, host.until = true, known.ColdUntil
+			host.Warming, host.roleUntil = true, known.ColdUntil
 		}
 	}
 }
 
-// hashOf gives a run's part of its tokens. It tells the flows of a back end that has
-// started again from those of its run before, where back ends say when they started.
-func hashOf(name lb.BackendName, born int64) uint32 {
+// tokenHash returns the part of a token that names one instance of a back end. If back ends publish
+// their start time, the hash distinguishes the flows of a restarted back end from those of its
+// previous instance.
+func tokenHash(name lb.BackendName, born int64) uint32 {
 	hash := xxhash.Sum64String(string(name))
 	if born != 0 {
 		hash = rendezvous.Mix(hash ^ uint64(born))
--- a/internal/steering/compiler_test.go
+++ b/internal/steering/compiler_test.go
@@ -15,14 +15,14 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// describe prints all that a table decides by.
-func describe(table *Table, replica *view.Replica) string {
+// describeTable formats everything that affects the decisions of a table.
+func describeTable(table *Table, replica *view.Replica) string {
 	text := fmt.Sprintf("version %d, revision %d, expires %s", table.Version(), table.Revision(), table.Expires())
 	var services []string
 	for name, service := range table.Services() {
 		services = append(services, fmt.Sprintf("\n%s: ready %s, ring %s, lapsed %s, cold %s at %g, needed %t, evacuated %d, away %d, zones %v, even %v, sums %v %v",
-			name, names(service.Ready), names(service.Ring()), names(service.Lapsed), names(service.Cold), service.ColdRate,
-			service.NeedsCold, service.evacuated, service.away, service.zones, service.even, service.evenWeights(), service.capacities()))
+			name, describeHosts(service.Ready), describeHosts(service.Ring()), describeHosts(service.Lapsed), describeHosts(service.Cold), service.ColdRate,
+			service.NeedsCold, service.evacuated, service.goneInOutage, service.zoneCapacity, service.even, service.evenWeights(), service.runningCapacities()))
 	}
 	for key, built := range table.frontends {
 		services = append(services, fmt.Sprintf("\nfront end %v: %v %v", key, built.services, built.sums))
@@ -32,7 +32,7 @@
 	for _, known := range replica.Backends() {
 		host := table.HostOfRun(known.Backend.Run())
 		text += fmt.Sprintf("\n%s: %t, zone %t", known.Backend.Name, host != nil, table.HasZone(known.Backend.Zone))
-		for _, hash := range []uint32{hashOf(known.Backend.Name, known.Backend.Born), hashOf(known.Backend.Name, 1)} {
+		for _, hash := range []uint32{tokenHash(known.Backend.Name, known.Backend.Born), tokenHash(known.Backend.Name, 1)} {
 			if host := table.byHash.get(hash); host != nil {
 				text += fmt.Sprintf(" %s in %s", host.Name, host.State)
 			}
@@ -41,7 +41,7 @@
 	return text
 }
 
-func names(hosts []*Host) string {
+func describeHosts(hosts []*Host) string {
 	text := ""
 	for _, host := range hosts {
 		text += fmt.Sprintf("%s(%t,%t) ", host.Name, host.Cold, host.Warming)
@@ -49,7 +49,8 @@
 	return text
 }
 
-// drawBackend gives a back end of one of eight names. Now and then two have one number.
+// drawBackend draws a back end with one of eight names. Occasionally it has the identity of another
+// back end.
 func drawBackend(t *rapid.T, revision int64) view.Backend {
 	number := rapid.IntRange(1, 8).Draw(t, "number")
 	identity := uint64(number)
@@ -103,14 +104,15 @@
 	return change
 }
 
-// TestCompilerEqualsAWholeBuild: whatever changes, and whenever, the table that shares with
-// the one before decides as one that is built from nothing. Tables given before stay as they were.
-func TestCompilerEqualsAWholeBuild(t *testing.T) {
+// TestIncrementalCompileEqualsFullCompile checks that after any sequence of changes the
+// incrementally compiled table makes the same decisions as one built from scratch, and that tables
+// returned earlier do not change.
+func TestIncrementalCompileEqualsFullCompile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replica, compiler := view.NewReplica(), NewCompiler(zoneA)
 		now, revision := time.Duration(0), int64(1)
 		var before *Table
-		var said string
+		var beforeText string
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1200).Draw(t, "ms")) * time.Millisecond
 			replica.NoteAge(time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second)
@@ -126,23 +128,24 @@
 				replica.Prune(now)
 			}
 			table := compiler.Compile(replica, now)
-			if got, want := describe(table, replica), describe(Compile(replica, zoneA, now), replica); got != want {
-				t.Fatalf("at %s:\n%s\nbuilt whole:\n%s", now, got, want)
+			if got, want := describeTable(table, replica), describeTable(Compile(replica, zoneA, now), replica); got != want {
+				t.Fatalf("at %s:\n%s\nfull compile:\n%s", now, got, want)
 			}
-			if before != nil && serving(before) != said {
-				t.Fatalf("a table changed after it was given:\n%s\nbefore:\n%s", serving(before), said)
+			if before != nil && describeWithoutReplica(before) != beforeText {
+				t.Fatalf("a table changed after Compile returned it:\n%s\nbefore:\n%s", describeWithoutReplica(before), beforeText)
 			}
-			before, said = table, serving(table)
+			before, beforeText = table, describeWithoutReplica(table)
 		}
 	})
 }
 
-// serving prints what a table says by itself.
-func serving(table *Table) string {
-	text := describe(table, view.NewReplica())
+// describeWithoutReplica formats the state of a table without a replica, so that it can be compared
+// later.
+func describeWithoutReplica(table *Table) string {
+	text := describeTable(table, view.NewReplica())
 	for number := range 8 {
 		for born := range int64(3) {
-			if host := table.byHash.get(hashOf(lb.BackendName(fmt.Sprintf("i-%d", number+1)), born)); host != nil {
+			if host := table.byHash.get(tokenHash(lb.BackendName(fmt.Sprintf("i-%d", number+1)), born)); host != nil {
 				text += fmt.Sprintf(" %d/%d=%s", number, born, host.Name)
 			}
 		}
@@ -150,8 +153,8 @@
 	return text
 }
 
-// twins gives two names with one hash.
-func twins(t *testing.T) (first, second lb.BackendName) {
+// namesWithOneHash returns two names that have the same hash.
+func namesWithOneHash(t *testing.T) (first, second lb.BackendName) {
 	t.Helper()
 	seen := map[uint32]lb.BackendName{}
 	for number := range 1 << 20 {
@@ -166,16 +169,17 @@
 	return "", ""
 }
 
-// TestHashIsGivenOn: when the back end that has it goes, the other one of its hash gets flows.
-func TestHashIsGivenOn(t *testing.T) {
+// TestHashPassesToRemainingHost checks that when the back end that owns a hash is deleted, the
+// other back end with the same hash gets flows.
+func TestHashPassesToRemainingHost(t *testing.T) {
 	is := is.New(t)
-	first, second := twins(t)
+	first, second := namesWithOneHash(t)
 	world := newWorld()
 	world.host("i-1", "web", zoneA, lb.BackendActive)
 	world.host(first, "web", zoneA, lb.BackendActive)
 	world.route(443, view.Target{Service: "web", Weight: 1})
 	replica, compiler := world.replica(), NewCompiler(zoneA)
-	is.Equal(names(compiler.Compile(replica, 0).services["web"].Ready), names(Compile(replica, zoneA, 0).services["web"].Ready))
+	is.Equal(describeHosts(compiler.Compile(replica, 0).services["web"].Ready), describeHosts(Compile(replica, zoneA, 0).services["web"].Ready))
 	other := view.Backend{
 		Name: second, Identity: 99, Service: "web", Zone: zoneA, State: lb.BackendActive, Created: 20,
 		Address: netip.MustParseAddrPort("10.0.0.9:80"),
@@ -190,8 +194,8 @@
 	is.Equal(ready[1].Name, second)
 }
 
-// sizedReplica gives a view of two services, four fifths of whose back ends are of the
-// first, as of a fleet that has most of them for one purpose.
+// sizedReplica returns a view of two services in which four fifths of the back ends belong to one
+// service, as in a fleet that serves mainly one purpose.
 func sizedReplica(hosts int) *view.Replica {
 	world := newWorld()
 	for index := range hosts {
@@ -207,7 +211,7 @@
 	return world.replica()
 }
 
-// BenchmarkChangeOfOneHost is what a table costs after one back end has changed.
+// BenchmarkChangeOfOneHost measures the compilation of a table after a change of one back end.
 func BenchmarkChangeOfOneHost(b *testing.B) {
 	for _, hosts := range []int{600, 3000, 10000, 20000} {
 		replica := sizedReplica(hosts)
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -1,7 +1,7 @@
-// Package steering decides where a new flow goes, and to which back end a
-// token leads, where the path carries tokens (Cheetah, NSDI 2020). A Table is
-// an immutable, pure function of a view: balancers with the same view of the
-// store decide alike. See docs/design-platform.md.
+// Package steering selects the back end of a new flow, and resolves the token of a packet to its
+// back end where packets carry tokens (Cheetah, NSDI 2020). A Table is an immutable, pure function
+// of a view, so that balancers with the same view of the store make the same decisions. See
+// docs/design-platform.md.
 package steering
 
 import (
@@ -17,141 +17,143 @@
 	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
-// Token is what a packet carries to name its back end. It holds for one front
-// end only. Zero, as in a packet that was given none, names a host by chance only.
+// Token is a value in a packet that identifies its back end. It is valid for one front end only.
+// Zero, as in a packet that carries no token, resolves to a host only by chance.
 type Token uint32
 
-// Host is one back end in a table. It is immutable, and the same in all tables as long as
-// nothing of it changes.
+// Host is one back end in a table. It is immutable, and tables share it as long as none of its
+// fields changes.
 type Host struct {
 	view.Backend
-	// Run names this life of the back end (view.Backend); what is learned of it is kept by that.
+	// Run identifies one instance of the back end, from one start to the next (see view.Backend).
+	// Statistics about a back end are keyed by it.
 	Run uint64
-	// Cold: it has just started and bears few new flows; see Service.Cold.
+	// Cold is set if the host has just started and may receive only few new flows; see
+	// Service.Cold.
 	Cold bool
-	// Warming: it has just started and is slower than it will be, but no bound is known
-	// on its new flows.
+	// Warming is set if the host has just started and is still slower than it will be, but no limit
+	// on its new flows is configured.
 	Warming bool
-	place   place
-	// until is how long place, Cold and Warming hold; 0: until the view changes.
-	until time.Duration
-	// away: it went while nothing was heard of the store.
-	away bool
-	// hash is this host's part of its tokens, and earlier that of its run before, if it
-	// has restarted a short time ago.
-	hash, earlier uint32
-	restarted     bool
-	// rank is the key of the host in rendezvous hashing, and around its place on rings.
-	rank, around uint64
+	role    role
+	// roleUntil is when role, Cold and Warming stop being valid; 0 means when the view changes.
+	roleUntil time.Duration
+	// goneInOutage is set if the entry of the back end was deleted while the store was unreachable.
+	goneInOutage bool
+	// tokenHash is the part of tokens that names this host. previousHash is that part for the
+	// host's previous instance, if it restarted a short time ago.
+	tokenHash, previousHash uint32
+	restarted               bool
+	// rendezvousKey is the key of the host in rendezvous hashing, and ringKey its position on
+	// rings.
+	rendezvousKey, ringKey uint64
 }
 
-// place is what a host does for new flows.
-type place uint8
+// role states how a host is used for new flows.
+type role uint8
 
 const (
-	placeNone place = iota // it gets none: it drains, or has gone
-	placeReady
-	placeLapsed
-	placeCold
-	placeEvacuated
+	roleNone role = iota // gets no new flows: it drains, or is deleted
+	roleReady
+	roleLapsed
+	roleCold
+	roleEvacuated
 )
 
-// Service is one service's back ends.
+// Service holds the back ends of one service.
 type Service struct {
 	Name lb.ServiceName
-	// Ready take new flows, by their weights.
+	// Ready hosts accept new flows, in proportion to their weights.
 	Ready []*Host
-	// Lapsed went from the store a short time ago without having said that
-	// they drain. They take new flows only when no other back end is left, or
-	// by keepLapsed.
+	// Lapsed hosts were deleted from the store a short time ago without having announced a drain.
+	// They get new flows only if no other back end is left, or if useLapsed adds them to Ready.
 	Lapsed []*Host
-	// Cold would take new flows, but have just started and bear few of them, ColdRate
-	// a second: package coldstart says who may send which.
+	// Cold hosts are active, but have just started and may receive only ColdRate new flows a
+	// second. Package coldstart decides which balancer may send them a flow.
 	Cold     []*Host
 	ColdRate float64
-	// NeedsCold tells whether the ready back ends are fewer than the cold ones, by what
-	// they work on at once. Otherwise cold ones are left to warm up, since the others
-	// bear what they would have got: at most twice their usual part, for seconds.
+	// NeedsCold is set if the ready hosts have less capacity than the cold hosts. Otherwise cold
+	// hosts get no new flows until they are warm, because the ready hosts can absorb their share:
+	// at most twice the usual load, for seconds.
 	NeedsCold bool
-	// evacuated counts those that would take new flows, were their zone not evacuated.
+	// evacuated counts the hosts that would accept new flows if their zone were not evacuated.
 	evacuated int
-	// away counts those that went while nothing was heard of the store.
-	away int
-	// kept: the lapsed ones take new flows as the others do.
-	kept bool
-	ring []*Host
-	// zones is what the ready hosts work on at once, by zone.
-	zones map[lb.Zone]float64
-	// even are the parts of zones while nothing is known of their load.
+	// goneInOutage counts the lapsed hosts whose entries were deleted while the store was
+	// unreachable.
+	goneInOutage int
+	// lapsedInUse is set if the lapsed hosts get new flows as the ready ones do.
+	lapsedInUse bool
+	ring        []*Host
+	// zoneCapacity holds the total capacity of the ready hosts by zone.
+	zoneCapacity map[lb.Zone]float64
+	// even holds the zone weights used while the load of the zones is unknown.
 	even zoneweight.Weights
-	// sums are what few openings need, made when the first one does.
+	// sums holds values that few new flows need, computed on first use.
 	sums serviceSums
 }
 
-// split is a route's targets with the running sums of their weights.
+// split holds the targets of a route with the running sums of their weights.
 type split struct {
 	services  []lb.ServiceName
 	sums      []uint64
 	objective lb.Objective
 }
 
-// Table decides for one view. It is immutable and safe for concurrent use. What has not
-// changed it shares with the table before.
+// Table selects back ends for one view. It is immutable and safe for concurrent use. It shares
+// unchanged parts with the table that it was derived from.
 type Table struct {
-	version   uint64
-	revision  int64
-	frontends map[lb.FrontendKey]*split
-	services  map[lb.ServiceName]*Service
-	byHash    *index[uint32]
-	byRun     *index[uint64]
-	// zones counts the hosts by zone.
+	version    uint64
+	revision   int64
+	frontends  map[lb.FrontendKey]*split
+	services   map[lb.ServiceName]*Service
+	byHash     *index[uint32]
+	byInstance *index[uint64]
+	// zones counts the hosts of each zone.
 	zones map[lb.Zone]int
-	// expires is when Compile would give another table for the same view; 0: never.
+	// expires is when Compile would return a different table for the same view; 0 means never.
 	expires time.Duration
 }
 
 func newTable() *Table {
-	return &Table{services: make(map[lb.ServiceName]*Service), byHash: &index[uint32]{}, byRun: &index[uint64]{}}
+	return &Table{services: make(map[lb.ServiceName]*Service), byHash: &index[uint32]{}, byInstance: &index[uint64]{}}
 }
 
-// successor gives a table that shares all with this one, to be changed.
+// successor returns a new table that shares all parts with this one, for the compiler to modify.
 func (t *Table) successor(replica *view.Replica) *Table {
 	next := &Table{
-		frontends: t.frontends, services: maps.Clone(t.services), byHash: t.byHash.copied(), byRun: t.byRun.copied(),
+		frontends: t.frontends, services: maps.Clone(t.services), byHash: t.byHash.clone(), byInstance: t.byInstance.clone(),
 	}
-	next.noteView(replica)
+	next.setView(replica)
 	return next
 }
 
-// noteView notes which view the table is of.
-func (t *Table) noteView(replica *view.Replica) {
+// setView records the version and revision of the view that the table is compiled from.
+func (t *Table) setView(replica *view.Replica) {
 	t.version, t.revision = replica.Version(), replica.Revision()
 }
 
-// lapsedLimit is how long after its entry has gone a back end that has not
-// said that it drains may be a last resort. It is well below the time after
-// which a leaving back end must get nothing new.
-const lapsedLimit = 1500 * time.Millisecond
+// lapsedTimeout is how long a back end that was deleted without a drain may serve as a last resort.
+// It is well below the time after which a leaving back end must get no new flows.
+const lapsedTimeout = 1500 * time.Millisecond
 
-// Version is that of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() uint64 { return t.version }
 
-// Revision is the store's revision that the table was compiled at.
+// Revision returns the store revision that the table was compiled at.
 func (t *Table) Revision() int64 { return t.revision }
 
-// Expires is when the table must be compiled again; 0: not before the view changes.
+// Expires returns when the table must be recompiled; 0 means not before the view changes.
 func (t *Table) Expires() time.Duration { return t.expires }
 
-// Services gives all services that a route or a back end names, in no particular order.
+// Services iterates over all services that a route or a back end names, in no particular order.
 func (t *Table) Services() iter.Seq2[lb.ServiceName, *Service] { return maps.All(t.services) }
 
-// HostOfRun gives the back end with a run; nil: none known.
-func (t *Table) HostOfRun(run uint64) *Host { return t.byRun.get(run) }
+// HostOfRun returns the host with the given instance, or nil if none is known.
+func (t *Table) HostOfRun(run uint64) *Host { return t.byInstance.get(run) }
 
-// HasZone tells whether a back end that is known is in the zone.
+// HasZone reports whether the zone contains a known back end.
 func (t *Table) HasZone(zone lb.Zone) bool { return t.zones[zone] > 0 }
 
-// Counts gives the numbers of front ends and of back ends that take new flows.
+// Counts returns the number of front ends and the number of ready hosts.
 func (t *Table) Counts() (frontends, ready int) {
 	for _, service := range t.services {
 		ready += len(service.Ready)
@@ -159,26 +161,26 @@
 	return len(t.frontends), ready
 }
 
-// keepLapsed lets back ends whose entries went while the store was away take new
-// flows as the others do, where they are half of the service or more: the store
-// drops the entries of those that cannot reach it meanwhile. Those that live are
-// back soon, and the rest would be crowded until then. Entries that go while
-// the store is there are those of back ends that leave, which must get nothing new.
-func (s *Service) keepLapsed() {
-	if s.away == 0 || s.away < len(s.Ready) {
+// useLapsed moves the lapsed hosts to Ready if they are at least half of the service and their
+// entries were deleted while the store was unreachable. During an outage the store drops the
+// entries of back ends that cannot reach it. Those still alive register again soon, and until then
+// the remaining ones would be overloaded. An entry that is deleted while the store is reachable
+// belongs to a back end that leaves, which must get no new flows.
+func (s *Service) useLapsed() {
+	if s.goneInOutage == 0 || s.goneInOutage < len(s.Ready) {
 		return
 	}
 	s.Ready = append(s.Ready, s.Lapsed...)
-	s.Lapsed, s.kept = nil, true
+	s.Lapsed, s.lapsedInUse = nil, true
 }
 
-// Takes tells whether a host of the table is one of the ready ones of the service.
+// Takes reports whether a host of the table is one of the ready hosts of the service.
 func (s *Service) Takes(host *Host) bool {
-	return host.Service == s.Name && (host.place == placeReady || host.place == placeLapsed && s.kept)
+	return host.Service == s.Name && (host.role == roleReady || host.role == roleLapsed && s.lapsedInUse)
 }
 
-// Ring gives the ready hosts by zone and, in a zone, in an order by hash that is the same
-// at all balancers. It is not to be changed.
+// Ring returns the ready hosts sorted by zone and, within a zone, by a hash that is the same at all
+// balancers. The caller must not modify the slice.
 func (s *Service) Ring() []*Host { return s.ring }
 
 func newSplit(route *view.Route) *split {
@@ -195,7 +197,7 @@
 	return built
 }
 
-// Service gives the service of a new flow; nil: no route has its front end.
+// Service returns the service for a new flow, or nil if no route matches its front end.
 func (t *Table) Service(flow *lb.FlowKey) *Service {
 	found := t.frontends[flow.Frontend()]
 	if found == nil {
@@ -204,17 +206,17 @@
 	if len(found.services) == 1 {
 		return t.services[found.services[0]]
 	}
-	point := rendezvous.Mix(uint64(flow.ID())^splitKey) % found.sums[len(found.sums)-1]
+	point := rendezvous.Mix(uint64(flow.ID())^serviceKey) % found.sums[len(found.sums)-1]
 	for index, sum := range found.sums {
 		if point < sum {
 			return t.services[found.services[index]]
 		}
 	}
-	return nil // not reached: point is below the last sum
+	return nil // unreachable: point is below the last sum
 }
 
-// Objective is what the operators ask for the requests of a front end; false:
-// no route has it.
+// Objective returns the service level objective configured for the requests of a front end. The
+// result is false if no route matches the front end.
 func (t *Table) Objective(frontend *lb.FrontendKey) (lb.Objective, bool) {
 	found := t.frontends[*frontend]
 	if found == nil {
@@ -223,48 +225,47 @@
 	return found.objective, true
 }
 
-// Evacuated tells whether the service has no back end that takes new flows
-// because the zones of those that would are evacuated.
+// Evacuated reports whether the service has no usable back end because the zones of its active ones
+// are evacuated.
 func (s *Service) Evacuated() bool {
 	return len(s.Ready) == 0 && len(s.Lapsed) == 0 && len(s.Cold) == 0 && s.evacuated > 0
 }
 
-// HasService tells whether a route or a back end names the service.
+// HasService reports whether a route or a back end names the service.
 func (t *Table) HasService(name lb.ServiceName) bool { return t.services[name] != nil }
 
-// ServiceNamed gives a service that a route or a back end names; nil: none does.
+// ServiceNamed returns the service if a route or a back end names it, and nil otherwise.
 func (t *Table) ServiceNamed(name lb.ServiceName) *Service { return t.services[name] }
 
-// Pick gives the host of a new flow: the first by weighted rendezvous rank
-// among those ready, or lapsed if none is ready; nil if there is neither. weights are
-// those of the ready hosts, by Weights; nil: by Even. factors
-// are by how much this balancer lowers the weight of each ready host, from 0 to 1;
-// nil: by nothing, for a choice that is the same at all balancers of the zone.
-// Those of FactorUnreached get nothing.
+// Pick returns the host for a new flow: the ready host that ranks highest in weighted rendezvous
+// hashing, a lapsed host if no host is ready, or nil if there is neither. The weights are those of
+// the ready hosts, from Weights; nil selects the weights under Even. The factors, from 0 to 1, are
+// by how much this balancer reduces the weight of each ready host; nil reduces none, which makes
+// the choice the same at all balancers of the zone. Hosts with FactorUnreached get no flows.
 func (s *Service) Pick(flow lb.FlowID, weights, factors []float64) *Host {
 	if weights == nil {
 		weights = s.evenWeights()
 	}
-	if found := first(s.Ready, flow, weights, factors, MostlyZero(factors)); found != nil {
-		return found
+	if chosen := highestRanked(s.Ready, flow, weights, factors, MostlyZero(factors)); chosen != nil {
+		return chosen
 	}
-	return first(s.Lapsed, flow, nil, nil, false)
+	return highestRanked(s.Lapsed, flow, nil, nil, false)
 }
 
-// FactorUnreached is that of a ready host in a zone that this balancer does not reach.
+// FactorUnreached is the factor of a ready host in a zone that this balancer cannot reach.
 const FactorUnreached = -1.0
 
-// PickOther gives another choice, independent of that of Pick: among the ready
-// hosts of all zones by what they can do. It is nil if that one has the factor 0 or below.
+// PickOther returns an alternative choice, independent of the choice of Pick: a ready host of any
+// zone, in proportion to capacity. It returns nil if the factor of that host is 0 or below.
 func (s *Service) PickOther(flow lb.FlowID, factors []float64) *Host {
 	if len(s.Ready) == 0 {
 		return nil
 	}
-	capacities := s.capacities()
-	point := rendezvous.Mix(uint64(flow)^otherKey) % capacities[len(capacities)-1]
+	capacities := s.runningCapacities()
+	point := rendezvous.Mix(uint64(flow)^alternativeKey) % capacities[len(capacities)-1]
 	index, exact := slices.BinarySearch(capacities, point)
 	if exact {
-		index++ // a host's part ends before its sum
+		index++ // the interval of a host ends just before its running sum
 	}
 	if factors != nil && factors[index] <= 0 {
 		return nil
@@ -272,8 +273,8 @@
 	return s.Ready[index]
 }
 
-// PickCold gives the cold host of a new flow: the first by rank among those that
-// may be used; nil if there is none.
+// PickCold returns the cold host for a new flow: the one that ranks highest among the hosts for
+// which mayUse returns true, or nil if there is none.
 func (s *Service) PickCold(flow lb.FlowID, mayUse func(*Host) bool) *Host {
 	var usable []*Host
 	for _, host := range s.Cold {
@@ -281,29 +282,30 @@
 			usable = append(usable, host)
 		}
 	}
-	return first(usable, flow, nil, nil, false)
+	return highestRanked(usable, flow, nil, nil, false)
 }
 
-// MostlyZero tells whether more than half of the hosts in reach have the factor 0.
-// Then it is more likely this balancer, or its network, that is at fault than they
-// are, and to crowd the rest would make it worse.
+// MostlyZero reports whether more than half of the reachable hosts have the factor 0. In that case
+// this balancer or its network is more likely at fault than the hosts, and excluding them would
+// overload the rest.
 func MostlyZero(factors []float64) bool {
-	zero, reached := 0, 0
+	zero, reachable := 0, 0
 	for _, factor := range factors {
 		if factor >= 0 {
-			reached++
+			reachable++
 		}
 		if factor == 0 {
 			zero++
 		}
 	}
-	return 2*zero > reached
+	return 2*zero > reachable
 }
 
-// first ranks by -ln(u)/weight, lowest first, with u uniform in (0,1) by hash
-// (weighted rendezvous hashing, Schindelhauer and Schomaker, SPAA 2005); weights nil: all
-// weigh the same. Hosts of weight or factor 0 are passed over, unless blind, and those out of reach always.
-func first(candidates []*Host, flow lb.FlowID, weights, factors []float64, blind bool) *Host {
+// highestRanked returns the candidate with the lowest value of -ln(u)/weight, with u uniform in
+// (0,1) by hash (weighted rendezvous hashing, Schindelhauer and Schomaker, SPAA 2005). If weights
+// is nil, all candidates have the same weight. Candidates with weight 0 are skipped. Candidates
+// with factor 0 are skipped unless ignoreFactors is set, and those with a negative factor always.
+func highestRanked(candidates []*Host, flow lb.FlowID, weights, factors []float64, ignoreFactors bool) *Host {
 	var best *Host
 	bestCost := math.Inf(1)
 	for index, host := range candidates {
@@ -311,13 +313,13 @@
 		if weights != nil {
 			weight = weights[index]
 		}
-		if factors != nil && (!blind || factors[index] < 0) {
+		if factors != nil && (!ignoreFactors || factors[index] < 0) {
 			weight *= factors[index]
 		}
 		if weight <= 0 {
 			continue
 		}
-		cost := -math.Log(rendezvous.Uniform(rendezvous.Mix(uint64(flow)^host.rank))) / weight
+		cost := -math.Log(rendezvous.Uniform(rendezvous.Mix(uint64(flow)^host.rendezvousKey))) / weight
 		if cost < bestCost {
 			best, bestCost = host, cost
 		}
@@ -325,19 +327,19 @@
 	return best
 }
 
-// Token gives the token that names the host for flows to the front end.
+// Token returns the token that identifies the host for flows to the front end.
 func (h *Host) Token(frontend *lb.FrontendKey) Token {
-	return Token(h.hash ^ uint32(frontend.Hash()))
+	return Token(h.tokenHash ^ uint32(frontend.Hash()))
 }
 
-// Resolve gives the host that a token names for the front end; nil: none known. The
-// token may be one of the host's run before: it is not what Token gives then.
+// Resolve returns the host that a token identifies for the front end, or nil if none is known. The
+// token may be that of the host's previous instance; it then differs from the result of Token.
 func (t *Table) Resolve(frontend *lb.FrontendKey, token Token) *Host {
 	return t.byHash.get(uint32(token) ^ uint32(frontend.Hash()))
 }
 
-// otherKey makes the choice of PickOther independent of that of Pick.
-const otherKey = 0x94d049bb133111eb
+// alternativeKey makes the choice of PickOther independent of the choice of Pick.
+const alternativeKey = 0x94d049bb133111eb
 
-// splitKey makes the choice of a service independent of that of a host.
-const splitKey = 0x9e3779b97f4a7c15
+// serviceKey makes the choice of a service independent of the choice of a host.
+const serviceKey = 0x9e3779b97f4a7c15
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -17,7 +17,7 @@
 	zoneB = lb.Zone("zone-b")
 )
 
-// world builds replicas for tables.
+// world builds replicas to compile tables from.
 type world struct {
 	listing view.Listing
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestTokenLeadsBackToItsHost(t *testing.T) {
+func TestTokenResolvesToItsHost(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	fill(world, 20)
@@ -94,7 +94,7 @@
 		host := table.Service(&flow).Pick(flow.ID(), nil, nil)
 		token := host.Token(&frontend)
 		is.Equal(table.Resolve(&frontend, token), host)
-		// The token of one front end names nothing at another, and neither does none.
+		// A token of one front end does not resolve at another, and neither does the zero token.
 		other := flowTo(8443, number)
 		otherFrontend := other.Frontend()
 		is.Equal(table.Resolve(&otherFrontend, token), nil)
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestSplitByWeightComesOutInFewRequests(t *testing.T) {
+func TestTrafficSplitMatchesWeights(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	world.host("i-1", "blue", zoneA, lb.BackendActive)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestDrainingHostKeepsFlowsAndGetsNoNewOnes(t *testing.T) {
+func TestDrainingHostKeepsOnlyOldFlows(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	world.host("i-1", "web", zoneA, lb.BackendDraining)
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestEvacuatedZoneKeepsFlowsAndGetsNoNewOnes: also where its hosts are the last
-// resort, and where the zone is known before its hosts.
-func TestEvacuatedZoneKeepsFlowsAndGetsNoNewOnes(t *testing.T) {
+// TestEvacuatedZoneKeepsOnlyOldFlows also covers the case that the hosts of the zone would be the
+// last resort, and that the evacuation is listed before the hosts of the zone.
+func TestEvacuatedZoneKeepsOnlyOldFlows(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	world.host("i-1", "web", zoneA, lb.BackendActive)
@@ -154,8 +154,8 @@
 		flow := flowTo(443, number)
 		frontend := flow.Frontend()
 		is.Equal(table.Service(&flow).Pick(flow.ID(), nil, nil).Name, lb.BackendName("i-2"))
-		evacuated := table.HostOfRun(1)
-		is.Equal(table.Resolve(&frontend, evacuated.Token(&frontend)).Name, lb.BackendName("i-1"))
+		evacuatedHost := table.HostOfRun(1)
+		is.Equal(table.Resolve(&frontend, evacuatedHost.Token(&frontend)).Name, lb.BackendName("i-1"))
 	}
 
 	replica.ApplyChanges(time.Second, &view.Changes{Revision: 12, Changes: []view.Change{
@@ -167,18 +167,18 @@
 	is.Equal(lapsed.Service(&flow).Evacuated(), false)
 
 	replica.ApplyChanges(time.Second, &view.Changes{Revision: 13, Changes: []view.Change{{Revision: 13, Evacuated: zoneB}}})
-	nobody := Compile(replica, zoneA, time.Second)
-	is.Equal(nobody.Service(&flow).Pick(flow.ID(), nil, nil), nil)
-	is.True(nobody.Service(&flow).Evacuated())
+	evacuated := Compile(replica, zoneA, time.Second)
+	is.Equal(evacuated.Service(&flow).Pick(flow.ID(), nil, nil), nil)
+	is.True(evacuated.Service(&flow).Evacuated())
 
 	replica.ApplyChanges(time.Second, &view.Changes{Revision: 14, Changes: []view.Change{{Revision: 14, Restored: zoneB}}})
 	restored := Compile(replica, zoneA, time.Second)
 	is.Equal(restored.Service(&flow).Pick(flow.ID(), nil, nil).Name, lb.BackendName("i-2"))
 }
 
-// TestColdHostsAreLeftToWarmUp: where a service states what they bear, they take no
-// new flows as others do, until they are warm.
-func TestColdHostsAreLeftToWarmUp(t *testing.T) {
+// TestColdHostsGetNoNewFlows checks that cold hosts get no new flows until they are warm, if the
+// service has a configured cold rate.
+func TestColdHostsGetNoNewFlows(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	world.host("i-1", "web", zoneA, lb.BackendActive)
@@ -186,8 +186,8 @@
 	world.route(443, view.Target{Service: "web", Weight: 1})
 	world.listing.Backends[1].Backend.ColdMillis = 2000
 	flow := flowTo(443, 1)
-	unbounded := world.table(zoneA)
-	is.Equal(len(unbounded.Service(&flow).Ready), 2) // no bound is known
+	unlimited := world.table(zoneA)
+	is.Equal(len(unlimited.Service(&flow).Ready), 2) // no cold rate is configured
 
 	world.listing.Configuration.Configuration.ColdRates = []view.ColdRate{{Service: "web", PerSecond: 10}}
 	replica := world.replica()
@@ -200,7 +200,7 @@
 	is.Equal(service.NeedsCold, false)
 	is.Equal(table.Expires(), 2*time.Second)
 	frontend := flow.Frontend()
-	is.Equal(table.Resolve(&frontend, service.Cold[0].Token(&frontend)), service.Cold[0]) // its flows go on
+	is.Equal(table.Resolve(&frontend, service.Cold[0].Token(&frontend)), service.Cold[0]) // its existing flows continue
 	warm := Compile(replica, zoneA, table.Expires())
 	is.Equal(len(warm.Service(&flow).Ready), 2)
 
@@ -208,11 +208,11 @@
 		{Revision: 11, Gone: "i-1"}, {Revision: 12, Gone: "i-2"},
 	}})
 	gone := Compile(replica, zoneA, time.Second).Service(&flow)
-	is.Equal(len(gone.Lapsed), 1) // a cold one is no last resort
+	is.Equal(len(gone.Lapsed), 1) // a cold host is not a last resort
 	is.Equal(gone.Lapsed[0].Name, lb.BackendName("i-1"))
 }
 
-func TestColdHostsAreNeededWhereTheyAreMost(t *testing.T) {
+func TestColdHostsAreNeededAsMajority(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	for index, slots := range []int{4, 3, 2} {
@@ -231,7 +231,7 @@
 	is.Equal(service.PickCold(flow.ID(), func(host *Host) bool { return host.Name == "i-2" }).Name, lb.BackendName("i-2"))
 }
 
-func TestGoneHostKeepsFlowsAndIsTheLastResort(t *testing.T) {
+func TestDeletedHostKeepsFlowsAsLastResort(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	world.host("i-1", "web", zoneA, lb.BackendActive)
@@ -243,7 +243,7 @@
 	flow := flowTo(443, 1)
 	frontend := flow.Frontend()
 	is.Equal(soon.Service(&flow).Pick(flow.ID(), nil, nil).Name, lb.BackendName("i-1"))
-	is.Equal(soon.Expires(), time.Second+lapsedLimit)
+	is.Equal(soon.Expires(), time.Second+lapsedTimeout)
 
 	later := Compile(replica, zoneA, soon.Expires())
 	is.Equal(later.Service(&flow).Pick(flow.ID(), nil, nil), nil)
@@ -260,20 +260,21 @@
 	is.Equal(world.table(zoneA).Service(&flow), nil)
 }
 
-// TestHostsWithOneHash: tokens of two hosts cannot be told apart, so that the
-// host that was made first has them, in whatever order the view lists both.
-func TestHostsWithOneHash(t *testing.T) {
+// TestOlderHostOwnsCollidingHash checks that the host created first owns a hash that two hosts
+// share, whatever the order in which the view lists them, because tokens cannot distinguish the
+// two.
+func TestOlderHostOwnsCollidingHash(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	world.host("i-1", "web", zoneA, lb.BackendActive)
 	known := world.replica().Backends()
-	twin := known[0]
-	twin.Backend.Identity = 99
-	twin.Backend.Created = known[0].Backend.Created + 1
-	for _, order := range [][]view.Known{{known[0], twin}, {twin, known[0]}} {
+	duplicate := known[0]
+	duplicate.Backend.Identity = 99
+	duplicate.Backend.Created = known[0].Backend.Created + 1
+	for _, order := range [][]view.Known{{known[0], duplicate}, {duplicate, known[0]}} {
 		table, compiler := newTable(), NewCompiler(zoneA)
 		compiler.clear()
-		compiler.fill(table, order, 0)
+		compiler.addAll(table, order, 0)
 		compiler.finish(table, view.NewReplica())
 		is.Equal(len(table.services["web"].Ready), 1)
 		is.Equal(table.services["web"].Ready[0].Identity, uint64(1))
@@ -293,8 +294,8 @@
 	}
 }
 
-// BenchmarkCompile builds the table at the size that decides the design: 4,800
-// hosts of 275 services behind 3,300 front ends.
+// BenchmarkCompile builds a table from scratch for a large fleet: 4,800 hosts of 275 services
+// behind 3,300 front ends.
 func BenchmarkCompile(b *testing.B) {
 	const hosts, services, frontends = 4800, 275, 3300
 	world := newWorld()
--- a/internal/steering/share_test.go
+++ b/internal/steering/weights_test.go
@@ -13,17 +13,17 @@
 	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
-// TestSharesAreEven: with the same demand in every zone, all hosts get the same
-// load, whatever the numbers of hosts in the zones.
-func TestSharesAreEven(t *testing.T) {
+// TestEqualDemandLoadsHostsEvenly checks that all hosts get the same load if all zones have the
+// same demand, whatever the number of hosts in each zone.
+func TestEqualDemandLoadsHostsEvenly(t *testing.T) {
 	cases := []struct {
 		name  string
-		hosts []int // of each zone
+		hosts []int // per zone
 	}{
-		{"alike", []int{4, 4, 4}},
+		{"equal", []int{4, 4, 4}},
 		{"uneven", []int{5, 5, 4}},
 		{"few", []int{2, 1, 1}},
-		{"one zone has nearly none", []int{9, 4, 1}},
+		{"one zone has almost none", []int{9, 4, 1}},
 		{"one zone has none", []int{3, 3, 0}},
 		{"one zone", []int{3}},
 		{"two zones have none", []int{6, 0, 0}},
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestZoneKeepsWhatItsHostsHold: no more flows cross zones than evenness takes.
-func TestZoneKeepsWhatItsHostsHold(t *testing.T) {
+// TestZoneKeepsItsFlows checks that no more flows cross zones than an even load requires.
+func TestZoneKeepsItsFlows(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	fill(world, 10) // five in each of two zones
@@ -76,7 +76,7 @@
 	is.True(local >= 1-2*zoneweight.Remote && local <= 1)
 }
 
-// TestFlowsFollowWeights: the choice by hash gives each host its weight's part.
+// TestFlowsFollowWeights checks that each host gets flows in proportion to its weight.
 func TestFlowsFollowWeights(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
@@ -108,21 +108,21 @@
 	}
 }
 
-func TestHostOfFactorZeroGetsNothing(t *testing.T) {
+func TestFactorZeroHostGetsNoFlows(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	fill(world, 4)
 	service := world.table(zoneA).services["web"]
-	avoided := service.Ready[1]
+	excluded := service.Ready[1]
 	factors := []float64{1, 0, 1, 1}
 	for number := range 200 {
-		is.True(service.Pick(lb.FlowID(number), nil, factors) != avoided)
-		is.True(service.PickOther(lb.FlowID(number), factors) != avoided)
+		is.True(service.Pick(lb.FlowID(number), nil, factors) != excluded)
+		is.True(service.PickOther(lb.FlowID(number), factors) != excluded)
 	}
 }
 
-// TestFactorsAreIgnoredWhenMostAreZero: a balancer that takes most hosts as
-// silent is at fault itself; its flows go on as if it knew nothing.
+// TestFactorsAreIgnoredWhenMostAreZero guards against a balancer that finds most hosts
+// unresponsive: it is at fault itself, and must place flows as if it had no factors.
 func TestFactorsAreIgnoredWhenMostAreZero(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
@@ -135,13 +135,13 @@
 	}
 }
 
-// TestOtherChoiceFollowsCapacities, whatever the zones.
-func TestOtherChoiceFollowsCapacities(t *testing.T) {
+// TestPickOtherFollowsCapacities checks that PickOther ignores zones.
+func TestPickOtherFollowsCapacities(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	fill(world, 6)
 	for index := range world.listing.Backends {
-		world.listing.Backends[index].Backend.Slots = index // none is taken for one
+		world.listing.Backends[index].Backend.Slots = index // a stated capacity of 0 counts as 1
 	}
 	service := world.table(zoneA).services["web"]
 	const flows = 20000
@@ -161,15 +161,16 @@
 	is.Equal(empty.PickOther(1, nil), nil)
 }
 
-// TestManyLapsedBackendsStayInUse: where half of a service's entries went while
-// the store was away, they are taken to live; fewer, and those that go while it
-// is there, get nothing new. Once the time has passed, what has not come back is gone.
-func TestManyLapsedBackendsStayInUse(t *testing.T) {
+// TestLapsedHalfOfServiceStaysInUse checks that lapsed hosts stay in use if at least half of the
+// entries of a service were deleted while the store was unreachable. Fewer lapsed hosts, and hosts
+// deleted while the store is reachable, get no new flows. After the timeout, hosts that have not
+// returned are removed.
+func TestLapsedHalfOfServiceStaysInUse(t *testing.T) {
 	cases := []struct {
 		name   string
 		lapsed int // of six
 		age    time.Duration
-		ready  int // of what takes new flows at once
+		ready  int // hosts that accept new flows immediately
 	}{
 		{"none", 0, 5 * time.Second, 6},
 		{"one", 1, 5 * time.Second, 5},
@@ -177,9 +178,9 @@
 		{"half", 3, 5 * time.Second, 6},
 		{"most", 5, 5 * time.Second, 6},
 		{"all", 6, 5 * time.Second, 6},
-		{"half while the store is there", 3, time.Second, 3},
-		{"most while the store is there", 5, 2 * time.Second, 1},
-		{"all while the store is there", 6, time.Second, 0},
+		{"half while the store is reachable", 3, time.Second, 3},
+		{"most while the store is reachable", 5, 2 * time.Second, 1},
+		{"all while the store is reachable", 6, time.Second, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -197,34 +198,36 @@
 			replica.ApplyChanges(time.Second, changes)
 			table := Compile(replica, zoneA, time.Second)
 			is.Equal(len(table.services["web"].Ready), test.ready)
-			later := Compile(replica, zoneA, time.Second+lapsedLimit)
+			later := Compile(replica, zoneA, time.Second+lapsedTimeout)
 			is.Equal(len(later.services["web"].Ready), 6-test.lapsed)
 			is.Equal(later.Expires(), time.Duration(0))
-			is.True(test.lapsed == 0 || table.Expires() == time.Second+lapsedLimit)
+			is.True(test.lapsed == 0 || table.Expires() == time.Second+lapsedTimeout)
 		})
 	}
 }
 
-// TestHostsOutOfReachGetNothing: nor do they count as silent, so that silence among
-// those in reach is heeded or ignored as if the others were not there.
-func TestHostsOutOfReachGetNothing(t *testing.T) {
+// TestUnreachableHostsGetNoFlows also checks that unreachable hosts are not counted as
+// unresponsive: the factors of the reachable hosts are applied or ignored as if the unreachable
+// ones did not exist.
+func TestUnreachableHostsGetNoFlows(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	fill(world, 6)
 	service := world.table(zoneA).services["web"]
-	out := FactorUnreached
+	unreached := FactorUnreached
 	for number := range 200 {
 		flow := lb.FlowID(number)
-		is.Equal(service.Pick(flow, nil, []float64{out, out, out, out, out, out}), nil)
-		is.Equal(service.Pick(flow, nil, []float64{out, out, out, 0, 1, 0.5}) == service.Ready[3], false)
-		chosen := service.Pick(flow, nil, []float64{out, out, out, 0, 0, 1}) // most in reach are silent
+		is.Equal(service.Pick(flow, nil, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
+		is.Equal(service.Pick(flow, nil, []float64{unreached, unreached, unreached, 0, 1, 0.5}) == service.Ready[3], false)
+		chosen := service.Pick(flow, nil, []float64{unreached, unreached, unreached, 0, 0, 1}) // most reachable hosts are unresponsive
 		is.True(chosen == service.Ready[3] || chosen == service.Ready[4] || chosen == service.Ready[5])
-		is.Equal(service.PickOther(flow, []float64{out, out, out, out, out, out}), nil)
+		is.Equal(service.PickOther(flow, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
 	}
 }
 
-// TestWarmingHostsCountForLess, until they are warm, whatever they say that they work on at once.
-func TestWarmingHostsCountForLess(t *testing.T) {
+// TestWarmingHostsHaveLowerCapacity checks that a host counts for less until it is warm, whatever
+// capacity it states.
+func TestWarmingHostsHaveLowerCapacity(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	fill(world, 2)
@@ -235,8 +238,8 @@
 	replica := world.replica()
 	table := Compile(replica, zoneA, time.Second)
 	ready := table.services["web"].Ready
-	is.Equal(len(ready), 2) // no bound is known
-	is.Equal(ready[0].Size(), 4*warmingPart)
+	is.Equal(len(ready), 2) // no limit on its new flows is configured
+	is.Equal(ready[0].Size(), 4*warmingFactor)
 	is.Equal(ready[1].Size(), 4.0)
 	is.Equal(table.Expires(), 2*time.Second)
 	warm := Compile(replica, zoneA, table.Expires())
