--- a/internal/fleetload/core.go
+++ b/internal/fleetload/core.go
@@ -12,126 +12,131 @@
 	"robinpulley.example/robinpulley/internal/tree"
 )
 
-// Settings of a core. See DefaultSettings.
+// Settings configures a Core. See DefaultSettings.
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// Window is the time between two reports of a node.
+	// Window is the interval at which a node sends reports.
 	Window time.Duration
-	// Smoothing is the time over which rates are taken, here and at the first node of a zone.
+	// Smoothing is the time constant of the smoothed rates of a zone, at its root node.
 	Smoothing time.Duration
-	// Near is the part of the capacity of its zone, by what this node is asked for, from which
-	// it reports a service unasked, and Rest that of the fleet and of each zone below which the first
-	// node lets go of it again, after RestTime.
-	Near, Rest float64
-	RestTime   time.Duration
-	// ZoneLife is how long what a zone was last heard to see counts.
-	ZoneLife time.Duration
-	// MostServices bounds the services in a message, those with the most work first.
-	MostServices int
+	// ReportThreshold is the part of a capacity above which a node reports a service without being
+	// asked, as estimated from its own demand. ReleaseThreshold is the part of the capacity of the
+	// fleet and of each zone below which the root node stops tracking the service, after
+	// ReleaseDelay.
+	ReportThreshold, ReleaseThreshold float64
+	ReleaseDelay                      time.Duration
+	// ZoneTTL is how long the last received state of a zone is used.
+	ZoneTTL time.Duration
+	// MaxServices is the maximum number of services in a message; those with the most work take
+	// precedence.
+	MaxServices int
 }
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default settings for a node of the zone.
 func DefaultSettings(self lb.NodeID, zone lb.Zone) Settings {
 	return Settings{
 		Self: self,
 		Zone: zone,
-		// A report is some 150 bytes: 0.8 KB/s at five a second, and 6 KB/s at who hears eight.
+		// A report is some 150 bytes: 0.8 KB/s at five a second, and 6 KB/s at a node that receives
+		// from eight.
 		Window: 200 * time.Millisecond,
-		// Some twenty requests a second and node: 400 of a zone's in this time, which are known within 5%.
+		// A node gets some twenty requests a second. The zone's 400 requests in this time give a
+		// precision of 5%.
 		Smoothing: 300 * time.Millisecond,
-		// Below half of what back ends can do at once, hardly any request waits: 4% of them in a
-		// queue of two slots at 0.5, with no more than a tenth of its own time on the mean.
-		Near:     0.5,
-		Rest:     0.4,
-		RestTime: 2 * time.Second,
-		// Two lost states in a row, and what is on its way meanwhile.
-		ZoneLife:     time.Second,
-		MostServices: 32,
+		// At a utilization of 0.5 hardly any request queues: 4% of them in a queue of two slots,
+		// and on average for at most a tenth of their service time.
+		ReportThreshold:  0.5,
+		ReleaseThreshold: 0.4,
+		ReleaseDelay:     2 * time.Second,
+		// Tolerates two lost states in a row and the transit time of the next.
+		ZoneTTL:     time.Second,
+		MaxServices: 32,
 	}
 }
 
-// Event is one input. At most one field is set; none makes a tick.
+// Event is one input. At most one field is set; an event with no field set is a tick.
 type Event struct {
-	// Samples are what this node has seen since the last ones, empty, not nil, for nothing.
+	// Samples are this node's observations since the previous ones. Without observations it is
+	// empty, not nil.
 	Samples []Sample
 	Place   *tree.Place
-	// Capacity is what the ready back ends of each service work on at once, by their zone.
+	// Capacity is the total capacity of the ready back ends of each service, by zone.
 	Capacity map[lb.ServiceName]map[lb.Zone]float64
 	Report   *message.LoadReport
 	State    *message.LoadState
 }
 
-// Outgoing is a message to control addresses.
+// Outgoing is a message to be sent to control addresses.
 type Outgoing struct {
 	To      []netip.AddrPort
 	Message message.Message
 }
 
-// Effects is filled by one Step. The caller reuses it; Step resets it first.
+// Effects is the output of one Step. The caller reuses it; Step resets it first.
 type Effects struct {
 	Messages []Outgoing
-	// Changed: Services is what the fleet knows now. A service that is not in it is far
-	// from its limit, or nothing recent is known of it.
+	// Changed states that Services is set to the fleet's present knowledge. A service that is
+	// absent is far from its limit, or has no recent reports.
 	Changed  bool
 	Services map[lb.ServiceName]Service
 }
 
-// Core is the part of one node. It is not safe for concurrent use.
+// Core aggregates the fleet's load at one node. It is not safe for concurrent use.
 type Core struct {
-	settings Settings
-	now      time.Duration
-	place    tree.Place
-	capacity map[lb.ServiceName]map[lb.Zone]float64
-	own      map[lb.ServiceName]*rates // what this node sees, to know when to report
-	ownAt    time.Duration
-	pending  map[lb.ServiceName]*sums
-	sendAt   time.Duration
+	settings     Settings
+	now          time.Duration
+	place        tree.Place
+	capacity     map[lb.ServiceName]map[lb.Zone]float64
+	ownRates     map[lb.ServiceName]*rates // observations of this node, to decide when to report
+	ownUpdatedAt time.Duration
+	pending      map[lb.ServiceName]*sums
+	nextSend     time.Duration
 
-	// zones are what is known of each zone, and services what follows from it.
-	zones    map[lb.Zone]*zoneState
-	services map[lb.ServiceName]Service
-	last     message.LoadState // from the first node of the zone
+	// zones holds the last state of each zone, and services what is derived from them.
+	zones     map[lb.Zone]*zoneState
+	services  map[lb.ServiceName]Service
+	lastState message.LoadState // the last state received from above in the tree
 
-	first first
+	root root
 }
 
-// zoneState is what a zone was last heard to see.
+// zoneState is the last known state of a zone.
 type zoneState struct {
 	work     map[lb.ServiceName]message.ServiceWork
 	summedAt time.Duration // by this node's clock
 }
 
-// New gives a core that knows nothing.
+// New returns a core without any data.
 func New(settings Settings) *Core {
 	return &Core{
 		settings: settings,
-		own:      make(map[lb.ServiceName]*rates),
+		ownRates: make(map[lb.ServiceName]*rates),
 		pending:  make(map[lb.ServiceName]*sums),
 		zones:    make(map[lb.Zone]*zoneState),
 		services: make(map[lb.ServiceName]Service),
-		first:    first{rates: make(map[lb.ServiceName]*rates), busyAt: make(map[lb.ServiceName]time.Duration)},
+		root:     root{rates: make(map[lb.ServiceName]*rates), nearLimitAt: make(map[lb.ServiceName]time.Duration)},
 	}
 }
 
-// Services gives what the fleet knows now; see Effects. It is not to be changed.
+// Services returns the fleet's present knowledge; see Effects. The caller must not modify it.
 func (c *Core) Services() map[lb.ServiceName]Service { return c.services }
 
-// Step takes one event at a time that never goes back and fills effects.
+// Step processes one event and fills effects. Times must not decrease.
 func (c *Core) Step(now time.Duration, event *Event, effects *Effects) {
 	*effects = Effects{Messages: effects.Messages[:0]}
 	c.now = max(now, c.now)
 	switch {
 	case event.Samples != nil:
-		c.note(event.Samples)
+		c.recordSamples(event.Samples)
 	case event.Place != nil:
 		c.setPlace(event.Place)
 	case event.Capacity != nil:
 		c.capacity = event.Capacity
 	case event.Report != nil:
-		c.takeReport(event.Report)
+		c.applyReport(event.Report)
 	case event.State != nil:
-		c.takeState(event.State, effects)
+		c.applyState(event.State, effects)
 	default:
 		c.tick(effects)
 	}
@@ -139,31 +144,32 @@
 
 func (c *Core) setPlace(place *tree.Place) {
 	if place.First != c.place.First {
-		clear(c.first.rates)
-		clear(c.first.busyAt)
-		c.first.at = c.now
+		clear(c.root.rates)
+		clear(c.root.nearLimitAt)
+		c.root.ratesUpdatedAt = c.now
 	}
 	c.place = *place
 }
 
-// note takes what this node has seen.
-func (c *Core) note(samples []Sample) {
-	elapsed := c.now - c.ownAt
-	c.ownAt = c.now
+// recordSamples adds this node's observations.
+func (c *Core) recordSamples(samples []Sample) {
+	elapsed := c.now - c.ownUpdatedAt
+	c.ownUpdatedAt = c.now
 	seen := make(map[lb.ServiceName]*sums, len(samples))
 	for index := range samples {
-		known := newSums()
-		known.sample(&samples[index])
-		seen[samples[index].Service] = known
-		c.sums(samples[index].Service).add(known)
+		added := newSums()
+		added.addSample(&samples[index])
+		seen[samples[index].Service] = added
+		c.pendingSums(samples[index].Service).add(added)
 	}
-	follow(c.own, seen, elapsed, ownSmoothing)
+	updateRates(c.ownRates, seen, elapsed, nodeSmoothing)
 }
 
-// ownSmoothing is longer than that of a zone: one node sees little.
-const ownSmoothing = time.Second
+// nodeSmoothing is longer than the smoothing of a zone, because a single node observes few
+// requests.
+const nodeSmoothing = time.Second
 
-func (c *Core) sums(service lb.ServiceName) *sums {
+func (c *Core) pendingSums(service lb.ServiceName) *sums {
 	known := c.pending[service]
 	if known == nil {
 		known = newSums()
@@ -172,37 +178,37 @@
 	return known
 }
 
-// takeReport adds what a node below has seen.
-func (c *Core) takeReport(report *message.LoadReport) {
+// applyReport adds the report of a node below in the tree.
+func (c *Core) applyReport(report *message.LoadReport) {
 	for index := range report.Services {
-		c.sums(report.Services[index].Service).work(&report.Services[index])
+		c.pendingSums(report.Services[index].Service).addWork(&report.Services[index])
 	}
 }
 
-// takeState takes what the first node of another zone tells of its zone, or that of
-// the own zone of all, and passes the latter on.
-func (c *Core) takeState(state *message.LoadState, effects *Effects) {
+// applyState applies a state message: at the root node, the state of another zone from its root; at
+// other nodes, the state of all zones from the own root, which is forwarded down the tree.
+func (c *Core) applyState(state *message.LoadState, effects *Effects) {
 	if c.place.First {
 		for index := range state.Zones {
 			if state.Zones[index].Zone != c.settings.Zone {
-				c.hear(&state.Zones[index])
+				c.updateZone(&state.Zones[index])
 			}
 		}
 		return
 	}
-	if state.Sender == c.last.Sender && state.Number <= c.last.Number {
+	if state.Sender == c.lastState.Sender && state.Number <= c.lastState.Number {
 		return
 	}
-	c.last = *state
+	c.lastState = *state
 	for index := range state.Zones {
-		c.hear(&state.Zones[index])
+		c.updateZone(&state.Zones[index])
 	}
 	c.send(c.place.Children, *state, effects)
-	c.conclude(effects)
+	c.updateServices(effects)
 }
 
-// hear takes what a zone sees, unless something newer is known of it.
-func (c *Core) hear(zone *message.ZoneWork) {
+// updateZone stores the state of a zone unless a newer one is known.
+func (c *Core) updateZone(zone *message.ZoneWork) {
 	summedAt := c.now - time.Duration(zone.AgeMillis)*time.Millisecond
 	known := c.zones[zone.Zone]
 	if known != nil && known.summedAt > summedAt {
@@ -216,25 +222,25 @@
 }
 
 func (c *Core) tick(effects *Effects) {
-	if c.now < c.sendAt {
+	if c.now < c.nextSend {
 		return
 	}
-	c.sendAt = c.now + c.settings.Window
+	c.nextSend = c.now + c.settings.Window
 	if c.place.First {
-		c.sumUp(effects)
+		c.publishState(effects)
 	} else {
 		c.report(effects)
 	}
-	if c.expire() {
-		c.conclude(effects)
+	if c.expireZones() {
+		c.updateServices(effects)
 	}
 }
 
-// expire drops zones that were not heard of for long, and tells whether there were any.
-func (c *Core) expire() bool {
+// expireZones deletes zones whose state is too old, and reports whether there were any.
+func (c *Core) expireZones() bool {
 	expired := false
 	for zone, state := range c.zones {
-		if c.now-state.summedAt > c.settings.ZoneLife {
+		if c.now-state.summedAt > c.settings.ZoneTTL {
 			delete(c.zones, zone)
 			expired = true
 		}
@@ -242,47 +248,47 @@
 	return expired
 }
 
-// report sends what waits up the tree: services that are near their limit by what this node
-// is asked for, that nodes below report, or that the zone's first node asks for.
+// report sends the pending sums up the tree, for services that are near their limit according to
+// this node's demand, that nodes below report, or that the root node publishes.
 func (c *Core) report(effects *Effects) {
 	var services []message.ServiceWork
 	for service, pending := range c.pending {
-		_, asked := c.services[service]
-		near := pending.near || c.near(service)
-		if !asked && !near && !pending.below {
+		_, published := c.services[service]
+		nearLimit := pending.nearLimit || c.nearLimit(service)
+		if !published && !nearLimit && !pending.fromChildren {
 			continue
 		}
 		work := pending.message(service)
-		work.Echo = !near
+		work.Echo = !nearLimit
 		services = append(services, work)
 	}
 	clear(c.pending)
 	if len(services) > 0 && c.place.Parent.IsValid() {
-		services = mostWork(services, c.settings.MostServices)
+		services = topByWork(services, c.settings.MaxServices)
 		c.send([]netip.AddrPort{c.place.Parent}, message.LoadReport{Services: services}, effects)
 	}
 }
 
-// near tells whether a service is near its limit by what this node is asked for: the
-// routers give all nodes of a zone the same part of its callers.
-func (c *Core) near(service lb.ServiceName) bool {
-	seen := c.own[service]
+// nearLimit reports whether a service is near its limit, extrapolating from this node's demand: the
+// routers distribute the callers of a zone evenly over its nodes.
+func (c *Core) nearLimit(service lb.ServiceName) bool {
+	seen := c.ownRates[service]
 	if seen == nil {
 		return false
 	}
-	begun, refused := seen.asked()
+	begun, refused := seen.totalWork()
 	if refused > 0 {
 		return true
 	}
 	capacity := c.capacity[service]
 	inZone := begun * float64(max(c.place.ZoneNodes, 1))
 	inFleet := begun * float64(max(c.place.Nodes, 1))
-	return above(inZone, c.settings.Near, capacity[c.settings.Zone]) || above(inFleet, c.settings.Near, lb.TotalSlots(capacity))
+	return exceeds(inZone, c.settings.ReportThreshold, capacity[c.settings.Zone]) || exceeds(inFleet, c.settings.ReportThreshold, lb.TotalSlots(capacity))
 }
 
-// above tells whether work is more than a part of a capacity. Where there is none, the
-// other zones' back ends do the work, and theirs counts.
-func above(work, part, capacity float64) bool { return capacity > 0 && work > part*capacity }
+// exceeds reports whether work is more than a part of a capacity. Where there is no capacity, the
+// back ends of other zones do the work, and their capacity counts.
+func exceeds(work, part, capacity float64) bool { return capacity > 0 && work > part*capacity }
 
 func (c *Core) send(to []netip.AddrPort, sent message.Message, effects *Effects) {
 	if len(to) > 0 {
@@ -290,14 +296,14 @@
 	}
 }
 
-// conclude works out what the fleet knows of each service.
-func (c *Core) conclude(effects *Effects) {
+// updateServices derives the load of each service from the states of the zones.
+func (c *Core) updateServices(effects *Effects) {
 	before := len(c.services)
 	c.services = make(map[lb.ServiceName]Service)
 	for zone, state := range c.zones {
 		for name, work := range state.work {
 			service := c.services[name]
-			service.Zones = append(service.Zones, zoneOf(zone, &work))
+			service.Zones = append(service.Zones, decodeZone(zone, &work))
 			service.At = max(service.At, state.summedAt)
 			c.services[name] = service
 		}
@@ -311,7 +317,7 @@
 	effects.Services = c.services
 }
 
-// addLoads adds what all zones see of each zone's back ends.
+// addLoads adds the load of each zone's back ends, combined from the observations of all zones.
 func (c *Core) addLoads(name lb.ServiceName, service *Service) {
 	for index := range service.Zones {
 		zone := &service.Zones[index]
--- a/internal/fleetload/fleet_test.go
+++ b/internal/fleetload/fleet_test.go
@@ -20,12 +20,12 @@
 	zoneCount   = 3
 	zoneNodes   = 20
 	webSlots    = 80.0
-	requestWork = 0.06 // seconds of a request
+	requestWork = 0.06 // seconds of work per request
 	transit     = 2 * ms
 	sampleTime  = 100 * ms
 )
 
-// fleet is nodes that tell each other, in virtual time. Demand, by zone, is in slots.
+// fleet simulates communicating nodes in virtual time. Demand is in slots, by zone.
 type fleet struct {
 	random  *rand.Rand
 	now     time.Duration
@@ -34,9 +34,9 @@
 	inbox   []delivery
 	demand  [zoneCount]float64
 	refused [zoneCount]float64
-	loss    float64                     // of messages
-	cut     func(from, to lb.Zone) bool // nil: none
-	forge   func(*fakeNode, message.Message) message.Message
+	loss    float64                     // probability of losing a message
+	cut     func(from, to lb.Zone) bool // whether messages between two zones are dropped; nil: none
+	tamper  func(*fakeNode, message.Message) message.Message
 	sent    int
 	bytes   int
 }
@@ -73,7 +73,7 @@
 		f.byAddr[n.address] = n
 		f.start(n)
 	}
-	f.place()
+	f.placeAll()
 	return f
 }
 
@@ -87,8 +87,8 @@
 	f.step(n, &Event{Capacity: map[lb.ServiceName]map[lb.Zone]float64{"web": capacity, "idle": capacity}})
 }
 
-// place tells all living nodes their places.
-func (f *fleet) place() {
+// placeAll sends all living nodes their places in the tree.
+func (f *fleet) placeAll() {
 	living := make([][]tree.Node, zoneCount)
 	count := 0
 	for index, n := range f.nodes {
@@ -125,8 +125,8 @@
 }
 
 func (f *fleet) send(from, to *fakeNode, sent message.Message) {
-	if f.forge != nil {
-		sent = f.forge(from, sent)
+	if f.tamper != nil {
+		sent = f.tamper(from, sent)
 	}
 	line, err := message.Encode(nil, from.id, sent)
 	if err != nil {
@@ -144,7 +144,7 @@
 	f.inbox = append(f.inbox, delivery{at: f.now + transit, to: to, sent: read})
 }
 
-// run plays for a time, in steps of 10 ms.
+// run simulates a span of time in steps of 10 ms.
 func (f *fleet) run(span time.Duration) {
 	for end := f.now + span; f.now < end; f.now += 10 * ms {
 		due := f.inbox
@@ -177,7 +177,7 @@
 	}
 }
 
-// sample draws what a node sees in a sample's time: requests by chance.
+// sample draws a random number of requests that a node observes in one sample interval.
 func (f *fleet) sample(index int) []Sample {
 	zone := index / zoneNodes
 	begun := f.poisson(f.demand[zone] / requestWork / zoneNodes * sampleTime.Seconds())
@@ -201,8 +201,8 @@
 	return count
 }
 
-// asked gives what a node knows that a zone is asked for; -1: nothing.
-func asked(n *fakeNode, zone int) float64 {
+// knownDemand returns the demand of a zone known to a node, or -1 if it is unknown.
+func knownDemand(n *fakeNode, zone int) float64 {
 	for _, known := range n.known["web"].Zones {
 		if known.Zone == zoneName(zone) {
 			return known.Demand()
@@ -211,14 +211,15 @@
 	return -1
 }
 
-// mean gives the mean of what living nodes know, and how many know nothing.
-func (f *fleet) mean(zone int) (mean float64, unknown int) {
+// meanDemand returns the mean demand known to living nodes, and the number of nodes that do not
+// know it.
+func (f *fleet) meanDemand(zone int) (mean float64, unknown int) {
 	count := 0
 	for _, n := range f.nodes {
 		if n.dead {
 			continue
 		}
-		known := asked(n, zone)
+		known := knownDemand(n, zone)
 		if known < 0 {
 			unknown++
 			continue
@@ -229,8 +230,8 @@
 	return mean / float64(max(count, 1)), unknown
 }
 
-// TestNothingIsSentFarFromTheLimit: at rest fleet load costs no byte.
-func TestNothingIsSentFarFromTheLimit(t *testing.T) {
+// TestNoMessagesFarFromLimit checks that fleet load costs no traffic in a fleet far from its limit.
+func TestNoMessagesFarFromLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
 	f.demand = [zoneCount]float64{15, 15, 15}
@@ -238,9 +239,10 @@
 	is.Equal(f.sent, 0)
 }
 
-// TestStepOfDemandIsKnownEverywhere: the load is one zone's callers asking for three times as
-// much at once. All nodes of all zones know it within 5% two seconds later and never far past it.
-func TestStepOfDemandIsKnownEverywhere(t *testing.T) {
+// TestDemandStepReachesAllNodes covers a surge in which one zone's callers triple their demand at
+// once. Two seconds later all nodes of all zones must know it within 5%, without a large overshoot
+// before.
+func TestDemandStepReachesAllNodes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
 	f.demand = [zoneCount]float64{20, 25, 20}
@@ -249,15 +251,15 @@
 	highest := 0.0
 	for range 20 {
 		f.run(100 * ms)
-		known, _ := f.mean(0)
+		known, _ := f.meanDemand(0)
 		highest = max(highest, known)
 	}
 	for zone, demand := range f.demand {
 		known, unknown := 0.0, 0
-		for range 10 { // a moment alone is by chance: some 450 requests are known by
-			part, without := f.mean(zone)
-			known += part / 10
-			unknown += without
+		for range 10 { // the known demand is averaged, since one value rests on some 450 requests only
+			mean, missing := f.meanDemand(zone)
+			known += mean / 10
+			unknown += missing
 			f.run(100 * ms)
 		}
 		is.Equal(unknown, 0)
@@ -266,8 +268,8 @@
 	is.True(highest < 1.1*90)
 }
 
-// TestLoadOfBackEndsIsSummedOverZones: answers are known by the zone of the back end.
-func TestLoadOfBackEndsIsSummedOverZones(t *testing.T) {
+// TestBackEndLoadIsSummedOverZones checks that answers are attributed to the zone of the back end.
+func TestBackEndLoadIsSummedOverZones(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
 	f.demand = [zoneCount]float64{70, 70, 70}
@@ -281,43 +283,45 @@
 	}
 }
 
-// TestItEndsWhenTheCrowdHasGone: after the crowd nothing is known, and nothing is sent.
-func TestItEndsWhenTheCrowdHasGone(t *testing.T) {
+// TestMessagesStopAfterSurge checks that after a surge the data expires and no more messages are
+// sent.
+func TestMessagesStopAfterSurge(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
 	f.demand = [zoneCount]float64{90, 20, 20}
 	f.run(4 * time.Second)
-	_, unknown := f.mean(0)
+	_, unknown := f.meanDemand(0)
 	is.Equal(unknown, 0)
 	f.demand[0] = 15
 	f.run(8 * time.Second)
 	f.sent = 0
 	f.run(4 * time.Second)
 	is.Equal(f.sent, 0)
-	_, unknown = f.mean(0)
+	_, unknown = f.meanDemand(0)
 	is.Equal(unknown, zoneCount*zoneNodes)
 }
 
-// TestFirstNodeDies: what its zone is asked for is forgotten in time, and known again
-// when the next one has taken over.
-func TestFirstNodeDies(t *testing.T) {
+// TestZoneDataExpiresWhenRootDies checks that the demand of a zone expires after its root node
+// dies, and is known again after the next node has become the root.
+func TestZoneDataExpiresWhenRootDies(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(5)
 	f.demand = [zoneCount]float64{90, 20, 20}
 	f.run(4 * time.Second)
 	f.nodes[0].dead = true
 	f.run(1500 * ms)
-	_, unknown := f.mean(0)
-	is.Equal(unknown, zoneCount*zoneNodes-1) // nobody believes old sums
-	f.place()
+	_, unknown := f.meanDemand(0)
+	is.Equal(unknown, zoneCount*zoneNodes-1) // no node uses expired sums
+	f.placeAll()
 	f.run(2 * time.Second)
-	known, unknown := f.mean(0)
+	known, unknown := f.meanDemand(0)
 	is.Equal(unknown, 0)
 	is.True(math.Abs(known/90-1) < 0.1)
 }
 
-// TestCutZoneIsForgotten: each side goes on with its own, and both know all again afterwards.
-func TestCutZoneIsForgotten(t *testing.T) {
+// TestPartitionedZoneExpires checks that each side of a partition continues with its own data, and
+// that both know all zones again after it heals.
+func TestPartitionedZoneExpires(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6)
 	f.demand = [zoneCount]float64{90, 60, 60}
@@ -326,20 +330,20 @@
 	f.run(1500 * ms)
 	for index, n := range f.nodes {
 		inside := index < zoneNodes
-		is.Equal(asked(n, 0) >= 0, inside)
-		is.Equal(asked(n, 1) >= 0, !inside)
+		is.Equal(knownDemand(n, 0) >= 0, inside)
+		is.Equal(knownDemand(n, 1) >= 0, !inside)
 	}
 	f.cut = nil
 	f.run(1500 * ms)
 	for zone := range zoneCount {
-		_, unknown := f.mean(zone)
+		_, unknown := f.meanDemand(zone)
 		is.Equal(unknown, 0)
 	}
 }
 
-// TestLostMessagesChangeLittle: a fifth of all messages lost makes less known, never much more,
-// and never nothing for long.
-func TestLostMessagesChangeLittle(t *testing.T) {
+// TestLostMessagesHaveLittleEffect checks that with a fifth of all messages lost, the known demand
+// may be too low, but is never much too high, and is never unknown for long.
+func TestLostMessagesHaveLittleEffect(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7)
 	f.demand = [zoneCount]float64{90, 70, 70}
@@ -347,15 +351,16 @@
 	f.run(3 * time.Second)
 	for range 20 {
 		f.run(100 * ms)
-		known, unknown := f.mean(0)
+		known, unknown := f.meanDemand(0)
 		is.True(known < 1.1*90)
 		is.True(known > 0.5*90)
 		is.True(unknown < zoneNodes)
 	}
 }
 
-// TestHalfOfTheNodesRestart: they know what the fleet knows within a second of their start.
-func TestHalfOfTheNodesRestart(t *testing.T) {
+// TestRestartedNodesRecoverWithinASecond checks that half of the nodes, restarted together, soon
+// know the fleet's load.
+func TestRestartedNodesRecoverWithinASecond(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
 	f.demand = [zoneCount]float64{90, 70, 70}
@@ -363,24 +368,24 @@
 	for index := 1; index < len(f.nodes); index += 2 {
 		f.start(f.nodes[index])
 	}
-	f.place()
+	f.placeAll()
 	f.run(time.Second)
 	for zone := range zoneCount {
-		_, unknown := f.mean(zone)
+		_, unknown := f.meanDemand(zone)
 		is.Equal(unknown, 0)
 	}
 }
 
-// TestLyingNodeIsBoundedByTheCodec: sums that are no sums are refused before they count, and
-// a node that adds a thousand requests a second to its reports changes its own zone alone.
-func TestLyingNode(t *testing.T) {
+// TestFalseReportsAffectOwnZoneOnly covers a faulty node that adds a thousand requests a second to
+// its reports. This may change the demand of its own zone only.
+func TestFalseReportsAffectOwnZoneOnly(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(9)
 	f.demand = [zoneCount]float64{50, 50, 50}
-	liar := f.nodes[zoneNodes-1]
-	f.forge = func(from *fakeNode, sent message.Message) message.Message {
+	faulty := f.nodes[zoneNodes-1]
+	f.tamper = func(from *fakeNode, sent message.Message) message.Message {
 		report, ok := sent.(message.LoadReport)
-		if from != liar || !ok {
+		if from != faulty || !ok {
 			return sent
 		}
 		report.Services = append(report.Services, message.ServiceWork{
@@ -389,14 +394,15 @@
 		return report
 	}
 	f.run(4 * time.Second)
-	other, _ := f.mean(1)
+	other, _ := f.meanDemand(1)
 	is.True(math.Abs(other/50-1) < 0.1)
-	own, _ := f.mean(0)
-	is.True(own > 50) // believed: who uses it bounds what that does
+	own, _ := f.meanDemand(0)
+	is.True(own > 50) // accepted as it is: users of the data bound its effect
 }
 
-// TestBytesNearTheLimit: what a node sends while the fleet is near its limit, in bytes a second.
-func TestBytesNearTheLimit(t *testing.T) {
+// TestTrafficNearLimit measures what a node sends while the fleet is near its limit, in bytes a
+// second.
+func TestTrafficNearLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(10)
 	f.demand = [zoneCount]float64{90, 70, 70}
@@ -404,6 +410,6 @@
 	f.bytes, f.sent = 0, 0
 	f.run(10 * time.Second)
 	perNode := float64(f.bytes) / 10 / float64(len(f.nodes))
-	t.Logf("%.0f bytes and %.1f messages a second and node", perNode, float64(f.sent)/10/float64(len(f.nodes)))
-	is.True(perNode < 4000) // of 14 KB/s for all control
+	t.Logf("%.0f bytes and %.1f messages a second per node", perNode, float64(f.sent)/10/float64(len(f.nodes)))
+	is.True(perNode < 4000) // of 14 KB/s for all control traffic
 }
--- a/internal/fleetload/load.go
+++ b/internal/fleetload/load.go
@@ -1,11 +1,10 @@
-// Package fleetload finds out what the zones of a fleet are asked for and how
-// busy their back ends are, by what all balancers see together. One node sees
-// some twenty openings a second, spread over a hundred back ends: too few to
-// tell a crowd from chance, and nothing of what callers of other zones ask for.
-// Nodes report sums up the tree over their zone, whose first nodes tell each
-// other the sums of their zones, and tell all of them down the tree. Far from a
-// limit nothing is sent. It is a deterministic core without I/O and clock; see
-// docs/design/hard-load.md.
+// Package fleetload aggregates the demand of the callers in each zone and the load of the back
+// ends, from the observations of all balancers. A single node sees some twenty openings a second,
+// spread over a hundred back ends: too few to tell a surge from random variation, and it learns
+// nothing of the demand of callers in other zones. Nodes report sums up the tree of their zone. The
+// root nodes of the zones exchange the sums of their zones and send all of them down their trees.
+// Far from a capacity limit nothing is sent. The package is a deterministic core without I/O and
+// clock; see docs/design/hard-load.md.
 package fleetload
 
 import (
@@ -14,37 +13,39 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Service is what the fleet knows of the load of one service. What was not heard
-// of lately is not in it: who uses it falls back to what it sees itself.
+// Service is the load of one service as known from the whole fleet. Zones without recent reports
+// are omitted; users of the data then fall back to what the node observes itself.
 type Service struct {
-	// Zones are in order of name.
+	// Zones is sorted by name.
 	Zones []Zone
-	// At is when the newest part of it came to this node.
+	// At is when this node received the newest part of the data.
 	At time.Duration
 }
 
-// Zone is what is known of one zone's callers, and of the back ends in it.
+// Zone is the known state of the callers and the back ends of one zone.
 type Zone struct {
 	Zone lb.Zone
-	// Levels are what the callers of the zone ask for, in order of priority.
+	// Levels holds the demand of the callers in the zone, sorted by priority.
 	Levels []Level
-	// Load is the geometric mean of the loads of requests at the zone's back ends, whoever sent
-	// them (see overload.Controller), and Answers how many answers a second it rests on.
+	// Load is the geometric mean of the loads of requests at the zone's back ends, whichever zone
+	// sent them (see overload.Controller), and Answers is the number of answers a second that it is
+	// computed from.
 	Load, Answers float64
-	// Rejected is how many openings a second the zone's back ends have rejected, being full.
+	// Rejected is the number of openings a second that the zone's back ends have rejected because
+	// they were full.
 	Rejected float64
 }
 
-// Level is the work that openings and requests of one priority bring, in slots:
-// seconds of work a second, by what a request takes at an idle back end.
+// Level is the work of the openings and requests of one priority, in slots: seconds of work a
+// second, where the work of a request is its duration at an idle back end.
 type Level struct {
 	Priority uint16
-	// Begun was sent on to back ends, and Refused was refused for lack of room; a caller who is
-	// refused and tries again counts again.
+	// Begun is the work sent on to back ends, and Refused the work refused for lack of spare
+	// capacity. An opening that is refused and retried counts again.
 	Begun, Refused float64
 }
 
-// Demand is all the work that is asked for, in slots.
+// Demand returns the total work requested, in slots.
 func (z *Zone) Demand() float64 {
 	sum := 0.0
 	for _, level := range z.Levels {
@@ -53,20 +54,21 @@
 	return sum
 }
 
-// Sample is what one node has seen of a service since the sample before.
+// Sample is what one node has observed of a service since its previous sample.
 type Sample struct {
 	Service lb.ServiceName
-	// Levels hold seconds of work, not slots.
+	// Levels is in seconds of work, not in slots.
 	Levels []Level
-	// Answers are those of back ends, by their zone.
+	// Answers holds the answers of back ends by their zone.
 	Answers []Answers
 }
 
-// Answers sums up answers of the back ends of one zone.
+// Answers aggregates answers of the back ends of one zone.
 type Answers struct {
 	Zone lb.Zone
-	// Count is how many there were, and Logs the sum of the natural logarithms of their loads.
+	// Count is the number of answers, and Logs the sum of the natural logarithms of their loads.
 	Count, Logs float64
-	// Rejected is how many more came too quickly to be answers: full back ends reject so.
+	// Rejected is the number of further answers that came too quickly for a processed request,
+	// which is how full back ends reject one.
 	Rejected float64
 }
--- a/internal/fleetload/meter.go
+++ b/internal/fleetload/meter.go
@@ -8,54 +8,56 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Meter adds up what one node sees of the load of services. It is not safe for concurrent use.
+// Meter aggregates what one node observes of the load of services. It is not safe for concurrent
+// use.
 type Meter struct {
-	services map[lb.ServiceName]*metered
+	services map[lb.ServiceName]*serviceMeter
 }
 
-// metered is what was seen of one service since the last samples.
-type metered struct {
-	levels  map[uint16]*Level // seconds of work
+// serviceMeter holds the observations of one service since the last call of Samples.
+type serviceMeter struct {
+	levels  map[uint16]*Level // in seconds of work
 	answers map[lb.Zone]*Answers
 }
 
-// NewMeter gives a meter that has seen nothing.
-func NewMeter() *Meter { return &Meter{services: make(map[lb.ServiceName]*metered)} }
+// NewMeter returns an empty meter.
+func NewMeter() *Meter { return &Meter{services: make(map[lb.ServiceName]*serviceMeter)} }
 
-// Begun notes a request that was sent on, and Refused an opening that was refused for lack
-// of room, by the seconds of work that such a request is at an idle back end.
+// Begun records a request sent on to a back end. The work is the duration of such a request at an
+// idle back end, in seconds.
 func (m *Meter) Begun(service lb.ServiceName, priority uint16, work float64) {
 	m.level(service, priority).Begun += work
 }
 
-// Refused notes an opening that was refused for lack of room; see Begun.
+// Refused records an opening refused for lack of spare capacity; for work see Begun.
 func (m *Meter) Refused(service lb.ServiceName, priority uint16, work float64) {
 	m.level(service, priority).Refused += work
 }
 
-// Answered notes an answer of a back end in a zone, by the natural logarithm of its load.
+// Answered records an answer of a back end in a zone, with the natural logarithm of its load.
 func (m *Meter) Answered(service lb.ServiceName, zone lb.Zone, log float64) {
-	answers := m.answersOf(service, zone)
+	answers := m.zoneAnswers(service, zone)
 	answers.Count++
 	answers.Logs += log
 }
 
-// Rejected notes an answer that came too quickly to be one: full back ends reject so.
+// Rejected records an answer that came too quickly for a processed request, which is how full back
+// ends reject one.
 func (m *Meter) Rejected(service lb.ServiceName, zone lb.Zone) {
-	m.answersOf(service, zone).Rejected++
+	m.zoneAnswers(service, zone).Rejected++
 }
 
-func (m *Meter) metered(service lb.ServiceName) *metered {
+func (m *Meter) service(service lb.ServiceName) *serviceMeter {
 	known := m.services[service]
 	if known == nil {
-		known = &metered{levels: make(map[uint16]*Level), answers: make(map[lb.Zone]*Answers)}
+		known = &serviceMeter{levels: make(map[uint16]*Level), answers: make(map[lb.Zone]*Answers)}
 		m.services[service] = known
 	}
 	return known
 }
 
 func (m *Meter) level(service lb.ServiceName, priority uint16) *Level {
-	known := m.metered(service)
+	known := m.service(service)
 	level := known.levels[priority]
 	if level == nil {
 		level = &Level{Priority: priority}
@@ -64,8 +66,8 @@
 	return level
 }
 
-func (m *Meter) answersOf(service lb.ServiceName, zone lb.Zone) *Answers {
-	known := m.metered(service)
+func (m *Meter) zoneAnswers(service lb.ServiceName, zone lb.Zone) *Answers {
+	known := m.service(service)
 	answers := known.answers[zone]
 	if answers == nil {
 		answers = &Answers{Zone: zone}
@@ -74,21 +76,21 @@
 	return answers
 }
 
-// Samples gives what was seen since the last call, by service, and begins anew.
+// Samples returns the observations since the last call, sorted by service, and resets the meter.
 func (m *Meter) Samples() []Sample {
 	if len(m.services) == 0 {
 		return nil
 	}
 	samples := make([]Sample, 0, len(m.services))
-	for name, seen := range m.services {
-		samples = append(samples, seen.sample(name))
+	for name, meter := range m.services {
+		samples = append(samples, meter.sample(name))
 	}
 	clear(m.services)
 	slices.SortFunc(samples, func(a, b Sample) int { return cmp.Compare(a.Service, b.Service) })
 	return samples
 }
 
-func (s *metered) sample(name lb.ServiceName) Sample {
+func (s *serviceMeter) sample(name lb.ServiceName) Sample {
 	sample := Sample{Service: name}
 	for _, priority := range slices.Sorted(maps.Keys(s.levels)) {
 		sample.Levels = append(sample.Levels, *s.levels[priority])
--- a/internal/fleetload/sums.go
+++ b/internal/fleetload/sums.go
@@ -11,26 +11,26 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// thousandths is the unit of sums in messages, which hold whole numbers.
+// thousandths is the unit of sums in messages, which carry integers only.
 const thousandths = 1000
 
 func toThousandths(value float64) int   { return int(math.Round(value * thousandths)) }
 func fromThousandths(value int) float64 { return float64(value) / thousandths }
 
-// sums is what was seen of one service in a window.
+// sums aggregates the observations of one service during one window.
 type sums struct {
-	levels  map[uint16]Level // seconds of work
-	answers map[lb.Zone]Answers
-	below   bool // nodes below have reported it
-	near    bool // and one of them because it is near its limit there
+	levels       map[uint16]Level // in seconds of work
+	answers      map[lb.Zone]Answers
+	fromChildren bool // whether it contains reports of nodes below in the tree
+	nearLimit    bool // whether one of these nodes reported that the service is near its limit
 }
 
 func newSums() *sums {
 	return &sums{levels: make(map[uint16]Level), answers: make(map[lb.Zone]Answers)}
 }
 
-// sample adds what this node has seen.
-func (s *sums) sample(seen *Sample) {
+// addSample adds an observation of this node.
+func (s *sums) addSample(seen *Sample) {
 	for _, level := range seen.Levels {
 		s.addLevel(level)
 	}
@@ -49,10 +49,10 @@
 	}
 }
 
-// work adds what a node below has reported.
-func (s *sums) work(reported *message.ServiceWork) {
-	s.below = true
-	s.near = s.near || !reported.Echo
+// addWork adds the report of a node below in the tree.
+func (s *sums) addWork(reported *message.ServiceWork) {
+	s.fromChildren = true
+	s.nearLimit = s.nearLimit || !reported.Echo
 	for _, level := range reported.Levels {
 		s.addLevel(Level{
 			Priority: level.Priority, Begun: fromThousandths(level.Begun), Refused: fromThousandths(level.Refused),
@@ -83,7 +83,7 @@
 	s.answers[answers.Zone] = known
 }
 
-// message gives the sums as a report has them.
+// message encodes the sums for a report.
 func (s *sums) message(service lb.ServiceName) message.ServiceWork {
 	work := message.ServiceWork{Service: service}
 	for _, priority := range slices.Sorted(maps.Keys(s.levels)) {
@@ -101,32 +101,32 @@
 	return work
 }
 
-// rates is what is seen of one service a second, smoothed.
+// rates holds the smoothed rates of one service, per second.
 type rates struct {
 	sums
 }
 
-// follow moves the rates towards what was seen in the time elapsed; those of services
-// that nothing was seen of fall, and are dropped in the end.
-func follow(known map[lb.ServiceName]*rates, seen map[lb.ServiceName]*sums, elapsed, smoothing time.Duration) {
+// updateRates moves the rates towards what was observed in the elapsed time. Rates of services
+// without observations decay, and are deleted when they are negligible.
+func updateRates(known map[lb.ServiceName]*rates, seen map[lb.ServiceName]*sums, elapsed, smoothing time.Duration) {
 	if elapsed <= 0 {
 		return
 	}
-	part := 1 - math.Exp(-float64(elapsed)/float64(smoothing))
+	weight := 1 - math.Exp(-float64(elapsed)/float64(smoothing))
 	for service := range seen {
 		if known[service] == nil {
 			known[service] = &rates{*newSums()}
 		}
 	}
 	for service, rate := range known {
-		rate.follow(seen[service], elapsed.Seconds(), part)
+		rate.update(seen[service], elapsed.Seconds(), weight)
 		if rate.negligible() {
 			delete(known, service)
 		}
 	}
 }
 
-func (r *rates) follow(seen *sums, seconds, part float64) {
+func (r *rates) update(seen *sums, seconds, weight float64) {
 	if seen == nil {
 		seen = newSums()
 	}
@@ -141,30 +141,30 @@
 		r.answers[zone] = answers
 	}
 	for priority, level := range r.levels {
-		now := seen.levels[priority]
-		level.Begun += (now.Begun/seconds - level.Begun) * part
-		level.Refused += (now.Refused/seconds - level.Refused) * part
+		observed := seen.levels[priority]
+		level.Begun += (observed.Begun/seconds - level.Begun) * weight
+		level.Refused += (observed.Refused/seconds - level.Refused) * weight
 		r.levels[priority] = level
 	}
 	for zone, answers := range r.answers {
-		now := seen.answers[zone]
-		answers.Count += (now.Count/seconds - answers.Count) * part
-		answers.Logs += (now.Logs/seconds - answers.Logs) * part
-		answers.Rejected += (now.Rejected/seconds - answers.Rejected) * part
+		observed := seen.answers[zone]
+		answers.Count += (observed.Count/seconds - answers.Count) * weight
+		answers.Logs += (observed.Logs/seconds - answers.Logs) * weight
+		answers.Rejected += (observed.Rejected/seconds - answers.Rejected) * weight
 		r.answers[zone] = answers
 	}
 }
 
-// leastWork is the work, in slots, below which a smoothed rate has faded.
-const leastWork = 0.0005
+// minWork is the work, in slots, below which a smoothed rate is negligible.
+const minWork = 0.0005
 
 func (r *rates) negligible() bool {
-	begun, refused := r.asked()
-	return begun+refused < leastWork
+	begun, refused := r.totalWork()
+	return begun+refused < minWork
 }
 
-// asked gives the work of all priorities.
-func (s *sums) asked() (begun, refused float64) {
+// totalWork returns the work of all priorities.
+func (s *sums) totalWork() (begun, refused float64) {
 	for _, level := range s.levels {
 		begun += level.Begun
 		refused += level.Refused
@@ -172,7 +172,7 @@
 	return begun, refused
 }
 
-// message gives the rates as a state has them.
+// message encodes the rates for a state.
 func (r *rates) message(service lb.ServiceName) message.ServiceWork {
 	work := r.sums.message(service)
 	for index := range work.Answers {
@@ -183,19 +183,19 @@
 	return work
 }
 
-// mostWork sorts services by name and keeps those with the most work.
-func mostWork(services []message.ServiceWork, most int) []message.ServiceWork {
-	if len(services) > most {
+// topByWork keeps at most limit services, those with the most work, and sorts them by name.
+func topByWork(services []message.ServiceWork, limit int) []message.ServiceWork {
+	if len(services) > limit {
 		slices.SortFunc(services, func(a, b message.ServiceWork) int {
-			return cmp.Or(cmp.Compare(workOf(&b), workOf(&a)), cmp.Compare(a.Service, b.Service))
+			return cmp.Or(cmp.Compare(messageWork(&b), messageWork(&a)), cmp.Compare(a.Service, b.Service))
 		})
-		services = services[:most]
+		services = services[:limit]
 	}
 	slices.SortFunc(services, func(a, b message.ServiceWork) int { return cmp.Compare(a.Service, b.Service) })
 	return services
 }
 
-func workOf(service *message.ServiceWork) int {
+func messageWork(service *message.ServiceWork) int {
 	sum := 0
 	for _, level := range service.Levels {
 		sum += level.Begun + level.Refused
@@ -207,8 +207,8 @@
 	slices.SortFunc(zones, func(a, b message.ZoneWork) int { return cmp.Compare(a.Zone, b.Zone) })
 }
 
-// zoneOf gives what a zone is asked for, from a state.
-func zoneOf(name lb.Zone, work *message.ServiceWork) Zone {
+// decodeZone returns the demand of a zone from a state message.
+func decodeZone(name lb.Zone, work *message.ServiceWork) Zone {
 	zone := Zone{Zone: name}
 	for _, level := range work.Levels {
 		zone.Levels = append(zone.Levels, Level{
--- a/internal/steering/compiler_test.go
+++ b/internal/steering/compiler_test.go
@@ -54,7 +54,7 @@
 func drawBackend(t *rapid.T, revision int64) view.Backend {
 	number := rapid.IntRange(1, 8).Draw(t, "number")
 	identity := uint64(number)
-	if rapid.IntRange(0, 15).Draw(t, "twin") == 0 {
+	if rapid.IntRange(0, 15).Draw(t, "duplicate") == 0 {
 		identity = 1
 	}
 	return view.Backend{
@@ -233,7 +233,7 @@
 				compiler.Compile(replica, 0)
 			}
 		})
-		b.Run(fmt.Sprintf("whole/%d", hosts), func(b *testing.B) {
+		b.Run(fmt.Sprintf("full/%d", hosts), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				change()
--- a/internal/steering/weights.go
+++ b/internal/steering/weights.go
@@ -28,7 +28,7 @@
 func (s *Service) lazySums() *serviceSums {
 	s.sums.once.Do(func() {
 		s.sums.weights = s.Weights(s.even)
-		s.sums.capacities = runningCapacities(s.Ready)
+		s.sums.capacities = sumCapacities(s.Ready)
 	})
 	return &s.sums
 }
@@ -69,8 +69,8 @@
 	return zones
 }
 
-// runningCapacities returns the running sums of the capacities of the hosts.
-func runningCapacities(hosts []*Host) []uint64 {
+// sumCapacities returns the running sums of the capacities of the hosts.
+func sumCapacities(hosts []*Host) []uint64 {
 	sums := make([]uint64, len(hosts))
 	sum := uint64(0)
 	for index, host := range hosts {
