--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -1,9 +1,8 @@
-// Package coldstart bounds the new flows of back ends that have just started and
-// bear few at first, over all balancers together. Nodes agree on nothing for it:
-// a cold back end is left to one node of its zone, the first by rendezvous hash
-// in that node's own view, and each node sends no more than a part of the bound,
-// so that a few nodes whose views differ stay within it together. It has no I/O
-// and no clock.
+// Package coldstart limits the new flows of back ends that have just started and can accept few at
+// first, over all balancers together. The nodes need no agreement: a cold back end is used by only
+// one node of its zone, the one that ranks first by rendezvous hashing in that node's own view, and
+// each node sends at most a part of the limit, so that a few nodes with differing views together
+// stay within it. The package has no I/O and no clock.
 package coldstart
 
 import (
@@ -14,82 +13,82 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// Identity names a run of a back end, as packets do.
+// Identity identifies one instance of a back end, as it appears in packets.
 type Identity uint64
 
-// Settings of a limiter. See DefaultSettings.
+// Settings configures a Limiter. See DefaultSettings.
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// Overage and Slack give what a cold back end may get in any second, over all
-	// nodes: its rate times Overage, and Slack new flows on top.
+	// Overage and Slack define the limit of new flows for a cold back end in any second, over all
+	// nodes: its rate times Overage, plus Slack.
 	Overage, Slack float64
-	// Owners is how many nodes may each take a back end for theirs at one time.
+	// Owners is the number of nodes that may use the same back end at one time.
 	Owners int
-	// Youth is how long a node that has started leaves cold back ends to others:
-	// until it has heard who there is.
-	Youth time.Duration
-	// Memory is how long a node remembers how many it has known in its zone. One
-	// that knows no more than half of them by now may be the one that is cut off.
-	Memory time.Duration
-	// Alone: no other node is configured. Otherwise one that knows no other in its
-	// zone may be cut off, too.
+	// StartupDelay is how long a node that has started sends no flows to cold back ends, until it
+	// has discovered the other nodes.
+	StartupDelay time.Duration
+	// HistoryTime is how long a node remembers the number of nodes known in its zone. A node that
+	// now knows at most half of that number may be partitioned.
+	HistoryTime time.Duration
+	// Alone is set if no other node is configured. Otherwise a node that knows no other node in its
+	// zone may be partitioned, too.
 	Alone bool
-	// Window is the time in which a node's part may be used up once: the second of
-	// the bound, and what packets may differ in on their way to a back end.
+	// Window is the interval in which a node may use its part of the limit once: one second, plus
+	// the variation in the transit time of packets to a back end.
 	Window time.Duration
 }
 
-// DefaultSettings gives the defaults for a node. Three owners: a node whose view is
-// old, its successor, and one of another part of a zone that is cut. Youth is as long
-// as zones are cut at a time, since a node that starts in a part of one does not know
-// of the rest; at 5 s, 56 of 20,000 starts in a zone in disorder came over the bound in
-// virtual time, at 15 s one, at 30 s none. Memory is longer than that: a fleet that
-// shrinks by more than half only leaves cold back ends alone so long.
+// DefaultSettings returns the default settings for a node. There are three owners: a node with an
+// outdated view, its successor, and a node on the other side of a partition within the zone.
+// StartupDelay is as long as a partition may last, because a node that starts inside a partition
+// does not know the nodes outside. With a delay of 5 s, 56 of 20,000 starts in an unstable zone
+// exceeded the limit in virtual time, with 15 s one, and with 30 s none. HistoryTime is longer: a
+// fleet that shrinks by more than half sends no flows to cold back ends only for that time.
 func DefaultSettings(self lb.NodeID, zone lb.Zone) Settings {
 	return Settings{
-		Self:    self,
-		Zone:    zone,
-		Overage: 1,
-		Owners:  3,
-		Youth:   30 * time.Second,
-		Memory:  10 * time.Minute,
-		Window:  1100 * time.Millisecond,
+		Self:         self,
+		Zone:         zone,
+		Overage:      1,
+		Owners:       3,
+		StartupDelay: 30 * time.Second,
+		HistoryTime:  10 * time.Minute,
+		Window:       1100 * time.Millisecond,
 	}
 }
 
-// Member is a living node of the limiter's zone.
+// Member is a live node of the limiter's zone.
 type Member struct {
 	ID      lb.NodeID
-	Leaving bool // it takes no new flows soon
+	Leaving bool // it will soon accept no new flows
 }
 
 // Backend is a cold back end.
 type Backend struct {
 	Identity Identity
 	Zone     lb.Zone
-	// Rate is how many new flows it bears in a second.
+	// Rate is the number of new flows that it can accept in a second.
 	Rate float64
 }
 
-// Limiter is the part of one node. It is not safe for concurrent use.
+// Limiter decides for one node. It is not safe for concurrent use.
 type Limiter struct {
-	settings  Settings
-	startedAt time.Duration
-	started   bool
-	zone      []lb.NodeID       // staying nodes of the zone
-	counts    []count           // of zone, the newest last
-	owned     map[Identity]bool // what zone says of back ends, as far as asked
-	sent      map[Identity][]time.Duration
+	settings   Settings
+	startedAt  time.Duration
+	started    bool
+	zoneNodes  []lb.NodeID       // nodes of the zone that are not leaving
+	nodeCounts []nodeCount       // of zoneNodes, newest last
+	owned      map[Identity]bool // cached result of owns
+	sent       map[Identity][]time.Duration
 }
 
-// count is how many nodes were known from a time on, until the next one.
-type count struct {
+// nodeCount is the number of known nodes, valid from a time until the next count.
+type nodeCount struct {
 	at    time.Duration
 	nodes int
 }
 
-// New gives a limiter that knows no other node.
+// New returns a limiter without any other known nodes.
 func New(settings Settings) *Limiter {
 	return &Limiter{
 		settings: settings,
@@ -98,21 +97,21 @@
 	}
 }
 
-// SetMembers takes all living nodes of the zone, this one included.
+// SetMembers sets all live nodes of the zone, including this one.
 func (l *Limiter) SetMembers(now time.Duration, members []Member) {
 	l.start(now)
-	l.zone = l.zone[:0]
+	l.zoneNodes = l.zoneNodes[:0]
 	for _, member := range members {
 		if !member.Leaving {
-			l.zone = append(l.zone, member.ID)
+			l.zoneNodes = append(l.zoneNodes, member.ID)
 		}
 	}
 	clear(l.owned)
-	if last := len(l.counts) - 1; last < 0 || l.counts[last].nodes != len(l.zone) {
-		l.counts = append(l.counts, count{at: now, nodes: len(l.zone)})
+	if last := len(l.nodeCounts) - 1; last < 0 || l.nodeCounts[last].nodes != len(l.zoneNodes) {
+		l.nodeCounts = append(l.nodeCounts, nodeCount{at: now, nodes: len(l.zoneNodes)})
 	}
-	for len(l.counts) > 1 && now-l.counts[1].at > l.settings.Memory {
-		l.counts = l.counts[1:]
+	for len(l.nodeCounts) > 1 && now-l.nodeCounts[1].at > l.settings.HistoryTime {
+		l.nodeCounts = l.nodeCounts[1:]
 	}
 }
 
@@ -123,21 +122,21 @@
 	}
 }
 
-// Allows tells whether this node may send a new flow to a cold back end now.
+// Allows reports whether this node may now send a new flow to a cold back end.
 func (l *Limiter) Allows(now time.Duration, backend Backend) bool {
 	l.start(now)
-	if backend.Zone != l.settings.Zone || now-l.startedAt < l.settings.Youth || l.mayBeCutOff(now) {
+	if backend.Zone != l.settings.Zone || now-l.startedAt < l.settings.StartupDelay || l.mayBePartitioned(now) {
 		return false
 	}
-	return l.owns(backend.Identity) && l.sentLately(now, backend.Identity) < l.part(backend.Rate)
+	return l.owns(backend.Identity) && l.sentInWindow(now, backend.Identity) < l.nodeLimit(backend.Rate)
 }
 
-// Sent notes that this node sends a new flow, or a copy of an opening, to a cold back end.
+// Sent records that this node sends a new flow, or a retransmitted opening, to a cold back end.
 func (l *Limiter) Sent(now time.Duration, identity Identity) {
 	l.sent[identity] = append(l.sent[identity], now)
 }
 
-// Forget drops what is known of all back ends but those to keep.
+// Forget deletes the state of all back ends except those for which keep returns true.
 func (l *Limiter) Forget(keep func(Identity) bool) {
 	for identity := range l.sent {
 		if !keep(identity) {
@@ -147,14 +146,14 @@
 	clear(l.owned)
 }
 
-// part is how many new flows this node may send to a back end in one window.
-func (l *Limiter) part(rate float64) int {
-	bound := math.Floor(rate*l.settings.Overage + l.settings.Slack)
-	return int(bound) / l.settings.Owners
+// nodeLimit returns the number of new flows that this node may send to a back end in one window.
+func (l *Limiter) nodeLimit(rate float64) int {
+	limit := math.Floor(rate*l.settings.Overage + l.settings.Slack)
+	return int(limit) / l.settings.Owners
 }
 
-// sentLately counts what was sent within the window, and forgets what was sent before.
-func (l *Limiter) sentLately(now time.Duration, identity Identity) int {
+// sentInWindow returns the number of flows sent within the window, and deletes older ones.
+func (l *Limiter) sentInWindow(now time.Duration, identity Identity) int {
 	times := l.sent[identity]
 	for len(times) > 0 && now-times[0] >= l.settings.Window {
 		times = times[1:]
@@ -163,23 +162,23 @@
 	return len(times)
 }
 
-// mayBeCutOff tells whether this node knows too few of the others to speak for the zone.
-func (l *Limiter) mayBeCutOff(now time.Duration) bool {
-	most := len(l.zone)
-	for index, known := range l.counts {
-		ended := index+1 < len(l.counts) && now-l.counts[index+1].at > l.settings.Memory
+// mayBePartitioned reports whether this node knows too few of the zone's nodes to act for the zone.
+func (l *Limiter) mayBePartitioned(now time.Duration) bool {
+	highest := len(l.zoneNodes)
+	for index, count := range l.nodeCounts {
+		ended := index+1 < len(l.nodeCounts) && now-l.nodeCounts[index+1].at > l.settings.HistoryTime
 		if !ended {
-			most = max(most, known.nodes)
+			highest = max(highest, count.nodes)
 		}
 	}
-	if most == 1 {
+	if highest == 1 {
 		return !l.settings.Alone
 	}
-	return 2*len(l.zone) <= most
+	return 2*len(l.zoneNodes) <= highest
 }
 
-// owns tells whether this node is the first of its zone for a back end. It ranks
-// nodes only when it is asked: memberships change often, and cold back ends are rare.
+// owns reports whether this node ranks first in its zone for a back end. Ranks are computed on
+// demand, because memberships change often and cold back ends are rare.
 func (l *Limiter) owns(identity Identity) bool {
 	owned, known := l.owned[identity]
 	if known {
@@ -187,7 +186,7 @@
 	}
 	key := rendezvous.Key(rendezvous.Mix(uint64(identity)))
 	var first rendezvous.Candidate
-	for _, id := range l.zone {
+	for _, id := range l.zoneNodes {
 		candidate := rendezvous.Candidate{ID: id, Hash: id.Hash()}
 		if first.ID == "" || rendezvous.Before(key, &candidate, &first) {
 			first = candidate
--- a/internal/disruption/availability_test.go
+++ b/internal/disruption/disruption_test.go
@@ -10,8 +10,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// zoneOf gives a zone of which the named nodes are known to serve.
-func zoneOf(self lb.NodeID, ids ...lb.NodeID) *disruption.Zone {
+// newZone returns a zone in which the named nodes are known to serve.
+func newZone(self lb.NodeID, ids ...lb.NodeID) *disruption.Zone {
 	zone := disruption.New(disruption.DefaultSettings(self))
 	zone.Update(0, serving(ids...))
 	return zone
@@ -33,66 +33,68 @@
 	return members
 }
 
-func TestStopAloneGoesAtOnce(t *testing.T) {
+func TestSingleStopNeedsNoWait(t *testing.T) {
 	for _, others := range [][]lb.NodeID{nil, {"b"}, {"b", "c"}, {"b", "c", "d", "e"}} {
 		is := is.New(t)
-		zone := zoneOf("a", others...)
+		zone := newZone("a", others...)
 		zone.Stop(time.Second)
 		is.True(zone.CanSpare(time.Second))
 	}
 }
 
-// TestSecondStopOfThreeWaits: b is told to stop while a still is; b goes when
-// a is back and routers have found it ready.
+// TestSecondStopOfThreeWaits checks that b, told to stop while a is still stopping, waits until a
+// is back and routers have found it ready.
 func TestSecondStopOfThreeWaits(t *testing.T) {
 	is := is.New(t)
-	zone := zoneOf("b", "a", "c")
+	zone := newZone("b", "a", "c")
 	zone.Update(time.Second, append(serving("c"), leaving("a")...))
 	zone.Stop(2 * time.Second)
 	is.True(!zone.CanSpare(2 * time.Second))
-	zone.Update(3*time.Second, serving("c")) // a has ended
+	zone.Update(3*time.Second, serving("c")) // a has terminated
 	is.True(!zone.CanSpare(3 * time.Second))
 	zone.Update(4*time.Second, serving("a", "c"))
-	is.True(!zone.CanSpare(4 * time.Second)) // routers do not know yet
+	is.True(!zone.CanSpare(4 * time.Second)) // routers have not found it ready yet
 	is.True(zone.CanSpare(4600 * time.Millisecond))
 }
 
-// TestFirstStopDoesNotWaitForLaterOnes: else two nodes would wait for each other.
+// TestFirstStopDoesNotWaitForLaterOnes guards against two nodes that wait for each other.
 func TestFirstStopDoesNotWaitForLaterOnes(t *testing.T) {
 	is := is.New(t)
-	zone := zoneOf("a", "b", "c")
+	zone := newZone("a", "b", "c")
 	zone.Stop(time.Second)
 	zone.Update(1100*time.Millisecond, leaving("b", "c"))
 	is.True(zone.CanSpare(1200 * time.Millisecond))
 }
 
-// TestLargeZoneSparesSeveral: half of the nodes may be out.
+// TestLargeZoneSparesSeveral checks that half of the nodes may be unavailable.
 func TestLargeZoneSparesSeveral(t *testing.T) {
 	is := is.New(t)
-	zone := zoneOf("a", "b", "c", "d", "e", "f")
+	zone := newZone("a", "b", "c", "d", "e", "f")
 	zone.Update(time.Second, append(serving("d", "e", "f"), leaving("b", "c")...))
 	zone.Stop(2 * time.Second)
-	is.True(zone.CanSpare(2 * time.Second)) // 3 of 6 stay
-	zone = zoneOf("a", "b", "c", "d", "e")
+	is.True(zone.CanSpare(2 * time.Second)) // 3 of 6 remain
+	zone = newZone("a", "b", "c", "d", "e")
 	zone.Update(time.Second, append(serving("d", "e"), leaving("b", "c")...))
 	zone.Stop(2 * time.Second)
-	is.True(!zone.CanSpare(2 * time.Second)) // 2 of 5 would stay
+	is.True(!zone.CanSpare(2 * time.Second)) // 2 of 5 would remain
 }
 
-// TestNodeThatNeverReturnsIsForgotten: a machine taken away counts for a while only.
+// TestNodeThatNeverReturnsIsForgotten checks that a removed machine counts as absent only for a
+// limited time.
 func TestNodeThatNeverReturnsIsForgotten(t *testing.T) {
 	is := is.New(t)
-	zone := zoneOf("b", "a", "c")
+	zone := newZone("b", "a", "c")
 	zone.Update(time.Second, serving("c"))
 	zone.Stop(2 * time.Second)
 	is.True(!zone.CanSpare(2 * time.Second))
 	is.True(zone.CanSpare(9100 * time.Millisecond))
 }
 
-// TestLastNodesOfAZoneDoNotWait: when none is left in, routers use other zones.
+// TestLastNodesOfAZoneDoNotWait checks that a node stops without waiting if none would be
+// available, because routers then use other zones.
 func TestLastNodesOfAZoneDoNotWait(t *testing.T) {
 	is := is.New(t)
-	zone := zoneOf("b", "a")
+	zone := newZone("b", "a")
 	zone.Update(time.Second, leaving("a"))
 	zone.Stop(2 * time.Second)
 	is.True(zone.CanSpare(2 * time.Second))
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,7 +1,7 @@
-// Package loadreport is what a balancer tells operators about load: what callers ask
-// for and what back ends can do, by service, zone and priority, with the age of what is
-// known, and what this balancer lets in, holds and refuses. Reports of several balancers
-// are made one table. It has no I/O and no clock.
+// Package loadreport defines the load report of a balancer for operators: the demand of callers and
+// the capacity of back ends by service, zone and priority, with the age of the data, and how many
+// openings this balancer admits, queues and refuses. It also merges the reports of several
+// balancers into one table. It has no I/O and no clock.
 package loadreport
 
 import (
@@ -13,23 +13,25 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Report is what one balancer tells.
+// Report is the load report of one balancer.
 type Report struct {
 	Node     lb.NodeID `json:"node"`
 	Zone     lb.Zone   `json:"zone"`
 	Services []Service `json:"services"`
 }
 
-// Service is one service as a balancer knows it.
+// Service is the state of one service at one balancer.
 type Service struct {
 	Service lb.ServiceName `json:"service"`
-	// Known: the fleet's knowledge of the service is there, AgeMillis old. It is not while
-	// the service is far from its limit, or nothing was heard lately.
+	// Known is set if the fleet's load data for the service is present; it is AgeMillis old. The
+	// data is absent while the service is far from its limit, or if no recent reports were
+	// received.
 	Known     bool  `json:"known"`
 	AgeMillis int64 `json:"age_ms,omitempty"`
-	// Pressure is the time of requests over what they may take, as this balancer sees it.
+	// Pressure is the duration of requests relative to their objective, as observed by this
+	// balancer.
 	Pressure float64 `json:"pressure"`
-	// Refused counts the openings that this balancer has refused for load since its start.
+	// Refused counts the openings that this balancer has refused because of load since its start.
 	Refused uint64      `json:"refused_total"`
 	Zones   []Zone      `json:"zones"`
 	Levels  []Admission `json:"levels"`
@@ -38,56 +40,56 @@
 // Zone is one zone of a service. Amounts of work are in slots: seconds of work a second.
 type Zone struct {
 	Zone lb.Zone `json:"zone"`
-	// Capacity is what the zone's ready back ends work on at once.
+	// Capacity is the number of requests that the zone's ready back ends process concurrently.
 	Capacity float64 `json:"capacity"`
 	// Part is the part of this balancer's new flows that goes to the zone's back ends.
 	Part float64 `json:"part"`
-	// Demand is what the zone's callers ask for, by priority; nothing unless Known.
+	// Demand is the work that callers in the zone request, by priority. It is empty unless Known is
+	// set.
 	Demand []Demand `json:"demand,omitempty"`
-	// Load is the time of requests at the zone's back ends over that at idle ones, from
-	// Answers a second; Rejected are the openings that they turn away in a second.
+	// Load is the duration of requests at the zone's back ends relative to idle back ends, computed
+	// from Answers a second. Rejected is the number of openings a second that the back ends reject.
 	Load     float64 `json:"load,omitempty"`
 	Answers  float64 `json:"answers,omitempty"`
 	Rejected float64 `json:"rejected,omitempty"`
 }
 
-// Demand is the work that callers ask for in openings and requests of one priority.
+// Demand is the work that callers request in openings and requests of one priority.
 type Demand struct {
 	Priority uint16  `json:"priority"`
 	Begun    float64 `json:"begun"`
 	Refused  float64 `json:"refused"`
 }
 
-// Admission is what this balancer does with openings of one priority.
+// Admission states how this balancer handles openings of one priority.
 type Admission struct {
 	Priority uint16 `json:"priority"`
-	// Admitted is the part that is let in.
+	// Admitted is the admission rate, from 0 to 1.
 	Admitted float64 `json:"admitted"`
-	// Waiting is how many are held until there is room.
+	// Waiting is the number of openings in the admission queue.
 	Waiting int `json:"waiting"`
 }
 
-// Limits of a report that is read: far above what a fleet of the size that decides
-// the design has.
+// Limits of a decoded report, far above the values of the largest supported fleet.
 const (
 	maxServices = 1 << 14
-	maxParts    = 1 << 10
+	maxEntries  = 1 << 10
 )
 
-// Validate names the first value that cannot be used.
+// Validate returns an error that names the first invalid value, or nil.
 func (r *Report) Validate() error {
 	if r.Node == "" || r.Zone == "" {
 		return errors.Newf("node %q or zone %q is missing", r.Node, r.Zone)
 	}
 	if len(r.Services) > maxServices {
-		return errors.Newf("services: %d of them are too many", len(r.Services))
+		return errors.Newf("services: %d are too many", len(r.Services))
 	}
 	for index := range r.Services {
 		service := &r.Services[index]
 		if service.Service == "" {
 			return errors.Newf("services[%d]: service is missing", index)
 		}
-		if len(service.Zones) > maxParts || len(service.Levels) > maxParts {
+		if len(service.Zones) > maxEntries || len(service.Levels) > maxEntries {
 			return errors.Newf("services[%d]: %d zones or %d levels are too many", index, len(service.Zones), len(service.Levels))
 		}
 		if service.AgeMillis < 0 {
@@ -95,8 +97,8 @@
 		}
 		for part := range service.Zones {
 			zone := &service.Zones[part]
-			if zone.Zone == "" || zone.Capacity < 0 || len(zone.Demand) > maxParts {
-				return errors.Newf("services[%d]: zones[%d]: zone %q, capacity %v or %d levels cannot be",
+			if zone.Zone == "" || zone.Capacity < 0 || len(zone.Demand) > maxEntries {
+				return errors.Newf("services[%d]: zones[%d]: zone %q, capacity %v or the number of levels %d is invalid",
 					index, part, zone.Zone, zone.Capacity, len(zone.Demand))
 			}
 		}
@@ -104,73 +106,74 @@
 	return nil
 }
 
-// Row is one line of the table over several balancers: a priority of a service in a zone.
+// Row is one row of the table over several balancers, for one priority of a service in a zone.
 type Row struct {
 	Service  lb.ServiceName `json:"service"`
 	Zone     lb.Zone        `json:"zone"`
 	Priority uint16         `json:"priority"`
-	// Known and AgeMillis are of the newest knowledge that any balancer has.
+	// Known and AgeMillis describe the newest load data of any balancer.
 	Known     bool  `json:"known"`
 	AgeMillis int64 `json:"age_ms"`
-	// Capacity, Room and Load are the zone's, and the same for all its priorities. Room is
-	// what is left of the capacity after what the zone's own callers ask for; below zero,
-	// they ask for more than its back ends can do.
+	// Capacity, Room and Load belong to the zone and are the same for all its priorities. Room is
+	// the spare capacity after the demand of the zone's own callers; it is negative if this demand
+	// exceeds the capacity of the back ends.
 	Capacity float64 `json:"capacity"`
 	Room     float64 `json:"room"`
 	Load     float64 `json:"load"`
-	// Asked and Refused are what callers of this priority ask for, and the part of it that
-	// is refused, in slots.
+	// Asked is the demand of callers of this priority, and Refused the part of it that is refused,
+	// in slots.
 	Asked   float64 `json:"asked"`
 	Refused float64 `json:"refused"`
-	// Home is the part of the new flows of the zone's callers that its own back ends get,
-	// Admitted the part of openings that is let in (the mean), and Waiting how many are
-	// held, at the Nodes of the zone that have told.
+	// Home is the part of the new flows of the zone's callers that goes to its own back ends,
+	// Admitted the mean admission rate, and Waiting the number of queued openings, at the Nodes
+	// balancers of the zone that have reported.
 	Home     float64 `json:"home"`
 	Admitted float64 `json:"admitted"`
 	Waiting  int     `json:"waiting"`
 	Nodes    int     `json:"nodes"`
 }
 
-// rowKey tells rows apart.
-type rowKey struct {
+// rowID identifies a row.
+type rowID struct {
 	service  lb.ServiceName
 	zone     lb.Zone
 	priority uint16
 }
 
-// table is rows under way.
-type table struct {
-	rows       map[rowKey]*Row
+// tableBuilder collects the rows of a table.
+type tableBuilder struct {
+	rows       map[rowID]*Row
 	newest     map[lb.ServiceName]*Service
-	priorities map[lb.ServiceName][]uint16 // that anything is known of, in order
+	priorities map[lb.ServiceName][]uint16 // priorities with any data, sorted
 }
 
-// Rows makes one table of what balancers tell, sorted by service, zone and priority. What
-// the fleet knows is taken from the balancer whose knowledge is newest, and what
-// balancers do is summed over those of each zone.
+// Rows merges the reports of several balancers into one table, sorted by service, zone and
+// priority. The fleet's load data comes from the balancer with the newest data; the state of the
+// balancers is aggregated over each zone.
 func Rows(reports []Report) []Row {
-	t := table{
-		rows: make(map[rowKey]*Row), newest: make(map[lb.ServiceName]*Service),
+	t := tableBuilder{
+		rows: make(map[rowID]*Row), newest: make(map[lb.ServiceName]*Service),
 		priorities: make(map[lb.ServiceName][]uint16),
 	}
 	for index := range reports {
 		for part := range reports[index].Services {
-			t.note(&reports[index].Services[part])
+			t.recordNewest(&reports[index].Services[part])
 		}
 	}
 	for _, service := range t.newest {
-		t.addKnown(service)
+		t.addFleetLoad(service)
 	}
 	for index := range reports {
 		for part := range reports[index].Services {
-			t.addNode(reports[index].Zone, &reports[index].Services[part])
+			t.addBalancer(reports[index].Zone, &reports[index].Services[part])
 		}
 	}
 	return t.sorted()
 }
 
-// note keeps the newest knowledge of a service, and the priorities that anybody knows.
-func (t *table) note(service *Service) {
+// recordNewest keeps the newest load data of a service, and collects the priorities that occur in
+// any report.
+func (t *tableBuilder) recordNewest(service *Service) {
 	known := t.newest[service.Service]
 	newer := known == nil || service.Known && (!known.Known || service.AgeMillis < known.AgeMillis)
 	if newer {
@@ -189,15 +192,16 @@
 	t.priorities[service.Service] = slices.Compact(priorities)
 }
 
-// rowsOf gives the rows of a service in a zone; one of priority 0 if none is known.
-func (t *table) rowsOf(service lb.ServiceName, zone lb.Zone) []*Row {
+// zoneRows returns the rows of a service in a zone, or one row of priority 0 if no priority is
+// known.
+func (t *tableBuilder) zoneRows(service lb.ServiceName, zone lb.Zone) []*Row {
 	priorities := t.priorities[service]
 	if len(priorities) == 0 {
 		priorities = []uint16{0}
 	}
 	rows := make([]*Row, 0, len(priorities))
 	for _, priority := range priorities {
-		key := rowKey{service, zone, priority}
+		key := rowID{service, zone, priority}
 		if t.rows[key] == nil {
 			t.rows[key] = &Row{Service: service, Zone: zone, Priority: priority}
 		}
@@ -206,17 +210,17 @@
 	return rows
 }
 
-// addKnown adds what the fleet knows of a service.
-func (t *table) addKnown(service *Service) {
+// addFleetLoad adds the fleet's load data of a service to its rows.
+func (t *tableBuilder) addFleetLoad(service *Service) {
 	for index := range service.Zones {
 		zone := &service.Zones[index]
-		room := zone.Capacity
+		spare := zone.Capacity
 		for _, demand := range zone.Demand {
-			room -= demand.Begun + demand.Refused
+			spare -= demand.Begun + demand.Refused
 		}
-		for _, row := range t.rowsOf(service.Service, zone.Zone) {
+		for _, row := range t.zoneRows(service.Service, zone.Zone) {
 			row.Known, row.AgeMillis = service.Known, service.AgeMillis
-			row.Capacity, row.Room, row.Load = zone.Capacity, room, zone.Load
+			row.Capacity, row.Room, row.Load = zone.Capacity, spare, zone.Load
 			for _, demand := range zone.Demand {
 				if demand.Priority == row.Priority {
 					row.Asked, row.Refused = demand.Begun+demand.Refused, demand.Refused
@@ -226,18 +230,18 @@
 	}
 }
 
-// addNode adds what a balancer does, to the rows of its zone.
-func (t *table) addNode(zone lb.Zone, service *Service) {
-	home := 0.0
+// addBalancer adds the state of a balancer to the rows of its zone.
+func (t *tableBuilder) addBalancer(zone lb.Zone, service *Service) {
+	local := 0.0
 	for index := range service.Zones {
 		if service.Zones[index].Zone == zone {
-			home = service.Zones[index].Part
+			local = service.Zones[index].Part
 		}
 	}
-	for _, row := range t.rowsOf(service.Service, zone) {
+	for _, row := range t.zoneRows(service.Service, zone) {
 		row.Nodes++
-		row.Home += home
-		admitted := 1.0 // it had none of this priority lately, and would let it in
+		row.Home += local
+		admitted := 1.0 // without recent openings of this priority, the balancer would admit all
 		for _, level := range service.Levels {
 			if level.Priority == row.Priority {
 				admitted = level.Admitted
@@ -248,8 +252,8 @@
 	}
 }
 
-// sorted gives the rows with the means of what balancers do.
-func (t *table) sorted() []Row {
+// sorted returns the sorted rows, with sums over balancers replaced by means.
+func (t *tableBuilder) sorted() []Row {
 	rows := make([]Row, 0, len(t.rows))
 	for _, row := range t.rows {
 		if row.Nodes > 0 {
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -9,8 +9,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// crowded is a report of a node in a zone that is asked for more than it can do.
-func crowded(node string, age int64) Report {
+// overloadedReport returns a report of a node in a zone whose demand exceeds its capacity.
+func overloadedReport(node string, age int64) Report {
 	return Report{Node: lb.NodeID(node), Zone: "za", Services: []Service{{
 		Service: "web", Known: true, AgeMillis: age, Pressure: 1.1, Refused: 7,
 		Zones: []Zone{
@@ -23,24 +23,24 @@
 	}}}
 }
 
-func TestRowsAreOfTheNewestKnowledgeAndOfAllNodes(t *testing.T) {
+func TestRowsUseNewestLoadAndAllNodes(t *testing.T) {
 	is := is.New(t)
-	old := crowded("n-2", 900)
-	old.Services[0].Zones[0].Capacity = 99 // has changed since
+	old := overloadedReport("n-2", 900)
+	old.Services[0].Zones[0].Capacity = 99 // an outdated value
 	old.Services[0].Levels = []Admission{{Priority: 0, Admitted: 0.5, Waiting: 1}}
-	rows := Rows([]Report{old, crowded("n-1", 100)})
+	rows := Rows([]Report{old, overloadedReport("n-1", 100)})
 	is.Equal(len(rows), 4)
 	is.Equal(rows[0], Row{
 		Service: "web", Zone: "za", Priority: 0, Known: true, AgeMillis: 100, Capacity: 10, Room: -4, Load: 1.4,
 		Asked: 10, Refused: 2, Home: 0.6, Admitted: 0.75, Waiting: 3, Nodes: 2,
 	})
-	is.Equal(rows[1].Admitted, 0.75) // one lets in half, the other had none of it
+	is.Equal(rows[1].Admitted, 0.75) // one admits half, the other has no openings of this priority
 	is.Equal(rows[1].Asked, 4.0)
 	is.Equal(rows[2], Row{Service: "web", Zone: "zb", Known: true, AgeMillis: 100, Capacity: 10, Room: 6, Asked: 4})
 	is.Equal(rows[3].Priority, uint16(1))
 }
 
-func TestServicesFarFromTheirLimitAreShownWithoutDemand(t *testing.T) {
+func TestServicesFarFromLimitHaveNoDemand(t *testing.T) {
 	is := is.New(t)
 	rows := Rows([]Report{{Node: "n", Zone: "za", Services: []Service{
 		{Service: "web", Zones: []Zone{{Zone: "za", Capacity: 8, Part: 0.98}, {Zone: "zb", Capacity: 4, Part: 0.02}}},
@@ -52,20 +52,20 @@
 	is.Equal(rows[2], Row{Service: "web", Zone: "zb", Capacity: 4, Room: 4})
 }
 
-func TestReportsAreChecked(t *testing.T) {
+func TestValidateNamesInvalidField(t *testing.T) {
 	is := is.New(t)
-	good := crowded("n", 1)
+	good := overloadedReport("n", 1)
 	is.NoErr(good.Validate())
 	for want, spoil := range map[string]func(*Report){
 		"node":                func(r *Report) { r.Node = "" },
 		"services: 16385":     func(r *Report) { r.Services = make([]Service, maxServices+1) },
 		"service is missing":  func(r *Report) { r.Services[0].Service = "" },
-		"1025 zones":          func(r *Report) { r.Services[0].Zones = make([]Zone, maxParts+1) },
+		"1025 zones":          func(r *Report) { r.Services[0].Zones = make([]Zone, maxEntries+1) },
 		"age_ms -1":           func(r *Report) { r.Services[0].AgeMillis = -1 },
 		"zones[1]: zone \"\"": func(r *Report) { r.Services[0].Zones[1].Zone = "" },
 		"capacity -2":         func(r *Report) { r.Services[0].Zones[0].Capacity = -2 },
 	} {
-		bad := crowded("n", 1)
+		bad := overloadedReport("n", 1)
 		spoil(&bad)
 		err := bad.Validate()
 		is.True(err != nil)
--- a/internal/weight/backend.go
+++ b/internal/weight/backend.go
@@ -1,7 +1,7 @@
-// Package weight turns reports of health and load, and evidence from the data
-// path, into weights of back ends. Reports lag and mislead: they are weighed by
-// age, move weights in bounded steps, and alone never take a back end out. The
-// package is pure: it has no clock and does no I/O.
+// Package weight computes the weights of back ends from reports of their health and load, and from
+// unanswered openings on the data path. Reports are late and may be wrong: they count less with
+// age, change weights only in bounded steps, and never remove a back end by themselves. The package
+// is pure: it has no clock and does no I/O.
 package weight
 
 import (
@@ -11,90 +11,90 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// FullFactor is the factor of a back end that has the operator's whole weight;
-// factors are in thousandths.
+// FullFactor is the factor of a back end that has the full weight set by the operator. Factors are
+// in thousandths.
 const FullFactor = 1000
 
 // Settings are the parameters of the policy. Zero values are not valid; see DefaultSettings.
 type Settings struct {
-	// MaxAge is the age at which a report counts no more. A report counts in
-	// proportion to what is left until then.
+	// MaxAge is the age at which a report is ignored. The weight of a report decreases linearly to
+	// zero until then.
 	MaxAge time.Duration
-	// EvidenceHalfLife halves the counted openings.
-	EvidenceHalfLife time.Duration
-	// MinOpenings is the least number of counted openings to judge by.
+	// OpeningsHalfLife is the time after which the counts of openings are halved.
+	OpeningsHalfLife time.Duration
+	// MinOpenings is the minimum number of counted openings for a decision.
 	MinOpenings uint32
-	// UnansweredPerMille of counted openings mark a back end as failed.
+	// UnansweredPerMille is the part of unanswered openings that marks a back end as failed.
 	UnansweredPerMille uint32
-	// MaxStep bounds the change of a factor in one step, in thousandths.
+	// MaxStep is the maximum change of a factor in one step, in thousandths.
 	MaxStep uint16
-	// MinStep is the least change worth a step, in thousandths.
+	// MinStep is the minimum change of a factor, in thousandths; smaller changes are skipped.
 	MinStep uint16
-	// SlowStart is the factor of a back end that begins to take flows.
+	// SlowStart is the initial factor of a back end that starts to accept flows.
 	SlowStart uint16
-	// UnhealthyFloor is the least factor that bad health reports lead to.
+	// UnhealthyFloor is the minimum factor that unhealthy reports lead to.
 	UnhealthyFloor uint16
-	// LoadFloor is the least factor that load reports lead to.
+	// LoadFloor is the minimum factor that load reports lead to.
 	LoadFloor uint16
-	// Deadband is the distance from the mean load that is let be, in thousandths.
+	// Deadband is the deviation from the mean load that is ignored, in thousandths.
 	Deadband uint32
-	// PanicPerMille of a service's back ends that look unhealthy make health
-	// reports void: all keep being served.
-	PanicPerMille int
+	// PanicThresholdPerMille is the part of a service's back ends above which unhealthy reports are
+	// ignored, so that all back ends stay in use.
+	PanicThresholdPerMille int
 }
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
-		MaxAge:             15 * time.Second,
-		EvidenceHalfLife:   10 * time.Second,
-		MinOpenings:        10,
-		UnansweredPerMille: 900,
-		MaxStep:            100,
-		MinStep:            20,
-		SlowStart:          100,
-		UnhealthyFloor:     100,
-		LoadFloor:          300,
-		Deadband:           100,
-		PanicPerMille:      500,
+		MaxAge:                 15 * time.Second,
+		OpeningsHalfLife:       10 * time.Second,
+		MinOpenings:            10,
+		UnansweredPerMille:     900,
+		MaxStep:                100,
+		MinStep:                20,
+		SlowStart:              100,
+		UnhealthyFloor:         100,
+		LoadFloor:              300,
+		Deadband:               100,
+		PanicThresholdPerMille: 500,
 	}
 }
 
-// report is the latest that one zone reported.
-type report struct {
+// zoneReport is the latest report from one zone.
+type zoneReport struct {
 	zone    lb.Zone
-	taken   time.Duration // when the host gave it
+	takenAt time.Duration // when the health checker created it
 	healthy bool
 	load    uint16
 }
 
-// Backend holds what is known of one back end. The zero value knows nothing.
+// Backend holds the reports about one back end. The zero value holds none.
 type Backend struct {
-	reports    []report
+	reports    []zoneReport
 	openings   uint32
 	unanswered uint32
-	decayed    time.Duration // when the counts were last halved
+	decayedAt  time.Duration // when the counts were last halved
 }
 
-// View is what the reports say of a back end at one time.
+// View summarizes the reports about a back end at one time.
 type View struct {
-	// Freshness is in thousandths: 0 when nothing is known, 1000 for reports of this moment.
+	// Freshness is in thousandths: 0 without valid reports, 1000 for reports of this moment.
 	Freshness uint32
-	// Unhealthy tells whether most reports, weighed by age, say so.
+	// Unhealthy is set if the majority of reports, weighted by age, is unhealthy.
 	Unhealthy bool
-	// Load is the mean load, weighed by age, in thousandths of capacity.
+	// Load is the mean load, weighted by age, in thousandths of capacity.
 	Load uint32
 }
 
-// Observe takes in one report. A report taken before the zone's last one is
-// only counted for its evidence.
+// Observe adds one report. If the zone has sent a newer report, only the counts of openings are
+// used.
 func (backend *Backend) Observe(now time.Duration, zone lb.Zone, load message.BackendLoad, settings *Settings) {
 	backend.decay(now, settings)
 	backend.openings += load.Openings
 	backend.unanswered += min(load.UnansweredOpenings, load.Openings)
-	latest := report{
+	latest := zoneReport{
 		zone:    zone,
-		taken:   now - time.Duration(load.AgeMillis)*time.Millisecond,
+		takenAt: now - time.Duration(load.AgeMillis)*time.Millisecond,
 		healthy: load.Healthy,
 		load:    load.Load,
 	}
@@ -103,7 +103,7 @@
 		if known.zone != zone {
 			continue
 		}
-		if latest.taken >= known.taken {
+		if latest.takenAt >= known.takenAt {
 			*known = latest
 		}
 		return
@@ -113,30 +113,30 @@
 
 // decay halves the counts once per half-life.
 func (backend *Backend) decay(now time.Duration, settings *Settings) {
-	for backend.openings > 0 && now-backend.decayed >= settings.EvidenceHalfLife {
+	for backend.openings > 0 && now-backend.decayedAt >= settings.OpeningsHalfLife {
 		backend.openings /= 2
 		backend.unanswered /= 2
-		backend.decayed += settings.EvidenceHalfLife
+		backend.decayedAt += settings.OpeningsHalfLife
 	}
 	if backend.openings == 0 {
 		backend.unanswered = 0
-		backend.decayed = now
+		backend.decayedAt = now
 	}
 }
 
-// View weighs the reports by age.
+// View returns the reports' summary, weighted by age.
 func (backend *Backend) View(now time.Duration, settings *Settings) View {
 	var total, unhealthy, load, freshest uint64
-	for _, known := range backend.reports {
-		left := settings.MaxAge - (now - known.taken)
+	for _, report := range backend.reports {
+		left := settings.MaxAge - (now - report.takenAt)
 		if left <= 0 {
 			continue
 		}
 		share := uint64(left) * FullFactor / uint64(settings.MaxAge)
 		freshest = max(freshest, share)
 		total += share
-		load += share * uint64(known.load)
-		if !known.healthy {
+		load += share * uint64(report.load)
+		if !report.healthy {
 			unhealthy += share
 		}
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-// Unanswered tells whether the data path shows that the back end does not
-// answer, whatever it reports of itself.
+// Unanswered reports whether the data path shows that the back end does not answer, whatever its
+// reports state.
 func (backend *Backend) Unanswered(now time.Duration, settings *Settings) bool {
 	backend.decay(now, settings)
 	if backend.openings < settings.MinOpenings {
@@ -160,5 +160,5 @@
 	return uint64(backend.unanswered)*FullFactor >= uint64(backend.openings)*uint64(settings.UnansweredPerMille)
 }
 
-// Forgive drops the evidence, when the back end is tried again.
+// Forgive resets the counts of openings when the back end is tried again.
 func (backend *Backend) Forgive() { backend.openings, backend.unanswered = 0, 0 }
--- a/internal/weight/step.go
+++ b/internal/weight/step.go
@@ -1,34 +1,33 @@
 package weight
 
-// Share is one back end of a service in a step.
+// Share is the state of one back end of a service in a step.
 type Share struct {
-	Factor uint16 // present factor, in thousandths of the operator's weight
+	Factor uint16 // present factor, in thousandths of the weight set by the operator
 	View   View
 }
 
-// Step gives the next factor of each back end of one service. Each is at most
-// MaxStep from the present one, and the same where the way is below MinStep.
-// While the load can be evened out by raising some, no other is lowered for its
-// load, unless it has more than twice the mean: only the ratio of weights
-// matters, and so they do not all sink.
+// Step returns the next factor of each back end of one service. Each factor changes by at most
+// MaxStep, and not at all if the change would be below MinStep. If load can be balanced by raising
+// some factors, no other factor is lowered because of load, unless its back end has more than twice
+// the mean load: only the ratio of factors matters, and otherwise all of them would decrease.
 func Step(shares []Share, settings *Settings) []uint16 {
-	panicking := isPanic(shares, settings)
+	panicMode := inPanicMode(shares, settings)
 	mean, known := meanLoad(shares)
 	next := make([]uint16, len(shares))
 	raised := false
 	for index, share := range shares {
 		target := FullFactor
 		switch {
-		case share.View.Unhealthy && !panicking:
+		case share.View.Unhealthy && !panicMode:
 			target = int(settings.UnhealthyFloor)
 		case known && share.View.Freshness > 0:
 			target = loadTarget(share, mean, settings)
 		}
-		next[index] = approach(share, target, settings)
+		next[index] = boundedStep(share, target, settings)
 		raised = raised || next[index] > share.Factor
 	}
 	for index, share := range shares {
-		lowered := next[index] < share.Factor && (panicking || !share.View.Unhealthy)
+		lowered := next[index] < share.Factor && (panicMode || !share.View.Unhealthy)
 		if raised && lowered && share.View.Load <= 2*mean {
 			next[index] = share.Factor
 		}
@@ -36,19 +35,19 @@
 	return next
 }
 
-// isPanic tells whether so many back ends look unhealthy that the reports are
-// more likely wrong than right, or that the rest could not bear the load.
-func isPanic(shares []Share, settings *Settings) bool {
+// inPanicMode reports whether so many back ends are reported unhealthy that the reports are more
+// likely wrong than right, or that the remaining back ends could not handle the load.
+func inPanicMode(shares []Share, settings *Settings) bool {
 	unhealthy := 0
 	for _, share := range shares {
 		if share.View.Unhealthy {
 			unhealthy++
 		}
 	}
-	return unhealthy*FullFactor > len(shares)*settings.PanicPerMille
+	return unhealthy*FullFactor > len(shares)*settings.PanicThresholdPerMille
 }
 
-// meanLoad gives the mean of the known loads.
+// meanLoad returns the mean of the known loads.
 func meanLoad(shares []Share) (mean uint32, known bool) {
 	var sum, count uint64
 	for _, share := range shares {
@@ -63,13 +62,13 @@
 	return uint32(sum / count), true
 }
 
-// loadTarget scales the present factor so that the load would become the mean.
-// Near the mean it stays as it is, but not below LoadFloor: from there a back
-// end that starts or was unhealthy goes on up.
+// loadTarget returns the present factor scaled so that the load would become the mean. Near the
+// mean the factor stays as it is, but at least at LoadFloor, so that a back end that starts or was
+// unhealthy continues to rise.
 func loadTarget(share Share, mean uint32, settings *Settings) int {
 	load := share.View.Load
-	slack := mean * settings.Deadband / FullFactor
-	if load <= mean+slack && load+slack >= mean {
+	tolerance := mean * settings.Deadband / FullFactor
+	if load <= mean+tolerance && load+tolerance >= mean {
 		return int(max(share.Factor, settings.LoadFloor))
 	}
 	if load == 0 {
@@ -80,21 +79,21 @@
 	return int(min(max(scaled, floor), FullFactor))
 }
 
-// approach moves the factor towards the target by a bounded step. Old reports
-// move it less; without any report it recovers by whole steps.
-func approach(share Share, target int, settings *Settings) uint16 {
+// boundedStep moves the factor towards the target by a bounded step. Old reports move it less.
+// Without any report it recovers by full steps.
+func boundedStep(share Share, target int, settings *Settings) uint16 {
 	limit := int(settings.MaxStep)
 	if share.View.Freshness > 0 {
 		limit = max(limit*int(share.View.Freshness)/FullFactor, int(settings.MinStep))
 	}
 	present := int(share.Factor)
-	way := min(max(target-present, -limit), limit)
-	if way > -int(settings.MinStep) && way < int(settings.MinStep) && present+way != FullFactor {
+	change := min(max(target-present, -limit), limit)
+	if change > -int(settings.MinStep) && change < int(settings.MinStep) && present+change != FullFactor {
 		return share.Factor
 	}
-	return uint16(present + way)
+	return uint16(present + change)
 }
 
-// MaxFailed is the largest number of a service's back ends that may be marked
-// as failed together: beyond it the fault is more likely on this side.
+// MaxFailed returns the maximum number of a service's back ends that may be marked as failed at the
+// same time. If more seem to fail, the fault is more likely on the balancers' side.
 func MaxFailed(count int) int { return count / 2 }
--- a/internal/weight/weight_test.go
+++ b/internal/weight/weight_test.go
@@ -26,7 +26,7 @@
 	return shares
 }
 
-func TestUnhealthyReportLeadsToTheFloorInBoundedSteps(t *testing.T) {
+func TestUnhealthyFactorFallsToFloorInBoundedSteps(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	shares := []weight.Share{{1000, healthy(100)}, {1000, healthy(100)}, {1000, unhealthy()}}
@@ -35,7 +35,7 @@
 	is.Equal(shares[2].Factor, settings.UnhealthyFloor)
 }
 
-func TestMostUnhealthyKeepsServingAll(t *testing.T) {
+func TestPanicModeKeepsAllFactors(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	shares := []weight.Share{{1000, healthy(100)}, {1000, unhealthy()}, {1000, unhealthy()}}
@@ -50,11 +50,11 @@
 	settings := weight.DefaultSettings()
 	shares := []weight.Share{{1000, healthy(500)}, {settings.SlowStart, healthy(50)}}
 	is.Equal(weight.Step(shares, &settings)[1], settings.SlowStart+settings.MaxStep)
-	unprobed := repeat([]weight.Share{{1000, weight.View{}}, {settings.SlowStart, weight.View{}}}, 9, &settings)
-	is.Equal(unprobed[1].Factor, uint16(1000))
+	unreported := repeat([]weight.Share{{1000, weight.View{}}, {settings.SlowStart, weight.View{}}}, 9, &settings)
+	is.Equal(unreported[1].Factor, uint16(1000))
 }
 
-func TestLoadFollowsTheMeanDownToItsFloor(t *testing.T) {
+func TestOverloadedBackEndFallsToLoadFloor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	shares := []weight.Share{{1000, healthy(100)}, {1000, healthy(105)}, {1000, healthy(900)}}
@@ -64,42 +64,43 @@
 	is.Equal(shares[2].Factor, settings.LoadFloor)
 }
 
-func TestSlowStartDoesNotStopBelowTheLoadFloor(t *testing.T) {
+func TestSlowStartRisesToLoadFloor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	shares := repeat([]weight.Share{{1000, healthy(300)}, {settings.SlowStart, healthy(300)}}, 9, &settings)
 	is.Equal(shares[1].Factor, settings.LoadFloor)
 }
 
-func TestOldReportsCountLessAndEnd(t *testing.T) {
+func TestOldReportsCountLessAndExpire(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	var backend weight.Backend
 	backend.Observe(0, "a", message.BackendLoad{Healthy: false, Load: 900}, &settings)
 	backend.Observe(settings.MaxAge/2, "b", message.BackendLoad{Healthy: true, Load: 100}, &settings)
 	view := backend.View(settings.MaxAge/2, &settings)
-	is.True(!view.Unhealthy) // the fresher report counts more
+	is.True(!view.Unhealthy) // the fresher report has more weight
 	is.True(view.Load < 500)
 	backend.Observe(settings.MaxAge/2, "b", message.BackendLoad{Healthy: false, AgeMillis: 60000}, &settings)
-	is.True(!backend.View(settings.MaxAge/2, &settings).Unhealthy) // older than the zone's last
+	is.True(!backend.View(settings.MaxAge/2, &settings).Unhealthy) // older than the zone's last report
 	is.Equal(backend.View(settings.MaxAge*2, &settings), weight.View{})
 }
 
-// TestEvidenceOverrulesReports: a host that calls itself healthy but leaves openings unanswered has failed.
-func TestEvidenceOverrulesReports(t *testing.T) {
+// TestUnansweredOpeningsOverruleReports checks that a host that reports itself healthy but leaves
+// openings unanswered has failed.
+func TestUnansweredOpeningsOverruleReports(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	var silent, lying weight.Backend
+	var unresponsive, misreporting weight.Backend
 	for second := range 5 {
 		now := time.Duration(second) * time.Second
-		silent.Observe(now, "a", message.BackendLoad{Healthy: true, Openings: 4, UnansweredOpenings: 4}, &settings)
-		lying.Observe(now, "a", message.BackendLoad{Healthy: false, Openings: 40, UnansweredOpenings: 1}, &settings)
+		unresponsive.Observe(now, "a", message.BackendLoad{Healthy: true, Openings: 4, UnansweredOpenings: 4}, &settings)
+		misreporting.Observe(now, "a", message.BackendLoad{Healthy: false, Openings: 40, UnansweredOpenings: 1}, &settings)
 	}
-	is.True(silent.Unanswered(5*time.Second, &settings))
-	is.True(!lying.Unanswered(5*time.Second, &settings))
-	is.True(!silent.Unanswered(5*time.Minute, &settings)) // evidence fades
-	silent.Forgive()
-	is.True(!silent.Unanswered(5*time.Second, &settings))
+	is.True(unresponsive.Unanswered(5*time.Second, &settings))
+	is.True(!misreporting.Unanswered(5*time.Second, &settings))
+	is.True(!unresponsive.Unanswered(5*time.Minute, &settings)) // the counts decay
+	unresponsive.Forgive()
+	is.True(!unresponsive.Unanswered(5*time.Second, &settings))
 }
 
 func TestStepsAreBounded(t *testing.T) {
@@ -121,7 +122,7 @@
 			if factor < 1 || factor > weight.FullFactor {
 				t.Fatalf("factor %d", factor)
 			}
-			if way := int(factor) - int(present); way > int(settings.MaxStep) || way < -int(settings.MaxStep) {
+			if change := int(factor) - int(present); change > int(settings.MaxStep) || change < -int(settings.MaxStep) {
 				t.Fatalf("factor %d after %d", factor, present)
 			}
 			if factor < present && factor < settings.UnhealthyFloor {
