--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -23,7 +23,8 @@
 	// Overage and Slack define the limit of new flows for a cold back end in any second, over all
 	// nodes: its rate times Overage, plus Slack.
 	Overage, Slack float64
-	// Owners is the number of nodes that may use the same back end at one time.
+	// Owners is the number of nodes that may consider themselves the owner of the same back end at
+	// one time.
 	Owners int
 	// StartupDelay is how long a node that has started sends no flows to cold back ends, until it
 	// has discovered the other nodes.
@@ -43,8 +44,8 @@
 // outdated view, its successor, and a node on the other side of a partition within the zone.
 // StartupDelay is as long as a partition may last, because a node that starts inside a partition
 // does not know the nodes outside. With a delay of 5 s, 56 of 20,000 starts in an unstable zone
-// exceeded the limit in virtual time, with 15 s one, and with 30 s none. HistoryTime is longer: a
-// fleet that shrinks by more than half sends no flows to cold back ends only for that time.
+// exceeded the limit in virtual time, with 15 s one, and with 30 s none. HistoryTime is longer than
+// that; a fleet that shrinks by more than half sends no flows to cold back ends for that long.
 func DefaultSettings(self lb.NodeID, zone lb.Zone) Settings {
 	return Settings{
 		Self:         self,
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -73,19 +73,19 @@
 // partitions is the number of partitions into which a zone breaks.
 const partitions = 5
 
-// faultRate is the reciprocal of the probability that a node stops, or is isolated, within half a
-// second.
-const faultRate = 100
+// faultOdds defines the probability of a fault: in each half second, a node stops, becomes isolated,
+// or the zone is partitioned, with a probability of 1/faultOdds each.
+const faultOdds = 100
 
 func (z *unstableZone) injectFaults(now time.Duration) {
-	if now >= z.partitionedUntil && z.random.IntN(faultRate) == 0 {
+	if now >= z.partitionedUntil && z.random.IntN(faultOdds) == 0 {
 		z.partitionedUntil = now + time.Duration(z.random.Int64N(int64(maxPartition)))
 		for _, node := range z.nodes {
 			node.partition = z.random.IntN(partitions)
 		}
 	}
 	for _, node := range z.nodes {
-		switch draw := z.random.IntN(faultRate); {
+		switch draw := z.random.IntN(faultOdds); {
 		case node.down:
 			node.down = false
 			z.start(node, now)
--- a/internal/fleetload/load.go
+++ b/internal/fleetload/load.go
@@ -18,7 +18,7 @@
 type Service struct {
 	// Zones is sorted by name.
 	Zones []Zone
-	// At is when this node received the newest part of the data.
+	// At is when the newest part of the data was summed, by this node's clock.
 	At time.Duration
 }
 
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -28,7 +28,7 @@
 	// received.
 	Known     bool  `json:"known"`
 	AgeMillis int64 `json:"age_ms,omitempty"`
-	// Pressure is the duration of requests relative to their objective, as observed by this
+	// Pressure is the duration of requests relative to their permitted duration, as observed by this
 	// balancer.
 	Pressure float64 `json:"pressure"`
 	// Refused counts the openings that this balancer has refused because of load since its start.
@@ -47,8 +47,9 @@
 	// Demand is the work that callers in the zone request, by priority. It is empty unless Known is
 	// set.
 	Demand []Demand `json:"demand,omitempty"`
-	// Load is the duration of requests at the zone's back ends relative to idle back ends, computed
-	// from Answers a second. Rejected is the number of openings a second that the back ends reject.
+	// Load is the duration of requests at the zone's back ends relative to idle back ends, and
+	// Answers the number of answers a second that it is computed from. Rejected is the number of
+	// openings a second that the back ends reject.
 	Load     float64 `json:"load,omitempty"`
 	Answers  float64 `json:"answers,omitempty"`
 	Rejected float64 `json:"rejected,omitempty"`
@@ -70,7 +71,7 @@
 	Waiting int `json:"waiting"`
 }
 
-// Limits of a decoded report, far above the values of the largest supported fleet.
+// Limits of a decoded report, far above the values of the largest fleet that the design targets.
 const (
 	maxServices = 1 << 14
 	maxEntries  = 1 << 10
@@ -95,11 +96,11 @@
 		if service.AgeMillis < 0 {
 			return errors.Newf("services[%d]: age_ms %d is negative", index, service.AgeMillis)
 		}
-		for part := range service.Zones {
-			zone := &service.Zones[part]
+		for zoneIndex := range service.Zones {
+			zone := &service.Zones[zoneIndex]
 			if zone.Zone == "" || zone.Capacity < 0 || len(zone.Demand) > maxEntries {
 				return errors.Newf("services[%d]: zones[%d]: zone %q, capacity %v or the number of levels %d is invalid",
-					index, part, zone.Zone, zone.Capacity, len(zone.Demand))
+					index, zoneIndex, zone.Zone, zone.Capacity, len(zone.Demand))
 			}
 		}
 	}
@@ -156,16 +157,16 @@
 		priorities: make(map[lb.ServiceName][]uint16),
 	}
 	for index := range reports {
-		for part := range reports[index].Services {
-			t.recordNewest(&reports[index].Services[part])
+		for entry := range reports[index].Services {
+			t.recordNewest(&reports[index].Services[entry])
 		}
 	}
 	for _, service := range t.newest {
 		t.addFleetLoad(service)
 	}
 	for index := range reports {
-		for part := range reports[index].Services {
-			t.addBalancer(reports[index].Zone, &reports[index].Services[part])
+		for entry := range reports[index].Services {
+			t.addBalancer(reports[index].Zone, &reports[index].Services[entry])
 		}
 	}
 	return t.sorted()
--- a/internal/steering/compiler_test.go
+++ b/internal/steering/compiler_test.go
@@ -20,7 +20,7 @@
 	text := fmt.Sprintf("version %d, revision %d, expires %s", table.Version(), table.Revision(), table.Expires())
 	var services []string
 	for name, service := range table.Services() {
-		services = append(services, fmt.Sprintf("\n%s: ready %s, ring %s, lapsed %s, cold %s at %g, needed %t, evacuated %d, away %d, zones %v, even %v, sums %v %v",
+		services = append(services, fmt.Sprintf("\n%s: ready %s, ring %s, lapsed %s, cold %s at %g, needed %t, evacuated %d, gone in outage %d, zones %v, even %v, sums %v %v",
 			name, describeHosts(service.Ready), describeHosts(service.Ring()), describeHosts(service.Lapsed), describeHosts(service.Cold), service.ColdRate,
 			service.NeedsCold, service.evacuated, service.goneInOutage, service.zoneCapacity, service.even, service.evenWeights(), service.runningCapacities()))
 	}
--- a/internal/steering/weights.go
+++ b/internal/steering/weights.go
@@ -86,7 +86,7 @@
 
 // warmingFactor is the assumed capacity of a back end that has just started, relative to its
 // capacity when warm. A back end that stays slow for longer accumulates requests in flight, which
-// then reduces its load.
+// then reduces its share of new flows.
 const warmingFactor = 0.5
 
 // Size returns the capacity of the host relative to other hosts of its service, as stated by the
--- a/internal/weight/backend.go
+++ b/internal/weight/backend.go
@@ -63,7 +63,7 @@
 // zoneReport is the latest report from one zone.
 type zoneReport struct {
 	zone    lb.Zone
-	takenAt time.Duration // when the health checker created it
+	takenAt time.Duration // when the back end created it
 	healthy bool
 	load    uint16
 }
@@ -160,5 +160,5 @@
 	return uint64(backend.unanswered)*FullFactor >= uint64(backend.openings)*uint64(settings.UnansweredPerMille)
 }
 
-// Forgive resets the counts of openings when the back end is tried again.
+// Forgive resets the counts of openings. It is called when the back end is tried again.
 func (backend *Backend) Forgive() { backend.openings, backend.unanswered = 0, 0 }
--- a/internal/weight/step.go
+++ b/internal/weight/step.go
@@ -95,5 +95,5 @@
 }
 
 // MaxFailed returns the maximum number of a service's back ends that may be marked as failed at the
-// same time. If more seem to fail, the fault is more likely on the balancers' side.
+// same time. If more seem to fail, the fault is more likely on the observing side.
 func MaxFailed(count int) int { return count / 2 }
--- a/internal/zoneweight/zoneweight.go
+++ b/internal/zoneweight/zoneweight.go
@@ -22,8 +22,8 @@
 	// service time at a utilization of 0.5, and equals it at 0.7 (M/M/2 with exponential service
 	// times; half of that with the small variance of typical work), so callers notice nothing below
 	// 0.5. The known demand is half a second old, and the remaining capacity absorbs a surge during
-	// that time: if one zone's callers triple their demand, they lose 0.1% of their credit, against
-	// 0.8% with a threshold of 0.7 and 2.5% with 0.85.
+	// that time: if one zone's callers triple their demand, 0.1% of their requests, weighted by
+	// importance, are not served in time, against 0.8% with a threshold of 0.7 and 2.5% with 0.85.
 	Home = 0.5
 	// Remote is the minimum part of a zone's new flows that goes to other zones, so that their back
 	// ends are known to respond before they are needed.
