--- a/internal/zoneweight/zoneweight.go
+++ b/internal/zoneweight/zoneweight.go
@@ -84,10 +84,10 @@
 }
 
 // Split returns the weights for the new flows of a zone, which keeps its flows up to the
-// utilization home. It returns nil if the demand of the zone itself is unknown, or if no zone has
+// utilization threshold. It returns nil if the demand of the zone itself is unknown, or if no zone has
 // back ends.
-func Split(own lb.Zone, zones []Zone, home float64) Weights {
-	level, total := fillLevel(zones, home)
+func Split(own lb.Zone, zones []Zone, threshold float64) Weights {
+	level, total := fillLevel(zones, threshold)
 	self := slices.IndexFunc(zones, func(z Zone) bool { return z.Zone == own })
 	if self < 0 || !zones[self].Known || total == 0 {
 		return nil
@@ -120,7 +120,7 @@
 
 // fillLevel returns the utilization up to which the back ends of each zone are filled, and the
 // total capacity of all zones.
-func fillLevel(zones []Zone, home float64) (level, total float64) {
+func fillLevel(zones []Zone, threshold float64) (level, total float64) {
 	demand, capacity := 0.0, 0.0
 	for index := range zones {
 		total += zones[index].Capacity
@@ -130,9 +130,9 @@
 		}
 	}
 	if capacity == 0 {
-		return home, total
+		return threshold, total
 	}
-	return max(home, demand/capacity), total
+	return max(threshold, demand/capacity), total
 }
 
 // localWeight returns the part of its own demand that a zone's back ends serve.
--- a/internal/zoneweight/zoneweight_test.go
+++ b/internal/zoneweight/zoneweight_test.go
@@ -24,10 +24,10 @@
 }
 
 // utilization returns the work that the back ends of each zone get, divided by their capacity.
-func utilization(all []Zone, home float64) map[lb.Zone]float64 {
+func utilization(all []Zone, threshold float64) map[lb.Zone]float64 {
 	work := map[lb.Zone]float64{}
 	for _, from := range all {
-		for to, part := range Split(from.Zone, all, home) {
+		for to, part := range Split(from.Zone, all, threshold) {
 			work[to] += part * from.Demand
 		}
 	}
