--- a/internal/zoneweight/zoneweight.go
+++ b/internal/zoneweight/zoneweight.go
@@ -83,9 +83,9 @@
 	return zones
 }
 
-// Split returns the weights for the new flows of a zone, which keeps its flows up to the
-// utilization threshold. It returns nil if the demand of the zone itself is unknown, or if no zone has
-// back ends.
+// Split returns the weights for the new flows of a zone, which keeps its flows up to the given
+// threshold of its utilization. It returns nil if the demand of the zone itself is unknown, or if
+// no zone has back ends.
 func Split(own lb.Zone, zones []Zone, threshold float64) Weights {
 	level, total := fillLevel(zones, threshold)
 	self := slices.IndexFunc(zones, func(z Zone) bool { return z.Zone == own })
