--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,10 +1,9 @@
-// Package admission decides which part of the openings of each priority is let
-// in, by what the fleet knows of a service. The load that it answers: callers who
-// together ask for more than all back ends can do. One node sees some twenty
-// openings a second, too few to tell by how much that is; the sums of all do. What
-// is decided follows from the sums, so that it is the same at all nodes and in
-// all zones, and at a node that has just started. It has no clock and no I/O; see
-// docs/design/admission.md.
+// Package admission computes the admit rate of each priority of a service from the load reports of
+// the whole fleet. It handles the case in which callers request more work than all back ends
+// together can do. A single node receives some twenty openings a second, too few to measure the
+// excess; the sums over all nodes suffice. Since the rates depend on these sums only, they are the
+// same at all nodes, in all zones, and at a node that has just started. The package has no clock
+// and no I/O. See docs/design/admission.md.
 package admission
 
 import (
@@ -16,158 +15,163 @@
 	"robinpulley.example/robinpulley/internal/fleetload"
 )
 
-// Settings of the decision. See DefaultSettings.
+// Settings are the parameters of the computation. See DefaultSettings.
 type Settings struct {
-	// Limit is the load, in what requests may take at the latest, that is aimed at while
-	// openings are refused.
+	// Limit is the target load while openings are refused: the ratio of response times to the
+	// longest allowed ones.
 	Limit float64
-	// Gain is by how much, on the scale of natural logarithms, the work that is let in
-	// is lowered at a load of one above the limit. Lead is how far ahead the load is taken, by
-	// how it moves, and Slow is like Gain, for each second at that load: it makes good what the
-	// work of requests is taken wrongly for.
-	Gain, Slow float64
-	Lead       time.Duration
-	// Swing bounds the load's distance from the limit that counts.
-	Swing float64
-	// Full is the part of requests that full back ends may reject: a caller's next try finds
-	// room elsewhere. RejectedGain is like Gain, for each whole part more.
-	Full, RejectedGain float64
-	// Most and Fewest bound the work that is let in, in parts of what back ends
-	// work on at once, whatever loads are told.
-	Most, Fewest float64
-	// Rising is the part of the limit below which requests are quick, whatever their work is taken
-	// for: nothing is refused then.
-	Rising float64
-	// Neutral is how many answers a second at a load of half the limit are taken for seen beside those
-	// that were: a service that few ask for is not taken for crowded.
-	Neutral float64
+	// Gain is the proportional gain: the reduction of the admitted work, on a natural logarithmic
+	// scale, at a load of one above the limit. LookAhead is how far the load is extrapolated from
+	// its change. IntegralGain is the reduction per second at that load; it compensates errors in
+	// the assumed work per request.
+	Gain, IntegralGain float64
+	LookAhead          time.Duration
+	// MaxError bounds the difference between load and limit.
+	MaxError float64
+	// ToleratedRejections is the fraction of requests that full back ends may reject without a
+	// reduction: the caller's next try is served elsewhere. RejectionGain corresponds to Gain, for
+	// the fraction of rejections above that.
+	ToleratedRejections, RejectionGain float64
+	// MaxWork and MinWork bound the admitted work as a multiple of the number of slots, whatever
+	// loads are reported.
+	MaxWork, MinWork float64
+	// UnloadedShare is the fraction of the limit below which response times prove spare capacity,
+	// even if the assumed work per request is wrong. Nothing is refused then.
+	UnloadedShare float64
+	// NeutralAnswers is the number of answers per second, at half the limit, that is added to the
+	// reported ones. Without it a service with few requests could look overloaded.
+	NeutralAnswers float64
 }
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default parameters.
 func DefaultSettings() Settings {
 	return Settings{
 		Limit: 0.8,
-		// Work beyond what back ends can do waits: 1% too much lengthens requests by a tenth of what they
-		// may take within some 1.5 s, and the news of it are 0.8 s old. More than this swings.
-		Gain:         0.2,
-		Slow:         0.06,
-		Lead:         200 * time.Millisecond,
-		Swing:        1,
-		Full:         0.05,
-		RejectedGain: 1.5,
-		Most:         1.3,
-		Fewest:       0.3,
-		Rising:       0.6,
-		Neutral:      30,
+		// Excess work accumulates in queues: within some 1.5 s an excess of 1% lengthens requests
+		// by a tenth of the allowed time, and reports about it are 0.8 s old. Higher gains
+		// oscillate.
+		Gain:                0.2,
+		IntegralGain:        0.06,
+		LookAhead:           200 * time.Millisecond,
+		MaxError:            1,
+		ToleratedRejections: 0.05,
+		RejectionGain:       1.5,
+		MaxWork:             1.3,
+		MinWork:             0.3,
+		UnloadedShare:       0.6,
+		NeutralAnswers:      30,
 	}
 }
 
-// Service decides for one service. The zero value knows nothing.
+// Service computes the admit rates of one service. The zero value has no state and refuses nothing.
 type Service struct {
-	// room is the work that back ends can do, in parts of their slots; 0: not known.
-	room float64
-	load float64 // of the last news
-	at   time.Duration
-	// parts are what was decided last.
-	parts []Part
+	// capacityRatio is the estimated work that back ends can do, as a multiple of their slots; 0
+	// means unknown.
+	capacityRatio float64
+	load          float64 // of the most recent report
+	at            time.Duration
+	// rates is the result of the most recent Update.
+	rates []Rate
 }
 
-// Part is the part of the openings of one priority that is let in.
-type Part struct {
+// Rate is the admit rate of the openings of one priority.
+type Rate struct {
 	Priority uint16
 	Admitted float64
 }
 
-// tries is how often callers who are refused are taken to try: they come again at once, once or
-// twice. It says only how fast the right part is found, not which one that is: what is asked for is
-// taken from the same figure. With three, the part swings where callers come but twice.
-const tries = 2
+// assumedTries is the assumed number of times that a caller sends a refused opening: callers retry
+// immediately, once or twice. It affects only how fast the rates converge and not the result, since
+// the requested work is computed with the same number. With 3 the rates oscillate where callers try
+// only twice.
+const assumedTries = 2
 
-// demand is what callers ask for at one priority, in slots, tries again left out.
+// demand is the work that callers request at one priority, in slots, without retries.
 type demand struct {
-	priority uint16
-	begun    float64
-	asked    float64
-	held     float64 // of begun, what flows bring that were open before
+	priority    uint16
+	begun       float64
+	requested   float64
+	onOpenFlows float64 // part of begun that arrives on flows opened earlier
 }
 
-// Learn takes what is known of the service, and the slots of its ready back ends; 0: not known.
-// held gives the part of a priority's requests that come on flows that were open before: to refuse
-// openings does not lessen these.
-func (s *Service) Learn(now time.Duration, known *fleetload.Service, slots float64, held func(uint16) float64, settings *Settings) {
-	demands := demandsOf(known)
-	left := 0.0 // what back ends do for this priority and those that are less important
+// Update recomputes the rates from the reported state of the service. slots is the number of slots
+// of its ready back ends; 0 means unknown. openFlowShare returns the fraction of a priority's requests that
+// arrive on flows opened earlier, which refusing openings can't reduce.
+func (s *Service) Update(now time.Duration, state *fleetload.Service, slots float64, openFlowShare func(uint16) float64, settings *Settings) {
+	demands := demandsOf(state)
+	remaining := 0.0 // work that back ends do for this priority and the less important ones
 	for index := range demands {
-		demands[index].held = demands[index].begun * max(0, min(held(demands[index].priority), 1))
-		left += demands[index].begun
+		demands[index].onOpenFlows = demands[index].begun * max(0, min(openFlowShare(demands[index].priority), 1))
+		remaining += demands[index].begun
 	}
-	room := s.follow(now, known, demands, slots, settings)
-	s.parts = s.parts[:0]
-	above := 1.0 // the less important are let in no more than those above them
+	available := s.targetWork(now, state, demands, slots, settings)
+	s.rates = s.rates[:0]
+	maxRate := 1.0 // limits the rate of a priority to that of the next more important one
 	for index := range demands {
 		d := &demands[index]
-		mayUse := room
+		usable := available
 		if index < len(demands)-1 {
-			// What back ends do for the less important they can do for this one: it is the former that go,
-			// also where the open flows of the former leave no room and work is taken for more than it is.
-			mayUse = max(room, left)
+			// Capacity that is used for less important priorities is available to this one, whose
+			// openings displace theirs. This also holds where their open flows use all the capacity
+			// and the assumed work is too high.
+			usable = max(available, remaining)
 		}
-		left -= d.begun
-		given := min(d.asked, mayUse)
-		room = max(0, room-given)
-		above = min(above, d.part(given))
-		s.parts = append(s.parts, Part{Priority: d.priority, Admitted: above})
+		remaining -= d.begun
+		granted := min(d.requested, usable)
+		available = max(0, available-granted)
+		maxRate = min(maxRate, d.admitRate(granted))
+		s.rates = append(s.rates, Rate{Priority: d.priority, Admitted: maxRate})
 	}
 }
 
-// Parts gives the part of each priority that is let in, the most important first.
-func (s *Service) Parts() []Part { return s.parts }
+// Rates returns the admit rate of each priority, the most important first.
+func (s *Service) Rates() []Rate { return s.rates }
 
-// PartOf gives the part of a priority. One that nothing is known of is let in as the next
-// more important one is.
-func (s *Service) PartOf(priority uint16) float64 {
+// RateOf returns the admit rate of a priority. An unknown priority has the rate of the next more
+// important one.
+func (s *Service) RateOf(priority uint16) float64 {
 	admitted := 1.0
-	for _, part := range s.parts {
-		if part.Priority > priority {
+	for _, rate := range s.rates {
+		if rate.Priority > priority {
 			break
 		}
-		admitted = part.Admitted
+		admitted = rate.Admitted
 	}
 	return admitted
 }
 
-// Calm tells whether nothing is near the limit.
+// Calm returns true if the service is far from the limit.
 func (s *Service) Calm(settings *Settings) bool {
-	return len(s.parts) > 0 && !s.Refuses() && s.load < calmPart*settings.Limit
+	return len(s.rates) > 0 && !s.Refuses() && s.load < calmShare*settings.Limit
 }
 
-// calmPart is the part of the limit below which back ends that are half used are for certain: requests take
-// there what they take at idle ones, and a fifth of it more.
-const calmPart = 0.8
+// calmShare is the fraction of the limit below which back ends are certain to have spare capacity:
+// half-used back ends answer in the idle time plus a fifth.
+const calmShare = 0.8
 
-// Refuses tells whether some openings are refused.
+// Refuses returns true if some openings are refused.
 func (s *Service) Refuses() bool {
-	return slices.ContainsFunc(s.parts, func(part Part) bool { return part.Admitted < 1 })
+	return slices.ContainsFunc(s.rates, func(rate Rate) bool { return rate.Admitted < 1 })
 }
 
-// part is the part of tries to let in so that given is begun of what is asked for. Work on
-// flows that are open comes first, as it can't be refused.
-func (d *demand) part(given float64) float64 {
-	if given >= d.asked {
+// admitRate returns the fraction of tries to admit so that, of the requested work, the granted
+// amount is begun. Work on open flows is subtracted first, as it can't be refused.
+func (d *demand) admitRate(granted float64) float64 {
+	if granted >= d.requested {
 		return 1
 	}
-	if given <= d.held {
+	if granted <= d.onOpenFlows {
 		return 0
 	}
-	served := (given - d.held) / (d.asked - d.held)
-	return 1 - math.Pow(1-served, 1.0/tries)
+	served := (granted - d.onOpenFlows) / (d.requested - d.onOpenFlows)
+	return 1 - math.Pow(1-served, 1.0/assumedTries)
 }
 
-// demandsOf sums up what the callers of all zones ask for, by priority.
-func demandsOf(known *fleetload.Service) []demand {
+// demandsOf sums up what the callers of all zones request, by priority.
+func demandsOf(state *fleetload.Service) []demand {
 	sums := make(map[uint16]fleetload.Level)
-	for index := range known.Zones {
-		for _, level := range known.Zones[index].Levels {
+	for index := range state.Zones {
+		for _, level := range state.Zones[index].Levels {
 			sum := sums[level.Priority]
 			sum.Begun += max(0, level.Begun)
 			sum.Refused += max(0, level.Refused)
@@ -176,82 +180,84 @@
 	}
 	demands := make([]demand, 0, len(sums))
 	for priority, sum := range sums {
-		demands = append(demands, demand{priority: priority, begun: sum.Begun, asked: askedFor(sum)})
+		demands = append(demands, demand{priority: priority, begun: sum.Begun, requested: requestedWork(sum)})
 	}
 	slices.SortFunc(demands, func(a, b demand) int { return cmp.Compare(a.priority, b.priority) })
 	return demands
 }
 
-// leastBegun bounds from below the part of requests that are taken to begin, where
-// nearly all are refused.
-const leastBegun = 0.01
+// minBegun is the minimum fraction of requests assumed to begin, for the case that nearly all are
+// refused.
+const minBegun = 0.01
 
-// askedFor is the work that callers ask for: some of what was refused was begun at a further try.
-func askedFor(level fleetload.Level) float64 {
+// requestedWork returns the work that callers request. Part of the refused work was begun at a
+// later try and must not be counted twice.
+func requestedWork(level fleetload.Level) float64 {
 	if level.Refused == 0 {
 		return level.Begun
 	}
 	refused := level.Refused / (level.Begun + level.Refused)
-	begun := max(leastBegun, 1-math.Pow(refused, tries))
+	begun := max(minBegun, 1-math.Pow(refused, assumedTries))
 	return min(level.Begun/begun, level.Begun+level.Refused)
 }
 
-// follow gives the work that is to be let in, in slots: what back ends are found to be able to
-// do, corrected by how long requests take and by how many are rejected, within bounds.
-func (s *Service) follow(now time.Duration, known *fleetload.Service, demands []demand, slots float64, settings *Settings) float64 {
-	begun, asked := 0.0, 0.0
+// targetWork returns the work to admit, in slots: the estimated capacity of the back ends,
+// corrected by the load and by the fraction of rejected requests, within bounds.
+func (s *Service) targetWork(now time.Duration, state *fleetload.Service, demands []demand, slots float64, settings *Settings) float64 {
+	begun, requested := 0.0, 0.0
 	for index := range demands {
 		begun += demands[index].begun
-		asked += demands[index].asked
+		requested += demands[index].requested
 	}
-	load, rejected := loadOf(known, settings)
-	elapsed := min(now-s.at, longestStep).Seconds()
-	ahead := load
+	load, rejected := loadOf(state, settings)
+	elapsed := min(now-s.at, maxStep).Seconds()
+	extrapolated := load
 	if s.at > 0 && elapsed > 0 {
-		ahead += (load - s.load) / elapsed * settings.Lead.Seconds()
+		extrapolated += (load - s.load) / elapsed * settings.LookAhead.Seconds()
 	}
-	refuses := asked > begun
-	if s.room == 0 || now-s.at > forgetTime {
-		s.begin(begun, slots, refuses, settings)
-		elapsed, ahead = 0, load
+	refuses := requested > begun
+	if s.capacityRatio == 0 || now-s.at > stateTimeout {
+		s.initialize(begun, slots, refuses, settings)
+		elapsed, extrapolated = 0, load
 	}
 	s.at, s.load = now, load
-	if slots <= 0 || load < settings.Rising*settings.Limit && !refuses {
+	if slots <= 0 || load < settings.UnloadedShare*settings.Limit && !refuses {
 		return math.Inf(1)
 	}
 	if refuses || load > settings.Limit {
-		s.room *= math.Exp(-settings.Slow * elapsed * settings.distance(load))
-		s.room = max(settings.Fewest, min(s.room, settings.Most))
+		s.capacityRatio *= math.Exp(-settings.IntegralGain * elapsed * settings.loadError(load))
+		s.capacityRatio = max(settings.MinWork, min(s.capacityRatio, settings.MaxWork))
 	}
-	over := settings.Gain*settings.distance(ahead) + settings.RejectedGain*max(0, rejected-settings.Full)
-	return slots * max(settings.Fewest, min(s.room*math.Exp(-over), settings.Most))
+	reduction := settings.Gain*settings.loadError(extrapolated) + settings.RejectionGain*max(0, rejected-settings.ToleratedRejections)
+	return slots * max(settings.MinWork, min(s.capacityRatio*math.Exp(-reduction), settings.MaxWork))
 }
 
 const (
-	// longestStep bounds the time between two news that counts: little is known of what was between.
-	longestStep = 500 * time.Millisecond
-	// forgetTime is how long after the last news what back ends were found able to do counts.
-	forgetTime = 10 * time.Second
+	// maxStep bounds the time between two reports: if it is longer, the load in between is unknown.
+	maxStep = 500 * time.Millisecond
+	// stateTimeout is how long after the most recent report the estimated capacity remains valid.
+	stateTimeout = 10 * time.Second
 )
 
-// begin takes the room from what other nodes let in, where they refuse already.
-func (s *Service) begin(begun, slots float64, refuses bool, settings *Settings) {
-	s.room = 1
+// initialize sets the estimated capacity to the work that other nodes admit, if they refuse
+// openings already.
+func (s *Service) initialize(begun, slots float64, refuses bool, settings *Settings) {
+	s.capacityRatio = 1
 	if refuses && slots > 0 {
-		s.room = max(settings.Fewest, min(begun/slots, settings.Most))
+		s.capacityRatio = max(settings.MinWork, min(begun/slots, settings.MaxWork))
 	}
 }
 
-// distance is that of a load from the limit, bounded.
-func (s *Settings) distance(load float64) float64 {
-	return max(-s.Swing, min(load-s.Limit, s.Swing))
+// loadError returns the difference between a load and the limit, bounded by MaxError.
+func (s *Settings) loadError(load float64) float64 {
+	return max(-s.MaxError, min(load-s.Limit, s.MaxError))
 }
 
-// loadOf gives the load of all back ends, and the part of requests that they reject.
-func loadOf(known *fleetload.Service, settings *Settings) (load, rejected float64) {
-	logs, answers := settings.Neutral*math.Log(settings.Limit/2), settings.Neutral
-	for index := range known.Zones {
-		zone := &known.Zones[index]
+// loadOf returns the load of all back ends, and the fraction of requests that they reject.
+func loadOf(state *fleetload.Service, settings *Settings) (load, rejected float64) {
+	logs, answers := settings.NeutralAnswers*math.Log(settings.Limit/2), settings.NeutralAnswers
+	for index := range state.Zones {
+		zone := &state.Zones[index]
 		rejected += max(0, zone.Rejected)
 		if zone.Answers > 0 && zone.Load > 0 {
 			logs += zone.Answers * math.Log(zone.Load)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -18,283 +18,289 @@
 	slots = 240.0
 )
 
-// fresh tells that no flow is kept.
-func fresh(uint16) float64 { return 0 }
+// noOpenFlows returns 0 for every priority: each flow carries one request.
+func noOpenFlows(uint16) float64 { return 0 }
 
-// plant is callers and back ends in virtual time, as sums: no node, no packet. Callers ask for work at
-// two priorities, try refused openings again at once, and wait in the queues of the back ends.
-type plant struct {
-	random  *rand.Rand
-	now     time.Duration
-	demand  [2]float64 // slots, the more important first
-	tries   int
-	speed   float64 // what back ends can do, in slots, over what their slots say
-	news    time.Duration
-	window  time.Duration
-	service Service
-	backlog float64 // work that waits, in seconds of all back ends
-	levels  [2]fleetload.Level
-	load    float64
-	delayed []fleetload.Service
-	begun   [2]float64 // of the last step
-	mostly  float64    // what is used of what back ends can do, in the mean over half a second
-	tell    func(*fleetload.Service)
+// simulation models callers and back ends as sums in virtual time, without nodes or packets.
+// Callers request work at two priorities, retry refused openings immediately, and queue at the back
+// ends.
+type simulation struct {
+	random      *rand.Rand
+	now         time.Duration
+	demand      [2]float64 // in slots, the more important priority first
+	tries       int
+	speed       float64 // actual capacity of the back ends, as a multiple of their slots
+	delay       time.Duration
+	window      time.Duration
+	service     Service
+	backlog     float64 // queued work, in seconds of all back ends
+	levels      [2]fleetload.Level
+	load        float64
+	states      []fleetload.Service
+	begun       [2]float64 // in the most recent step
+	smoothedUse float64    // moving mean of the used fraction of the capacity over half a second
+	alter       func(*fleetload.Service)
 }
 
-func newPlant(seed uint64) *plant {
-	return &plant{
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
 		random: rand.New(rand.NewPCG(seed, 3)), demand: [2]float64{50, 60}, tries: 3, speed: 1, load: 0.3,
-		news: 400 * ms, window: 300 * ms, tell: func(*fleetload.Service) {},
+		delay: 400 * ms, window: 300 * ms, alter: func(*fleetload.Service) {},
 	}
 }
 
 const step = 50 * ms
 
-// pass lets time pass, and calls each after each step.
-func (p *plant) pass(length time.Duration, each func()) {
+// pass advances the time, and calls each after each step.
+func (p *simulation) pass(length time.Duration, each func()) {
 	for end := p.now + length; p.now < end; p.now += step {
-		p.begin()
-		p.wait()
-		p.sum()
+		p.startRequests()
+		p.queue()
+		p.publish()
 		if p.now%(200*ms) == 0 {
-			p.learn()
+			p.update()
 		}
 		each()
 	}
 }
 
-// begin has callers try.
-func (p *plant) begin() {
+// startRequests computes the callers' tries of one step.
+func (p *simulation) startRequests() {
 	for index := range p.demand {
-		part := p.service.PartOf(uint16(index + 1))
-		refused := math.Pow(1-part, float64(p.tries))
-		asked := p.demand[index] * (1 + 0.03*p.random.NormFloat64())
-		p.begun[index] = asked * (1 - refused)
+		rate := p.service.RateOf(uint16(index + 1))
+		refused := math.Pow(1-rate, float64(p.tries))
+		requested := p.demand[index] * (1 + 0.03*p.random.NormFloat64())
+		p.begun[index] = requested * (1 - refused)
 		tries := 0.0
 		for try := range p.tries {
-			tries += math.Pow(1-part, float64(try+1))
+			tries += math.Pow(1-rate, float64(try+1))
 		}
-		p.follow(&p.levels[index].Begun, p.begun[index])
-		p.follow(&p.levels[index].Refused, asked*tries)
+		p.smooth(&p.levels[index].Begun, p.begun[index])
+		p.smooth(&p.levels[index].Refused, requested*tries)
 	}
 }
 
-func (p *plant) follow(known *float64, value float64) {
-	*known += (value - *known) * float64(step) / float64(p.window)
+func (p *simulation) smooth(sum *float64, value float64) {
+	*sum += (value - *sum) * float64(step) / float64(p.window)
 }
 
-// wait has what is too much wait, up to full queues: four times the time of a request.
-func (p *plant) wait() {
-	const work, most = 0.05, 0.2
-	can := slots * p.speed
-	p.mostly += (p.used() - p.mostly) * 0.1
-	used := min((p.begun[0]+p.begun[1])/can, 0.99)
-	p.backlog += ((p.begun[0]+p.begun[1])/can - 1) * step.Seconds()
-	p.backlog = max(0, min(p.backlog, most))
-	random := min(0.5*used*used/(1-used*used)*work, most) // queue by chance, two slots
+// queue adds excess work to the queues, which are full at four times the time of a request.
+func (p *simulation) queue() {
+	const work, maxWait = 0.05, 0.2
+	capacity := slots * p.speed
+	p.smoothedUse += (p.used() - p.smoothedUse) * 0.1
+	used := min((p.begun[0]+p.begun[1])/capacity, 0.99)
+	p.backlog += ((p.begun[0]+p.begun[1])/capacity - 1) * step.Seconds()
+	p.backlog = max(0, min(p.backlog, maxWait))
+	random := min(0.5*used*used/(1-used*used)*work, maxWait) // mean random queue of two slots
 	took := work + max(p.backlog, random)
-	p.follow(&p.load, took/(3.3*work))
+	p.smooth(&p.load, took/(3.3*work))
 }
 
-// sum tells the sums as they were some time ago.
-func (p *plant) sum() {
-	told := fleetload.Service{At: p.now, Zones: []fleetload.Zone{
+// publish appends the present sums; update reads them after the delay.
+func (p *simulation) publish() {
+	report := fleetload.Service{At: p.now, Zones: []fleetload.Zone{
 		{Zone: "za", Levels: []fleetload.Level{p.level(0, 0.6), p.level(1, 0.6)}, Load: p.load, Answers: 2000},
 		{Zone: "zb", Levels: []fleetload.Level{p.level(0, 0.4), p.level(1, 0.4)}, Load: p.load, Answers: 2000},
 	}}
-	p.delayed = append(p.delayed, told)
+	p.states = append(p.states, report)
 }
 
-func (p *plant) level(index int, part float64) fleetload.Level {
+func (p *simulation) level(index int, share float64) fleetload.Level {
 	return fleetload.Level{
-		Priority: uint16(index + 1), Begun: part * p.levels[index].Begun, Refused: part * p.levels[index].Refused,
+		Priority: uint16(index + 1), Begun: share * p.levels[index].Begun, Refused: share * p.levels[index].Refused,
 	}
 }
 
-func (p *plant) learn() {
-	behind := int(p.news / step)
-	if len(p.delayed) <= behind {
+func (p *simulation) update() {
+	behind := int(p.delay / step)
+	if len(p.states) <= behind {
 		return
 	}
-	told := p.delayed[len(p.delayed)-1-behind]
-	p.tell(&told)
+	report := p.states[len(p.states)-1-behind]
+	p.alter(&report)
 	settings := DefaultSettings()
-	p.service.Learn(p.now, &told, slots, fresh, &settings)
+	p.service.Update(p.now, &report, slots, noOpenFlows, &settings)
 }
 
-// used is the work begun, in parts of what back ends can do.
-func (p *plant) used() float64 { return (p.begun[0] + p.begun[1]) / (slots * p.speed) }
+// used returns the work begun as a fraction of the capacity of the back ends.
+func (p *simulation) used() float64 { return (p.begun[0] + p.begun[1]) / (slots * p.speed) }
 
-// mean gives the mean of a value over some time.
-func (p *plant) mean(length time.Duration, value func() float64) float64 {
+// mean returns the mean of a value over some time.
+func (p *simulation) mean(length time.Duration, value func() float64) float64 {
 	sum, count := 0.0, 0.0
 	p.pass(length, func() { sum += value(); count++ })
 	return sum / count
 }
 
-// right is the part of what back ends can do that is used in the end: less would lose work, and more
-// would have requests wait for longer than callers allow.
-const leastRight, mostRight = 0.85, 1.0
+// minFinalUse and maxFinalUse bound the fraction of the capacity that is used after convergence.
+// Less would waste capacity, and more would let requests queue for longer than callers allow.
+const minFinalUse, maxFinalUse = 0.85, 1.0
 
-// TestStepOfDemand: two seconds after callers begin to ask for more than back ends can do, the work
-// that is let in is what it is in the end, within 6%, or more than that but no more than back ends can
-// do (where callers ask for little more), and never again past it by more than 10%. News are up to 0.8 s
-// old, 0.3 s of it the time over which sums are taken.
+// TestStepOfDemand raises the demand above the capacity at once. After two seconds the admitted
+// work must be within 6% of its final value, or above it but within the capacity (where the demand
+// exceeds it only slightly), and it must never exceed the final value by more than 10% again.
+// Reports are up to 0.8 s old, including 0.3 s for averaging the sums.
 func TestStepOfDemand(t *testing.T) {
 	for _, tries := range []int{2, 3} {
 		for _, times := range []float64{2.6, 4, 6} {
-			for _, news := range []time.Duration{300 * ms, 500 * ms} {
-				t.Run(fmt.Sprintf("%d tries, times %.1f, news after %v", tries, times, news), func(t *testing.T) {
+			for _, delay := range []time.Duration{300 * ms, 500 * ms} {
+				t.Run(fmt.Sprintf("%d tries, times %.1f, reports after %v", tries, times, delay), func(t *testing.T) {
 					is := is.New(t)
-					p := newPlant(1)
-					p.tries, p.news = tries, news
+					p := newSimulation(1)
+					p.tries, p.delay = tries, delay
 					p.pass(3*time.Second, func() { is.Equal(p.service.Refuses(), false) })
 					p.demand = [2]float64{100, 60 * times}
 					p.pass(2*time.Second, func() {})
-					after, most := p.mean(500*ms, p.used), 0.0
-					p.pass(6*time.Second, func() { most = max(most, p.mostly) })
-					right := p.mean(4*time.Second, p.used)
-					is.True(right > leastRight && right < mostRight)
-					is.True(after > 0.94*right && after < max(1.06*right, mostRight))
-					is.True(most < 1.1*right)
+					after, highest := p.mean(500*ms, p.used), 0.0
+					p.pass(6*time.Second, func() { highest = max(highest, p.smoothedUse) })
+					final := p.mean(4*time.Second, p.used)
+					is.True(final > minFinalUse && final < maxFinalUse)
+					is.True(after > 0.94*final && after < max(1.06*final, maxFinalUse))
+					is.True(highest < 1.1*final)
 				})
 			}
 		}
 	}
 }
 
-// TestCallersWhoDoNotComeAgain: the part may swing for some seconds, and is right then.
-func TestCallersWhoDoNotComeAgain(t *testing.T) {
+// TestCallersWhoDoNotRetry: the rate may oscillate for some seconds, and must then converge.
+func TestCallersWhoDoNotRetry(t *testing.T) {
 	for _, times := range []float64{2.6, 4, 6} {
 		is := is.New(t)
-		p := newPlant(1)
-		p.tries, p.news = 1, 300*ms
+		p := newSimulation(1)
+		p.tries, p.delay = 1, 300*ms
 		p.pass(3*time.Second, func() {})
 		p.demand = [2]float64{100, 60 * times}
 		p.pass(6*time.Second, func() {})
-		right := p.mean(4*time.Second, p.used)
-		is.True(right > leastRight && right < mostRight)
+		final := p.mean(4*time.Second, p.used)
+		is.True(final > minFinalUse && final < maxFinalUse)
 	}
 }
 
-// TestWorkTakenWrongly: the right work is found where what requests are at idle back ends is taken
-// for more or less than it is, as it is while back ends are slow or were never seen idle.
-func TestWorkTakenWrongly(t *testing.T) {
+// TestWrongWorkEstimate checks that the admitted work converges if the assumed work per request is
+// too high or too low, as it is while back ends are slow or have never been measured idle.
+func TestWrongWorkEstimate(t *testing.T) {
 	for _, speed := range []float64{0.7, 0.85, 1.2} {
 		is := is.New(t)
-		p := newPlant(1)
+		p := newSimulation(1)
 		p.speed = speed
 		p.demand = [2]float64{100, 240}
 		p.pass(15*time.Second, func() {})
-		right := p.mean(5*time.Second, p.used)
-		is.True(right > 0.8 && right < 1.02)
+		final := p.mean(5*time.Second, p.used)
+		is.True(final > 0.8 && final < 1.02)
 	}
 }
 
-// TestMoreImportantFirst: they lose nothing while the less important alone are too many.
+// TestMoreImportantFirst checks that the more important openings are all admitted while refusing
+// the less important ones suffices.
 func TestMoreImportantFirst(t *testing.T) {
 	is := is.New(t)
-	p := newPlant(1)
+	p := newSimulation(1)
 	p.demand = [2]float64{150, 400}
-	p.pass(10*time.Second, func() { is.Equal(p.service.PartOf(1), 1.0) })
-	is.True(p.service.PartOf(2) < 0.4)
-	is.Equal(p.service.PartOf(9), p.service.PartOf(2)) // not heard of: no more than those above it
+	p.pass(10*time.Second, func() { is.Equal(p.service.RateOf(1), 1.0) })
+	is.True(p.service.RateOf(2) < 0.4)
+	is.Equal(p.service.RateOf(9), p.service.RateOf(2)) // unknown priority
 }
 
-// TestOpenFlowsAreNotRefused: where the less important keep their flows, their openings are
-// refused until there is room, and the more important take the room that the flows use.
+// TestOpenFlowsAreNotRefused: if less important callers keep their flows, their openings are
+// refused until there is capacity, and the capacity that their flows use remains available to more
+// important openings.
 func TestOpenFlowsAreNotRefused(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
-	known := fleetload.Service{Zones: []fleetload.Zone{{Zone: "za", Load: 1.2, Answers: 2000, Levels: []fleetload.Level{
+	state := fleetload.Service{Zones: []fleetload.Zone{{Zone: "za", Load: 1.2, Answers: 2000, Levels: []fleetload.Level{
 		{Priority: 1, Begun: 250, Refused: 150}, {Priority: 2, Begun: 320, Refused: 100},
 	}}}}
-	held := func(priority uint16) float64 { return map[uint16]float64{2: 0.95}[priority] }
+	openFlowShare := func(priority uint16) float64 { return map[uint16]float64{2: 0.95}[priority] }
 	var service Service
-	service.Learn(time.Second, &known, slots, held, &settings)
-	is.Equal(service.PartOf(1), 1.0)
-	is.Equal(service.PartOf(2), 0.0)
-	known.Zones[0].Levels[0] = fleetload.Level{Priority: 1, Begun: 80}
-	var fresher Service
-	fresher.Learn(time.Second, &known, slots, fresh, &settings)
-	is.True(fresher.PartOf(2) > 0) // the same sums, where each opening brings one request
+	service.Update(time.Second, &state, slots, openFlowShare, &settings)
+	is.Equal(service.RateOf(1), 1.0)
+	is.Equal(service.RateOf(2), 0.0)
+	state.Zones[0].Levels[0] = fleetload.Level{Priority: 1, Begun: 80}
+	var shortFlows Service
+	shortFlows.Update(time.Second, &state, slots, noOpenFlows, &settings)
+	is.True(shortFlows.RateOf(2) > 0) // the same sums, with one request per opening
 }
 
-// TestRestartedNode: it lets in what the others do from its first news on, within 5% of the openings.
+// TestRestartedNode checks that a restarted node uses the other nodes' rates, within 5% of the
+// openings, from its first report on.
 func TestRestartedNode(t *testing.T) {
 	is := is.New(t)
-	p := newPlant(1)
+	p := newSimulation(1)
 	p.demand = [2]float64{100, 240}
 	p.pass(8*time.Second, func() {})
 	settings := DefaultSettings()
 	for range 10 {
 		p.pass(200*ms, func() {})
-		told := p.delayed[len(p.delayed)-1-int(p.news/step)]
+		report := p.states[len(p.states)-1-int(p.delay/step)]
 		var restarted Service
-		restarted.Learn(p.now, &told, slots, fresh, &settings)
-		is.True(math.Abs(restarted.PartOf(2)-p.service.PartOf(2)) < 0.05)
+		restarted.Update(p.now, &report, slots, noOpenFlows, &settings)
+		is.True(math.Abs(restarted.RateOf(2)-p.service.RateOf(2)) < 0.05)
 	}
 }
 
-// TestCalmDays: nothing is refused on days with room, whatever the few requests or slow back ends.
-func TestCalmDays(t *testing.T) {
+// TestNothingIsRefusedBelowCapacity checks that nothing is refused while there is capacity, with
+// few requests or slow back ends too.
+func TestNothingIsRefusedBelowCapacity(t *testing.T) {
 	settings := DefaultSettings()
 	level := func(begun float64) []fleetload.Level { return []fleetload.Level{{Priority: 2, Begun: begun}} }
 	cases := map[string]fleetload.Zone{
-		"nothing seen":                    {},
-		"two slow answers a second":       {Load: 4, Answers: 2, Levels: level(200)},
-		"far from the limit":              {Load: 0.3, Answers: 2000, Levels: level(120)},
-		"work taken for three times more": {Load: 0.4, Answers: 2000, Levels: level(500)},
-		"slow back ends, half used":       {Load: 1.2, Answers: 500, Levels: level(60)},
-		"one answer in a hundred quick":   {Load: 0.4, Answers: 2000, Rejected: 20, Levels: level(120)},
+		"no answers":                       {},
+		"two slow answers a second":        {Load: 4, Answers: 2, Levels: level(200)},
+		"far from the limit":               {Load: 0.3, Answers: 2000, Levels: level(120)},
+		"work overestimated three times":   {Load: 0.4, Answers: 2000, Levels: level(500)},
+		"slow back ends, half used":        {Load: 1.2, Answers: 500, Levels: level(60)},
+		"one answer in a hundred rejected": {Load: 0.4, Answers: 2000, Rejected: 20, Levels: level(120)},
 	}
 	for name, zone := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var service Service
 			for second := range 20 {
-				known := fleetload.Service{Zones: []fleetload.Zone{zone}}
-				service.Learn(time.Duration(second+1)*time.Second, &known, slots, fresh, &settings)
-				is.Equal(service.PartOf(2), 1.0)
+				state := fleetload.Service{Zones: []fleetload.Zone{zone}}
+				service.Update(time.Duration(second+1)*time.Second, &state, slots, noOpenFlows, &settings)
+				is.Equal(service.RateOf(2), 1.0)
 			}
 			var unknown Service
-			unknown.Learn(time.Second, &fleetload.Service{Zones: []fleetload.Zone{{Load: 0.4, Answers: 2000, Levels: level(900)}}}, 0, fresh, &settings)
-			is.Equal(unknown.PartOf(2), 1.0) // slots that are not known bound nothing
+			unknown.Update(time.Second, &fleetload.Service{Zones: []fleetload.Zone{{Load: 0.4, Answers: 2000, Levels: level(900)}}}, 0, noOpenFlows, &settings)
+			is.Equal(unknown.RateOf(2), 1.0) // an unknown number of slots limits nothing
 		})
 	}
 }
 
-// TestWrongSums: a tenth of the news are wrong by a factor of up to 100 each way. What is let in in the
-// mean stays near the right one, and it is the right one soon after.
+// TestWrongSums multiplies a tenth of the reports by factors from 1/100 to 100. The mean admitted
+// work must stay near the right amount, and must converge to it soon afterwards.
 func TestWrongSums(t *testing.T) {
 	is := is.New(t)
-	p := newPlant(1)
+	p := newSimulation(1)
 	p.demand = [2]float64{100, 240}
 	p.pass(5*time.Second, func() {})
-	p.tell = func(known *fleetload.Service) {
+	p.alter = func(state *fleetload.Service) {
 		if p.random.IntN(10) > 0 {
 			return
 		}
 		factor := math.Exp(4.6 * (2*p.random.Float64() - 1))
-		for zone := range known.Zones {
-			known.Zones[zone].Load *= factor
-			levels := append([]fleetload.Level(nil), known.Zones[zone].Levels...)
+		for zone := range state.Zones {
+			state.Zones[zone].Load *= factor
+			levels := append([]fleetload.Level(nil), state.Zones[zone].Levels...)
 			for index := range levels {
 				levels[index].Begun *= factor
 				levels[index].Refused *= 2 - min(factor, 2)
 			}
-			known.Zones[zone].Levels = levels
+			state.Zones[zone].Levels = levels
 		}
 	}
 	is.True(p.mean(20*time.Second, p.used) > 0.7)
-	p.tell = func(*fleetload.Service) {}
+	p.alter = func(*fleetload.Service) {}
 	p.pass(3*time.Second, func() {})
-	right := p.mean(2*time.Second, p.used)
-	is.True(right > leastRight-0.05 && right < mostRight)
+	final := p.mean(2*time.Second, p.used)
+	is.True(final > minFinalUse-0.05 && final < maxFinalUse)
 }
 
-// TestWhateverIsTold: parts are numbers from 0 to 1 that fall with importance, whatever sums say.
-func TestWhateverIsTold(t *testing.T) {
+// TestAnyReport checks that rates are numbers from 0 to 1 that do not rise towards less important
+// priorities, whatever sums are reported.
+func TestAnyReport(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
 		amount := rapid.OneOf(rapid.SampledFrom([]float64{0, -1, 1e-9, 1e12}), rapid.Float64Range(0, 500))
@@ -309,21 +315,21 @@
 		})
 		var service Service
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 20).Draw(t, "news") {
-			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "wait"))
-			known := fleetload.Service{At: now, Zones: rapid.SliceOfN(zone, 0, 3).Draw(t, "zones")}
-			part := rapid.Float64Range(-1, 2).Draw(t, "held")
-			service.Learn(now, &known, amount.Draw(t, "slots"), func(uint16) float64 { return part }, &settings)
-			if room := service.room; room < settings.Fewest || room > settings.Most {
-				t.Fatalf("room %v", room)
+		for range rapid.IntRange(1, 20).Draw(t, "reports") {
+			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "pause"))
+			state := fleetload.Service{At: now, Zones: rapid.SliceOfN(zone, 0, 3).Draw(t, "zones")}
+			share := rapid.Float64Range(-1, 2).Draw(t, "open flow share")
+			service.Update(now, &state, amount.Draw(t, "slots"), func(uint16) float64 { return share }, &settings)
+			if ratio := service.capacityRatio; ratio < settings.MinWork || ratio > settings.MaxWork {
+				t.Fatalf("capacity ratio %v", ratio)
 			}
-			above := 1.0
+			maxRate := 1.0
 			for priority := range uint16(5) {
-				admitted := service.PartOf(priority)
-				if !(admitted >= 0 && admitted <= above) {
-					t.Fatalf("parts %v", service.Parts())
+				admitted := service.RateOf(priority)
+				if !(admitted >= 0 && admitted <= maxRate) {
+					t.Fatalf("rates %v", service.Rates())
 				}
-				above = admitted
+				maxRate = admitted
 			}
 		}
 	})
--- a/internal/admissionqueue/room.go
+++ b/internal/admissionqueue/freeslots.go
@@ -12,17 +12,17 @@
 // brings many: what short flows are is seen, too.
 type FreeSlots struct {
 	settings Settings
-	rooms    []room
+	slots    []freeSlot
 	next     int
 	kinds    map[kindKey]*kind
 }
 
-// room is one request that a back end can take.
-type room struct {
+// freeSlot is one request that a back end can take.
+type freeSlot struct {
 	service  lb.ServiceName
 	identity uint64
 	at       time.Duration
-	taken    bool
+	claimed  bool
 }
 
 // kindKey names a kind of request.
@@ -39,22 +39,22 @@
 
 // Bounds of what is remembered.
 const (
-	// mostRooms are remembered: a node that sees 400 requests end a second sees 8 in RoomLife.
-	mostRooms = 16
-	// fewestFlows tell whether flows are short, and mostFlows are counted until both are halved.
-	fewestFlows, mostFlows = 8, 64
-	// shortFlow is the most requests a flow that a short one brings: one, and some
+	// maxFreeSlots are remembered: a node that sees 400 requests end a second sees 8 in RoomLife.
+	maxFreeSlots = 16
+	// minFlows tell whether flows are short, and mostFlows are counted until both are halved.
+	minFlows, maxFlows = 8, 64
+	// maxShortFlowRequests is the most requests a flow that a short one brings: one, and some
 	// whose opening went through another node.
-	shortFlow = 1.5
-	// mostKinds are remembered.
-	mostKinds = 256
+	maxShortFlowRequests = 1.5
+	// maxKinds are remembered.
+	maxKinds = 256
 )
 
 // NewFreeSlots gives rooms of which none is known.
 func NewFreeSlots(settings Settings) *FreeSlots {
-	rooms := &FreeSlots{settings: settings, rooms: make([]room, mostRooms), kinds: make(map[kindKey]*kind)}
-	for index := range rooms.rooms {
-		rooms.rooms[index].taken = true
+	rooms := &FreeSlots{settings: settings, slots: make([]freeSlot, maxFreeSlots), kinds: make(map[kindKey]*kind)}
+	for index := range rooms.slots {
+		rooms.slots[index].claimed = true
 	}
 	return rooms
 }
@@ -66,7 +66,7 @@
 	}
 	k := r.kind(service, objective)
 	k.flows++
-	if k.flows >= mostFlows {
+	if k.flows >= maxFlows {
 		k.flows, k.requests = k.flows/2, k.requests/2
 	}
 }
@@ -81,36 +81,36 @@
 	if !quick {
 		return
 	}
-	r.rooms[r.next] = room{service: service, identity: identity, at: now}
-	r.next = (r.next + 1) % len(r.rooms)
+	r.slots[r.next] = freeSlot{service: service, identity: identity, at: now}
+	r.next = (r.next + 1) % len(r.slots)
 }
 
 // Claim gives the back end of a service that has become free last, once.
 func (r *FreeSlots) Claim(now time.Duration, service lb.ServiceName, objective lb.Objective) (identity uint64, found bool) {
-	if r.settings.Off || !r.short(service, objective) {
+	if r.settings.Off || !r.bringsOneRequest(service, objective) {
 		return 0, false
 	}
-	for step := range r.rooms {
-		known := &r.rooms[(r.next-1-step+2*len(r.rooms))%len(r.rooms)]
-		if !known.taken && known.service == service && now-known.at <= r.settings.RoomLife {
-			known.taken = true
+	for step := range r.slots {
+		known := &r.slots[(r.next-1-step+2*len(r.slots))%len(r.slots)]
+		if !known.claimed && known.service == service && now-known.at <= r.settings.FreeSlotTimeout {
+			known.claimed = true
 			return known.identity, true
 		}
 	}
 	return 0, false
 }
 
-// short tells whether flows of a kind are known to bring one request.
-func (r *FreeSlots) short(service lb.ServiceName, objective lb.Objective) bool {
+// bringsOneRequest tells whether flows of a kind are known to bring one request.
+func (r *FreeSlots) bringsOneRequest(service lb.ServiceName, objective lb.Objective) bool {
 	k := r.kinds[kindKey{service, objective}]
-	return k != nil && k.flows >= fewestFlows && k.requests <= shortFlow*k.flows
+	return k != nil && k.flows >= minFlows && k.requests <= maxShortFlowRequests*k.flows
 }
 
 func (r *FreeSlots) kind(service lb.ServiceName, objective lb.Objective) *kind {
 	key := kindKey{service, objective}
 	known := r.kinds[key]
 	if known == nil {
-		if len(r.kinds) >= mostKinds {
+		if len(r.kinds) >= maxKinds {
 			clear(r.kinds) // operators have changed objectives many times
 		}
 		known = &kind{}
--- a/internal/admissionqueue/waiting.go
+++ b/internal/admissionqueue/queue.go
@@ -36,21 +36,21 @@
 	// Share is the part of its objective that an opening may wait, and Longest the
 	// longest time, whatever its objective.
 	Share   float64
-	Longest time.Duration
+	MaxWait time.Duration
 	// Grace is how much longer than that an opening may be found waiting, and
 	// still be refused.
 	Grace time.Duration
-	// RateTime is the time over which it is seen how many go.
-	RateTime time.Duration
-	// RoomLife is how long a back end that has become free is taken to be so.
-	RoomLife time.Duration
+	// RateWindow is the time over which it is seen how many go.
+	RateWindow time.Duration
+	// FreeSlotTimeout is how long a back end that has become free is taken to be so.
+	FreeSlotTimeout time.Duration
 
 	// Rules that tests take out, to see that they are needed.
-	keepsHopeless, refusesLate, keepsOverdue bool
+	keepsUnservable, refusesLate, keepsOverdue bool
 }
 
 // Callers send the first copy of an opening that has no answer this long after it.
-const firstCopy = 200 * time.Millisecond
+const firstCopyDelay = 200 * time.Millisecond
 
 // DefaultSettings gives the defaults.
 func DefaultSettings() Settings {
@@ -64,11 +64,11 @@
 		// Callers try three times, and a try that is let in takes up to two fifths
 		// of the objective: three waits of a fifth fit in beside it.
 		Share:   0.2,
-		Longest: 120 * time.Millisecond,
+		MaxWait: 120 * time.Millisecond,
 		// Together with Longest less than firstCopy, by 40 ms for the way to the node.
-		Grace:    40 * time.Millisecond,
-		RateTime: 500 * time.Millisecond,
-		RoomLife: 20 * time.Millisecond,
+		Grace:           40 * time.Millisecond,
+		RateWindow:      500 * time.Millisecond,
+		FreeSlotTimeout: 20 * time.Millisecond,
 	}
 }
 
@@ -89,8 +89,8 @@
 	// Looks is how often it was asked for since.
 	Looks uint32
 
-	number uint64 // counts those that were held
-	used   bool
+	sequence uint64 // counts those that were held
+	used     bool
 }
 
 // Chance says what may become of an opening at a look.
@@ -121,26 +121,26 @@
 
 // Queue is what waits at one node. It is not safe for concurrent use.
 type Queue[K any] struct {
-	settings Settings
-	slots    []Waiter[K]
-	order    []int // the slots in use, in the order in which they are asked for
-	scratch  []int
-	held     uint64
-	lines    map[lb.ServiceName]*line
+	settings     Settings
+	slots        []Waiter[K]
+	order        []int // the slots in use, in the order in which they are asked for
+	scratch      []int
+	nextSequence uint64
+	services     map[lb.ServiceName]*serviceState
 }
 
-// line is what is known of the openings of a service.
-type line struct {
-	waits int // how many wait now
-	// since is when the first of those came that have waited without a gap, and
+// serviceState is what is known of the openings of a service.
+type serviceState struct {
+	waiting int // how many wait now
+	// waitingSince is when the first of those came that have waited without a gap, and
 	// went how many of them went on, which fades.
-	since, at time.Duration
-	went      float64
+	waitingSince, at time.Duration
+	released         float64
 }
 
 // New gives an empty queue.
 func New[K any](settings Settings) *Queue[K] {
-	q := &Queue[K]{settings: settings, lines: make(map[lb.ServiceName]*line)}
+	q := &Queue[K]{settings: settings, services: make(map[lb.ServiceName]*serviceState)}
 	if !settings.Off {
 		q.slots = make([]Waiter[K], settings.Capacity)
 		q.order = make([]int, 0, settings.Capacity)
@@ -152,27 +152,27 @@
 // Len is how many wait.
 func (q *Queue[K]) Len() int { return len(q.order) }
 
-// limit is how long an opening may wait; 0: not at all. One whose objective is
+// maxWait is how long an opening may wait; 0: not at all. One whose objective is
 // not known is not held: nothing tells how long its caller can wait.
-func (q *Queue[K]) limit(objective lb.Objective) time.Duration {
-	return min(time.Duration(q.settings.Share*float64(objective.Target())), q.settings.Longest)
+func (q *Queue[K]) maxWait(objective lb.Objective) time.Duration {
+	return min(time.Duration(q.settings.Share*float64(objective.Target())), q.settings.MaxWait)
 }
 
 // Hold takes an opening for which there is no room now, and gives its place,
 // whose Kept the caller fills. nil: it is to be refused at once, since the queue
 // is full or could not meet it.
 func (q *Queue[K]) Hold(now time.Duration, opening Opening) *Waiter[K] {
-	limit := q.limit(opening.Objective)
+	limit := q.maxWait(opening.Objective)
 	if q.settings.Off || limit < q.settings.Interval || len(q.order) == len(q.slots) {
 		return nil
 	}
-	l := q.line(now, opening.Service)
-	added := Waiter[K]{Opening: opening, Arrived: now, Due: now + limit, number: q.held, used: true}
-	if q.hopeless(now, l, q.ahead(&added), limit) {
+	l := q.serviceState(now, opening.Service)
+	added := Waiter[K]{Opening: opening, Arrived: now, Due: now + limit, sequence: q.nextSequence, used: true}
+	if q.unservable(now, l, q.ahead(&added), limit) {
 		return nil
 	}
-	q.held++
-	l.waits++
+	q.nextSequence++
+	l.waiting++
 	index := slices.IndexFunc(q.slots, func(w Waiter[K]) bool { return !w.used })
 	q.slots[index] = added
 	at, _ := slices.BinarySearchFunc(q.order, index, func(a, b int) int { return q.compare(&q.slots[a], &q.slots[b]) })
@@ -193,11 +193,11 @@
 // Remove takes out an opening that Find gave.
 func (q *Queue[K]) Remove(w *Waiter[K]) {
 	q.order = slices.DeleteFunc(q.order, func(index int) bool { return &q.slots[index] == w })
-	q.free(w)
+	q.release(w)
 }
 
-func (q *Queue[K]) free(w *Waiter[K]) {
-	q.lines[w.Service].waits--
+func (q *Queue[K]) release(w *Waiter[K]) {
+	q.services[w.Service].waiting--
 	*w = Waiter[K]{}
 }
 
@@ -218,10 +218,10 @@
 			q.order = append(q.order, index)
 			continue
 		case FateWent:
-			l := q.line(now, w.Service)
-			l.went++
+			l := q.serviceState(now, w.Service)
+			l.released++
 		}
-		q.free(w)
+		q.release(w)
 	}
 }
 
@@ -232,7 +232,7 @@
 		return ChanceGone
 	case now >= w.Due && !q.settings.keepsOverdue:
 		return ChanceLast
-	case q.hopeless(now, q.line(now, w.Service), q.ahead(w), w.Due-now):
+	case q.unservable(now, q.serviceState(now, w.Service), q.ahead(w), w.Due-now):
 		return ChanceLast
 	}
 	return ChanceMore
@@ -252,51 +252,51 @@
 
 func (q *Queue[K]) compare(a, b *Waiter[K]) int {
 	if q.settings.Order == ByArrival {
-		return cmp.Compare(a.number, b.number)
+		return cmp.Compare(a.sequence, b.sequence)
 	}
 	return cmp.Or(
 		cmp.Compare(a.Objective.Priority, b.Objective.Priority),
 		cmp.Compare(a.Due, b.Due),
-		cmp.Compare(a.number, b.number),
+		cmp.Compare(a.sequence, b.sequence),
 	)
 }
 
-// hopeless tells whether those ahead take longer than the time that is left, at
+// unservable tells whether those ahead take longer than the time that is left, at
 // the rate at which openings of the service have gone lately. Who is first is
 // never without hope, so that it is seen when there is room again.
-func (q *Queue[K]) hopeless(now time.Duration, l *line, ahead int, left time.Duration) bool {
-	if q.settings.keepsHopeless {
+func (q *Queue[K]) unservable(now time.Duration, l *serviceState, ahead int, left time.Duration) bool {
+	if q.settings.keepsUnservable {
 		return false
 	}
-	seen := min(now-l.since, q.settings.RateTime)
-	if seen < q.settings.RateTime/2 {
+	seen := min(now-l.waitingSince, q.settings.RateWindow)
+	if seen < q.settings.RateWindow/2 {
 		return false // not known yet
 	}
-	return float64(ahead)*seen.Seconds() > l.went*left.Seconds()
+	return float64(ahead)*seen.Seconds() > l.released*left.Seconds()
 }
 
-// line gives what is known of a service. It begins anew when nothing has waited
+// serviceState gives what is known of a service. It begins anew when nothing has waited
 // for a while.
-func (q *Queue[K]) line(now time.Duration, name lb.ServiceName) *line {
-	l := q.lines[name]
+func (q *Queue[K]) serviceState(now time.Duration, name lb.ServiceName) *serviceState {
+	l := q.services[name]
 	if l == nil {
-		l = &line{since: now, at: now}
-		q.lines[name] = l
+		l = &serviceState{waitingSince: now, at: now}
+		q.services[name] = l
 	}
 	elapsed := now - l.at
-	if l.waits == 0 && elapsed > q.settings.RateTime {
-		*l = line{since: now, at: now}
+	if l.waiting == 0 && elapsed > q.settings.RateWindow {
+		*l = serviceState{waitingSince: now, at: now}
 	}
-	l.went *= max(0, 1-float64(elapsed)/float64(q.settings.RateTime))
+	l.released *= max(0, 1-float64(elapsed)/float64(q.settings.RateWindow))
 	l.at = now
 	return l
 }
 
 // Forget drops what is known of services but those to keep, and of which nothing waits.
 func (q *Queue[K]) Forget(keep func(lb.ServiceName) bool) {
-	for name, l := range q.lines {
-		if l.waits == 0 && !keep(name) {
-			delete(q.lines, name)
+	for name, l := range q.services {
+		if l.waiting == 0 && !keep(name) {
+			delete(q.services, name)
 		}
 	}
 }
--- a/internal/admissionqueue/waiting_test.go
+++ b/internal/admissionqueue/queue_test.go
@@ -18,8 +18,8 @@
 	return Opening{Flow: flow, Service: "web", Objective: lb.Objective{Priority: priority, TargetMillis: 400}}
 }
 
-// look has each opening that waits decided by decide, and gives the flows in the order in which they were asked for.
-func look(q *Queue[int], now time.Duration, decide func(*Waiter[int], Chance) Fate) (asked []lb.FlowID) {
+// retryAll has each opening that waits decided by decide, and gives the flows in the order in which they were asked for.
+func retryAll(q *Queue[int], now time.Duration, decide func(*Waiter[int], Chance) Fate) (asked []lb.FlowID) {
 	q.Look(now, false, func(w *Waiter[int], chance Chance) Fate {
 		asked = append(asked, w.Flow)
 		return decide(w, chance)
@@ -27,7 +27,7 @@
 	return asked
 }
 
-func wait(*Waiter[int], Chance) Fate { return FateWaits }
+func keepWaiting(*Waiter[int], Chance) Fate { return FateWaits }
 
 // TestTheMoreImportantIsAskedForFirst, then the one whose time is up first; by arrival alone where that is set.
 func TestTheMoreImportantIsAskedForFirst(t *testing.T) {
@@ -44,7 +44,7 @@
 			}
 			is.True(q.Hold(time.Duration(i)*ms, o) != nil)
 		}
-		is.Equal(look(q, 10*ms, wait), expected)
+		is.Equal(retryAll(q, 10*ms, keepWaiting), expected)
 		is.Equal(q.Len(), 4)
 	}
 }
@@ -71,14 +71,14 @@
 func TestDecidedBeforeTheFirstCopy(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
-	is.True(settings.Longest+settings.Grace+40*ms <= firstCopy)
+	is.True(settings.MaxWait+settings.Grace+40*ms <= firstCopyDelay)
 	is.True(3*settings.Share+0.4 <= 1)
 	q := New[int](settings)
 	for _, target := range []uint32{400, 800, 10_000} {
 		o := opening(lb.FlowID(target), 1)
 		o.Objective.TargetMillis = target
 		w := q.Hold(0, o)
-		is.True(w.Due <= settings.Longest && w.Due <= time.Duration(target)*ms/5)
+		is.True(w.Due <= settings.MaxWait && w.Due <= time.Duration(target)*ms/5)
 	}
 }
 
@@ -91,7 +91,7 @@
 	}{{10 * ms, ChanceMore}, {79 * ms, ChanceMore}, {80 * ms, ChanceLast}, {120 * ms, ChanceLast}, {121 * ms, ChanceGone}, {time.Hour, ChanceGone}} {
 		q := New[int](DefaultSettings())
 		q.Hold(0, opening(1, 1))
-		look(q, test.at, func(_ *Waiter[int], chance Chance) Fate {
+		retryAll(q, test.at, func(_ *Waiter[int], chance Chance) Fate {
 			is.Equal(chance, test.chance)
 			return FateEnded
 		})
@@ -105,15 +105,15 @@
 	})
 }
 
-// busy is a queue from which one opening goes at each look, every 10 ms, for a second.
-func busy(settings Settings) (q *Queue[int], now time.Duration) {
+// busyQueue is a queue from which one opening goes at each look, every 10 ms, for a second.
+func busyQueue(settings Settings) (q *Queue[int], now time.Duration) {
 	q = New[int](settings)
 	for i := range 100 {
 		now += settings.Interval
 		q.Hold(now, opening(lb.FlowID(1000+i), 1))
 		q.Hold(now, opening(lb.FlowID(2000+i), 1))
 		went := false
-		look(q, now, func(_ *Waiter[int], chance Chance) Fate {
+		retryAll(q, now, func(_ *Waiter[int], chance Chance) Fate {
 			if !went {
 				went = true
 				return FateWent
@@ -132,7 +132,7 @@
 func TestWhatCannotBeMetIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
-	q, now := busy(settings)
+	q, now := busyQueue(settings)
 	for i := range 50 {
 		q.Hold(now, opening(lb.FlowID(5000+i), 1))
 	}
@@ -142,8 +142,8 @@
 	other.Service = "docs"
 	is.True(q.Hold(now, other) != nil) // nor of one of another service
 
-	settings.keepsHopeless = true
-	q, now = busy(settings)
+	settings.keepsUnservable = true
+	q, now = busyQueue(settings)
 	for i := range 50 {
 		q.Hold(now, opening(lb.FlowID(5000+i), 1))
 	}
@@ -158,7 +158,7 @@
 		if q.Len() == 0 {
 			is.True(q.Hold(now, opening(lb.FlowID(now), 1)) != nil)
 		}
-		look(q, now, func(_ *Waiter[int], chance Chance) Fate {
+		retryAll(q, now, func(_ *Waiter[int], chance Chance) Fate {
 			if chance == ChanceMore {
 				return FateWaits
 			}
@@ -167,8 +167,8 @@
 	}
 }
 
-// world plays a queue at random and says which property was broken.
-func world(t *rapid.T, settings Settings) (broken string) {
+// firstBrokenProperty plays a queue at random and says which property was broken.
+func firstBrokenProperty(t *rapid.T, settings Settings) (broken string) {
 	settings.Capacity = 8
 	q := New[int](settings)
 	now, flow := time.Duration(0), lb.FlowID(0)
@@ -183,12 +183,12 @@
 				waits[flow] = now
 			}
 		} else {
-			look(q, now, func(w *Waiter[int], chance Chance) Fate {
+			retryAll(q, now, func(w *Waiter[int], chance Chance) Fate {
 				arrived, held := waits[w.Flow]
 				switch {
 				case !held:
 					broken = "decided twice"
-				case chance != ChanceGone && now-arrived > settings.Longest+settings.Grace:
+				case chance != ChanceGone && now-arrived > settings.MaxWait+settings.Grace:
 					broken = "refused when a copy may be elsewhere"
 				case chance == ChanceMore && now-arrived >= 80*ms:
 					broken = "waits beyond its time"
@@ -219,7 +219,7 @@
 // whatever comes and however late looks are. Each rule taken out breaks it.
 func TestNothingHeldIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if broken := world(t, DefaultSettings()); broken != "" {
+		if broken := firstBrokenProperty(t, DefaultSettings()); broken != "" {
 			t.Fatal(broken)
 		}
 	})
@@ -233,7 +233,7 @@
 		for seed := range 200 {
 			settings := DefaultSettings()
 			change(&settings)
-			seen = append(seen, rapid.Custom(func(t *rapid.T) string { return world(t, settings) }).Example(seed))
+			seen = append(seen, rapid.Custom(func(t *rapid.T) string { return firstBrokenProperty(t, settings) }).Example(seed))
 		}
 		is.True(slices.Contains(seen, expected))
 	}
@@ -253,10 +253,10 @@
 	is.Equal(q.Len(), 1)
 }
 
-// shortFlows are rooms that know flows of the objective to bring one request.
-func shortFlows(o Opening) *FreeSlots {
+// knownShortFlows are rooms that know flows of the objective to bring one request.
+func knownShortFlows(o Opening) *FreeSlots {
 	r := NewFreeSlots(DefaultSettings())
-	for range fewestFlows {
+	for range minFlows {
 		r.Opened(o.Service, o.Objective)
 		r.Answered(0, o.Service, o.Objective, 0, false)
 	}
@@ -267,7 +267,7 @@
 func TestRoomIsTakenOnce(t *testing.T) {
 	is := is.New(t)
 	o := opening(1, 1)
-	r := shortFlows(o)
+	r := knownShortFlows(o)
 	for identity := range uint64(3) {
 		r.Answered(ms, o.Service, o.Objective, identity, true)
 	}
@@ -278,7 +278,7 @@
 		is.True(found)
 		is.Equal(identity, expected)
 	}
-	_, found = r.Claim(ms+DefaultSettings().RoomLife+1, o.Service, o.Objective)
+	_, found = r.Claim(ms+DefaultSettings().FreeSlotTimeout+1, o.Service, o.Objective)
 	is.True(!found) // too old
 	for identity := range uint64(100) {
 		r.Opened(o.Service, o.Objective)
@@ -290,18 +290,18 @@
 			taken++
 		}
 	}
-	is.Equal(taken, mostRooms)
+	is.Equal(taken, maxFreeSlots)
 }
 
 // TestNoRoomForFlowsThatBringMany requests, nor for those of which nothing is known.
 func TestNoRoomForFlowsThatBringMany(t *testing.T) {
 	is := is.New(t)
 	short, long := opening(1, 1), opening(2, 2)
-	r := shortFlows(short)
+	r := knownShortFlows(short)
 	r.Answered(0, short.Service, short.Objective, 5, true)
 	_, found := r.Claim(0, long.Service, long.Objective)
 	is.True(!found)
-	for range 2 * mostFlows {
+	for range 2 * maxFlows {
 		r.Opened(long.Service, long.Objective)
 		for range 3 {
 			r.Answered(0, long.Service, long.Objective, 0, false)
--- a/internal/committedload/heldwork.go
+++ b/internal/committedload/committedload.go
@@ -19,16 +19,16 @@
 	// GrowingLimit is the part of the slots that may be forecast to be used while the flows
 	// multiply, by more than Growth, and SteadyLimit that at other times, when the times of
 	// requests show what there is room for.
-	GrowingLimit, SteadyLimit, Growth float64
-	// MostGrowth bounds the factor by which work is forecast to grow.
-	MostGrowth float64
+	GrowingLimit, SteadyLimit, GrowthThreshold float64
+	// MaxGrowth bounds the factor by which work is forecast to grow.
+	MaxGrowth float64
 	// LeastKept is the part of requests on flows that were open before from which a priority's
 	// callers count as keeping their flows.
 	LeastKept float64
-	// FewestFlows is how many flows tell anything.
-	FewestFlows int
-	// FlowTime is how long a flow counts as open after its last request.
-	FlowTime time.Duration
+	// MinFlows is how many flows tell anything.
+	MinFlows int
+	// FlowTimeout is how long a flow counts as open after its last request.
+	FlowTimeout time.Duration
 	// MaxFlows bounds the flows that are remembered.
 	MaxFlows int
 }
@@ -36,27 +36,27 @@
 // DefaultSettings gives the defaults.
 func DefaultSettings() Settings {
 	return Settings{
-		Window:       300 * time.Millisecond,
-		GrowingLimit: 1,
-		SteadyLimit:  1.5,
-		Growth:       1.1,
-		MostGrowth:   3,
-		LeastKept:    0.1,
-		FewestFlows:  4,
-		FlowTime:     5 * time.Second,
-		MaxFlows:     1 << 14,
+		Window:          300 * time.Millisecond,
+		GrowingLimit:    1,
+		SteadyLimit:     1.5,
+		GrowthThreshold: 1.1,
+		MaxGrowth:       3,
+		LeastKept:       0.1,
+		MinFlows:        4,
+		FlowTimeout:     5 * time.Second,
+		MaxFlows:        1 << 14,
 	}
 }
 
 // level is what is known of the requests of one priority at a service. Counts fade with the window.
 type level struct {
-	priority uint16
-	first    time.Duration // when the first request began
-	at       time.Duration // of the counts
-	work     float64       // of all requests, in slot seconds
-	kept     float64       // the part of it on flows that were open before
-	openings float64       // let in
-	flows    int           // open
+	priority     uint16
+	first        time.Duration // when the first request began
+	at           time.Duration // of the counts
+	work         float64       // of all requests, in slot seconds
+	openFlowWork float64       // the part of it on flows that were open before
+	openings     float64       // let in
+	flows        int           // open
 }
 
 // flow is an open flow.
@@ -78,32 +78,32 @@
 	return &Tracker{settings: settings, levels: make(map[lb.ServiceName][]*level), flows: make(map[lb.FlowID]flow)}
 }
 
-// Opened notes that an opening was let in.
-func (t *Tracker) Opened(now time.Duration, service lb.ServiceName, priority uint16) {
+// RecordOpening notes that an opening was let in.
+func (t *Tracker) RecordOpening(now time.Duration, service lb.ServiceName, priority uint16) {
 	l := t.level(now, service, priority)
 	l.openings++
 }
 
-// Begun notes that a request begins on a flow, with the time in seconds that it needs at an
+// RecordRequest notes that a request begins on a flow, with the time in seconds that it needs at an
 // idle back end.
-func (t *Tracker) Begun(now time.Duration, service lb.ServiceName, priority uint16, id lb.FlowID, work float64) {
+func (t *Tracker) RecordRequest(now time.Duration, service lb.ServiceName, priority uint16, id lb.FlowID, work float64) {
 	l := t.level(now, service, priority)
 	l.work += work
 	known, open := t.flows[id]
 	if open && known.level == l {
-		l.kept += work
+		l.openFlowWork += work
 		t.flows[id] = flow{l, now}
 		return
 	}
-	t.Closed(id)
+	t.CloseFlow(id)
 	if len(t.flows) < t.settings.MaxFlows {
 		t.flows[id] = flow{l, now}
 		l.flows++
 	}
 }
 
-// Closed notes that a flow has ended.
-func (t *Tracker) Closed(id lb.FlowID) {
+// CloseFlow notes that a flow has ended.
+func (t *Tracker) CloseFlow(id lb.FlowID) {
 	if known, open := t.flows[id]; open {
 		known.level.flows--
 		delete(t.flows, id)
@@ -117,7 +117,7 @@
 		l = &level{priority: priority, first: now, at: now}
 		t.levels[service] = append(t.levels[service], l)
 	}
-	l.fade(now, t.settings.Window)
+	l.decay(now, t.settings.Window)
 	return l
 }
 
@@ -130,14 +130,14 @@
 	return nil
 }
 
-func (l *level) fade(now, window time.Duration) {
+func (l *level) decay(now, window time.Duration) {
 	if now <= l.at {
 		return
 	}
 	part := math.Exp(-(now - l.at).Seconds() / window.Seconds())
 	l.at = now
 	l.work *= part
-	l.kept *= part
+	l.openFlowWork *= part
 	l.openings *= part
 }
 
@@ -148,33 +148,33 @@
 	return count / (window * (1 - math.Exp(-age/window)))
 }
 
-// Full tells whether open flows are forecast to need more than this balancer's part of a service's
+// ExceedsSlots tells whether open flows are forecast to need more than this balancer's part of a service's
 // slots, beside what the more important requests need. Callers of a priority who do not keep
 // their flows never fill it.
-func (t *Tracker) Full(now time.Duration, service lb.ServiceName, priority uint16, slots float64) bool {
+func (t *Tracker) ExceedsSlots(now time.Duration, service lb.ServiceName, priority uint16, slots float64) bool {
 	l := t.find(service, priority)
 	if l == nil || slots <= 0 {
 		return false
 	}
-	l.fade(now, t.settings.Window)
+	l.decay(now, t.settings.Window)
 	seen := float64(l.flows) - l.openings // those whose requests the rate shows
-	if seen < float64(t.settings.FewestFlows) || l.kept < t.settings.LeastKept*l.work {
+	if seen < float64(t.settings.MinFlows) || l.openFlowWork < t.settings.LeastKept*l.work {
 		return false
 	}
-	growth := min(float64(l.flows)/seen, t.settings.MostGrowth)
+	growth := min(float64(l.flows)/seen, t.settings.MaxGrowth)
 	limit := t.settings.SteadyLimit
-	if growth > t.settings.Growth {
+	if growth > t.settings.GrowthThreshold {
 		limit = t.settings.GrowingLimit
 	}
-	return t.rate(now, l, l.kept)*growth+t.above(now, service, priority) > limit*slots
+	return t.rate(now, l, l.openFlowWork)*growth+t.moreImportantSlots(now, service, priority) > limit*slots
 }
 
-// above gives the slots that the more important requests need.
-func (t *Tracker) above(now time.Duration, service lb.ServiceName, priority uint16) float64 {
+// moreImportantSlots gives the slots that the more important requests need.
+func (t *Tracker) moreImportantSlots(now time.Duration, service lb.ServiceName, priority uint16) float64 {
 	slots := 0.0
 	for _, l := range t.levels[service] {
 		if l.priority < priority {
-			l.fade(now, t.settings.Window)
+			l.decay(now, t.settings.Window)
 			slots += t.rate(now, l, l.work)
 		}
 	}
@@ -191,8 +191,8 @@
 	}
 	t.sweepAt = now + sweepInterval
 	for id, known := range t.flows {
-		if now-known.at > t.settings.FlowTime {
-			t.Closed(id)
+		if now-known.at > t.settings.FlowTimeout {
+			t.CloseFlow(id)
 		}
 	}
 }
--- a/internal/committedload/heldwork_test.go
+++ b/internal/committedload/committedload_test.go
@@ -40,9 +40,9 @@
 				continue
 			}
 			if age < ms {
-				c.tracker.Opened(now, web, feed)
+				c.tracker.RecordOpening(now, web, feed)
 			}
-			c.tracker.Begun(now, web, feed, lb.FlowID(id), work)
+			c.tracker.RecordRequest(now, web, feed, lb.FlowID(id), work)
 		}
 	}
 }
@@ -54,8 +54,8 @@
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
 	c.play(220 * ms)
-	is.True(c.tracker.Full(220*ms, web, feed, 3))
-	is.True(!c.tracker.Full(220*ms, web, feed, 6))
+	is.True(c.tracker.ExceedsSlots(220*ms, web, feed, 3))
+	is.True(!c.tracker.ExceedsSlots(220*ms, web, feed, 6))
 }
 
 // TestSteadyFlowsLeaveRoom: the same flows later, and a new one beside them.
@@ -65,8 +65,8 @@
 	c.open(0, 200*ms, 15)
 	c.open(2*time.Second, 2*time.Second+ms, 1)
 	c.play(2100 * ms)
-	is.True(!c.tracker.Full(2100*ms, web, feed, 3.5))
-	is.True(c.tracker.Full(2100*ms, web, feed, 2))
+	is.True(!c.tracker.ExceedsSlots(2100*ms, web, feed, 3.5))
+	is.True(c.tracker.ExceedsSlots(2100*ms, web, feed, 2))
 }
 
 // TestMoreImportantRequestsComeFirst: what they need is not there for flows.
@@ -75,12 +75,12 @@
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
 	for id := range lb.FlowID(200) {
-		c.tracker.Begun(time.Duration(id)*5*ms, web, tap, 1000+id, 0.05)
+		c.tracker.RecordRequest(time.Duration(id)*5*ms, web, tap, 1000+id, 0.05)
 	}
 	c.play(time.Second)
-	is.True(c.tracker.Full(time.Second, web, feed, 6)) // ten of them
-	is.True(!c.tracker.Full(time.Second, web, feed, 14))
-	is.True(!c.tracker.Full(time.Second, web, tap, 6))
+	is.True(c.tracker.ExceedsSlots(time.Second, web, feed, 6)) // ten of them
+	is.True(!c.tracker.ExceedsSlots(time.Second, web, feed, 14))
+	is.True(!c.tracker.ExceedsSlots(time.Second, web, tap, 6))
 }
 
 // TestCallersWhoKeepNoFlowsFillNothing: an opening brings one request only.
@@ -89,11 +89,11 @@
 	tracker := New(DefaultSettings())
 	for id := range lb.FlowID(500) {
 		now := time.Duration(id) * ms
-		tracker.Opened(now, web, feed)
-		tracker.Begun(now, web, feed, id, work)
-		tracker.Closed(id)
+		tracker.RecordOpening(now, web, feed)
+		tracker.RecordRequest(now, web, feed, id, work)
+		tracker.CloseFlow(id)
 	}
-	is.True(!tracker.Full(500*ms, web, feed, 1))
+	is.True(!tracker.ExceedsSlots(500*ms, web, feed, 1))
 }
 
 // TestNothingIsFullWithoutSlots: where they are not known, or nothing was seen.
@@ -102,8 +102,8 @@
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
 	c.play(time.Second)
-	is.True(!c.tracker.Full(time.Second, web, feed, 0))
-	is.True(!c.tracker.Full(time.Second, "docs", feed, 1))
+	is.True(!c.tracker.ExceedsSlots(time.Second, web, feed, 0))
+	is.True(!c.tracker.ExceedsSlots(time.Second, "docs", feed, 1))
 }
 
 // TestFlowsThatMoveHereAreNoCrowd: a balancer that has just started sees flows which others
@@ -113,11 +113,11 @@
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
 	for id := range lb.FlowID(15) {
 		for now := time.Duration(id) * 10 * ms; now < 250*ms; now += c.period {
-			c.tracker.Begun(now, web, feed, id, work)
+			c.tracker.RecordRequest(now, web, feed, id, work)
 		}
 	}
-	c.tracker.Opened(240*ms, web, feed)
-	is.True(!c.tracker.Full(250*ms, web, feed, 6))
+	c.tracker.RecordOpening(240*ms, web, feed)
+	is.True(!c.tracker.ExceedsSlots(250*ms, web, feed, 6))
 }
 
 func TestTrackerIsBounded(t *testing.T) {
@@ -126,13 +126,13 @@
 	settings.MaxFlows = 10
 	tracker := New(settings)
 	for id := range lb.FlowID(50) {
-		tracker.Begun(0, web, feed, id, work)
+		tracker.RecordRequest(0, web, feed, id, work)
 	}
 	is.Equal(len(tracker.flows), 10)
-	tracker.Tick(2 * settings.FlowTime)
+	tracker.Tick(2 * settings.FlowTimeout)
 	is.Equal(len(tracker.flows), 0)
 	is.Equal(tracker.find(web, feed).flows, 0)
-	tracker.Begun(2*settings.FlowTime, web, feed, 1, work)
+	tracker.RecordRequest(2*settings.FlowTimeout, web, feed, 1, work)
 	tracker.Forget(func(lb.ServiceName) bool { return false })
 	is.Equal(len(tracker.flows)+len(tracker.levels), 0)
 }
--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -56,10 +56,10 @@
 
 // entry is a flow that is remembered.
 type entry struct {
-	flow   Flow
-	open   bool // its token and acknowledgement are known
-	since  time.Duration
-	seenAt time.Duration
+	flow     Flow
+	open     bool // its token and acknowledgement are known
+	openedAt time.Duration
+	seenAt   time.Duration
 }
 
 // announcement is a flow that is to be announced at a time.
@@ -124,7 +124,7 @@
 		t.stats.Untracked++
 		return false
 	}
-	known.since, known.seenAt = now, now
+	known.openedAt, known.seenAt = now, now
 	t.entries[known.flow.ID] = known
 	return true
 }
@@ -157,7 +157,7 @@
 func (t *Table) Recent(now time.Duration) []Flow {
 	var recent []Flow
 	for _, known := range t.entries {
-		if known.open && now-known.since <= t.settings.RecentTime && len(recent) < t.settings.MaxAnnouncements {
+		if known.open && now-known.openedAt <= t.settings.RecentTime && len(recent) < t.settings.MaxAnnouncements {
 			recent = append(recent, known.flow)
 		}
 	}
--- a/internal/overload/estimate.go
+++ b/internal/overload/estimate.go
@@ -9,58 +9,59 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// The load of a back end is the geometric mean of the times of its requests, over
-// what they may take: a queue lengthens all of them, while a few long ones, which
-// are the rule where times spread widely, hardly move it. Back ends that are full answer some
-// requests at once, with a refusal of their own that the path does not show:
-// answers far below what an idle back end takes do not count. The pressure on a
-// service is the median over its back ends, so that a few of them that are slow, or
-// lose packets, do not pass for a crowd before all.
-
-// Bounds of what is weighed.
+// The load of a back end is the geometric mean of the response times of its requests, divided by
+// the allowed response time. A queue lengthens all of them, whereas a few long ones, which are
+// normal where times vary widely, hardly change this mean. A full back end rejects some requests
+// immediately, at the application level, which a layer-4 balancer cannot see; answers far below the
+// idle response time are therefore not counted. The pressure on a service is the median over its
+// back ends, so that a few slow ones, or ones with packet loss, do not look like an overload of
+// all.
+
+// Bounds and weights of the estimates.
 const (
-	// minLoad and maxLoad bound what one request counts.
+	// minLoad and maxLoad bound the load computed from one request.
 	minLoad, maxLoad = 0.01, 4
-	// fewestSamples is how many answers of a back end tell something of its load.
-	fewestSamples = 4
-	// neutralLoad is what is taken of a service, with the weight of neutralSamples,
-	// before anything was seen.
+	// minSamples is the minimum number of answers for an estimate of a back end's load.
+	minSamples = 4
+	// neutralLoad is the assumed load of a service before any measurement. It has the weight of
+	// neutralSamples answers.
 	neutralLoad, neutralSamples = 0.5, 8
-	// faded is the weight below which a back end has not been seen.
-	faded = 0.1
-	// gone is the weight below which nothing is known of it.
-	gone = 0.001
+	// minWeight is the weight below which a back end is left out of the median.
+	minWeight = 0.1
+	// forgetWeight is the weight below which the state of a back end is deleted.
+	forgetWeight = 0.001
 )
 
-// backend is what is known of one back end. What was seen fades.
+// backend is the load estimate of one back end. Its measurements decay with the service's
+// averagingTime.
 type backend struct {
 	service *service
-	// logs is the sum of the logarithms of the loads of answered requests, count
-	// their number.
+	// logs is the sum of the logarithms of the loads of answered requests, and count is their
+	// number.
 	logs, count float64
 	at          time.Duration
 }
 
-func (b *backend) fade(now time.Duration) {
+func (b *backend) decay(now time.Duration) {
 	if now <= b.at {
 		return
 	}
-	part := math.Exp(-float64(now-b.at) / float64(b.service.memory))
+	factor := math.Exp(-float64(now-b.at) / float64(b.service.averagingTime))
 	b.at = now
-	b.logs *= part
-	b.count *= part
+	b.logs *= factor
+	b.count *= factor
 }
 
 func (b *backend) answered(now time.Duration, load float64) {
-	b.fade(now)
+	b.decay(now)
 	b.logs += math.Log(load)
 	b.count++
 }
 
-// load is known once enough was seen a short time ago.
+// load returns the load of the back end. known is false unless there were enough recent answers.
 func (b *backend) load(now time.Duration) (load float64, known bool) {
-	b.fade(now)
-	if b.count < fewestSamples {
+	b.decay(now)
+	if b.count < minSamples {
 		return 0, false
 	}
 	return b.mean(), true
@@ -68,56 +69,56 @@
 
 func (b *backend) mean() float64 { return min(math.Exp(b.logs/b.count), maxLoad) }
 
-// gather adds the back end to what is known of its service, and tells whether
-// anything is known of it.
-func (b *backend) gather(now time.Duration) bool {
-	b.fade(now)
-	if b.count > faded {
+// collect appends the load of the back end to those of its service. It returns false if the
+// measurements have decayed, so that the back end can be deleted.
+func (b *backend) collect(now time.Duration) bool {
+	b.decay(now)
+	if b.count > minWeight {
 		b.service.loads = append(b.service.loads, weighted{load: b.mean(), weight: b.count})
 	}
-	return b.count > gone
+	return b.count > forgetWeight
 }
 
-// weighted is the load of one back end, and how much was seen of it.
+// weighted is the load of one back end with the weight of its measurements.
 type weighted struct {
 	load, weight float64
 }
 
-// median gives the load that half of the weight is below, and the weight.
-// It sorts the loads.
-func median(loads []weighted) (load, seen float64) {
+// median returns the weighted median of the loads, including the neutral load, and the total weight
+// without it. It sorts the loads.
+func median(loads []weighted) (load, weight float64) {
 	slices.SortFunc(loads, func(a, b weighted) int { return cmp.Compare(a.load, b.load) })
 	for _, l := range loads {
-		seen += l.weight
+		weight += l.weight
 	}
-	half := (seen + neutralSamples) / 2
+	half := (weight + neutralSamples) / 2
 	below, neutral := 0.0, false
 	for _, l := range loads {
 		if !neutral && l.load > neutralLoad {
 			neutral = true
 			if below += neutralSamples; below >= half {
-				return neutralLoad, seen
+				return neutralLoad, weight
 			}
 		}
 		if below += l.weight; below >= half {
-			return l.load, seen
+			return l.load, weight
 		}
 	}
-	return neutralLoad, seen
+	return neutralLoad, weight
 }
 
-// average is the mean by weight; see Settings.plainMean.
-func average(loads []weighted) (load, seen float64) {
+// average returns the weighted mean in place of the median; see Settings.useMean.
+func average(loads []weighted) (load, weight float64) {
 	for _, l := range loads {
 		load += l.load * l.weight
-		seen += l.weight
+		weight += l.weight
 	}
-	return load / max(seen, 1), seen
+	return load / max(weight, 1), weight
 }
 
-// class is what requests of one objective take.
+// class holds the response times of requests with the same objective.
 type class struct {
-	target float64 // seconds; 0: not said
+	target float64 // in seconds; 0 means none
 	idle   idleTime
 }
 
@@ -125,19 +126,21 @@
 	return &class{target: objective.Target().Seconds()}
 }
 
-// load is a time over what a request may take: some times what it takes at idle
-// back ends, or a part of its target, whichever is less.
+// load returns a response time divided by the allowed response time, which is a multiple of the
+// idle time or a fraction of the target, whichever is less.
 func (c *class) load(took time.Duration, settings *Settings) float64 {
-	return c.over(took, settings.TargetShare, settings.IdleRatio+settings.SpreadRatio*math.Sqrt(c.idle.variance))
+	return c.relativeTime(took, settings.TargetShare, settings.IdleRatio+settings.SpreadRatio*math.Sqrt(c.idle.variance))
 }
 
-// late is the load as nodes tell each other: over what a request may take at the latest.
-func (c *class) late(took time.Duration, settings *Settings) float64 {
-	return c.over(took, settings.LateShare, settings.LateRatio+settings.SpreadRatio*math.Sqrt(c.idle.variance))
+// fleetLoad returns the load as it is reported to other balancers, relative to the longer response
+// time that the fleet's settings allow.
+func (c *class) fleetLoad(took time.Duration, settings *Settings) float64 {
+	return c.relativeTime(took, settings.FleetTargetShare, settings.FleetIdleRatio+settings.SpreadRatio*math.Sqrt(c.idle.variance))
 }
 
-// over is a time over the lesser of a part of the target and some times the idle time.
-func (c *class) over(took time.Duration, share, ratio float64) float64 {
+// relativeTime returns a response time divided by the given fraction of the target or by the given
+// multiple of the idle time, whichever is less.
+func (c *class) relativeTime(took time.Duration, share, ratio float64) float64 {
 	allowed := ratio * c.idle.value
 	if c.target > 0 && (allowed == 0 || share*c.target < allowed) {
 		allowed = share * c.target
@@ -148,98 +151,99 @@
 	return max(minLoad, min(took.Seconds()/allowed, maxLoad))
 }
 
-// Rates of the time with idle back ends.
+// Parameters of the estimate of the idle time.
 const (
 	idleRate    = 1.0 / 128
-	idleSamples = 16 // before they count
-	// idleRise is the part of the gap to the present mean that the estimate
-	// makes good each second, so that back ends that have become slower for
-	// good are taken as they are after some minutes.
+	idleSamples = 16 // minimum number of answers before an estimate is used
+	// idleRise is the fraction of the difference to the present mean by which the estimate rises
+	// each second. Back ends that have become slower permanently are thus accepted as they are
+	// after some minutes.
 	idleRise = 0.005
-	// quickPart is the part of the idle time below which an answer is taken for
-	// a refusal of a full back end, and mostQuick how many of these in a row show
-	// that the service has become that quick.
-	quickPart = 0.3
-	mostQuick = 64
-	// mostSpread bounds the variance that is believed.
-	mostSpread = 1.5
-	// shortestTime, in seconds, has a logarithm.
-	shortestTime = 1e-6
+	// rejectionRatio is the fraction of the idle time below which an answer is counted as a
+	// rejection by a full back end. More than maxRejections such answers in a row show that the
+	// service really has become that fast.
+	rejectionRatio = 0.3
+	maxRejections  = 64
+	// maxVariance bounds the variance that the estimate uses.
+	maxVariance = 1.5
+	// minSeconds is the minimum response time, in seconds: zero has no logarithm.
+	minSeconds = 1e-6
 )
 
-// idleTime estimates what requests take while back ends are idle: the least of
-// the moving geometric means, which rises slowly. It begins with the mean by time of
-// the first answers, which refusals of full back ends among them hardly lower.
+// idleTime estimates the response time of idle back ends as the minimum of the moving geometric
+// means, which rises slowly. It starts from the mean of the first answers, weighted by their times,
+// which is hardly lowered by rejections of full back ends among them.
 type idleTime struct {
-	squares, total float64 // sums over the first answers, in seconds
-	first          int     // how many of these there were
-	log            float64 // moving mean of the logarithms of seconds
-	spread         float64 // moving mean of their squared distances from it
-	samples        int
-	value          float64 // seconds; 0: not known
-	variance       float64 // spread, as of value
-	quick          int     // answers in a row that did not count
-	at             time.Duration
-}
-
-// add takes the time of a request, and tells whether it counts.
+	initialSquares, initialTotal float64 // sums over the first answers, of squared seconds and of seconds
+	initialSamples               int     // number of the first answers
+	meanLog                      float64 // moving mean of the logarithms of seconds
+	logVariance                  float64 // moving mean of the squared distances from meanLog
+	samples                      int
+	value                        float64 // estimate in seconds; 0 means unknown
+	variance                     float64 // logVariance as of value, bounded
+	rejections                   int     // consecutive answers that were not counted
+	at                           time.Duration
+}
+
+// add records the response time of a request. It returns false if the answer is not counted, as a
+// rejection.
 func (i *idleTime) add(now time.Duration, seconds float64, settings *Settings) bool {
-	seconds = max(seconds, shortestTime)
+	seconds = max(seconds, minSeconds)
 	elapsed := min((now - i.at).Seconds(), 1)
 	i.at = now
 	switch {
-	case i.first < idleSamples:
-		i.begin(seconds)
+	case i.initialSamples < idleSamples:
+		i.addInitial(seconds)
 		return true
-	case i.isQuick(seconds) && !settings.countQuick:
+	case i.isRejection(seconds) && !settings.countRejections:
 		return false
 	}
 	i.samples++
 	rate := max(idleRate, 1/float64(i.samples))
-	distance := math.Log(seconds) - i.log
+	distance := math.Log(seconds) - i.meanLog
 	if i.samples == 1 {
-		i.log, distance = math.Log(seconds), 0
+		i.meanLog, distance = math.Log(seconds), 0
 	}
-	i.log += distance * rate
-	i.spread += (distance*distance - i.spread) * rate
-	i.follow(elapsed)
+	i.meanLog += distance * rate
+	i.logVariance += (distance*distance - i.logVariance) * rate
+	i.update(elapsed)
 	return true
 }
 
-// begin takes one of the first answers.
-func (i *idleTime) begin(seconds float64) {
-	i.first++
-	i.squares += seconds * seconds
-	i.total += seconds
-	if i.first == idleSamples {
-		i.value = i.squares / i.total
+// addInitial adds one of the first answers to the initial estimate.
+func (i *idleTime) addInitial(seconds float64) {
+	i.initialSamples++
+	i.initialSquares += seconds * seconds
+	i.initialTotal += seconds
+	if i.initialSamples == idleSamples {
+		i.value = i.initialSquares / i.initialTotal
 	}
 }
 
-// follow falls to the moving mean, or rises towards it.
-func (i *idleTime) follow(elapsed float64) {
-	mean := math.Exp(i.log)
+// update lowers the estimate to the moving mean at once, or raises it towards the mean slowly.
+func (i *idleTime) update(elapsed float64) {
+	mean := math.Exp(i.meanLog)
 	switch {
 	case i.samples < idleSamples:
 	case mean < i.value:
-		i.value, i.variance = mean, min(i.spread, mostSpread)
+		i.value, i.variance = mean, min(i.logVariance, maxVariance)
 	default:
 		i.value += (mean - i.value) * idleRise * elapsed
-		i.variance += (min(i.spread, mostSpread) - i.variance) * idleRise * elapsed
+		i.variance += (min(i.logVariance, maxVariance) - i.variance) * idleRise * elapsed
 	}
 }
 
-// isQuick tells whether an answer is too quick to be one. Where nothing else
-// comes, the estimate begins anew.
-func (i *idleTime) isQuick(seconds float64) bool {
-	if seconds >= quickPart*i.value {
-		i.quick = 0
+// isRejection returns true if an answer is too fast to be a served request. If only such answers
+// arrive, the estimate starts anew.
+func (i *idleTime) isRejection(seconds float64) bool {
+	if seconds >= rejectionRatio*i.value {
+		i.rejections = 0
 		return false
 	}
-	i.quick++
-	if i.quick > mostQuick {
+	i.rejections++
+	if i.rejections > maxRejections {
 		*i = idleTime{at: i.at}
-		i.begin(seconds)
+		i.addInitial(seconds)
 		return false
 	}
 	return true
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,10 +1,9 @@
-// Package overload decides which openings a balancer lets in while the back
-// ends of a service have more work than they can do in time. It goes by the part
-// that follows from what all balancers see together (package admission), and by the
-// time that requests take, as this balancer sees it: the work of the other
-// balancers shows in it, so that it holds where nothing is told. Flows
-// that are open are never touched. The package has no I/O and no clock. See
-// docs/DESIGN.md, "Overload".
+// Package overload implements overload control: while the back ends of a service receive more work
+// than they can complete in time, it decides which openings a balancer admits. The decision
+// combines two inputs: the admit rates that follow from the load reports of all balancers (package
+// admission), and the response times that this balancer measures itself. Since the work of the
+// other balancers lengthens those times too, the second input works without any reports. Open flows
+// are never affected. The package has no I/O and no clock. See docs/DESIGN.md, "Overload".
 package overload
 
 import (
@@ -17,194 +16,201 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Identity names a run of a back end, as packets do.
+// Identity identifies an instance of a back end (one start of it), as packets carry it.
 type Identity uint64
 
-// Settings of a controller. See DefaultSettings.
+// Settings are the parameters of a controller. See DefaultSettings.
 type Settings struct {
-	// Off lets in everything, and prefers no back end.
+	// Off disables overload control: the controller admits every opening and reports no back end as
+	// overloaded.
 	Off bool
-	// TargetShare is the part of its target that a request may take: what is
-	// left covers the spread of the times.
+	// TargetShare is the fraction of its target that a request may take; the rest is a margin for
+	// the spread of response times.
 	TargetShare float64
-	// IdleRatio is how many times the time with idle back ends a request may
-	// take, whatever its target. SpreadRatio is by how much that rises with the
-	// spread of the times, the deviation of their logarithms: what spreads widely
-	// is lengthened by chance as well.
+	// IdleRatio is the maximum response time as a multiple of the response time of idle back ends,
+	// whatever the target is. SpreadRatio is the increase of that multiple per unit of the standard
+	// deviation of the logarithms of the response times: where times vary widely, chance alone
+	// lengthens some of them.
 	IdleRatio, SpreadRatio float64
-	// Memory is the time in which what was seen loses two thirds of its weight.
-	// It is longer, up to LongestMemory, where fewer answers than Samples come in it.
-	Memory, LongestMemory time.Duration
-	Samples               float64
-	// ScanInterval is the time between looks at the back ends of a service that
-	// is asked for, CalmInterval that of one far from its limit which is not.
+	// AveragingTime is the time constant of the exponential decay of measurements: a measurement
+	// loses two thirds of its weight in it. It is extended, up to MaxAveragingTime, where fewer
+	// than TargetSamples answers arrive in it.
+	AveragingTime, MaxAveragingTime time.Duration
+	TargetSamples                   float64
+	// ScanInterval is the interval between evaluations of the back ends of a service that receives
+	// openings. CalmInterval is the interval for a service that receives none and is far from its
+	// limit.
 	ScanInterval, CalmInterval time.Duration
-	// Longest is the time beyond which an answer tells nothing: its request was
-	// sent again, or its packets went through another balancer meanwhile.
-	Longest time.Duration
-	// FallRate and RiseRate are by how much, on the scale of natural
-	// logarithms, the admitted part falls a second at a pressure of one above
-	// its limit, and rises a second at one below it.
+	// MaxAnswerTime is the maximum response time that is evaluated. A longer one has no meaning:
+	// the request was retransmitted, or some of its packets went through another balancer.
+	MaxAnswerTime time.Duration
+	// FallRate is the decrease per second of the admit rate, on a natural logarithmic scale, while
+	// the pressure is one above its limit. RiseRate is the increase per second while it is one
+	// below.
 	FallRate, RiseRate float64
-	// Damping is by how much, on the same scale, the admitted part is lowered
-	// at once at a pressure of one above its limit.
+	// Damping is the immediate reduction of the admit rate, on the same scale, at a pressure of one
+	// above its limit.
 	Damping float64
-	// Limit is the pressure up to which the least important class loses nothing.
+	// Limit is the pressure up to which no opening of the least important priority is refused.
 	Limit float64
-	// Step is by how much the limit of a class rises with each class that is
-	// less important, so that it is refused later.
-	Step float64
-	// Least is the part of openings that is let in whatever the pressure, so
-	// that there are answers to see when it has gone.
-	Least float64
-	// FreeLoad is the load below which a back end takes what it is given,
-	// however the others do.
+	// PriorityStep is the increase of a priority's limit for each less important priority in use,
+	// so that the more important priority is refused later.
+	PriorityStep float64
+	// MinAdmitRate is the fraction of openings that is admitted at any pressure. Without it there
+	// would be no answers that show the end of an overload.
+	MinAdmitRate float64
+	// FreeLoad is the load below which a back end receives openings regardless of the load of the
+	// others.
 	FreeLoad float64
-	// LateShare and LateRatio are like TargetShare and IdleRatio, for the loads that
-	// nodes tell each other: what all of them see together is known well enough to
-	// refuse later than one alone can.
-	LateShare, LateRatio float64
-	// LateLimit is by how much the limits rise while the fleet's parts are known: a node
-	// then decides by its own sight only where that is far beyond chance.
-	LateLimit float64
-	// CalmLimit is by how much they rise while the fleet is known to be calm: what one node sees of
-	// a crowd is then more likely chance, or its news come first, and the crowd passes it soon.
-	CalmLimit float64
-	// PartsLife is how long the fleet's parts count after the sums they follow from.
-	PartsLife time.Duration
-	// Fleet are the parameters of the fleet's parts.
+	// FleetTargetShare and FleetIdleRatio correspond to TargetShare and IdleRatio, for the loads
+	// that the balancers report to each other. The sum of all reports is more precise than the
+	// measurements of one balancer, so it can be allowed to refuse later.
+	FleetTargetShare, FleetIdleRatio float64
+	// FleetLimitRise is added to the limits while the fleet's admit rates refuse openings. The
+	// balancer's own measurements then decide only if they exceed the limit by far more than chance
+	// explains.
+	FleetLimitRise float64
+	// CalmLimitRise is added to the limits while the fleet's load is known to be low. An overload
+	// that only one balancer measures is then probably chance, or it precedes the reports about it,
+	// which follow shortly.
+	CalmLimitRise float64
+	// FleetRatesTimeout is how long the fleet's admit rates are valid after the time of the reports
+	// that they were computed from.
+	FleetRatesTimeout time.Duration
+	// Fleet are the parameters of the computation of the fleet's admit rates.
 	Fleet admission.Settings
-	// CommittedLoad are the parameters of the forecast of what open flows bring.
+	// CommittedLoad are the parameters of the forecast of the work on open flows.
 	CommittedLoad committedload.Settings
-	// Forget is how long a class counts after its last opening.
-	Forget time.Duration
+	// PriorityTimeout is how long a priority counts as in use after its last opening.
+	PriorityTimeout time.Duration
 
-	// Rules that tests take out, to see that they are needed.
-	newLevelsFull, plainMean, countQuick, oneService bool
+	// These switch off one rule each. Tests use them to show that the rule is needed.
+	newLevelsAdmitAll, useMean, countRejections, mergeServices bool
 }
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default parameters.
 func DefaultSettings() Settings {
 	return Settings{
-		TargetShare:   0.4,
-		IdleRatio:     1.4,
-		SpreadRatio:   0.6,
-		Memory:        400 * time.Millisecond,
-		LongestMemory: 4 * time.Second,
-		Samples:       24,
-		ScanInterval:  50 * time.Millisecond,
-		CalmInterval:  400 * time.Millisecond,
-		Longest:       2 * time.Second,
-		FallRate:      8,
-		RiseRate:      4,
-		Damping:       8,
-		Limit:         0.9,
-		Step:          1.6,
-		Least:         0.002,
-		FreeLoad:      0.78,
-		LateShare:     0.5,
-		LateRatio:     3,
-		LateLimit:     1.8,
-		CalmLimit:     0.3,
-		PartsLife:     time.Second,
-		Fleet:         admission.DefaultSettings(),
-		CommittedLoad: committedload.DefaultSettings(),
-		Forget:        5 * time.Second,
+		TargetShare:       0.4,
+		IdleRatio:         1.4,
+		SpreadRatio:       0.6,
+		AveragingTime:     400 * time.Millisecond,
+		MaxAveragingTime:  4 * time.Second,
+		TargetSamples:     24,
+		ScanInterval:      50 * time.Millisecond,
+		CalmInterval:      400 * time.Millisecond,
+		MaxAnswerTime:     2 * time.Second,
+		FallRate:          8,
+		RiseRate:          4,
+		Damping:           8,
+		Limit:             0.9,
+		PriorityStep:      1.6,
+		MinAdmitRate:      0.002,
+		FreeLoad:          0.78,
+		FleetTargetShare:  0.5,
+		FleetIdleRatio:    3,
+		FleetLimitRise:    1.8,
+		CalmLimitRise:     0.3,
+		FleetRatesTimeout: time.Second,
+		Fleet:             admission.DefaultSettings(),
+		CommittedLoad:     committedload.DefaultSettings(),
+		PriorityTimeout:   5 * time.Second,
 	}
 }
 
-// Controller is the estimate and the limits of one balancer. It is not safe
-// for concurrent use.
+// Controller holds the load estimates and the admit rates of one balancer. It is not safe for
+// concurrent use.
 type Controller struct {
-	settings Settings
-	services map[lb.ServiceName]*service
-	backends map[Identity]*backend
-	changes  []Change
-	held     *committedload.Tracker
-	// meter adds up what the nodes of the fleet are to know together.
+	settings  Settings
+	services  map[lb.ServiceName]*service
+	backends  map[Identity]*backend
+	changes   []Change
+	committed *committedload.Tracker
+	// meter collects what this balancer reports to the fleet.
 	meter *fleetload.Meter
 }
 
-// Change is a service that has become overloaded, or is so no more.
+// Change reports that a service has become overloaded, or is no longer overloaded.
 type Change struct {
 	Service    lb.ServiceName
 	Overloaded bool
-	// Pressure is the time that requests take over what they may.
+	// Pressure is the ratio of the response times to the allowed response time.
 	Pressure float64
-	// Priority and Admitted are those of the class that is admitted least.
+	// Priority is the priority with the lowest admit rate, and Admitted is this rate.
 	Priority uint16
 	Admitted float64
-	// Refused is how many openings were refused since it became overloaded.
+	// Refused is the number of openings refused since the service became overloaded.
 	Refused uint64
 }
 
-// New gives a controller that knows nothing and lets in everything.
+// New returns a controller without measurements, which admits every opening.
 func New(settings Settings) *Controller {
 	return &Controller{
-		settings: settings,
-		services: make(map[lb.ServiceName]*service),
-		backends: make(map[Identity]*backend),
-		meter:    fleetload.NewMeter(),
-		held:     committedload.New(settings.CommittedLoad),
+		settings:  settings,
+		services:  make(map[lb.ServiceName]*service),
+		backends:  make(map[Identity]*backend),
+		meter:     fleetload.NewMeter(),
+		committed: committedload.New(settings.CommittedLoad),
 	}
 }
 
-// Samples gives what was seen since the last call, for what the nodes know together.
+// Samples returns the measurements since the last call, to be reported to the fleet.
 func (c *Controller) Samples() []fleetload.Sample { return c.meter.Samples() }
 
-// Begun notes that a request was sent on.
+// Begun records that a request was forwarded.
 func (c *Controller) Begun(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	s := c.service(now, name)
 	s.level(objective.Priority, &c.settings).begun++
 	c.meter.Begun(name, objective.Priority, s.class(objective).idle.value)
 }
 
-// Carried notes that the request which has just begun came on a flow.
+// Carried records the flow of the request that was just recorded by Begun.
 func (c *Controller) Carried(now time.Duration, name lb.ServiceName, objective lb.Objective, flow lb.FlowID) {
-	c.held.Begun(now, name, objective.Priority, flow, c.service(now, name).class(objective).idle.value)
+	c.committed.RecordRequest(now, name, objective.Priority, flow, c.service(now, name).class(objective).idle.value)
 }
 
-// Closed notes that a flow has ended.
-func (c *Controller) Closed(flow lb.FlowID) { c.held.Closed(flow) }
+// Closed records that a flow has ended.
+func (c *Controller) Closed(flow lb.FlowID) { c.committed.CloseFlow(flow) }
 
-// SetSlots sets this balancer's part of the slots of a service's ready back ends; 0: not known.
+// SetSlots sets this balancer's share of the slots of a service's ready back ends; 0 means unknown.
 func (c *Controller) SetSlots(now time.Duration, name lb.ServiceName, slots float64) {
 	c.service(now, name).slots = slots
 }
 
-// Full tells whether the open flows that this balancer has let in use up its part of the slots. Where
-// the fleet's sums are known, they decide: other balancers' parts may be free.
+// Full returns true if the open flows that this balancer has admitted use up its share of the
+// slots. It returns false while the fleet's admit rates are known, since these decide then: the
+// shares of other balancers may be unused.
 func (c *Controller) Full(now time.Duration, name lb.ServiceName, objective lb.Objective) bool {
 	s := c.service(now, name)
-	return !c.settings.Off && !s.told(now, &c.settings) && c.held.Full(now, name, objective.Priority, s.slots)
+	return !c.settings.Off && !s.fleetRatesFresh(now, &c.settings) && c.committed.ExceedsSlots(now, name, objective.Priority, s.slots)
 }
 
-// Answered notes that a back end in a zone has answered a request after the time took.
+// Answered records that a back end in the given zone answered a request after the time took.
 func (c *Controller) Answered(now time.Duration, name lb.ServiceName, objective lb.Objective, zone lb.Zone, identity Identity, took time.Duration) {
-	if c.settings.Off || took > c.settings.Longest {
+	if c.settings.Off || took > c.settings.MaxAnswerTime {
 		return
 	}
 	s := c.service(now, name)
 	s.answers++
-	s.answeredAt = now
+	s.lastAnswerAt = now
 	b := c.backends[identity]
 	if b == nil {
 		b = &backend{service: s}
 		c.backends[identity] = b
 		s.backends[identity] = b
 	}
-	kind := s.class(objective)
-	if !kind.idle.add(now, took.Seconds(), &c.settings) {
+	times := s.class(objective)
+	if !times.idle.add(now, took.Seconds(), &c.settings) {
 		c.meter.Rejected(name, zone)
 		return
 	}
-	load := kind.load(took, &c.settings)
+	load := times.load(took, &c.settings)
 	b.answered(now, load)
-	c.meter.Answered(name, zone, math.Log(kind.late(took, &c.settings)))
+	c.meter.Answered(name, zone, math.Log(times.fleetLoad(took, &c.settings)))
 }
 
-// Load gives how much a back end has to do, from the times that its requests
-// take: 1 is as much as it can do in time. known is false without recent answers.
+// Load returns the load of a back end, estimated from the response times of its requests: at 1 it
+// receives as much as it can complete in time. known is false if there were no recent answers.
 func (c *Controller) Load(now time.Duration, identity Identity) (load float64, known bool) {
 	b := c.backends[identity]
 	if c.settings.Off || b == nil {
@@ -213,37 +219,37 @@
 	return b.load(now)
 }
 
-// Crowded tells whether a back end is known to have no room at once for more.
+// Crowded returns true if a back end is known to have no spare capacity at present.
 func (c *Controller) Crowded(now time.Duration, identity Identity) bool {
 	load, known := c.Load(now, identity)
 	return known && load > c.settings.FreeLoad
 }
 
-// Prefer tells whether a back end is to be given an opening of a service in
-// place of another, which is crowded. One of which nothing is known is taken to
-// be as the service is on the mean.
-func (c *Controller) Prefer(now time.Duration, name lb.ServiceName, identity, crowded Identity) bool {
+// Prefer returns true if a back end should receive an opening of a service in place of an
+// overloaded one. A back end without measurements is assumed to have the typical load of the
+// service.
+func (c *Controller) Prefer(now time.Duration, name lb.ServiceName, identity, overloaded Identity) bool {
 	load, known := c.Load(now, identity)
 	if !known {
 		load = c.service(now, name).pressure
 	}
-	other, _ := c.Load(now, crowded)
+	other, _ := c.Load(now, overloaded)
 	return load < other
 }
 
-// Learn takes what the fleet knows of a service, and the slots of its ready back
-// ends; 0: not known.
+// Learn applies the fleet's load report about a service. slots is the number of slots of its ready
+// back ends; 0 means unknown.
 func (c *Controller) Learn(now time.Duration, name lb.ServiceName, known *fleetload.Service, slots float64) {
 	if c.settings.Off {
 		return
 	}
 	s := c.service(now, name)
-	s.fleet.Learn(now, known, slots, s.held, &c.settings.Fleet)
-	s.toldAt = known.At
+	s.fleet.Update(now, known, slots, s.openFlowShare, &c.settings.Fleet)
+	s.fleetAt = known.At
 }
 
-// Admit tells whether the first copy of an opening may be forwarded to a back
-// end. draw is a hash of the opening, uniform over all numbers.
+// Admit returns true if the first copy of an opening may be forwarded to a back end. draw is a hash
+// of the opening, uniformly distributed over all 64-bit numbers.
 func (c *Controller) Admit(now time.Duration, name lb.ServiceName, objective lb.Objective, identity Identity, draw uint64) bool {
 	if c.settings.Off {
 		return true
@@ -251,8 +257,8 @@
 	s := c.service(now, name)
 	c.scan(now, s)
 	l := s.level(objective.Priority, &c.settings)
-	l.seen = now
-	if !c.Full(now, name, objective) && c.lets(now, s, l, identity, draw) {
+	l.lastOpening = now
+	if !c.Full(now, name, objective) && c.admits(now, s, l, identity, draw) {
 		c.Opened(now, name, objective)
 		return true
 	}
@@ -260,68 +266,70 @@
 	return false
 }
 
-// lets tells whether an opening is let in.
-func (c *Controller) lets(now time.Duration, s *service, l *level, identity Identity, draw uint64) bool {
+// admits returns true if an opening is admitted by the back end's load or by the admit rate of its
+// priority.
+func (c *Controller) admits(now time.Duration, s *service, l *level, identity Identity, draw uint64) bool {
 	load, known := c.Load(now, identity)
-	if known && load < c.settings.FreeLoad && !s.toldToRefuse(now, &c.settings) {
+	if known && load < c.settings.FreeLoad && !s.fleetRefuses(now, &c.settings) {
 		return true
 	}
 	if !known {
 		load = s.pressure
 	}
-	// One back end alone may be crowded by chance, or by what it is given elsewhere.
-	part := s.admitted(now, l, (load+s.pressure)/2, &c.settings)
-	return part >= 1 || float64(draw>>11)/(1<<53) < part
+	// The load of a single back end is averaged with the pressure: it may be high by chance, or
+	// because of work for other services.
+	rate := s.admitted(now, l, (load+s.pressure)/2, &c.settings)
+	return rate >= 1 || float64(draw>>11)/(1<<53) < rate
 }
 
-// Quick tells whether a request that took so long had a back end with room, so
-// that there is room where it has ended. One that ended far too soon was refused
-// by a back end that is full.
+// Quick returns true if the response time of a request shows that its back end has spare capacity,
+// so that the slot that the request leaves can be reused. A response time far below the idle
+// response time does not: it is a rejection by a full back end.
 func (c *Controller) Quick(name lb.ServiceName, objective lb.Objective, took time.Duration) bool {
 	s := c.services[name]
 	if c.settings.Off || s == nil {
 		return false
 	}
-	kind := s.classes[objective]
-	if kind == nil || kind.idle.value == 0 || took.Seconds() < quickPart*kind.idle.value {
+	times := s.classes[objective]
+	if times == nil || times.idle.value == 0 || took.Seconds() < rejectionRatio*times.idle.value {
 		return false
 	}
-	return kind.load(took, &c.settings) < quickLoad
+	return times.load(took, &c.settings) < maxUnqueuedLoad
 }
 
-// quickLoad is that of a request which waited little at its back end.
-const quickLoad = 0.78
+// maxUnqueuedLoad is the maximum load computed from a request that hardly queued at its back end.
+const maxUnqueuedLoad = 0.78
 
-// Pressed tells whether a service is near its limit.
+// Pressed returns true if a service is near its limit.
 func (c *Controller) Pressed(name lb.ServiceName) bool {
 	return !c.settings.Off && c.Pressure(name) > calmPressure
 }
 
-// Held takes back that an opening was refused, which Admit has just turned away: it
-// waits for room, or has found it.
+// Held cancels the refusal that Admit has just recorded for an opening: the opening was queued, or
+// a free slot was found for it.
 func (c *Controller) Held(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	s := c.service(now, name)
 	s.refused--
-	s.refusedEver--
+	s.refusedTotal--
 	c.meter.Refused(name, objective.Priority, -s.class(objective).idle.value)
 }
 
-// Refused notes that an opening is refused for want of room, by Admit or after it waited.
+// Refused records that an opening is refused for lack of capacity, by Admit or after it was queued.
 func (c *Controller) Refused(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	s := c.service(now, name)
 	s.refused++
-	s.refusedEver++
+	s.refusedTotal++
 	c.meter.Refused(name, objective.Priority, s.class(objective).idle.value)
 }
 
-// Opened notes that an opening is let in, by Admit or where there is room after all.
+// Opened records that an opening is admitted, by Admit or because a slot became free for it.
 func (c *Controller) Opened(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	c.service(now, name).level(objective.Priority, &c.settings).opened++
-	c.held.Opened(now, name, objective.Priority)
+	c.committed.RecordOpening(now, name, objective.Priority)
 }
 
-// Pressure gives the time that requests of a service take over what they may;
-// 0: nothing is known.
+// Pressure returns the ratio of the response times of a service to the allowed response time; 0
+// means unknown.
 func (c *Controller) Pressure(name lb.ServiceName) float64 {
 	known := c.services[name]
 	if known == nil {
@@ -330,9 +338,9 @@
 	return known.pressure
 }
 
-// Tick moves the limits. It is to be called several times a second.
+// Tick updates the admit rates. The caller must call it several times a second.
 func (c *Controller) Tick(now time.Duration) {
-	c.held.Tick(now)
+	c.committed.Tick(now)
 	for name, s := range c.services {
 		if s.calm() && now-s.adapted < c.settings.CalmInterval {
 			continue
@@ -346,7 +354,7 @@
 	}
 }
 
-// scan looks at the back ends of a service, if it is time to.
+// scan evaluates the back ends of a service unless it did so within the last ScanInterval.
 func (c *Controller) scan(now time.Duration, s *service) {
 	if s.scanned > 0 && now-s.scanned < c.settings.ScanInterval {
 		return
@@ -354,31 +362,32 @@
 	s.scanned = now
 	s.loads = s.loads[:0]
 	for identity, b := range s.backends {
-		if seen := b.gather(now); !seen {
+		if remembered := b.collect(now); !remembered {
 			delete(s.backends, identity)
 			delete(c.backends, identity)
 		}
 	}
-	s.pressure, s.seen = c.middle(s.loads)
+	s.pressure, s.weight = c.typicalLoad(s.loads)
 }
 
-// middle is the median of the loads of back ends, and how much was seen of them.
-func (c *Controller) middle(loads []weighted) (load, seen float64) {
-	if c.settings.plainMean {
+// typicalLoad returns the median of the loads of back ends, and the total weight of the
+// measurements.
+func (c *Controller) typicalLoad(loads []weighted) (load, weight float64) {
+	if c.settings.useMean {
 		return average(loads)
 	}
 	return median(loads)
 }
 
-// Changes gives what has changed since the last call. It holds until the next Tick.
+// Changes returns the changes since the last call. The result is valid until the next Tick.
 func (c *Controller) Changes() []Change {
 	changes := c.changes
 	c.changes = c.changes[:0]
 	return changes
 }
 
-// Forget drops what is known of back ends and services but those to keep, and of
-// objectives that no request has had for long.
+// Forget deletes the state of all back ends and services for which the functions return false, and
+// of objectives without requests for stateTimeout.
 func (c *Controller) Forget(now time.Duration, backend func(Identity) bool, service func(lb.ServiceName) bool) {
 	for identity, b := range c.backends {
 		if !backend(identity) {
@@ -386,7 +395,7 @@
 			delete(c.backends, identity)
 		}
 	}
-	c.held.Forget(service)
+	c.committed.Forget(service)
 	for name, s := range c.services {
 		s.forget(now)
 		if !service(name) {
@@ -395,26 +404,26 @@
 	}
 }
 
-// Status is what operators see of one service.
+// Status is the state of one service, for operators.
 type Status struct {
 	Service  lb.ServiceName
 	Pressure float64
-	// Refused counts all refused openings.
+	// Refused is the number of all refused openings.
 	Refused uint64
 	Levels  []Level
 }
 
-// Level is the admitted part of the openings of one priority.
+// Level is the admit rate of the openings of one priority.
 type Level struct {
 	Priority uint16
 	Admitted float64
 }
 
-// Status gives the state of all services that had openings.
+// Status returns the state of all services that had openings.
 func (c *Controller) Status(now time.Duration) []Status {
 	statuses := make([]Status, 0, len(c.services))
 	for name, s := range c.services {
-		status := Status{Service: name, Pressure: s.pressure, Refused: s.refusedEver}
+		status := Status{Service: name, Pressure: s.pressure, Refused: s.refusedTotal}
 		for _, l := range s.levels {
 			status.Levels = append(status.Levels, Level{Priority: l.priority, Admitted: s.admitted(now, l, s.pressure, &c.settings)})
 		}
@@ -424,12 +433,12 @@
 }
 
 func (c *Controller) service(now time.Duration, name lb.ServiceName) *service {
-	if c.settings.oneService {
+	if c.settings.mergeServices {
 		name = ""
 	}
 	known := c.services[name]
 	if known == nil {
-		known = &service{adapted: now, memory: c.settings.Memory}
+		known = &service{adapted: now, averagingTime: c.settings.AveragingTime}
 		known.classes = make(map[lb.Objective]*class)
 		known.backends = make(map[Identity]*backend)
 		c.services[name] = known
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -18,78 +18,78 @@
 		loads []weighted
 		want  float64
 	}{
-		{"nothing seen", nil, neutralLoad},
-		{"little seen", []weighted{{2, 1}}, neutralLoad},
-		{"all crowded", []weighted{{2, 20}, {1.5, 20}, {1.8, 20}}, 1.8},
-		{"one hangs", []weighted{{3, 20}, {0.4, 20}, {0.4, 20}}, 0.4},
+		{"no measurements", nil, neutralLoad},
+		{"one measurement", []weighted{{2, 1}}, neutralLoad},
+		{"all overloaded", []weighted{{2, 20}, {1.5, 20}, {1.8, 20}}, 1.8},
+		{"one unresponsive", []weighted{{3, 20}, {0.4, 20}, {0.4, 20}}, 0.4},
 		{"all idle", []weighted{{0.3, 20}, {0.35, 20}, {0.4, 20}}, 0.35},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			load, seen := median(test.loads)
+			load, weight := median(test.loads)
 			is.Equal(load, test.want)
 			sum := 0.0
 			for _, l := range test.loads {
 				sum += l.weight
 			}
-			is.Equal(seen, sum)
+			is.Equal(weight, sum)
 		})
 	}
 }
 
-// TestIdleTimeIsThatOfIdleBackends: it falls soon, rises by minutes, is not
-// pulled down by refusals of full back ends, and begins anew where all has become quick.
-func TestIdleTimeIsThatOfIdleBackends(t *testing.T) {
+// TestIdleTimeEstimate checks that the estimate falls soon, rises over minutes, is not lowered by
+// rejections of full back ends, and restarts where all requests have become fast.
+func TestIdleTimeEstimate(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	idle := idleTime{}
 	now := time.Duration(0)
-	feed := func(seconds float64, samples int) {
+	addAnswers := func(seconds float64, samples int) {
 		for range samples {
 			now += 10 * ms
 			idle.add(now, seconds, &settings)
 		}
 	}
-	feed(0.2, 100)
+	addAnswers(0.2, 100)
 	is.True(math.Abs(idle.value-0.2) < 0.001)
-	feed(0.05, 1000)
+	addAnswers(0.05, 1000)
 	is.True(math.Abs(idle.value-0.05) < 0.002)
-	feed(0.2, 1000) // ten seconds of crowding
+	addAnswers(0.2, 1000) // ten seconds of overload
 	is.True(idle.value < 0.07)
-	feed(0.2, 60_000) // ten minutes
+	addAnswers(0.2, 60_000) // ten minutes
 	is.True(idle.value > 0.15)
 	for range 1000 {
-		feed(0.001, 2)
-		feed(0.2, 1)
+		addAnswers(0.001, 2)
+		addAnswers(0.2, 1)
 	}
 	is.True(idle.value > 0.15)
-	feed(0.002, 500)
+	addAnswers(0.002, 500)
 	is.True(math.Abs(idle.value-0.002) < 0.0001)
 }
 
-// TestOffLetsInEverything.
-func TestOffLetsInEverything(t *testing.T) {
+func TestDisabledControllerAdmitsEverything(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	settings.Off = true
 	h := newHistory(1, settings)
-	h.pass(web, 5*time.Second, h.crowded)
-	is.Equal(h.part(web, feed), 1.0)
+	h.pass(web, 5*time.Second, h.overloaded)
+	is.Equal(h.admitRate(web, feed), 1.0)
 	is.True(!h.Crowded(h.now, 1))
 }
 
-// TestChangesTellBeginningAndEnd of an overload, once each.
-func TestChangesTellBeginningAndEnd(t *testing.T) {
+// TestChangesReportBeginningAndEnd checks that each of the two is reported exactly once per
+// overload.
+func TestChangesReportBeginningAndEnd(t *testing.T) {
 	is := is.New(t)
 	h := newHistory(1, DefaultSettings())
 	h.pass(web, 2*time.Second, h.calm)
 	is.Equal(len(h.Changes()), 0)
-	h.pass(web, 5*time.Second, h.crowded)
+	h.pass(web, 5*time.Second, h.overloaded)
 	began := append([]Change(nil), h.Changes()...)
 	is.Equal(len(began), 1)
 	is.True(began[0].Overloaded && began[0].Service == web && began[0].Priority == feed.Priority)
-	is.True(began[0].Pressure > 0.85 && began[0].Admitted < overloadedBelow)
+	is.True(began[0].Pressure > 0.85 && began[0].Admitted < overloadedRate)
 	h.pass(web, 8*time.Second, h.calm)
 	ended := h.Changes()
 	is.Equal(len(ended), 1)
@@ -97,7 +97,7 @@
 	is.Equal(h.Status(h.now)[0].Levels, []Level{{1, 1}, {2, 1}})
 }
 
-func TestForgetDropsWhatHasGone(t *testing.T) {
+func TestForgetDeletesUnusedState(t *testing.T) {
 	is := is.New(t)
 	h := newHistory(1, DefaultSettings())
 	h.pass(web, time.Second, h.calm)
@@ -108,14 +108,14 @@
 	is.Equal(len(h.backends), 1)
 	is.Equal(len(h.services), 1)
 	is.Equal(len(h.services[web].classes), 2)
-	h.now += time.Minute // what was seen of the back end has faded
+	h.now += time.Minute // long enough for the back end's measurements to decay
 	h.Tick(h.now)
 	is.Equal(len(h.backends), 0)
-	h.Forget(h.now+classLife, keep, serves)
+	h.Forget(h.now+stateTimeout, keep, serves)
 	is.Equal(len(h.services[web].classes)+len(h.services[web].levels), 0)
 }
 
-// BenchmarkScan is a look at as many back ends as the size that decides the design has.
+// BenchmarkScan scans 4,800 back ends, the largest fleet that the design must support.
 func BenchmarkScan(b *testing.B) {
 	c := New(DefaultSettings())
 	for i := range 4800 {
@@ -127,7 +127,7 @@
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		now += time.Microsecond // so little that nothing fades
+		now += time.Microsecond // too little for measurements to decay
 		for _, s := range c.services {
 			s.scanned = 0
 			c.scan(now, s)
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestLimitsStayBounded: whatever is seen, in whatever order, the admitted part
-// is a number from Least to 1, and rises with importance.
+// TestLimitsStayBounded checks that, for any measurements in any order, the admit rate is a number
+// from MinAdmitRate to 1, and does not fall with importance.
 func TestLimitsStayBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -152,7 +152,7 @@
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "wait"))
 			objective := rapid.SampledFrom(objectives).Draw(t, "objective")
 			identity := Identity(rapid.IntRange(1, 4).Draw(t, "identity"))
-			least := settings.Least
+			minRate := settings.MinAdmitRate
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				took := rapid.SampledFrom([]time.Duration{0, 1, ms, 40 * ms, time.Second, time.Hour}).Draw(t, "took")
@@ -162,12 +162,12 @@
 			case 2:
 				c.Tick(now)
 			case 3:
-				known := crowd(now)
+				known := overloadedState(now)
 				known.Zones[0].Levels[0].Begun = rapid.Float64Range(0, 300).Draw(t, "begun")
 				c.Learn(now, web, known, rapid.Float64Range(0, 200).Draw(t, "slots"))
 			}
-			if s := c.services[web]; s != nil && s.told(now, &settings) {
-				least = 0 // the fleet sees answers without it
+			if s := c.services[web]; s != nil && s.fleetRatesFresh(now, &settings) {
+				minRate = 0 // MinAdmitRate does not apply while the fleet reports answers
 			}
 			for _, status := range c.Status(now) {
 				if math.IsNaN(status.Pressure) || status.Pressure < 0 || status.Pressure > maxLoad {
@@ -175,7 +175,7 @@
 				}
 				above := 1.0
 				for _, level := range status.Levels {
-					if !(level.Admitted >= least && level.Admitted <= above+1e-9) {
+					if !(level.Admitted >= minRate && level.Admitted <= above+1e-9) {
 						t.Fatalf("levels %v", status.Levels)
 					}
 					above = level.Admitted
@@ -185,7 +185,8 @@
 	})
 }
 
-// FuzzController: no order of answers, openings and ticks stops the controller.
+// FuzzController checks that no order of answers, openings and ticks makes the controller panic or
+// return a load out of bounds.
 func FuzzController(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 250, 128, 7})
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -205,10 +206,10 @@
 	})
 }
 
-// BenchmarkAdmit is the decision on one opening while a service is overloaded.
+// BenchmarkAdmit decides on single openings while a service is overloaded.
 func BenchmarkAdmit(b *testing.B) {
 	h := newHistory(1, DefaultSettings())
-	h.pass(web, 5*time.Second, h.crowded)
+	h.pass(web, 5*time.Second, h.overloaded)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		h.Admit(h.now+time.Duration(i)*time.Microsecond, web, feed, Identity(1+i%backends), uint64(i)<<40)
--- a/internal/overload/property_test.go
+++ b/internal/overload/property_test.go
@@ -12,9 +12,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// The properties of overload control, each run on random histories with the
-// defaults, and then on a controller with one rule taken out, on which it must
-// fail: a property that no mistake can break proves nothing.
+// Each property of overload control is checked on random histories with the default settings, and
+// then on a controller with one rule switched off, on which it must fail. A property that passes
+// without the rule would not test it.
 
 const (
 	web  = lb.ServiceName("web")
@@ -22,7 +22,7 @@
 	ms   = time.Millisecond
 )
 
-// idleWork is what a request takes at an idle back end in these tests.
+// idleWork is the response time of an idle back end in these tests.
 const idleWork = 40 * ms
 
 var (
@@ -30,7 +30,7 @@
 	feed = lb.Objective{Priority: 2, TargetMillis: 200}
 )
 
-// history drives a controller.
+// history drives a controller through virtual time.
 type history struct {
 	*Controller
 	now    time.Duration
@@ -44,7 +44,8 @@
 // backends is the number of back ends of a service in these tests.
 const backends = 6
 
-// pass lets time pass in which requests of a service take what took gives.
+// pass advances the time by length. Meanwhile requests of a service are answered after the times
+// that took returns, and openings arrive.
 func (h *history) pass(service lb.ServiceName, length time.Duration, took func() time.Duration) {
 	const step = 5 * ms
 	for end := h.now + length; h.now < end; h.now += step {
@@ -60,21 +61,21 @@
 	}
 }
 
-// calm is what requests take at idle back ends.
+// calm returns a response time of an idle back end.
 func (h *history) calm() time.Duration {
 	return time.Duration(float64(idleWork) * (0.5 + h.random.Float64()))
 }
 
-// crowded is what they take when queues are full.
-func (h *history) crowded() time.Duration { return 5 * h.calm() }
+// overloaded returns a response time of a back end with a full queue.
+func (h *history) overloaded() time.Duration { return 5 * h.calm() }
 
-// admits asks for one opening at a random back end.
+// admits requests admission of one opening at a random back end.
 func (h *history) admits(service lb.ServiceName, objective lb.Objective) bool {
 	return h.Admit(h.now, service, objective, Identity(1+h.random.IntN(backends)), h.random.Uint64())
 }
 
-// part measures what part of many openings is let in.
-func (h *history) part(service lb.ServiceName, objective lb.Objective) float64 {
+// admitRate measures the fraction of 400 openings that is admitted.
+func (h *history) admitRate(service lb.ServiceName, objective lb.Objective) float64 {
 	const openings = 400
 	admitted := 0
 	for range openings {
@@ -85,8 +86,8 @@
 	return float64(admitted) / openings
 }
 
-// partAtNew measures it at a back end of which nothing is known.
-func (h *history) partAtNew(service lb.ServiceName, objective lb.Objective) float64 {
+// admitRateAtNew measures the fraction that is admitted at a back end without measurements.
+func (h *history) admitRateAtNew(service lb.ServiceName, objective lb.Objective) float64 {
 	const openings = 4000
 	admitted := 0
 	for range openings {
@@ -97,134 +98,134 @@
 	return float64(admitted) / openings
 }
 
-// all says that not all openings were let in.
-func all(part float64) error {
-	if part < 1 {
-		return fmt.Errorf("%.2f of the openings were let in", part)
+// expectAll returns an error unless all openings were admitted.
+func expectAll(rate float64) error {
+	if rate < 1 {
+		return fmt.Errorf("%.2f of the openings were admitted", rate)
 	}
 	return nil
 }
 
-// few says that more than a few openings were let in.
-func few(part float64) error {
-	if part > 0.2 {
-		return fmt.Errorf("%.2f of the openings were let in", part)
+// expectFew returns an error if more than a fifth of the openings were admitted.
+func expectFew(rate float64) error {
+	if rate > 0.2 {
+		return fmt.Errorf("%.2f of the openings were admitted", rate)
 	}
 	return nil
 }
 
-// property is a claim that a history keeps; the error says how it did not.
+// property is a claim about a history. check returns an error that describes the breach, or nil.
 type property struct {
 	name  string
 	check func(h *history) error
-	// mutate takes out the rule that the property rests on.
+	// mutate switches off the rule that the property depends on.
 	mutate func(settings *Settings)
 }
 
 var properties = []property{
 	{
-		name: "calm services are not refused",
+		name: "openings of a service below its limit are not refused",
 		check: func(h *history) error {
 			h.pass(web, 5*time.Second, h.calm)
-			return all(h.part(web, feed))
+			return expectAll(h.admitRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.IdleRatio, settings.FreeLoad = 0.5, 0 },
 	},
 	{
-		name: "an overload is seen within a second",
+		name: "an overload is detected within a second",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, time.Second, h.crowded)
-			return few(h.part(web, feed))
+			h.pass(web, time.Second, h.overloaded)
+			return expectFew(h.admitRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.FallRate, settings.Damping = 0, 0 },
 	},
 	{
-		name: "a controller that starts in an overload sees it",
+		name: "a controller that starts during an overload detects it",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.crowded)
-			return few(h.part(web, feed))
+			h.pass(web, 2*time.Second, h.overloaded)
+			return expectFew(h.admitRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.TargetShare = 100 },
 	},
 	{
-		name: "the estimate does not grow with a long overload",
+		name: "the idle time estimate does not grow during a long overload",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 60*time.Second, h.crowded)
-			return few(h.part(web, feed))
+			h.pass(web, 60*time.Second, h.overloaded)
+			return expectFew(h.admitRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.RiseRate, settings.Limit = 20, 3 },
 	},
 	{
-		name: "all are let in three seconds after an overload",
+		name: "all openings are admitted three seconds after an overload",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 10*time.Second, h.crowded)
+			h.pass(web, 10*time.Second, h.overloaded)
 			h.pass(web, 3*time.Second, h.calm)
-			return all(h.part(web, feed))
+			return expectAll(h.admitRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.RiseRate, settings.FreeLoad = 0, 0 },
 	},
 	{
-		name: "all are let in within six seconds without any answer",
+		name: "all openings are admitted within six seconds without any answer",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 10*time.Second, h.crowded)
+			h.pass(web, 10*time.Second, h.overloaded)
 			for range 60 {
 				h.now += 100 * ms
 				h.Tick(h.now)
 			}
-			return all(h.part(web, feed))
+			return expectAll(h.admitRate(web, feed))
 		},
-		mutate: func(settings *Settings) { settings.Memory = time.Hour },
+		mutate: func(settings *Settings) { settings.AveragingTime = time.Hour },
 	},
 	{
-		name: "the more important are refused later",
+		name: "more important openings are refused later",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
 			h.pass(web, 3*time.Second, func() time.Duration { return 3 * h.calm() })
-			if taps, feeds := h.part(web, tap), h.part(web, feed); taps < 0.9 || feeds > 0.5 {
-				return fmt.Errorf("%.2f of the important openings and %.2f of the others were let in", taps, feeds)
+			if tapRate, feedRate := h.admitRate(web, tap), h.admitRate(web, feed); tapRate < 0.9 || feedRate > 0.5 {
+				return fmt.Errorf("%.2f of the important openings and %.2f of the others were admitted", tapRate, feedRate)
 			}
 			return nil
 		},
-		mutate: func(settings *Settings) { settings.Step = 0 },
+		mutate: func(settings *Settings) { settings.PriorityStep = 0 },
 	},
 	{
-		name: "a class that comes during an overload does not pass a more important one",
+		name: "a priority first used during an overload is not admitted at a higher rate than a more important one",
 		check: func(h *history) error {
-			late := lb.Objective{Priority: 9}
+			newest := lb.Objective{Priority: 9}
 			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 5*time.Second, h.crowded)
-			first, second := h.part(web, feed), h.part(web, late)
+			h.pass(web, 5*time.Second, h.overloaded)
+			first, second := h.admitRate(web, feed), h.admitRate(web, newest)
 			if second > first+0.1 {
-				return fmt.Errorf("%.2f of the openings of a new class and %.2f of those above it were let in", second, first)
+				return fmt.Errorf("%.2f of the openings of a new priority and %.2f of those above it were admitted", second, first)
 			}
 			return nil
 		},
-		mutate: func(settings *Settings) { settings.Damping, settings.newLevelsFull = 0, true },
+		mutate: func(settings *Settings) { settings.Damping, settings.newLevelsAdmitAll = 0, true },
 	},
 	{
-		name: "a few are let in whatever the pressure",
+		name: "a few openings are admitted at any pressure",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 20*time.Second, func() time.Duration { return 2 * h.crowded() })
-			if part := h.partAtNew(web, feed); part == 0 {
-				return fmt.Errorf("none was let in")
+			h.pass(web, 20*time.Second, func() time.Duration { return 2 * h.overloaded() })
+			if rate := h.admitRateAtNew(web, feed); rate == 0 {
+				return fmt.Errorf("no opening was admitted")
 			}
 			return nil
 		},
-		mutate: func(settings *Settings) { settings.Least = 0 },
+		mutate: func(settings *Settings) { settings.MinAdmitRate = 0 },
 	},
 	{
-		name: "a back end known to be free is given all",
+		name: "all openings for a back end with spare capacity are admitted",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
 			const free = Identity(99)
 			for range 400 {
-				h.pass(web, 5*ms, h.crowded)
-				h.Answered(h.now, web, feed, "za", free, idleWork*9/10) // near the geometric mean of calm times
+				h.pass(web, 5*ms, h.overloaded)
+				h.Answered(h.now, web, feed, "za", free, idleWork*9/10) // geometric mean of calm times
 			}
 			for range 100 {
 				if !h.Admit(h.now, web, feed, free, h.random.Uint64()) {
@@ -236,7 +237,7 @@
 		mutate: func(settings *Settings) { settings.FreeLoad = 0 },
 	},
 	{
-		name: "a few slow back ends are no overload",
+		name: "a few slow back ends do not count as an overload",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
 			for range 600 {
@@ -245,63 +246,63 @@
 					h.Answered(h.now, web, feed, "za", Identity(90+h.random.IntN(2)), 10*idleWork)
 				}
 			}
-			return all(h.partAtNew(web, feed))
+			return expectAll(h.admitRateAtNew(web, feed))
 		},
-		mutate: func(settings *Settings) { settings.plainMean = true },
+		mutate: func(settings *Settings) { settings.useMean = true },
 	},
 	{
-		name: "times that spread widely are no overload",
+		name: "widely varying response times do not count as an overload",
 		check: func(h *history) error {
 			spread := func() time.Duration {
 				return time.Duration(float64(idleWork) * math.Exp(h.random.NormFloat64()))
 			}
 			const seconds = 20
-			part := 0.0
+			rate := 0.0
 			for range seconds {
 				h.pass(web, time.Second, spread)
-				part += h.partAtNew(web, feed) / seconds
+				rate += h.admitRateAtNew(web, feed) / seconds
 			}
-			if part < 0.95 {
-				return fmt.Errorf("%.2f of the openings were let in", part)
+			if rate < 0.95 {
+				return fmt.Errorf("%.2f of the openings were admitted", rate)
 			}
 			return nil
 		},
 		mutate: func(settings *Settings) { settings.SpreadRatio = 0 },
 	},
 	{
-		name: "refusals by full back ends do not hide the overload",
+		name: "rejections by full back ends do not hide the overload",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
 			h.pass(web, 10*time.Second, func() time.Duration {
 				if h.random.IntN(3) > 0 {
 					return 2 * ms
 				}
-				return h.crowded()
+				return h.overloaded()
 			})
-			return few(h.part(web, feed))
+			return expectFew(h.admitRate(web, feed))
 		},
-		mutate: func(settings *Settings) { settings.countQuick = true },
+		mutate: func(settings *Settings) { settings.countRejections = true },
 	},
 	{
-		name: "one service's overload touches no other",
+		name: "an overload of one service does not affect another",
 		check: func(h *history) error {
 			for range 400 {
-				h.pass(web, 5*ms, h.crowded)
+				h.pass(web, 5*ms, h.overloaded)
 				if h.random.IntN(4) == 0 {
 					h.Answered(h.now, docs, feed, "za", Identity(50+h.random.IntN(backends)), h.calm())
 				}
 			}
-			return all(h.partAtNew(docs, feed))
+			return expectAll(h.admitRateAtNew(docs, feed))
 		},
-		mutate: func(settings *Settings) { settings.oneService = true },
+		mutate: func(settings *Settings) { settings.mergeServices = true },
 	},
 }
 
-// histories is on how many random histories each property is checked.
+// histories is the number of random histories on which each property is checked.
 const histories = 20
 
-// breaks gives the first breach of a property by a controller.
-func breaks(claim property, settings Settings) error {
+// firstBreach returns the first breach of a property by a controller, or nil.
+func firstBreach(claim property, settings Settings) error {
 	for seed := range uint64(histories) {
 		if err := claim.check(newHistory(seed, settings)); err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
@@ -314,10 +315,10 @@
 	for _, claim := range properties {
 		t.Run(claim.name, func(t *testing.T) {
 			is := is.New(t)
-			is.NoErr(breaks(claim, DefaultSettings()))
+			is.NoErr(firstBreach(claim, DefaultSettings()))
 			broken := DefaultSettings()
 			claim.mutate(&broken)
-			is.True(breaks(claim, broken) != nil) // the property can fail
+			is.True(firstBreach(claim, broken) != nil) // shows that the property can fail
 		})
 	}
 }
--- a/internal/overload/quick_test.go
+++ b/internal/overload/queueing_test.go
@@ -9,13 +9,13 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TestQuick: a request that took about as long as at idle back ends had one with
-// room; one that waited had not, and one that ended at once was refused by a full one.
+// TestQuick: a request that took about the idle time shows spare capacity at its back end. One that
+// queued does not, and one that ended immediately was rejected by a full back end.
 func TestQuick(t *testing.T) {
 	is := is.New(t)
 	c := New(DefaultSettings())
 	objective := lb.Objective{Priority: 1, TargetMillis: 400}
-	is.True(!c.Quick("web", objective, 50*time.Millisecond)) // nothing is known
+	is.True(!c.Quick("web", objective, 50*time.Millisecond)) // no measurements yet
 	for i := range 100 {
 		c.Answered(time.Duration(i)*10*time.Millisecond, "web", objective, "za", 1, 50*time.Millisecond)
 	}
@@ -28,8 +28,9 @@
 	is.True(!New(off).Quick("web", objective, 50*time.Millisecond))
 }
 
-// TestHeldIsNotRefused: an opening that waits does not count until it is refused.
-func TestHeldIsNotRefused(t *testing.T) {
+// TestQueuedOpeningIsNotRefused checks that a queued opening is not counted as refused until it is
+// refused.
+func TestQueuedOpeningIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	c := New(DefaultSettings())
 	objective := lb.Objective{Priority: 1, TargetMillis: 400}
@@ -53,12 +54,12 @@
 	is.True(!c.Admit(now, "web", objective, 1, ^uint64(0)))
 	is.Equal(c.Status(now)[0].Refused, uint64(1))
 	is.True(refusedWork(c) > 0)
-	c.Refused(now, "web", objective) // after it waited
+	c.Refused(now, "web", objective) // after it was queued
 	is.Equal(c.Status(now)[0].Refused, uint64(2))
 	is.True(refusedWork(c) > 0)
 }
 
-// refusedWork is what the nodes are told of refused work since the last call.
+// refusedWork returns the refused work that was reported to the fleet since the last call.
 func refusedWork(c *Controller) float64 {
 	work := 0.0
 	for _, sample := range c.Samples() {
@@ -69,9 +70,9 @@
 	return work
 }
 
-// TestOpeningsThatFoundRoomAreNoLongFlows: they count as opened, so that the requests
-// on them are not taken for those of flows that were open before.
-func TestOpeningsThatFoundRoomAreNoLongFlows(t *testing.T) {
+// TestOpeningsAdmittedLaterStartNewFlows checks that openings admitted from the queue count as
+// opened. Otherwise the requests on them would be taken for requests on flows opened earlier.
+func TestOpeningsAdmittedLaterStartNewFlows(t *testing.T) {
 	is := is.New(t)
 	c := New(DefaultSettings())
 	objective := lb.Objective{Priority: 1, TargetMillis: 400}
@@ -79,9 +80,9 @@
 		c.Opened(0, "web", objective)
 		c.Begun(0, "web", objective)
 	}
-	is.Equal(c.services["web"].held(1), 0.0)
+	is.Equal(c.services["web"].openFlowShare(1), 0.0)
 	for range 100 {
 		c.Begun(0, "web", objective)
 	}
-	is.True(c.services["web"].held(1) > 0.4)
+	is.True(c.services["web"].openFlowShare(1) > 0.4)
 }
--- a/internal/overload/service.go
+++ b/internal/overload/service.go
@@ -14,60 +14,62 @@
 type service struct {
 	classes  map[lb.Objective]*class
 	backends map[Identity]*backend
-	// pressure is the median of the loads of its back ends, as of the last
-	// scan, and seen how much was seen of them.
-	pressure, seen float64
-	loads          []weighted
-	scanned        time.Duration
-	// answers were seen since the last adaptation; rate is how many come a
-	// second, and memory how long they count.
+	// pressure is the median of the loads of the service's back ends at the last scan, and weight
+	// is the total weight of the measurements behind it.
+	pressure, weight float64
+	loads            []weighted
+	scanned          time.Duration
+	// answers counts the answers since the last call of adapt. rate is their number per second,
+	// averaged, and averagingTime the time constant with which measurements decay.
 	answers, rate float64
-	memory        time.Duration
-	answeredAt    time.Duration // when the last one came
-	levels        []*level      // by priority, the most important first
+	averagingTime time.Duration
+	lastAnswerAt  time.Duration // time of the most recent answer
+	levels        []*level      // in order of priority, the most important first
 	adapted       time.Duration
-	// fleet is what follows from the fleet's sums, which are of the time toldAt.
-	fleet  admission.Service
-	toldAt time.Duration
-	// slots are this balancer's part of those of the ready back ends; 0: not known.
+	// fleet holds the admit rates computed from the fleet's load reports; fleetAt is the time of
+	// these reports.
+	fleet   admission.Service
+	fleetAt time.Duration
+	// slots is this balancer's share of the slots of the ready back ends; 0 means unknown.
 	slots float64
 
-	overloaded bool
-	calmSince  time.Duration // since when nothing is refused
-	refused    uint64        // since it became overloaded
-	// refusedEver counts all that were refused.
-	refusedEver uint64
+	overloaded   bool
+	lastRefusing time.Duration // last time at which a priority had an admit rate below 1
+	refused      uint64        // since the service became overloaded
+	// refusedTotal counts all refused openings.
+	refusedTotal uint64
 }
 
-// level is the admitted part of the openings of one priority.
+// level is the admit rate of the openings of one priority.
 type level struct {
-	priority uint16
-	seen     time.Duration // when its last opening came
-	log      float64       // natural logarithm of the part; at most 0
-	// opened and begun are how many openings were let in and how many requests begun, lately.
+	priority    uint16
+	lastOpening time.Duration // time of the most recent opening
+	logRate     float64       // natural logarithm of the admit rate; at most 0
+	// opened counts the admitted openings and begun the started requests; both decay with
+	// openFlowWindow.
 	opened, begun float64
 }
 
-// held gives the part of a priority's requests that come on flows that were open before.
-func (s *service) held(priority uint16) float64 {
+// openFlowShare returns the fraction of a priority's requests that arrive on flows opened earlier.
+func (s *service) openFlowShare(priority uint16) float64 {
 	for _, l := range s.levels {
 		if l.priority != priority || l.begun == 0 {
 			continue
 		}
-		if held := 1 - l.opened/l.begun; held > leastHeld {
-			return held
+		if share := 1 - l.opened/l.begun; share > minOpenFlowShare {
+			return share
 		}
 	}
 	return 0
 }
 
-// leastHeld is the part that is taken for none: chance in a few tens of requests, and openings that were
-// let in by another node.
-const leastHeld = 0.3
+// minOpenFlowShare is the minimum fraction that is evaluated. A lower one can be chance, since it
+// is computed from a few tens of requests, or result from openings that another balancer admitted.
+const minOpenFlowShare = 0.3
 
-// heldTime is the time in which counts of openings and requests lose two thirds of their weight:
-// one node sees some tens of them in it.
-const heldTime = 2 * time.Second
+// openFlowWindow is the time constant with which the counts of openings and requests decay: one
+// balancer handles some tens of them in it.
+const openFlowWindow = 2 * time.Second
 
 func (s *service) class(objective lb.Objective) *class {
 	known := s.classes[objective]
@@ -78,17 +80,18 @@
 	return known
 }
 
-// classLife is how long an objective is remembered after its last request.
-const classLife = 10 * time.Minute
+// stateTimeout is how long an objective or a priority is remembered after its last use.
+const stateTimeout = 10 * time.Minute
 
-// forget drops objectives and levels that have not been seen for long.
+// forget deletes objectives and levels that have not been used for stateTimeout.
 func (s *service) forget(now time.Duration) {
-	maps.DeleteFunc(s.classes, func(_ lb.Objective, c *class) bool { return now-c.idle.at > classLife })
-	s.levels = slices.DeleteFunc(s.levels, func(l *level) bool { return now-l.seen > classLife })
+	maps.DeleteFunc(s.classes, func(_ lb.Objective, c *class) bool { return now-c.idle.at > stateTimeout })
+	s.levels = slices.DeleteFunc(s.levels, func(l *level) bool { return now-l.lastOpening > stateTimeout })
 }
 
-// level gives the level of a priority. A new one begins where the one above it
-// stands: it must not be let in where more important openings are not.
+// level returns the level of a priority, and creates it if needed. A new level starts with the
+// admit rate of the next more important one: it must not admit openings while more important ones
+// are refused.
 func (s *service) level(priority uint16, settings *Settings) *level {
 	index, found := slices.BinarySearchFunc(s.levels, priority, func(l *level, priority uint16) int {
 		return int(l.priority) - int(priority)
@@ -97,142 +100,147 @@
 		return s.levels[index]
 	}
 	added := &level{priority: priority}
-	if index > 0 && !settings.newLevelsFull {
-		added.log = s.levels[index-1].log
+	if index > 0 && !settings.newLevelsAdmitAll {
+		added.logRate = s.levels[index-1].logRate
 	}
 	s.levels = slices.Insert(s.levels, index, added)
 	return s.levels[index]
 }
 
-// calm tells whether nothing is near a limit.
+// calm returns true if the service is far from its limits and refuses nothing.
 func (s *service) calm() bool {
 	if s.overloaded || s.pressure > calmPressure {
 		return false
 	}
-	return !slices.ContainsFunc(s.levels, func(l *level) bool { return l.log < 0 })
+	return !slices.ContainsFunc(s.levels, func(l *level) bool { return l.logRate < 0 })
 }
 
-// calmPressure is well below the pressure at which anything is refused.
+// calmPressure is well below the pressure at which openings are refused.
 const calmPressure = 0.8
 
-// free tells whether the back ends are known to have room, whatever is told: what a node sees is chance
-// in part, but it is news of now, and fills what the fleet's older news leave unused.
-func (s *service) free(settings *Settings) bool {
-	return s.seen >= enoughSeen && s.pressure < settings.FreeLoad
+// hasSpareCapacity returns true if this balancer's own measurements show spare capacity. They take
+// precedence over the fleet's reports: although partly chance, they are current, and so fill
+// capacity that the older reports leave unused.
+func (s *service) hasSpareCapacity(settings *Settings) bool {
+	return s.weight >= minSpareWeight && s.pressure < settings.FreeLoad
 }
 
-// enoughSeen is how many answers tell that back ends have room.
-const enoughSeen = 8
+// minSpareWeight is the minimum weight of measurements, in answers, that shows spare capacity.
+const minSpareWeight = 8
 
-// limit is the pressure up to which a level loses nothing; it is higher for
-// each level below that has openings.
+// limit returns the pressure up to which no opening of a level is refused. It is higher for each
+// less important level that is in use.
 func (s *service) limit(now time.Duration, l *level, settings *Settings) float64 {
 	limit := settings.Limit
 	switch {
-	case s.toldToRefuse(now, settings):
-		limit += settings.LateLimit
-	case s.told(now, settings) && s.fleet.Calm(&settings.Fleet):
-		limit += settings.CalmLimit
+	case s.fleetRefuses(now, settings):
+		limit += settings.FleetLimitRise
+	case s.fleetRatesFresh(now, settings) && s.fleet.Calm(&settings.Fleet):
+		limit += settings.CalmLimitRise
 	}
 	for _, other := range s.levels {
-		if other.priority > l.priority && now-other.seen <= settings.Forget {
-			limit += settings.Step
+		if other.priority > l.priority && now-other.lastOpening <= settings.PriorityTimeout {
+			limit += settings.PriorityStep
 		}
 	}
-	return min(limit, highestLimit)
+	return min(limit, maxLimit)
 }
 
-// highestLimit is below maxLoad, so that the pressure can pass it.
-const highestLimit = 3
+// maxLimit is less than maxLoad, so that the pressure can exceed it.
+const maxLimit = 3
 
-// admitted is the part of a level's openings that is let in at a pressure.
+// admitted returns the admit rate of a level at the given pressure.
 func (s *service) admitted(now time.Duration, l *level, pressure float64, settings *Settings) float64 {
-	if s.blind(now, settings) {
-		return s.fleet.PartOf(l.priority)
+	if s.lacksAnswers(now, settings) {
+		return s.fleet.RateOf(l.priority)
 	}
-	over := pressure - s.limit(now, l, settings)
-	log := l.log - settings.Damping*max(0, over)
+	excess := pressure - s.limit(now, l, settings)
+	log := l.logRate - settings.Damping*max(0, excess)
 	switch {
-	case s.free(settings):
+	case s.hasSpareCapacity(settings):
 		return 1
-	case s.toldToRefuse(now, settings):
-		// The fleet sees answers, whatever this node lets in: Least would add up where flows are kept.
-		return min(s.fleet.PartOf(l.priority), math.Exp(min(log, 0)))
+	case s.fleetRefuses(now, settings):
+		// MinAdmitRate does not apply here. The fleet as a whole always receives answers, whatever
+		// this balancer admits, and callers that keep their flows would accumulate through it.
+		return min(s.fleet.RateOf(l.priority), math.Exp(min(log, 0)))
 	}
-	return max(settings.Least, math.Exp(min(log, 0)))
+	return max(settings.MinAdmitRate, math.Exp(min(log, 0)))
 }
 
-// toldToRefuse tells whether the fleet's parts are known, and less than all is let in by them.
-func (s *service) toldToRefuse(now time.Duration, settings *Settings) bool {
-	return s.told(now, settings) && s.fleet.Refuses()
+// fleetRefuses returns true if the fleet's admit rates are current and refuse some openings.
+func (s *service) fleetRefuses(now time.Duration, settings *Settings) bool {
+	return s.fleetRatesFresh(now, settings) && s.fleet.Refuses()
 }
 
-// blind tells whether this node has had no answer for some time and the fleet knows more: one
-// that lets in nothing sees nothing of a crowd's end, and would refuse for five seconds after it
-// while there is room (soak of six nodes: 13 of 107 openings refused in calm).
-func (s *service) blind(now time.Duration, settings *Settings) bool {
-	return now-s.answeredAt > settings.Memory && s.told(now, settings)
+// lacksAnswers returns true if this balancer has had no answers for some time while current reports
+// of the fleet exist; it must then use the reports. A balancer that admits almost nothing has no
+// answers that show the end of an overload. By its own measurements it would go on refusing for
+// five seconds although there is capacity (with six balancers, 13 of 107 openings without overload
+// were refused).
+func (s *service) lacksAnswers(now time.Duration, settings *Settings) bool {
+	return now-s.lastAnswerAt > settings.AveragingTime && s.fleetRatesFresh(now, settings)
 }
 
-// told tells whether the parts that follow from the fleet's sums are known, and recent.
-func (s *service) told(now time.Duration, settings *Settings) bool {
-	return len(s.fleet.Parts()) > 0 && now-s.toldAt <= settings.PartsLife
+// fleetRatesFresh returns true if admit rates computed from the fleet's reports exist and are not
+// older than FleetRatesTimeout.
+func (s *service) fleetRatesFresh(now time.Duration, settings *Settings) bool {
+	return len(s.fleet.Rates()) > 0 && now-s.fleetAt <= settings.FleetRatesTimeout
 }
 
-// longestStep bounds the time that one adaptation stands for: after a pause
-// of this process little is known of what was between.
-const longestStep = 500 * time.Millisecond
+// maxStep bounds the time step of one call of adapt: after a pause of this process there are no
+// measurements for most of the elapsed time.
+const maxStep = 500 * time.Millisecond
 
-// remember sets how long answers count, by how many come.
-func (s *service) remember(now time.Duration, settings *Settings) {
+// updateAveragingTime adjusts the decay of measurements to the rate of answers.
+func (s *service) updateAveragingTime(now time.Duration, settings *Settings) {
 	elapsed := (now - s.adapted).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	part := min(elapsed/rateTime, 1)
-	s.rate += (s.answers/elapsed - s.rate) * part
+	weight := min(elapsed/rateWindow, 1)
+	s.rate += (s.answers/elapsed - s.rate) * weight
 	s.answers = 0
-	wanted := settings.LongestMemory
+	wanted := settings.MaxAveragingTime
 	if s.rate > 0 {
-		wanted = min(wanted, time.Duration(settings.Samples/s.rate*float64(time.Second)))
+		wanted = min(wanted, time.Duration(settings.TargetSamples/s.rate*float64(time.Second)))
 	}
-	s.memory = max(settings.Memory, wanted)
+	s.averagingTime = max(settings.AveragingTime, wanted)
 }
 
-// rateTime is the time, in seconds, over which the rate of answers is taken.
-const rateTime = 1.0
+// rateWindow is the time constant, in seconds, of the average rate of answers.
+const rateWindow = 1.0
 
-// adapt moves the levels by the pressure.
+// adapt adjusts the admit rates of all levels to the pressure.
 func (s *service) adapt(now time.Duration, settings *Settings) {
-	s.remember(now, settings)
-	step := min(now-s.adapted, longestStep).Seconds()
+	s.updateAveragingTime(now, settings)
+	step := min(now-s.adapted, maxStep).Seconds()
 	s.adapted = now
-	fade := math.Exp(-step / heldTime.Seconds())
+	decay := math.Exp(-step / openFlowWindow.Seconds())
 	for _, l := range s.levels {
-		l.opened *= fade
-		l.begun *= fade
-		if s.blind(now, settings) {
-			l.log = math.Log(max(settings.Least, s.fleet.PartOf(l.priority)))
+		l.opened *= decay
+		l.begun *= decay
+		if s.lacksAnswers(now, settings) {
+			l.logRate = math.Log(max(settings.MinAdmitRate, s.fleet.RateOf(l.priority)))
 			continue
 		}
-		over := s.pressure - s.limit(now, l, settings)
+		excess := s.pressure - s.limit(now, l, settings)
 		rate := settings.FallRate
-		if over < 0 {
+		if excess < 0 {
 			rate = settings.RiseRate
 		}
-		l.log -= rate * min(over, 1) * step
-		l.log = min(0, max(l.log, math.Log(settings.Least)))
+		l.logRate -= rate * min(excess, 1) * step
+		l.logRate = min(0, max(l.logRate, math.Log(settings.MinAdmitRate)))
 	}
 }
 
-// overloadedBelow is the admitted part below which a service is told to be
-// overloaded, and calmTime how long nothing must be refused until it is no more.
+// overloadedRate is the admit rate below which a service is reported as overloaded. The end of the
+// overload is reported once nothing has been refused for calmTime.
 const (
-	overloadedBelow = 0.9
-	calmTime        = 2 * time.Second
+	overloadedRate = 0.9
+	calmTime       = 2 * time.Second
 )
 
-// change tells when the service becomes overloaded and when it is so no more.
+// change returns a change if the service has become overloaded or is no longer overloaded.
 func (s *service) change(now time.Duration, settings *Settings) (Change, bool) {
 	change := Change{Pressure: s.pressure, Admitted: 1}
 	for _, l := range s.levels {
@@ -241,15 +249,15 @@
 		}
 	}
 	if change.Admitted < 1 {
-		s.calmSince = now
+		s.lastRefusing = now
 	}
 	switch {
-	case !s.overloaded && change.Admitted < overloadedBelow:
+	case !s.overloaded && change.Admitted < overloadedRate:
 		s.overloaded = true
 		s.refused = 0
 		change.Overloaded = true
 		return change, true
-	case s.overloaded && now-s.calmSince >= calmTime:
+	case s.overloaded && now-s.lastRefusing >= calmTime:
 		s.overloaded = false
 		change.Refused = s.refused
 		return change, true
--- a/internal/subset/turns.go
+++ b/internal/subset/subset.go
@@ -50,29 +50,29 @@
 // DefaultSettings gives the defaults.
 func DefaultSettings() Settings { return Settings{SubsetSize: 8, Replication: 3, InFlightPenalty: 1} }
 
-// card is a back end in a hand.
-type card struct {
-	index  int // in the list that the hand was dealt from
-	key    Identity
-	weight float64 // its part of its zone's turns; one in sum
-	credit float64 // turns that it is owed
-	factor float64 // of the pick at hand
+// member is a back end in a hand.
+type member struct {
+	index    int // in the list that the hand was dealt from
+	identity Identity
+	weight   float64 // its part of its zone's turns; one in sum
+	credit   float64 // turns that it is owed
+	factor   float64 // of the pick at hand
 }
 
-// group is the hand's part in one zone.
-type group struct {
-	zone   lb.Zone
-	credit float64
-	cards  []card
-	share  float64 // of this node's flows, at the pick at hand
-	factor float64 // mean of its cards', of the pick at hand
-	silent float64 // part of its cards' turns that take no flows, likewise
+// zoneSubset is the hand's part in one zone.
+type zoneSubset struct {
+	zone         lb.Zone
+	credit       float64
+	members      []member
+	share        float64 // of this node's flows, at the pick at hand
+	factor       float64 // mean of its cards', of the pick at hand
+	unresponsive float64 // part of its cards' turns that take no flows, likewise
 }
 
 // Picker deals the flows of one node to one service. It is not safe for concurrent use.
 type Picker struct {
 	settings Settings
-	groups   []group
+	subsets  []zoneSubset
 }
 
 // New gives a dealer without a hand. seed tells nodes apart.
@@ -83,44 +83,44 @@
 // millisecond, and nodes come and go many times a second while a fleet starts. Those who keep the order
 // of hashes themselves give back ends in it, which costs no sorting. It is immutable.
 type Ring struct {
-	zones []zoneCircle
+	zones []zoneRing
 }
 
-// zoneCircle is one zone's part, in order.
-type zoneCircle struct {
-	zone  lb.Zone
-	cards []card
-	size  float64 // of all of them
+// zoneRing is one zone's part, in order.
+type zoneRing struct {
+	zone    lb.Zone
+	members []member
+	size    float64 // of all of them
 }
 
 // NewRing orders back ends. Places in what Pick gives are those in this list.
 func NewRing(backends []Backend) *Ring {
-	byZone := make(map[lb.Zone]*zoneCircle)
+	byZone := make(map[lb.Zone]*zoneRing)
 	for index := range backends {
 		backend := &backends[index]
 		known := byZone[backend.Zone]
 		if known == nil {
-			known = &zoneCircle{zone: backend.Zone}
+			known = &zoneRing{zone: backend.Zone}
 			byZone[backend.Zone] = known
 		}
-		known.cards = append(known.cards, card{index: index, key: backend.Identity, weight: backend.Size})
+		known.members = append(known.members, member{index: index, identity: backend.Identity, weight: backend.Size})
 	}
 	circle := &Ring{}
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		known := byZone[zone]
-		if !slices.IsSortedFunc(known.cards, compareCards) {
-			slices.SortFunc(known.cards, compareCards)
+		if !slices.IsSortedFunc(known.members, compareMembers) {
+			slices.SortFunc(known.members, compareMembers)
 		}
-		for index := range known.cards {
-			known.size += known.cards[index].weight
+		for index := range known.members {
+			known.size += known.members[index].weight
 		}
 		circle.zones = append(circle.zones, *known)
 	}
 	return circle
 }
 
-func compareCards(a, b card) int {
-	left, right := uint64(a.key), uint64(b.key)
+func compareMembers(a, b member) int {
+	left, right := uint64(a.identity), uint64(b.identity)
 	return cmp.Or(cmp.Compare(rendezvous.Mix(left), rendezvous.Mix(right)), cmp.Compare(left, right))
 }
 
@@ -128,42 +128,42 @@
 // nodes apart, so that they begin their turns at different back ends.
 func (d *Picker) SetSubset(circle *Ring, place Position, seed uint64) {
 	owed := make(map[Identity]float64)
-	for _, g := range d.groups {
-		for _, c := range g.cards {
-			owed[c.key] = c.credit
+	for _, g := range d.subsets {
+		for _, c := range g.members {
+			owed[c.identity] = c.credit
 		}
 	}
-	d.groups = d.groups[:0]
+	d.subsets = d.subsets[:0]
 	for index := range circle.zones {
 		zone := &circle.zones[index]
-		g := group{zone: zone.zone, cards: d.cut(zone, place)}
-		for index := range g.cards {
-			c := &g.cards[index]
-			credit, known := owed[c.key]
+		g := zoneSubset{zone: zone.zone, members: d.zoneMembers(zone, place)}
+		for index := range g.members {
+			c := &g.members[index]
+			credit, known := owed[c.identity]
 			if !known {
-				credit = rendezvous.Uniform(rendezvous.Mix(seed^uint64(c.key))) - 0.5
+				credit = rendezvous.Uniform(rendezvous.Mix(seed^uint64(c.identity))) - 0.5
 			}
 			c.credit = credit
 		}
-		d.groups = append(d.groups, g)
+		d.subsets = append(d.subsets, g)
 	}
 }
 
-// cut gives the part of a zone's circle that the node's arc covers.
-func (d *Picker) cut(zone *zoneCircle, place Position) []card {
+// zoneMembers gives the part of a zone's circle that the node's arc covers.
+func (d *Picker) zoneMembers(zone *zoneRing, place Position) []member {
 	nodes := float64(max(place.Nodes, 1))
 	// Each point of the circle is covered by as many nodes as any other.
-	cover := math.Ceil(max(d.settings.SubsetSize/float64(len(zone.cards))*nodes, d.settings.Replication))
+	cover := math.Ceil(max(d.settings.SubsetSize/float64(len(zone.members))*nodes, d.settings.Replication))
 	arc := min(1, cover/nodes)
 	from := float64(place.Rank) / nodes
-	var cards []card
+	var cards []member
 	at := 0.0
-	for _, c := range zone.cards {
+	for _, c := range zone.members {
 		length := c.weight / zone.size
 		covered := overlap(at, at+length, from, from+arc) + overlap(at, at+length, from-1, from+arc-1)
 		at += length
 		if covered > 0 {
-			cards = append(cards, card{index: c.index, key: c.key, weight: covered / arc})
+			cards = append(cards, member{index: c.index, identity: c.identity, weight: covered / arc})
 		}
 	}
 	return cards
@@ -174,26 +174,26 @@
 	return max(0, min(to, otherTo)-max(from, otherFrom))
 }
 
-// mostOwed bounds the turns that a back end is owed, or ahead: one that was passed
+// maxCredit bounds the turns that a back end is owed, or ahead: one that was passed
 // over for long is not given them all at once.
-const mostOwed = 2
+const maxCredit = 2
 
 // Pick gives the place, in the list that the hand was dealt from, of the back end
 // whose turn it is; -1: there is none, or most of a zone's hand whose turn it is take no flows. parts are those of zones of this node's flows, factor is by how much the weight of one is lowered,
 // from 0 to 1, and busy how many requests of this node are under way there.
 func (d *Picker) Pick(parts map[lb.Zone]float64, factor func(index int) float64, busy func(index int) int) int {
-	best := d.pickGroup(parts, factor)
-	if best == nil || best.silent > mostSilent {
+	best := d.pickZone(parts, factor)
+	if best == nil || best.unresponsive > maxUnresponsive {
 		return -1
 	}
-	var chosen *card
+	var chosen *member
 	most := math.Inf(-1)
-	for index := range best.cards {
-		c := &best.cards[index]
+	for index := range best.members {
+		c := &best.members[index]
 		if c.factor == 0 {
 			continue
 		}
-		c.credit = min(c.credit+c.weight*c.factor/best.factor, mostOwed)
+		c.credit = min(c.credit+c.weight*c.factor/best.factor, maxCredit)
 		score := c.credit
 		if d.settings.InFlightPenalty > 0 {
 			score -= d.settings.InFlightPenalty * float64(busy(c.index))
@@ -202,35 +202,35 @@
 			chosen, most = c, score
 		}
 	}
-	chosen.credit = max(chosen.credit-1, -mostOwed)
+	chosen.credit = max(chosen.credit-1, -maxCredit)
 	return chosen.index
 }
 
-// mostSilent is the part of a hand that may take no flows: with more of them the
+// maxUnresponsive is the part of a hand that may take no flows: with more of them the
 // rest would be crowded, and who sees so little may be at fault itself.
-const mostSilent = 0.5
+const maxUnresponsive = 0.5
 
-// pickGroup gives the zone whose turn it is; nil: no back end in any takes flows.
-func (d *Picker) pickGroup(parts map[lb.Zone]float64, factor func(index int) float64) *group {
+// pickZone gives the zone whose turn it is; nil: no back end in any takes flows.
+func (d *Picker) pickZone(parts map[lb.Zone]float64, factor func(index int) float64) *zoneSubset {
 	sum := 0.0
-	for index := range d.groups {
-		g := &d.groups[index]
-		g.factor, g.silent, g.share = 0, 0, parts[g.zone]
-		for index := range g.cards {
-			c := &g.cards[index]
+	for index := range d.subsets {
+		g := &d.subsets[index]
+		g.factor, g.unresponsive, g.share = 0, 0, parts[g.zone]
+		for index := range g.members {
+			c := &g.members[index]
 			c.factor = factor(c.index)
 			g.factor += c.weight * c.factor
 			if c.factor == 0 {
-				g.silent += c.weight
+				g.unresponsive += c.weight
 			}
 		}
 		if g.factor > 0 {
 			sum += g.share
 		}
 	}
-	var best *group
-	for index := range d.groups {
-		g := &d.groups[index]
+	var best *zoneSubset
+	for index := range d.subsets {
+		g := &d.subsets[index]
 		if g.factor == 0 || g.share == 0 {
 			continue
 		}
--- a/internal/subset/turns_test.go
+++ b/internal/subset/subset_test.go
@@ -24,8 +24,8 @@
 	return backends
 }
 
-// parts are those of three zones.
-func parts(shares ...float64) map[lb.Zone]float64 {
+// zoneWeights are those of three zones.
+func zoneWeights(shares ...float64) map[lb.Zone]float64 {
 	given := map[lb.Zone]float64{}
 	for zone, share := range shares {
 		given[lb.Zone(fmt.Sprintf("zone-%d", zone))] = share
@@ -33,13 +33,13 @@
 	return given
 }
 
-var one = parts(1)
+var oneZone = zoneWeights(1)
 
-func whole(int) float64 { return 1 }
-func idle(int) int      { return 0 }
+func fullWeight(int) float64 { return 1 }
+func noRequests(int) int     { return 0 }
 
-// counts gives how often each back end is picked.
-func counts(d *Picker, zones map[lb.Zone]float64, backends, picks int, factor func(int) float64, busy func(int) int) []int {
+// countPicks gives how often each back end is picked.
+func countPicks(d *Picker, zones map[lb.Zone]float64, backends, picks int, factor func(int) float64, busy func(int) int) []int {
 	got := make([]int, backends)
 	for range picks {
 		got[d.Pick(zones, factor, busy)]++
@@ -61,7 +61,7 @@
 			for rank := range nodes {
 				d := New(DefaultSettings())
 				d.SetSubset(NewRing(backends), Position{Rank: rank, Nodes: nodes}, uint64(rank))
-				for _, c := range d.groups[0].cards {
+				for _, c := range d.subsets[0].members {
 					weights[c.index] += c.weight / float64(nodes)
 				}
 			}
@@ -81,7 +81,7 @@
 		for rank := range nodes {
 			d := New(DefaultSettings())
 			d.SetSubset(NewRing(backends), Position{Rank: rank, Nodes: nodes}, 1)
-			cards := d.groups[0].cards
+			cards := d.subsets[0].members
 			is.True(float64(len(cards)) < 2*max(DefaultSettings().SubsetSize, DefaultSettings().Replication*120/float64(nodes)))
 			for _, c := range cards {
 				dealers[c.index]++
@@ -100,8 +100,8 @@
 	d := New(DefaultSettings())
 	d.SetSubset(NewRing(backends), Position{Rank: 5, Nodes: 24}, 7)
 	const picks = 1000
-	got := counts(d, one, len(backends), picks, whole, idle)
-	for _, c := range d.groups[0].cards {
+	got := countPicks(d, oneZone, len(backends), picks, fullWeight, noRequests)
+	for _, c := range d.subsets[0].members {
 		is.True(math.Abs(float64(got[c.index])-picks*c.weight) <= 3)
 	}
 }
@@ -112,7 +112,7 @@
 	backends := fleetOf(10, 40, 3)
 	d := New(DefaultSettings())
 	d.SetSubset(NewRing(backends), Position{Rank: 2, Nodes: 9}, 7)
-	got := counts(d, parts(0.9, 0.08, 0.02), len(backends), 1000, whole, idle)
+	got := countPicks(d, zoneWeights(0.9, 0.08, 0.02), len(backends), 1000, fullWeight, noRequests)
 	zones := map[lb.Zone]int{}
 	for index, count := range got {
 		zones[backends[index].Zone] += count
@@ -132,14 +132,14 @@
 	d := New(DefaultSettings())
 	d.SetSubset(NewRing(backends), Position{Nodes: 1}, 7)
 	factors := []float64{0, 0.5, 1, 1, 1, 1, 1, 1}
-	got := counts(d, one, len(backends), 1300, func(index int) float64 { return factors[index] }, idle)
+	got := countPicks(d, oneZone, len(backends), 1300, func(index int) float64 { return factors[index] }, noRequests)
 	is.Equal(got[0], 0)
 	is.True(math.Abs(float64(got[1])-100) <= 3)
 	is.True(math.Abs(float64(got[2])-200) <= 3)
-	is.Equal(d.Pick(one, func(int) float64 { return 0 }, idle), -1)
+	is.Equal(d.Pick(oneZone, func(int) float64 { return 0 }, noRequests), -1)
 	mostly := []float64{0, 0, 0, 0, 0, 1, 1, 1}
-	is.Equal(d.Pick(one, func(index int) float64 { return mostly[index] }, idle), -1)
-	is.Equal(New(DefaultSettings()).Pick(one, whole, idle), -1)
+	is.Equal(d.Pick(oneZone, func(index int) float64 { return mostly[index] }, noRequests), -1)
+	is.Equal(New(DefaultSettings()).Pick(oneZone, fullWeight, noRequests), -1)
 }
 
 // TestBusyBackendsWait: one with requests under way is passed over while others
@@ -155,8 +155,8 @@
 		}
 		return 0
 	}
-	is.Equal(counts(d, one, len(backends), 400, whole, stuck)[3], 0)
-	after := counts(d, one, len(backends), 16, whole, idle)
+	is.Equal(countPicks(d, oneZone, len(backends), 400, fullWeight, stuck)[3], 0)
+	after := countPicks(d, oneZone, len(backends), 16, fullWeight, noRequests)
 	is.True(after[3] <= 2+16*3/15) // its own two turns, and two that it is owed
 }
 
@@ -173,7 +173,7 @@
 	for seed := range uint64(nodes) {
 		d := New(DefaultSettings())
 		d.SetSubset(NewRing(backends), Position{Nodes: 1}, seed*0x9e3779b97f4a7c15)
-		first[d.Pick(one, whole, idle)]++
+		first[d.Pick(oneZone, fullWeight, noRequests)]++
 	}
 	for _, count := range first {
 		is.True(count > 4 && count < 30) // 15 in the mean
@@ -191,7 +191,7 @@
 	got := make([]int, len(backends))
 	for range 800 {
 		d.SetSubset(NewRing(backends), Position{Nodes: 1}, 7)
-		got[d.Pick(one, whole, idle)]++
+		got[d.Pick(oneZone, fullWeight, noRequests)]++
 	}
 	for _, count := range got {
 		is.True(math.Abs(float64(count)-100) <= 1)
@@ -203,8 +203,8 @@
 	is := is.New(t)
 	d := New(DefaultSettings())
 	d.SetSubset(NewRing(fleetOf(40, 40, 40)), Position{Rank: 3, Nodes: 24}, 7)
-	zones := parts(0.98, 0.01, 0.01)
-	is.Equal(testing.AllocsPerRun(100, func() { d.Pick(zones, whole, idle) }), 0.0)
+	zones := zoneWeights(0.98, 0.01, 0.01)
+	is.Equal(testing.AllocsPerRun(100, func() { d.Pick(zones, fullWeight, noRequests) }), 0.0)
 }
 
 // BenchmarkDeal deals a new hand among 3,000 back ends, as after each change of the zone's nodes.
