--- a/internal/admissionqueue/freeslots.go
+++ b/internal/admissionqueue/freeslots.go
@@ -6,10 +6,10 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// FreeSlots remembers for a short time which back ends have just become free, as far
-// as this node has seen. The end of a request is seen by one node alone, so that no
-// two of them send to the same room. Room for a request is none for a flow that
-// brings many: what short flows are is seen, too.
+// FreeSlots remembers for a short time which back ends have just completed a request, as observed
+// by this node. Only one node observes the end of a request, so that no two nodes use the same free
+// slot. A slot that is free for one request does not suffice for a flow with many, so FreeSlots
+// also measures which flows are short.
 type FreeSlots struct {
 	settings Settings
 	slots    []freeSlot
@@ -17,7 +17,7 @@
 	kinds    map[kindKey]*kind
 }
 
-// freeSlot is one request that a back end can take.
+// freeSlot is spare capacity for one request at a back end.
 type freeSlot struct {
 	service  lb.ServiceName
 	identity uint64
@@ -25,105 +25,108 @@
 	claimed  bool
 }
 
-// kindKey names a kind of request.
+// kindKey identifies a kind of request.
 type kindKey struct {
 	service   lb.ServiceName
 	objective lb.Objective
 }
 
-// kind counts the flows of a kind that this node has placed, and the requests
-// whose answers it has seen. Both are halved now and then.
+// kind counts the flows of one kind that this node has placed, and the answers to their requests.
+// Both are halved after maxFlows flows.
 type kind struct {
 	flows, requests float64
 }
 
-// Bounds of what is remembered.
+// Bounds of the state.
 const (
-	// maxFreeSlots are remembered: a node that sees 400 requests end a second sees 8 in RoomLife.
+	// maxFreeSlots is the number of remembered free slots: a node that observes the end of 400
+	// requests per second observes 8 within FreeSlotTimeout.
 	maxFreeSlots = 16
-	// minFlows tell whether flows are short, and mostFlows are counted until both are halved.
+	// minFlows is the minimum number of flows that shows whether flows are short. After maxFlows
+	// flows both counts are halved.
 	minFlows, maxFlows = 8, 64
-	// maxShortFlowRequests is the most requests a flow that a short one brings: one, and some
-	// whose opening went through another node.
+	// maxShortFlowRequests is the maximum mean number of requests on a short flow. It is more than
+	// one because other nodes opened some of the flows.
 	maxShortFlowRequests = 1.5
-	// maxKinds are remembered.
+	// maxKinds is the maximum number of remembered kinds.
 	maxKinds = 256
 )
 
-// NewFreeSlots gives rooms of which none is known.
+// NewFreeSlots returns a FreeSlots without free slots.
 func NewFreeSlots(settings Settings) *FreeSlots {
-	rooms := &FreeSlots{settings: settings, slots: make([]freeSlot, maxFreeSlots), kinds: make(map[kindKey]*kind)}
-	for index := range rooms.slots {
-		rooms.slots[index].claimed = true
+	free := &FreeSlots{settings: settings, slots: make([]freeSlot, maxFreeSlots), kinds: make(map[kindKey]*kind)}
+	for index := range free.slots {
+		free.slots[index].claimed = true
 	}
-	return rooms
+	return free
 }
 
-// Opened notes that this node has placed a flow.
-func (r *FreeSlots) Opened(service lb.ServiceName, objective lb.Objective) {
-	if r.settings.Off {
+// Opened records that this node has placed a flow.
+func (f *FreeSlots) Opened(service lb.ServiceName, objective lb.Objective) {
+	if f.settings.Off {
 		return
 	}
-	k := r.kind(service, objective)
+	k := f.kind(service, objective)
 	k.flows++
 	if k.flows >= maxFlows {
 		k.flows, k.requests = k.flows/2, k.requests/2
 	}
 }
 
-// Answered notes that a back end has answered a request, and, if it was quick,
-// that it has room for another.
-func (r *FreeSlots) Answered(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, quick bool) {
-	if r.settings.Off {
+// Answered records that a back end has answered a request and, if quick is true, that the back end
+// has spare capacity for another one.
+func (f *FreeSlots) Answered(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, quick bool) {
+	if f.settings.Off {
 		return
 	}
-	r.kind(service, objective).requests++
+	f.kind(service, objective).requests++
 	if !quick {
 		return
 	}
-	r.slots[r.next] = freeSlot{service: service, identity: identity, at: now}
-	r.next = (r.next + 1) % len(r.slots)
+	f.slots[f.next] = freeSlot{service: service, identity: identity, at: now}
+	f.next = (f.next + 1) % len(f.slots)
 }
 
-// Claim gives the back end of a service that has become free last, once.
-func (r *FreeSlots) Claim(now time.Duration, service lb.ServiceName, objective lb.Objective) (identity uint64, found bool) {
-	if r.settings.Off || !r.bringsOneRequest(service, objective) {
+// Claim returns the back end of a service that became free most recently. Each free slot is
+// returned once.
+func (f *FreeSlots) Claim(now time.Duration, service lb.ServiceName, objective lb.Objective) (identity uint64, found bool) {
+	if f.settings.Off || !f.bringsOneRequest(service, objective) {
 		return 0, false
 	}
-	for step := range r.slots {
-		known := &r.slots[(r.next-1-step+2*len(r.slots))%len(r.slots)]
-		if !known.claimed && known.service == service && now-known.at <= r.settings.FreeSlotTimeout {
-			known.claimed = true
-			return known.identity, true
+	for step := range f.slots {
+		slot := &f.slots[(f.next-1-step+2*len(f.slots))%len(f.slots)]
+		if !slot.claimed && slot.service == service && now-slot.at <= f.settings.FreeSlotTimeout {
+			slot.claimed = true
+			return slot.identity, true
 		}
 	}
 	return 0, false
 }
 
-// bringsOneRequest tells whether flows of a kind are known to bring one request.
-func (r *FreeSlots) bringsOneRequest(service lb.ServiceName, objective lb.Objective) bool {
-	k := r.kinds[kindKey{service, objective}]
+// bringsOneRequest returns true if flows of a kind are known to carry one request each.
+func (f *FreeSlots) bringsOneRequest(service lb.ServiceName, objective lb.Objective) bool {
+	k := f.kinds[kindKey{service, objective}]
 	return k != nil && k.flows >= minFlows && k.requests <= maxShortFlowRequests*k.flows
 }
 
-func (r *FreeSlots) kind(service lb.ServiceName, objective lb.Objective) *kind {
+func (f *FreeSlots) kind(service lb.ServiceName, objective lb.Objective) *kind {
 	key := kindKey{service, objective}
-	known := r.kinds[key]
-	if known == nil {
-		if len(r.kinds) >= maxKinds {
-			clear(r.kinds) // operators have changed objectives many times
+	counts := f.kinds[key]
+	if counts == nil {
+		if len(f.kinds) >= maxKinds {
+			clear(f.kinds) // reached only after operators changed objectives many times
 		}
-		known = &kind{}
-		r.kinds[key] = known
+		counts = &kind{}
+		f.kinds[key] = counts
 	}
-	return known
+	return counts
 }
 
-// Forget drops what is known of services but those to keep.
-func (r *FreeSlots) Forget(keep func(lb.ServiceName) bool) {
-	for key := range r.kinds {
+// Forget deletes the state of all services for which keep returns false.
+func (f *FreeSlots) Forget(keep func(lb.ServiceName) bool) {
+	for key := range f.kinds {
 		if !keep(key.service) {
-			delete(r.kinds, key)
+			delete(f.kinds, key)
 		}
 	}
 }
--- a/internal/admissionqueue/levels.go
+++ b/internal/admissionqueue/levels.go
@@ -2,18 +2,18 @@
 
 import "robinpulley.example/robinpulley/internal/lb"
 
-// Level names the openings of one priority of a service.
+// Level identifies the openings of one priority of a service.
 type Level struct {
 	Service  lb.ServiceName
 	Priority uint16
 }
 
-// Levels gives how many openings of each priority of each service wait, for operators.
+// Levels returns the number of queued openings of each priority of each service, for operators.
 func (q *Queue[K]) Levels() map[Level]int {
 	levels := make(map[Level]int)
 	for _, index := range q.order {
-		held := &q.slots[index]
-		levels[Level{held.Service, held.Objective.Priority}]++
+		waiter := &q.entries[index]
+		levels[Level{waiter.Service, waiter.Objective.Priority}]++
 	}
 	return levels
 }
--- a/internal/admissionqueue/levels_test.go
+++ b/internal/admissionqueue/levels_test.go
@@ -9,7 +9,7 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-func TestWaitingOpeningsAreCountedByPriority(t *testing.T) {
+func TestQueuedOpeningsAreCountedByPriority(t *testing.T) {
 	is := is.New(t)
 	q := New[int](DefaultSettings())
 	is.Equal(len(q.Levels()), 0)
--- a/internal/admissionqueue/queue.go
+++ b/internal/admissionqueue/queue.go
@@ -1,8 +1,8 @@
-// Package waiting keeps the first copies of openings for which there is no room
-// just now, for a part of the time that their callers have, in place of refusing
-// them at once. It says in which order they are asked for again, when one's time
-// is up, and which ones cannot be met; whoever holds the queue says whether there
-// is room. The package has no I/O and no clock. See docs/design/waiting.md.
+// Package admissionqueue queues the first copies of openings for which there is no spare capacity
+// at present, for part of the time that their callers can wait, in place of refusing them
+// immediately. It decides the order in which they are retried, when their waiting time ends, and
+// which ones can't be admitted in time. The caller of the queue decides whether there is capacity.
+// The package has no I/O and no clock. See docs/design/waiting.md.
 package admissionqueue
 
 import (
@@ -13,66 +13,69 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Order says which of the openings that wait is asked for first.
+// Order is the order in which queued openings are retried.
 type Order uint8
 
-// The orders.
+// These are the possible orders.
 const (
-	// ByPriority takes the more important first, among these the one whose time is up first.
+	// ByPriority retries more important openings first, and among openings of one priority the one
+	// with the earliest deadline.
 	ByPriority Order = iota
-	// ByArrival takes the one first that came first.
+	// ByArrival retries openings in the order of their arrival.
 	ByArrival
 )
 
-// Settings of a queue. See DefaultSettings.
+// Settings are the parameters of a queue. See DefaultSettings.
 type Settings struct {
-	// Off holds nothing.
+	// Off disables the queue: Hold accepts no opening.
 	Off   bool
 	Order Order
-	// Capacity is the most openings that wait.
+	// Capacity is the maximum number of queued openings.
 	Capacity int
-	// Interval is the time between looks at those that wait.
+	// Interval is the interval between retries of the queued openings.
 	Interval time.Duration
-	// Share is the part of its objective that an opening may wait, and Longest the
-	// longest time, whatever its objective.
+	// Share is the maximum waiting time as a fraction of the opening's target, and MaxWait is the
+	// maximum whatever the target is.
 	Share   float64
 	MaxWait time.Duration
-	// Grace is how much longer than that an opening may be found waiting, and
-	// still be refused.
+	// Grace is how long after its deadline an opening may still be refused. Later it must be
+	// dropped without an answer.
 	Grace time.Duration
-	// RateWindow is the time over which it is seen how many go.
+	// RateWindow is the time over which the rate of released openings is averaged.
 	RateWindow time.Duration
-	// FreeSlotTimeout is how long a back end that has become free is taken to be so.
+	// FreeSlotTimeout is how long a back end that has become free is assumed to stay free.
 	FreeSlotTimeout time.Duration
 
-	// Rules that tests take out, to see that they are needed.
+	// These switch off one rule each. Tests use them to show that the rule is needed.
 	keepsUnservable, refusesLate, keepsOverdue bool
 }
 
-// Callers send the first copy of an opening that has no answer this long after it.
+// firstCopyDelay is the time after which a caller sends the first copy of an opening that was not
+// answered.
 const firstCopyDelay = 200 * time.Millisecond
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default parameters.
 func DefaultSettings() Settings {
 	return Settings{
-		// 66,000 openings a second over 840 nodes are 79 a node; three times as many
-		// for the longest time are 28, and zones and nodes differ by four times.
+		// 66,000 openings per second over 840 nodes are 79 per node. Three times as many, for
+		// MaxWait, are 28 queued openings, and zones and nodes differ by a factor of four.
 		Capacity: 128,
-		// A slot of a service whose requests take 50 ms frees up every 25 ms where
-		// back ends have two; a look is a few microseconds.
+		// With two slots per back end and requests of 50 ms, a slot becomes free every 25 ms on
+		// average. A retry of the queue takes a few microseconds.
 		Interval: 10 * time.Millisecond,
-		// Callers try three times, and a try that is let in takes up to two fifths
-		// of the objective: three waits of a fifth fit in beside it.
+		// Callers try three times, and a try that is admitted takes up to two fifths of the target.
+		// Three waits of a fifth each fit in the rest.
 		Share:   0.2,
 		MaxWait: 120 * time.Millisecond,
-		// Together with Longest less than firstCopy, by 40 ms for the way to the node.
+		// MaxWait + Grace is 40 ms less than firstCopyDelay; these are left for the way to the
+		// node.
 		Grace:           40 * time.Millisecond,
 		RateWindow:      500 * time.Millisecond,
 		FreeSlotTimeout: 20 * time.Millisecond,
 	}
 }
 
-// Opening is what a queue goes by.
+// Opening identifies a queued opening and holds the fields that determine its order.
 type Opening struct {
 	Flow      lb.FlowID
 	OpeningID uint32
@@ -80,153 +83,156 @@
 	Objective lb.Objective
 }
 
-// Waiter is an opening that waits, with what its holder keeps of it.
+// Waiter is a queued opening with the caller's data for it.
 type Waiter[K any] struct {
 	Opening
 	Kept K
-	// Arrived is when it came, and Due when its time is up.
+	// Arrived is the time of arrival, and Due is the deadline.
 	Arrived, Due time.Duration
-	// Looks is how often it was asked for since.
+	// Looks is the number of retries so far.
 	Looks uint32
 
-	sequence uint64 // counts those that were held
+	sequence uint64 // number of openings queued before this one
 	used     bool
 }
 
-// Chance says what may become of an opening at a look.
+// Chance says which outcomes are possible for an opening at a retry.
 type Chance uint8
 
-// The chances.
+// These are the possible values.
 const (
-	// ChanceMore: it goes now, or waits on.
+	// ChanceMore means that the opening may be released or stay queued.
 	ChanceMore Chance = iota + 1
-	// ChanceLast: it goes now, or is refused: its time is up, or cannot suffice.
+	// ChanceLast means that the opening must be released or refused: its deadline has passed, or it
+	// can't be admitted before it.
 	ChanceLast
-	// ChanceGone: it is to be dropped, since its caller may have sent a copy elsewhere.
+	// ChanceGone means that the opening must be dropped, since its caller may have sent a copy to
+	// another node.
 	ChanceGone
 )
 
-// Fate is what was decided on an opening at a look.
+// Fate is the decision on an opening at a retry.
 type Fate uint8
 
-// The fates.
+// These are the possible decisions.
 const (
-	// FateWaits: there is no room yet.
+	// FateWaits keeps the opening in the queue, since there is no spare capacity yet.
 	FateWaits Fate = iota + 1
-	// FateWent: it went on.
+	// FateWent removes the opening because it was forwarded to a back end.
 	FateWent
-	// FateEnded: it was refused or dropped.
+	// FateEnded removes the opening because it was refused or dropped.
 	FateEnded
 )
 
-// Queue is what waits at one node. It is not safe for concurrent use.
+// Queue holds the queued openings of one node. It is not safe for concurrent use.
 type Queue[K any] struct {
 	settings     Settings
-	slots        []Waiter[K]
-	order        []int // the slots in use, in the order in which they are asked for
+	entries      []Waiter[K]
+	order        []int // indexes of the used entries, in the order of retries
 	scratch      []int
 	nextSequence uint64
 	services     map[lb.ServiceName]*serviceState
 }
 
-// serviceState is what is known of the openings of a service.
+// serviceState holds the statistics of one service.
 type serviceState struct {
-	waiting int // how many wait now
-	// waitingSince is when the first of those came that have waited without a gap, and
-	// went how many of them went on, which fades.
+	waiting int // number of queued openings
+	// waitingSince is the start of the period in which openings have been queued without a long
+	// gap. released counts the openings released from the queue, and decays over RateWindow.
 	waitingSince, at time.Duration
 	released         float64
 }
 
-// New gives an empty queue.
+// New returns an empty queue.
 func New[K any](settings Settings) *Queue[K] {
 	q := &Queue[K]{settings: settings, services: make(map[lb.ServiceName]*serviceState)}
 	if !settings.Off {
-		q.slots = make([]Waiter[K], settings.Capacity)
+		q.entries = make([]Waiter[K], settings.Capacity)
 		q.order = make([]int, 0, settings.Capacity)
 		q.scratch = make([]int, 0, settings.Capacity)
 	}
 	return q
 }
 
-// Len is how many wait.
+// Len returns the number of queued openings.
 func (q *Queue[K]) Len() int { return len(q.order) }
 
-// maxWait is how long an opening may wait; 0: not at all. One whose objective is
-// not known is not held: nothing tells how long its caller can wait.
+// maxWait returns the maximum waiting time for an objective. It is 0 for an objective without a
+// target, since nothing limits then how long the caller can wait.
 func (q *Queue[K]) maxWait(objective lb.Objective) time.Duration {
 	return min(time.Duration(q.settings.Share*float64(objective.Target())), q.settings.MaxWait)
 }
 
-// Hold takes an opening for which there is no room now, and gives its place,
-// whose Kept the caller fills. nil: it is to be refused at once, since the queue
-// is full or could not meet it.
+// Hold queues an opening for which there is no spare capacity at present, and returns its entry,
+// whose Kept the caller must set. It returns nil if the opening must be refused immediately,
+// because the queue is full or the opening can't be admitted in time.
 func (q *Queue[K]) Hold(now time.Duration, opening Opening) *Waiter[K] {
 	limit := q.maxWait(opening.Objective)
-	if q.settings.Off || limit < q.settings.Interval || len(q.order) == len(q.slots) {
+	if q.settings.Off || limit < q.settings.Interval || len(q.order) == len(q.entries) {
 		return nil
 	}
-	l := q.serviceState(now, opening.Service)
+	s := q.serviceState(now, opening.Service)
 	added := Waiter[K]{Opening: opening, Arrived: now, Due: now + limit, sequence: q.nextSequence, used: true}
-	if q.unservable(now, l, q.ahead(&added), limit) {
+	if q.unservable(now, s, q.ahead(&added), limit) {
 		return nil
 	}
 	q.nextSequence++
-	l.waiting++
-	index := slices.IndexFunc(q.slots, func(w Waiter[K]) bool { return !w.used })
-	q.slots[index] = added
-	at, _ := slices.BinarySearchFunc(q.order, index, func(a, b int) int { return q.compare(&q.slots[a], &q.slots[b]) })
+	s.waiting++
+	index := slices.IndexFunc(q.entries, func(w Waiter[K]) bool { return !w.used })
+	q.entries[index] = added
+	at, _ := slices.BinarySearchFunc(q.order, index, func(a, b int) int { return q.compare(&q.entries[a], &q.entries[b]) })
 	q.order = slices.Insert(q.order, at, index)
-	return &q.slots[index]
+	return &q.entries[index]
 }
 
-// Find gives the opening of a flow that waits, or nil.
+// Find returns the queued opening of a flow, or nil.
 func (q *Queue[K]) Find(flow lb.FlowID) *Waiter[K] {
 	for _, index := range q.order {
-		if q.slots[index].Flow == flow {
-			return &q.slots[index]
+		if q.entries[index].Flow == flow {
+			return &q.entries[index]
 		}
 	}
 	return nil
 }
 
-// Remove takes out an opening that Find gave.
+// Remove removes an opening that Find returned.
 func (q *Queue[K]) Remove(w *Waiter[K]) {
-	q.order = slices.DeleteFunc(q.order, func(index int) bool { return &q.slots[index] == w })
-	q.release(w)
+	q.order = slices.DeleteFunc(q.order, func(index int) bool { return &q.entries[index] == w })
+	q.clear(w)
 }
 
-func (q *Queue[K]) release(w *Waiter[K]) {
+func (q *Queue[K]) clear(w *Waiter[K]) {
 	q.services[w.Service].waiting--
 	*w = Waiter[K]{}
 }
 
-// Look asks for each opening that waits, in order, what becomes of it. all tells
-// that nothing may wait any longer.
+// Look retries each queued opening, in order: decide returns the decision on it. If all is true,
+// none may stay queued.
 func (q *Queue[K]) Look(now time.Duration, all bool, decide func(*Waiter[K], Chance) Fate) {
 	q.scratch = append(q.scratch[:0], q.order...)
 	q.order = q.order[:0]
 	for _, index := range q.scratch {
-		w := &q.slots[index]
+		w := &q.entries[index]
 		w.Looks++
-		chance := q.chance(now, w)
-		if all && chance == ChanceMore {
-			chance = ChanceLast
+		phase := q.phase(now, w)
+		if all && phase == ChanceMore {
+			phase = ChanceLast
 		}
-		switch decide(w, chance) {
+		switch decide(w, phase) {
 		case FateWaits:
 			q.order = append(q.order, index)
 			continue
 		case FateWent:
-			l := q.serviceState(now, w.Service)
-			l.released++
+			s := q.serviceState(now, w.Service)
+			s.released++
 		}
-		q.release(w)
+		q.clear(w)
 	}
 }
 
-// chance says what may become of an opening now; q.order has those before it that go on waiting.
-func (q *Queue[K]) chance(now time.Duration, w *Waiter[K]) Chance {
+// phase returns which outcomes are possible for an opening now. q.order holds the openings before
+// it that stay queued.
+func (q *Queue[K]) phase(now time.Duration, w *Waiter[K]) Chance {
 	switch {
 	case now > w.Due+q.settings.Grace && !q.settings.refusesLate:
 		return ChanceGone
@@ -238,11 +244,12 @@
 	return ChanceMore
 }
 
-// ahead counts the openings of the same service that are asked for before one.
+// ahead returns the number of queued openings of the same service that are retried before the given
+// one.
 func (q *Queue[K]) ahead(w *Waiter[K]) int {
 	count := 0
 	for _, index := range q.order {
-		other := &q.slots[index]
+		other := &q.entries[index]
 		if other.Service == w.Service && q.compare(other, w) < 0 {
 			count++
 		}
@@ -261,41 +268,41 @@
 	)
 }
 
-// unservable tells whether those ahead take longer than the time that is left, at
-// the rate at which openings of the service have gone lately. Who is first is
-// never without hope, so that it is seen when there is room again.
-func (q *Queue[K]) unservable(now time.Duration, l *serviceState, ahead int, left time.Duration) bool {
+// unservable returns true if the openings ahead will take longer than the remaining time, at the
+// recent rate of released openings of the service. It never returns true for the first opening,
+// whose retries detect that there is capacity again.
+func (q *Queue[K]) unservable(now time.Duration, s *serviceState, ahead int, remaining time.Duration) bool {
 	if q.settings.keepsUnservable {
 		return false
 	}
-	seen := min(now-l.waitingSince, q.settings.RateWindow)
-	if seen < q.settings.RateWindow/2 {
-		return false // not known yet
+	elapsed := min(now-s.waitingSince, q.settings.RateWindow)
+	if elapsed < q.settings.RateWindow/2 {
+		return false // the rate is not known yet
 	}
-	return float64(ahead)*seen.Seconds() > l.released*left.Seconds()
+	return float64(ahead)*elapsed.Seconds() > s.released*remaining.Seconds()
 }
 
-// serviceState gives what is known of a service. It begins anew when nothing has waited
-// for a while.
+// serviceState returns the statistics of a service. They are reset after RateWindow without queued
+// openings.
 func (q *Queue[K]) serviceState(now time.Duration, name lb.ServiceName) *serviceState {
-	l := q.services[name]
-	if l == nil {
-		l = &serviceState{waitingSince: now, at: now}
-		q.services[name] = l
+	s := q.services[name]
+	if s == nil {
+		s = &serviceState{waitingSince: now, at: now}
+		q.services[name] = s
 	}
-	elapsed := now - l.at
-	if l.waiting == 0 && elapsed > q.settings.RateWindow {
-		*l = serviceState{waitingSince: now, at: now}
+	elapsed := now - s.at
+	if s.waiting == 0 && elapsed > q.settings.RateWindow {
+		*s = serviceState{waitingSince: now, at: now}
 	}
-	l.released *= max(0, 1-float64(elapsed)/float64(q.settings.RateWindow))
-	l.at = now
-	return l
+	s.released *= max(0, 1-float64(elapsed)/float64(q.settings.RateWindow))
+	s.at = now
+	return s
 }
 
-// Forget drops what is known of services but those to keep, and of which nothing waits.
+// Forget deletes the statistics of services without queued openings for which keep returns false.
 func (q *Queue[K]) Forget(keep func(lb.ServiceName) bool) {
-	for name, l := range q.services {
-		if l.waiting == 0 && !keep(name) {
+	for name, s := range q.services {
+		if s.waiting == 0 && !keep(name) {
 			delete(q.services, name)
 		}
 	}
--- a/internal/admissionqueue/queue_test.go
+++ b/internal/admissionqueue/queue_test.go
@@ -13,24 +13,25 @@
 
 const ms = time.Millisecond
 
-// opening gives one of a service, with a target of 400 ms: it may wait 80 ms.
+// opening returns an opening with a target of 400 ms, which may wait 80 ms.
 func opening(flow lb.FlowID, priority uint16) Opening {
 	return Opening{Flow: flow, Service: "web", Objective: lb.Objective{Priority: priority, TargetMillis: 400}}
 }
 
-// retryAll has each opening that waits decided by decide, and gives the flows in the order in which they were asked for.
-func retryAll(q *Queue[int], now time.Duration, decide func(*Waiter[int], Chance) Fate) (asked []lb.FlowID) {
-	q.Look(now, false, func(w *Waiter[int], chance Chance) Fate {
-		asked = append(asked, w.Flow)
-		return decide(w, chance)
+// retryAll calls Look with decide, and returns the flows in the order of their retries.
+func retryAll(q *Queue[int], now time.Duration, decide func(*Waiter[int], Chance) Fate) (retried []lb.FlowID) {
+	q.Look(now, false, func(w *Waiter[int], phase Chance) Fate {
+		retried = append(retried, w.Flow)
+		return decide(w, phase)
 	})
-	return asked
+	return retried
 }
 
 func keepWaiting(*Waiter[int], Chance) Fate { return FateWaits }
 
-// TestTheMoreImportantIsAskedForFirst, then the one whose time is up first; by arrival alone where that is set.
-func TestTheMoreImportantIsAskedForFirst(t *testing.T) {
+// TestRetryOrder checks the order by priority and then by deadline, and the order by arrival where
+// the settings select it.
+func TestRetryOrder(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	orders := map[Order][]lb.FlowID{ByPriority: {4, 3, 1, 2}, ByArrival: {1, 2, 3, 4}}
@@ -49,7 +50,8 @@
 	}
 }
 
-// TestBounds: a full queue, one that is off, and openings whose callers cannot wait hold nothing.
+// TestBounds checks that a full queue, a disabled one, and one given openings with an unknown
+// target reject openings.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
@@ -65,9 +67,9 @@
 	is.True(New[int](Settings{Off: true}).Hold(0, opening(1, 1)) == nil)
 }
 
-// TestDecidedBeforeTheFirstCopy: what is held is refused at the latest when its
-// caller cannot have sent a copy, also if 40 ms went by on the way; three tries of
-// a caller fit in its objective with the time that a try takes.
+// TestDecidedBeforeTheFirstCopy checks that a queued opening is refused before its caller can have
+// sent a copy, even after 40 ms on the way to the node, and that three tries of a caller fit in its
+// target together with the time that a try takes.
 func TestDecidedBeforeTheFirstCopy(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
@@ -82,43 +84,45 @@
 	}
 }
 
-// TestChances: more until it is due, then the last one, and none once a copy may be elsewhere.
+// TestChances checks that an opening may stay queued until its deadline, must be decided then, and
+// must be dropped once a copy may have reached another node.
 func TestChances(t *testing.T) {
 	is := is.New(t)
 	for _, test := range []struct {
-		at     time.Duration
-		chance Chance
+		at    time.Duration
+		phase Chance
 	}{{10 * ms, ChanceMore}, {79 * ms, ChanceMore}, {80 * ms, ChanceLast}, {120 * ms, ChanceLast}, {121 * ms, ChanceGone}, {time.Hour, ChanceGone}} {
 		q := New[int](DefaultSettings())
 		q.Hold(0, opening(1, 1))
-		retryAll(q, test.at, func(_ *Waiter[int], chance Chance) Fate {
-			is.Equal(chance, test.chance)
+		retryAll(q, test.at, func(_ *Waiter[int], phase Chance) Fate {
+			is.Equal(phase, test.phase)
 			return FateEnded
 		})
 		is.Equal(q.Len(), 0)
 	}
 	q := New[int](DefaultSettings())
 	q.Hold(0, opening(1, 1))
-	q.Look(ms, true, func(_ *Waiter[int], chance Chance) Fate {
-		is.Equal(chance, ChanceLast)
+	q.Look(ms, true, func(_ *Waiter[int], phase Chance) Fate {
+		is.Equal(phase, ChanceLast)
 		return FateEnded
 	})
 }
 
-// busyQueue is a queue from which one opening goes at each look, every 10 ms, for a second.
+// busyQueue returns a queue from which one opening was released at each retry, every 10 ms, for a
+// second.
 func busyQueue(settings Settings) (q *Queue[int], now time.Duration) {
 	q = New[int](settings)
 	for i := range 100 {
 		now += settings.Interval
 		q.Hold(now, opening(lb.FlowID(1000+i), 1))
 		q.Hold(now, opening(lb.FlowID(2000+i), 1))
-		went := false
-		retryAll(q, now, func(_ *Waiter[int], chance Chance) Fate {
-			if !went {
-				went = true
+		released := false
+		retryAll(q, now, func(_ *Waiter[int], phase Chance) Fate {
+			if !released {
+				released = true
 				return FateWent
 			}
-			if chance == ChanceMore {
+			if phase == ChanceMore {
 				return FateWaits
 			}
 			return FateEnded
@@ -127,9 +131,9 @@
 	return q, now
 }
 
-// TestWhatCannotBeMetIsRefusedAtOnce: one goes every 10 ms, so that some eight that
-// wait use up the 80 ms of the next. With the rule taken out the queue goes on growing.
-func TestWhatCannotBeMetIsRefusedAtOnce(t *testing.T) {
+// TestUnservableOpeningIsRefusedAtOnce: one opening is released every 10 ms, so that about eight
+// queued ones use up the 80 ms of the next one. Without the rule the queue keeps growing.
+func TestUnservableOpeningIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	q, now := busyQueue(settings)
@@ -137,7 +141,7 @@
 		q.Hold(now, opening(lb.FlowID(5000+i), 1))
 	}
 	is.True(q.Len() >= 6 && q.Len() <= 10)
-	is.True(q.Hold(now, opening(1, 0)) != nil) // nobody is ahead of a more important one
+	is.True(q.Hold(now, opening(1, 0)) != nil) // no opening is ahead of a more important one
 	other := opening(2, 1)
 	other.Service = "docs"
 	is.True(q.Hold(now, other) != nil) // nor of one of another service
@@ -150,16 +154,16 @@
 	is.True(q.Len() > 50)
 }
 
-// TestTheFirstIsNeverWithoutHope: so that it is seen when there is room again.
-func TestTheFirstIsNeverWithoutHope(t *testing.T) {
+// TestFirstOpeningIsNeverUnservable: its retries are needed to detect that there is capacity again.
+func TestFirstOpeningIsNeverUnservable(t *testing.T) {
 	is := is.New(t)
 	q := New[int](DefaultSettings())
 	for now := time.Duration(0); now < 5*time.Second; now += 10 * ms {
 		if q.Len() == 0 {
 			is.True(q.Hold(now, opening(lb.FlowID(now), 1)) != nil)
 		}
-		retryAll(q, now, func(_ *Waiter[int], chance Chance) Fate {
-			if chance == ChanceMore {
+		retryAll(q, now, func(_ *Waiter[int], phase Chance) Fate {
+			if phase == ChanceMore {
 				return FateWaits
 			}
 			return FateEnded
@@ -167,46 +171,47 @@
 	}
 }
 
-// firstBrokenProperty plays a queue at random and says which property was broken.
+// firstBrokenProperty runs random operations on a queue and returns the first property that was
+// broken, or an empty string.
 func firstBrokenProperty(t *rapid.T, settings Settings) (broken string) {
 	settings.Capacity = 8
 	q := New[int](settings)
 	now, flow := time.Duration(0), lb.FlowID(0)
-	waits := make(map[lb.FlowID]time.Duration)
+	queued := make(map[lb.FlowID]time.Duration)
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
-		// A process that pauses looks late.
-		now += time.Duration(rapid.SampledFrom([]int{0, 1, 5, 10, 30, 300}).Draw(t, "gap")) * ms
+		// After a pause of the process, the retry is late.
+		now += time.Duration(rapid.SampledFrom([]int{0, 1, 5, 10, 30, 300}).Draw(t, "pause")) * ms
 		if rapid.Bool().Draw(t, "arrives") {
 			flow++
 			o := opening(flow, uint16(rapid.IntRange(0, 2).Draw(t, "priority")))
 			if q.Hold(now, o) != nil {
-				waits[flow] = now
+				queued[flow] = now
 			}
 		} else {
-			retryAll(q, now, func(w *Waiter[int], chance Chance) Fate {
-				arrived, held := waits[w.Flow]
+			retryAll(q, now, func(w *Waiter[int], phase Chance) Fate {
+				arrived, found := queued[w.Flow]
 				switch {
-				case !held:
+				case !found:
 					broken = "decided twice"
-				case chance != ChanceGone && now-arrived > settings.MaxWait+settings.Grace:
-					broken = "refused when a copy may be elsewhere"
-				case chance == ChanceMore && now-arrived >= 80*ms:
-					broken = "waits beyond its time"
+				case phase != ChanceGone && now-arrived > settings.MaxWait+settings.Grace:
+					broken = "refused although a copy may be elsewhere"
+				case phase == ChanceMore && now-arrived >= 80*ms:
+					broken = "queued beyond its deadline"
 				}
-				room := rapid.IntRange(0, 3).Draw(t, "room") == 0
+				capacity := rapid.IntRange(0, 3).Draw(t, "capacity") == 0
 				switch {
-				case chance == ChanceMore && !room:
+				case phase == ChanceMore && !capacity:
 					return FateWaits
-				case room && chance != ChanceGone:
-					delete(waits, w.Flow)
+				case capacity && phase != ChanceGone:
+					delete(queued, w.Flow)
 					return FateWent
 				}
-				delete(waits, w.Flow)
+				delete(queued, w.Flow)
 				return FateEnded
 			})
 		}
-		if broken == "" && (q.Len() != len(waits) || q.Len() > settings.Capacity) {
-			broken = "lost, or held beyond the bound"
+		if broken == "" && (q.Len() != len(queued) || q.Len() > settings.Capacity) {
+			broken = "lost, or more queued than the capacity"
 		}
 		if broken != "" {
 			return broken
@@ -215,31 +220,31 @@
 	return ""
 }
 
-// TestNothingHeldIsLost: each opening that is held is decided once, in its time,
-// whatever comes and however late looks are. Each rule taken out breaks it.
-func TestNothingHeldIsLost(t *testing.T) {
+// TestNoQueuedOpeningIsLost checks that each queued opening is decided once and in time, whatever
+// arrives and however late retries are. Without each of the rules the check must fail.
+func TestNoQueuedOpeningIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if broken := firstBrokenProperty(t, DefaultSettings()); broken != "" {
 			t.Fatal(broken)
 		}
 	})
-	mutants := map[string]func(*Settings){
-		"refused when a copy may be elsewhere": func(s *Settings) { s.refusesLate = true },
-		"waits beyond its time":                func(s *Settings) { s.keepsOverdue = true },
+	mutations := map[string]func(*Settings){
+		"refused although a copy may be elsewhere": func(s *Settings) { s.refusesLate = true },
+		"queued beyond its deadline":               func(s *Settings) { s.keepsOverdue = true },
 	}
-	for expected, change := range mutants {
+	for expected, change := range mutations {
 		is := is.New(t)
-		var seen []string
+		var found []string
 		for seed := range 200 {
 			settings := DefaultSettings()
 			change(&settings)
-			seen = append(seen, rapid.Custom(func(t *rapid.T) string { return firstBrokenProperty(t, settings) }).Example(seed))
+			found = append(found, rapid.Custom(func(t *rapid.T) string { return firstBrokenProperty(t, settings) }).Example(seed))
 		}
-		is.True(slices.Contains(seen, expected))
+		is.True(slices.Contains(found, expected))
 	}
 }
 
-// TestFindAndRemove: an opening is found by its flow until it is taken out.
+// TestFindAndRemove checks that an opening is found by its flow until it is removed.
 func TestFindAndRemove(t *testing.T) {
 	is := is.New(t)
 	q := New[int](DefaultSettings())
@@ -253,64 +258,67 @@
 	is.Equal(q.Len(), 1)
 }
 
-// knownShortFlows are rooms that know flows of the objective to bring one request.
+// knownShortFlows returns a FreeSlots that has measured that flows of the objective carry one
+// request each.
 func knownShortFlows(o Opening) *FreeSlots {
-	r := NewFreeSlots(DefaultSettings())
+	free := NewFreeSlots(DefaultSettings())
 	for range minFlows {
-		r.Opened(o.Service, o.Objective)
-		r.Answered(0, o.Service, o.Objective, 0, false)
+		free.Opened(o.Service, o.Objective)
+		free.Answered(0, o.Service, o.Objective, 0, false)
 	}
-	return r
+	return free
 }
 
-// TestRoomIsTakenOnce, the one that was seen last first, while it is news, by its service.
-func TestRoomIsTakenOnce(t *testing.T) {
+// TestFreeSlotIsClaimedOnce checks that free slots of a service are claimed once, the most recent
+// first, and not after FreeSlotTimeout.
+func TestFreeSlotIsClaimedOnce(t *testing.T) {
 	is := is.New(t)
 	o := opening(1, 1)
-	r := knownShortFlows(o)
+	free := knownShortFlows(o)
 	for identity := range uint64(3) {
-		r.Answered(ms, o.Service, o.Objective, identity, true)
+		free.Answered(ms, o.Service, o.Objective, identity, true)
 	}
-	_, found := r.Claim(ms, "docs", o.Objective)
+	_, found := free.Claim(ms, "docs", o.Objective)
 	is.True(!found)
 	for _, expected := range []uint64{2, 1} {
-		identity, found := r.Claim(2*ms, o.Service, o.Objective)
+		identity, found := free.Claim(2*ms, o.Service, o.Objective)
 		is.True(found)
 		is.Equal(identity, expected)
 	}
-	_, found = r.Claim(ms+DefaultSettings().FreeSlotTimeout+1, o.Service, o.Objective)
-	is.True(!found) // too old
+	_, found = free.Claim(ms+DefaultSettings().FreeSlotTimeout+1, o.Service, o.Objective)
+	is.True(!found) // expired
 	for identity := range uint64(100) {
-		r.Opened(o.Service, o.Objective)
-		r.Answered(ms, o.Service, o.Objective, identity, true)
+		free.Opened(o.Service, o.Objective)
+		free.Answered(ms, o.Service, o.Objective, identity, true)
 	}
-	taken := 0
+	claimed := 0
 	for found := true; found; {
-		if _, found = r.Claim(ms, o.Service, o.Objective); found {
-			taken++
+		if _, found = free.Claim(ms, o.Service, o.Objective); found {
+			claimed++
 		}
 	}
-	is.Equal(taken, maxFreeSlots)
+	is.Equal(claimed, maxFreeSlots)
 }
 
-// TestNoRoomForFlowsThatBringMany requests, nor for those of which nothing is known.
-func TestNoRoomForFlowsThatBringMany(t *testing.T) {
+// TestNoFreeSlotForLongFlows checks that no free slot is claimed for flows with many requests, or
+// for flows of unknown length.
+func TestNoFreeSlotForLongFlows(t *testing.T) {
 	is := is.New(t)
 	short, long := opening(1, 1), opening(2, 2)
-	r := knownShortFlows(short)
-	r.Answered(0, short.Service, short.Objective, 5, true)
-	_, found := r.Claim(0, long.Service, long.Objective)
+	free := knownShortFlows(short)
+	free.Answered(0, short.Service, short.Objective, 5, true)
+	_, found := free.Claim(0, long.Service, long.Objective)
 	is.True(!found)
 	for range 2 * maxFlows {
-		r.Opened(long.Service, long.Objective)
+		free.Opened(long.Service, long.Objective)
 		for range 3 {
-			r.Answered(0, long.Service, long.Objective, 0, false)
+			free.Answered(0, long.Service, long.Objective, 0, false)
 		}
 	}
-	_, found = r.Claim(0, long.Service, long.Objective)
+	_, found = free.Claim(0, long.Service, long.Objective)
 	is.True(!found)
-	_, found = r.Claim(0, short.Service, short.Objective)
+	_, found = free.Claim(0, short.Service, short.Objective)
 	is.True(found)
-	r.Forget(func(lb.ServiceName) bool { return false })
-	is.Equal(len(r.kinds), 0)
+	free.Forget(func(lb.ServiceName) bool { return false })
+	is.Equal(len(free.kinds), 0)
 }
--- a/internal/committedload/committedload.go
+++ b/internal/committedload/committedload.go
@@ -1,8 +1,8 @@
-// Package heldwork forecasts the work that a balancer's open flows will bring to a service. It
-// answers a crowd of callers who keep their flows: what they bring in the first moments is a
-// fraction of what they bring as long as the flows stay open, and an open flow can't be refused. Each
-// balancer lets in no more than its own part of the slots can serve, so that no balancer, and no
-// zone, gets its flows at the cost of the others. The package has no I/O and no clock.
+// Package committedload forecasts the work that a balancer's open flows will bring to a service. It
+// handles a surge of callers that keep their flows open: in the first moments these flows carry
+// only a fraction of the requests that they carry as long as they stay open, and an open flow can't
+// be refused. Each balancer admits no more than its own share of the slots can serve, so that no
+// balancer and no zone is served at the expense of the others. The package has no I/O and no clock.
 package committedload
 
 import (
@@ -12,28 +12,28 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Settings of a tracker. See DefaultSettings.
+// Settings are the parameters of a tracker. See DefaultSettings.
 type Settings struct {
-	// Window is the time over which the rate of requests is taken.
+	// Window is the time constant over which the rate of requests is averaged.
 	Window time.Duration
-	// GrowingLimit is the part of the slots that may be forecast to be used while the flows
-	// multiply, by more than Growth, and SteadyLimit that at other times, when the times of
-	// requests show what there is room for.
+	// GrowingLimit is the maximum forecast use of the slots, as a multiple of their number, while
+	// the number of flows grows by more than a factor of GrowthThreshold. SteadyLimit is the
+	// maximum at other times, when response times show the spare capacity.
 	GrowingLimit, SteadyLimit, GrowthThreshold float64
 	// MaxGrowth bounds the factor by which work is forecast to grow.
 	MaxGrowth float64
-	// LeastKept is the part of requests on flows that were open before from which a priority's
-	// callers count as keeping their flows.
+	// LeastKept is the minimum fraction of work on flows opened earlier from which a priority's
+	// callers are treated as keeping their flows.
 	LeastKept float64
-	// MinFlows is how many flows tell anything.
+	// MinFlows is the minimum number of flows for a forecast.
 	MinFlows int
 	// FlowTimeout is how long a flow counts as open after its last request.
 	FlowTimeout time.Duration
-	// MaxFlows bounds the flows that are remembered.
+	// MaxFlows bounds the number of tracked flows.
 	MaxFlows int
 }
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default parameters.
 func DefaultSettings() Settings {
 	return Settings{
 		Window:          300 * time.Millisecond,
@@ -48,24 +48,24 @@
 	}
 }
 
-// level is what is known of the requests of one priority at a service. Counts fade with the window.
+// level holds the request counts of one priority at a service. All but flows decay with the window.
 type level struct {
 	priority     uint16
-	first        time.Duration // when the first request began
-	at           time.Duration // of the counts
+	first        time.Duration // start of the first request
+	at           time.Duration // time of the last decay of the counts
 	work         float64       // of all requests, in slot seconds
-	openFlowWork float64       // the part of it on flows that were open before
-	openings     float64       // let in
-	flows        int           // open
+	openFlowWork float64       // factor of work on flows opened earlier
+	openings     float64       // number of admitted openings
+	flows        int           // number of open flows
 }
 
 // flow is an open flow.
 type flow struct {
 	level *level
-	at    time.Duration // of its last request
+	at    time.Duration // time of its most recent request
 }
 
-// Tracker is the forecast of one balancer. It is not safe for concurrent use.
+// Tracker forecasts the committed load of one balancer. It is not safe for concurrent use.
 type Tracker struct {
 	settings Settings
 	levels   map[lb.ServiceName][]*level
@@ -73,24 +73,24 @@
 	sweepAt  time.Duration
 }
 
-// New gives a tracker that knows nothing.
+// New returns a tracker without flows.
 func New(settings Settings) *Tracker {
 	return &Tracker{settings: settings, levels: make(map[lb.ServiceName][]*level), flows: make(map[lb.FlowID]flow)}
 }
 
-// RecordOpening notes that an opening was let in.
+// RecordOpening records that an opening was admitted.
 func (t *Tracker) RecordOpening(now time.Duration, service lb.ServiceName, priority uint16) {
 	l := t.level(now, service, priority)
 	l.openings++
 }
 
-// RecordRequest notes that a request begins on a flow, with the time in seconds that it needs at an
-// idle back end.
+// RecordRequest records that a request begins on a flow. work is the time in seconds that the
+// request takes at an idle back end.
 func (t *Tracker) RecordRequest(now time.Duration, service lb.ServiceName, priority uint16, id lb.FlowID, work float64) {
 	l := t.level(now, service, priority)
 	l.work += work
-	known, open := t.flows[id]
-	if open && known.level == l {
+	tracked, open := t.flows[id]
+	if open && tracked.level == l {
 		l.openFlowWork += work
 		t.flows[id] = flow{l, now}
 		return
@@ -102,15 +102,15 @@
 	}
 }
 
-// CloseFlow notes that a flow has ended.
+// CloseFlow records that a flow has ended.
 func (t *Tracker) CloseFlow(id lb.FlowID) {
-	if known, open := t.flows[id]; open {
-		known.level.flows--
+	if tracked, open := t.flows[id]; open {
+		tracked.level.flows--
 		delete(t.flows, id)
 	}
 }
 
-// level gives the level of a priority, which begins now if it is new.
+// level returns the level of a priority, and creates it if needed.
 func (t *Tracker) level(now time.Duration, service lb.ServiceName, priority uint16) *level {
 	l := t.find(service, priority)
 	if l == nil {
@@ -134,34 +134,34 @@
 	if now <= l.at {
 		return
 	}
-	part := math.Exp(-(now - l.at).Seconds() / window.Seconds())
+	factor := math.Exp(-(now - l.at).Seconds() / window.Seconds())
 	l.at = now
-	l.work *= part
-	l.openFlowWork *= part
-	l.openings *= part
+	l.work *= factor
+	l.openFlowWork *= factor
+	l.openings *= factor
 }
 
-// rate gives the slots that a faded count of slot seconds stands for.
+// rate converts a decayed count of slot seconds to the number of slots in use.
 func (t *Tracker) rate(now time.Duration, l *level, count float64) float64 {
 	window := t.settings.Window.Seconds()
 	age := max(now-l.first, t.settings.Window/3).Seconds()
 	return count / (window * (1 - math.Exp(-age/window)))
 }
 
-// ExceedsSlots tells whether open flows are forecast to need more than this balancer's part of a service's
-// slots, beside what the more important requests need. Callers of a priority who do not keep
-// their flows never fill it.
+// ExceedsSlots returns true if the open flows of a priority, together with the requests of more
+// important priorities, are forecast to need more of this balancer's share of a service's slots than
+// the settings allow. It returns false for a priority whose callers do not keep their flows.
 func (t *Tracker) ExceedsSlots(now time.Duration, service lb.ServiceName, priority uint16, slots float64) bool {
 	l := t.find(service, priority)
 	if l == nil || slots <= 0 {
 		return false
 	}
 	l.decay(now, t.settings.Window)
-	seen := float64(l.flows) - l.openings // those whose requests the rate shows
-	if seen < float64(t.settings.MinFlows) || l.openFlowWork < t.settings.LeastKept*l.work {
+	active := float64(l.flows) - l.openings // flows with requests that the rate includes
+	if active < float64(t.settings.MinFlows) || l.openFlowWork < t.settings.LeastKept*l.work {
 		return false
 	}
-	growth := min(float64(l.flows)/seen, t.settings.MaxGrowth)
+	growth := min(float64(l.flows)/active, t.settings.MaxGrowth)
 	limit := t.settings.SteadyLimit
 	if growth > t.settings.GrowthThreshold {
 		limit = t.settings.GrowingLimit
@@ -169,7 +169,7 @@
 	return t.rate(now, l, l.openFlowWork)*growth+t.moreImportantSlots(now, service, priority) > limit*slots
 }
 
-// moreImportantSlots gives the slots that the more important requests need.
+// moreImportantSlots returns the slots that the requests of more important priorities need.
 func (t *Tracker) moreImportantSlots(now time.Duration, service lb.ServiceName, priority uint16) float64 {
 	slots := 0.0
 	for _, l := range t.levels[service] {
@@ -181,39 +181,39 @@
 	return slots
 }
 
-// sweepInterval is the time between looks for flows that have ended unseen.
+// sweepInterval is the interval between searches for flows that ended unnoticed.
 const sweepInterval = 500 * time.Millisecond
 
-// Tick forgets flows without requests.
+// Tick removes flows without requests for FlowTimeout.
 func (t *Tracker) Tick(now time.Duration) {
 	if now < t.sweepAt {
 		return
 	}
 	t.sweepAt = now + sweepInterval
-	for id, known := range t.flows {
-		if now-known.at > t.settings.FlowTimeout {
+	for id, tracked := range t.flows {
+		if now-tracked.at > t.settings.FlowTimeout {
 			t.CloseFlow(id)
 		}
 	}
 }
 
-// Forget drops what is known of services but those to keep.
+// Forget deletes the state of all services for which keep returns false.
 func (t *Tracker) Forget(keep func(lb.ServiceName) bool) {
-	gone := make(map[*level]bool)
+	forgotten := make(map[*level]bool)
 	for service, levels := range t.levels {
 		if keep(service) {
 			continue
 		}
 		for _, l := range levels {
-			gone[l] = true
+			forgotten[l] = true
 		}
 		delete(t.levels, service)
 	}
-	if len(gone) == 0 {
+	if len(forgotten) == 0 {
 		return
 	}
-	for id, known := range t.flows {
-		if gone[known.level] {
+	for id, tracked := range t.flows {
+		if forgotten[tracked.level] {
 			delete(t.flows, id)
 		}
 	}
--- a/internal/committedload/committedload_test.go
+++ b/internal/committedload/committedload_test.go
@@ -13,25 +13,25 @@
 	web  = lb.ServiceName("web")
 	feed = uint16(2)
 	tap  = uint16(1)
-	work = 0.04 // seconds a request
+	work = 0.04 // seconds per request
 	ms   = time.Millisecond
 )
 
-// callers open flows, each of which then brings a request each period.
+// callers open flows and send one request per period on each of them.
 type callers struct {
 	tracker *Tracker
 	period  time.Duration
-	opened  []time.Duration // when, by flow
+	opened  []time.Duration // opening time of each flow
 }
 
-// open lets in flows evenly over a time.
+// open adds flows with openings that are evenly spread over an interval.
 func (c *callers) open(from, until time.Duration, count int) {
 	for index := range count {
 		c.opened = append(c.opened, from+(until-from)*time.Duration(index)/time.Duration(count))
 	}
 }
 
-// play brings the openings and requests before a time, in order.
+// play feeds the openings and requests before the given time to the tracker, in order.
 func (c *callers) play(until time.Duration) {
 	for now := time.Duration(0); now < until; now += ms {
 		for id, opened := range c.opened {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestFlowsThatMultiplyAreCountedAsOpen: flows opened within 0.2 s have brought few further requests, and
-// are taken for the four slots that they will need.
-func TestFlowsThatMultiplyAreCountedAsOpen(t *testing.T) {
+// TestGrowingFlowsAreForecast checks the forecast for flows that were all opened within 0.2 s: they
+// have carried few further requests so far, but will need four slots.
+func TestGrowingFlowsAreForecast(t *testing.T) {
 	is := is.New(t)
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
@@ -58,8 +58,8 @@
 	is.True(!c.tracker.ExceedsSlots(220*ms, web, feed, 6))
 }
 
-// TestSteadyFlowsLeaveRoom: the same flows later, and a new one beside them.
-func TestSteadyFlowsLeaveRoom(t *testing.T) {
+// TestSteadyFlowsLeaveCapacity checks the same flows later, with a new one beside them.
+func TestSteadyFlowsLeaveCapacity(t *testing.T) {
 	is := is.New(t)
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
@@ -69,7 +69,8 @@
 	is.True(c.tracker.ExceedsSlots(2100*ms, web, feed, 2))
 }
 
-// TestMoreImportantRequestsComeFirst: what they need is not there for flows.
+// TestMoreImportantRequestsComeFirst checks that the slots that more important requests need are
+// not available to flows.
 func TestMoreImportantRequestsComeFirst(t *testing.T) {
 	is := is.New(t)
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
@@ -78,13 +79,13 @@
 		c.tracker.RecordRequest(time.Duration(id)*5*ms, web, tap, 1000+id, 0.05)
 	}
 	c.play(time.Second)
-	is.True(c.tracker.ExceedsSlots(time.Second, web, feed, 6)) // ten of them
+	is.True(c.tracker.ExceedsSlots(time.Second, web, feed, 6)) // of which the requests need ten
 	is.True(!c.tracker.ExceedsSlots(time.Second, web, feed, 14))
 	is.True(!c.tracker.ExceedsSlots(time.Second, web, tap, 6))
 }
 
-// TestCallersWhoKeepNoFlowsFillNothing: an opening brings one request only.
-func TestCallersWhoKeepNoFlowsFillNothing(t *testing.T) {
+// TestShortFlowsExceedNothing: callers who open a flow for each request commit no slots.
+func TestShortFlowsExceedNothing(t *testing.T) {
 	is := is.New(t)
 	tracker := New(DefaultSettings())
 	for id := range lb.FlowID(500) {
@@ -96,8 +97,9 @@
 	is.True(!tracker.ExceedsSlots(500*ms, web, feed, 1))
 }
 
-// TestNothingIsFullWithoutSlots: where they are not known, or nothing was seen.
-func TestNothingIsFullWithoutSlots(t *testing.T) {
+// TestNothingIsExceededWithoutSlots covers an unknown number of slots, and a service without
+// requests.
+func TestNothingIsExceededWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
@@ -106,9 +108,9 @@
 	is.True(!c.tracker.ExceedsSlots(time.Second, "docs", feed, 1))
 }
 
-// TestFlowsThatMoveHereAreNoCrowd: a balancer that has just started sees flows which others
-// let in, and a few openings.
-func TestFlowsThatMoveHereAreNoCrowd(t *testing.T) {
+// TestTakenOverFlowsAreNoSurge: a balancer that has just started receives requests on flows that
+// others admitted, besides a few openings. It must not forecast growth from them.
+func TestTakenOverFlowsAreNoSurge(t *testing.T) {
 	is := is.New(t)
 	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
 	for id := range lb.FlowID(15) {
--- a/internal/overload/estimate.go
+++ b/internal/overload/estimate.go
@@ -86,34 +86,34 @@
 
 // median returns the weighted median of the loads, including the neutral load, and the total weight
 // without it. It sorts the loads.
-func median(loads []weighted) (load, weight float64) {
+func median(loads []weighted) (load, total float64) {
 	slices.SortFunc(loads, func(a, b weighted) int { return cmp.Compare(a.load, b.load) })
 	for _, l := range loads {
-		weight += l.weight
+		total += l.weight
 	}
-	half := (weight + neutralSamples) / 2
+	half := (total + neutralSamples) / 2
 	below, neutral := 0.0, false
 	for _, l := range loads {
 		if !neutral && l.load > neutralLoad {
 			neutral = true
 			if below += neutralSamples; below >= half {
-				return neutralLoad, weight
+				return neutralLoad, total
 			}
 		}
 		if below += l.weight; below >= half {
-			return l.load, weight
+			return l.load, total
 		}
 	}
-	return neutralLoad, weight
+	return neutralLoad, total
 }
 
 // average returns the weighted mean in place of the median; see Settings.useMean.
-func average(loads []weighted) (load, weight float64) {
+func average(loads []weighted) (load, total float64) {
 	for _, l := range loads {
 		load += l.load * l.weight
-		weight += l.weight
+		total += l.weight
 	}
-	return load / max(weight, 1), weight
+	return load / max(total, 1), total
 }
 
 // class holds the response times of requests with the same objective.
