--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -1,10 +1,10 @@
-// Package conntrack remembers at which back end a flow is open, for the few flows whose
-// opening more than one back end may answer: a caller repeats an opening that is not
-// answered in time, and the copy may be placed elsewhere. Caller and back ends echo the
-// last token that they received, so that a late answer to an earlier copy would lead an
-// open flow to a back end which does not hold it. The back end of the first later packet
-// is the one that the caller accepted. Balancers announce these flows to each other, since
-// later packets may come to any of them. The package has no I/O and no clock.
+// Package conntrack tracks the back end at which a flow is open, for the few flows whose opening
+// may be answered by more than one back end: a caller retransmits an opening that is not answered
+// in time, and the copy may be placed elsewhere. Caller and back ends echo the last token that they
+// received, so a late answer to an earlier copy would send the packets of an open flow to a back
+// end that does not have the flow. The back end of the first packet after the opening is the one
+// that the caller accepted. Balancers announce these flows to each other, since later packets may
+// arrive at any of them. The package has no I/O and no clock.
 package conntrack
 
 import (
@@ -15,30 +15,32 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Token names a back end in the packets of a flow.
+// Token identifies a back end in the packets of a flow.
 type Token uint32
 
-// Settings of a table. See DefaultSettings.
+// Settings are the parameters of a table. See DefaultSettings.
 type Settings struct {
-	// IdleTimeout is how long a flow is remembered after its last packet.
+	// IdleTimeout is how long a flow is tracked after its last packet.
 	IdleTimeout time.Duration
-	// MaxFlows bounds the flows that are remembered; further ones go by their packets' tokens.
+	// MaxFlows is the maximum number of tracked flows. Packets of further flows are forwarded by
+	// their own tokens.
 	MaxFlows int
-	// BatchSize is how many flows are announced to other balancers at once, and MaxAnnouncements how
-	// many wait.
+	// BatchSize is the maximum number of flows in one announcement to other balancers, and
+	// MaxAnnouncements the maximum number of flows that wait to be announced.
 	BatchSize, MaxAnnouncements int
-	// RepeatTime is the time until a flow is announced once more: the balancer that heard of it
-	// first may have been about to end.
+	// RepeatTime is the time after which a flow is announced a second time, in case the balancer
+	// that received the first announcement stopped before passing it on.
 	RepeatTime time.Duration
-	// RecentTime is how long after its opening a flow is announced to balancers that start: late
-	// answers come within seconds.
+	// RecentTime is how long after its opening a flow is announced to starting balancers. Late
+	// answers arrive within seconds.
 	RecentTime time.Duration
-	// AckWindow is how many bytes a packet with another token may be ahead of, or behind, the last
-	// acknowledgement. One farther away belongs to a new flow of the same addresses and ports.
+	// AckWindow is the maximum distance, in bytes, between the last acknowledgement of a flow and
+	// the acknowledgement in a packet with another token. A packet farther away belongs to a new
+	// flow with the same addresses and ports.
 	AckWindow uint32
 }
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default parameters.
 func DefaultSettings() Settings {
 	return Settings{IdleTimeout: 5 * time.Minute, MaxFlows: 1 << 14, BatchSize: 64, MaxAnnouncements: 256, RepeatTime: time.Second, RecentTime: 30 * time.Second, AckWindow: 1 << 20}
 }
@@ -46,40 +48,41 @@
 // Flow is an open flow, as balancers announce it to each other.
 type Flow struct {
 	ID lb.FlowID
-	// OpeningID tells copies of one opening from a new opening of the same addresses and
-	// ports; 0: not known.
+	// OpeningID distinguishes copies of one opening from a new opening with the same addresses and
+	// ports; 0 means unknown.
 	OpeningID uint32
 	Token     Token
-	// Acknowledged is the last acknowledgement of the caller.
+	// Acknowledged is the last acknowledgement number that the caller sent.
 	Acknowledged uint32
 }
 
-// entry is a flow that is remembered.
+// entry is the state of a tracked flow.
 type entry struct {
 	flow     Flow
-	open     bool // its token and acknowledgement are known
+	open     bool // the token and the acknowledgement are known
 	openedAt time.Duration
 	seenAt   time.Duration
 }
 
-// announcement is a flow that is to be announced at a time.
+// announcement is a flow that waits to be announced.
 type announcement struct {
 	flow Flow
 	at   time.Duration
 }
 
-// Stats counts what a table did, and what it holds.
+// Stats holds the counters of a table and its size.
 type Stats struct {
-	// Corrected are packets that carried the token of a back end at which their flow is not open.
+	// Corrected is the number of packets that carried the token of a back end other than the one at
+	// which their flow is open.
 	Corrected uint64
-	// Untracked are flows that were not remembered, and Unannounced those that were not
-	// announced, for want of room.
+	// Untracked is the number of flows that were not tracked because the table was full, and
+	// Unannounced the number of announcements that were dropped because too many were waiting.
 	Untracked, Unannounced uint64
-	// Flows are those that are remembered now.
+	// Flows is the present number of tracked flows.
 	Flows int
 }
 
-// Table is what one balancer remembers. It is not safe for concurrent use.
+// Table holds the flows that one balancer tracks. It is not safe for concurrent use.
 type Table struct {
 	settings      Settings
 	entries       map[lb.FlowID]entry
@@ -88,29 +91,32 @@
 	stats         Stats
 }
 
-// New gives an empty table.
+// New returns an empty table.
 func New(settings Settings) *Table {
 	return &Table{settings: settings, entries: make(map[lb.FlowID]entry)}
 }
 
-// Opening takes an opening. A new one of the same addresses and ports ends what was known of a flow.
+// Opening removes the state of a flow if the given opening is a new one with the same addresses and
+// ports.
 func (t *Table) Opening(id lb.FlowID, openingID uint32) {
-	if known, found := t.entries[id]; found && known.flow.OpeningID != openingID {
+	if e, found := t.entries[id]; found && e.flow.OpeningID != openingID {
 		delete(t.entries, id)
 	}
 }
 
-// Ambiguous takes an opening of which an earlier copy may have been placed at another back end.
+// Ambiguous tracks a flow whose opening may have been placed at another back end in an earlier
+// copy.
 func (t *Table) Ambiguous(now time.Duration, id lb.FlowID, openingID uint32) {
-	known := t.entries[id]
-	known.flow.ID, known.flow.OpeningID = id, openingID
-	t.track(now, known)
+	e := t.entries[id]
+	e.flow.ID, e.flow.OpeningID = id, openingID
+	t.track(now, e)
 }
 
-// Knows tells whether it is known where a flow is open.
+// Knows returns true if the back end at which a flow is open is known.
 func (t *Table) Knows(id lb.FlowID) bool { return t.entries[id].open }
 
-// Open takes a flow that is open at another back end than one which may answer its opening.
+// Open records a flow that is open at one back end while another one may still answer its opening,
+// and schedules its announcements.
 func (t *Table) Open(now time.Duration, flow Flow) {
 	if t.track(now, entry{flow: flow, open: true}) {
 		t.announce(flow, now)
@@ -118,18 +124,18 @@
 	}
 }
 
-// track tells whether a flow is remembered.
-func (t *Table) track(now time.Duration, known entry) bool {
-	if _, found := t.entries[known.flow.ID]; !found && len(t.entries) >= t.settings.MaxFlows {
+// track adds or replaces an entry. It returns false if the table is full.
+func (t *Table) track(now time.Duration, added entry) bool {
+	if _, found := t.entries[added.flow.ID]; !found && len(t.entries) >= t.settings.MaxFlows {
 		t.stats.Untracked++
 		return false
 	}
-	known.openedAt, known.seenAt = now, now
-	t.entries[known.flow.ID] = known
+	added.openedAt, added.seenAt = now, now
+	t.entries[added.flow.ID] = added
 	return true
 }
 
-// announce has a flow announced at a time.
+// announce schedules an announcement of a flow.
 func (t *Table) announce(flow Flow, at time.Duration) {
 	if len(t.announcements) >= t.settings.MaxAnnouncements {
 		t.stats.Unannounced++
@@ -140,7 +146,8 @@
 	t.announcements = slices.Insert(t.announcements, index, announcement{flow, at})
 }
 
-// Announcements gives the flows that are to be announced now, each once.
+// Announcements returns the flows to announce now, at most BatchSize, and removes them from the
+// schedule.
 func (t *Table) Announcements(now time.Duration) []Flow {
 	var announced []Flow
 	for _, due := range t.announcements {
@@ -153,82 +160,84 @@
 	return announced
 }
 
-// Recent gives flows that were opened a short time ago, for a balancer that has just started.
+// Recent returns flows that were opened within the last RecentTime, for a balancer that has just
+// started.
 func (t *Table) Recent(now time.Duration) []Flow {
 	var recent []Flow
-	for _, known := range t.entries {
-		if known.open && now-known.openedAt <= t.settings.RecentTime && len(recent) < t.settings.MaxAnnouncements {
-			recent = append(recent, known.flow)
+	for _, e := range t.entries {
+		if e.open && now-e.openedAt <= t.settings.RecentTime && len(recent) < t.settings.MaxAnnouncements {
+			recent = append(recent, e.flow)
 		}
 	}
 	return recent
 }
 
-// Learn takes flows that another balancer has announced, and gives those that were not known.
+// Learn adds flows that another balancer announced. It returns the flows that were new.
 func (t *Table) Learn(now time.Duration, flows []Flow) []Flow {
-	var learned []Flow
+	var added []Flow
 	for _, flow := range flows {
 		if t.entries[flow.ID].open {
 			continue
 		}
 		if t.track(now, entry{flow: flow, open: true}) {
-			learned = append(learned, flow)
+			added = append(added, flow)
 			t.announce(flow, now+t.settings.RepeatTime)
 		}
 	}
-	return learned
+	return added
 }
 
-// Resolve gives the token that a later packet goes by: its own, unless the flow is known to be
-// open at another back end.
+// Resolve returns the token by which a packet after the opening must be forwarded. It is the
+// packet's own token, unless the flow is known to be open at another back end.
 func (t *Table) Resolve(now time.Duration, id lb.FlowID, token Token, acknowledged uint32) Token {
 	if len(t.entries) == 0 {
 		return token
 	}
-	known, found := t.entries[id]
+	e, found := t.entries[id]
 	if !found {
 		return token
 	}
-	if !known.open {
-		known.flow.Token = token
-		known.flow.Acknowledged = acknowledged
-		t.Open(now, known.flow)
+	if !e.open {
+		e.flow.Token = token
+		e.flow.Acknowledged = acknowledged
+		t.Open(now, e.flow)
 		return token
 	}
-	if known.flow.Token != token {
-		if !t.near(known.flow.Acknowledged, acknowledged) {
+	if e.flow.Token != token {
+		if !t.near(e.flow.Acknowledged, acknowledged) {
 			delete(t.entries, id)
 			return token
 		}
 		t.stats.Corrected++
 	}
-	known.flow.Acknowledged, known.seenAt = acknowledged, now
-	t.entries[id] = known
-	return known.flow.Token
+	e.flow.Acknowledged, e.seenAt = acknowledged, now
+	t.entries[id] = e
+	return e.flow.Token
 }
 
-// near tells whether two acknowledgements belong to one flow. Numbers wrap around.
+// near returns true if two acknowledgements are close enough to belong to one flow. The numbers
+// wrap around.
 func (t *Table) near(a, b uint32) bool {
 	return a-b <= t.settings.AckWindow || b-a <= t.settings.AckWindow
 }
 
-// sweepInterval is the time between looks for idle flows.
+// sweepInterval is the interval between searches for idle flows.
 const sweepInterval = time.Second
 
-// Tick forgets idle flows.
+// Tick removes idle flows.
 func (t *Table) Tick(now time.Duration) {
 	if now < t.sweepAt {
 		return
 	}
 	t.sweepAt = now + sweepInterval
-	for id, known := range t.entries {
-		if now-known.seenAt > t.settings.IdleTimeout {
+	for id, e := range t.entries {
+		if now-e.seenAt > t.settings.IdleTimeout {
 			delete(t.entries, id)
 		}
 	}
 }
 
-// Stats gives the counters.
+// Stats returns the counters and the number of tracked flows.
 func (t *Table) Stats() Stats {
 	stats := t.stats
 	stats.Flows = len(t.entries)
--- a/internal/conntrack/conntrack_test.go
+++ b/internal/conntrack/conntrack_test.go
@@ -11,7 +11,7 @@
 
 const (
 	accepted = Token(11) // of the back end whose answer the caller accepted
-	late     = Token(22) // of one that answered an earlier copy later
+	late     = Token(22) // of a back end that later answered an earlier copy
 )
 
 const opening = uint32(7)
@@ -22,13 +22,13 @@
 	table.Ambiguous(0, 1, opening)
 	is.Equal(table.Resolve(1, 1, accepted, 1000), accepted)
 	is.Equal(table.Resolve(2, 1, late, 1500), accepted)
-	is.Equal(table.Resolve(3, 1, late, 900), accepted) // a packet that was overtaken
+	is.Equal(table.Resolve(3, 1, late, 900), accepted) // a reordered packet
 	is.Equal(table.Stats(), Stats{Corrected: 2, Flows: 1})
 }
 
-// TestOtherFlowsGoByTheirTokens: those that are not tracked, and a new flow of the same
-// addresses and ports, which another balancer has opened.
-func TestOtherFlowsGoByTheirTokens(t *testing.T) {
+// TestOtherFlowsUseTheirOwnTokens covers flows that are not tracked, and a new flow with the same
+// addresses and ports that another balancer opened.
+func TestOtherFlowsUseTheirOwnTokens(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	table := New(settings)
@@ -37,11 +37,11 @@
 	is.Equal(table.Resolve(1, 1, accepted, 1000), accepted)
 	is.Equal(table.Resolve(2, 2, late, 1000), late)
 	is.Equal(table.Resolve(3, 1, late, 1001+settings.AckWindow), late)
-	is.Equal(table.Resolve(4, 1, accepted, 1000), accepted) // forgotten meanwhile
+	is.Equal(table.Resolve(4, 1, accepted, 1000), accepted) // the entry was removed
 	is.Equal(table.Stats(), Stats{})
 }
 
-func TestNewOpeningGoesByItsToken(t *testing.T) {
+func TestNewOpeningUsesItsOwnToken(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
 	table.Ambiguous(0, 1, opening)
@@ -52,8 +52,8 @@
 	is.Equal(table.Resolve(5, 1, late, 1000), late)
 }
 
-// TestFlowOpenedElsewhere: its first copy was placed here, and its first later packet here
-// names another back end.
+// TestFlowOpenedElsewhere covers a flow whose first copy was placed here, and whose first packet
+// after the opening carries the token of another back end.
 func TestFlowOpenedElsewhere(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
@@ -78,7 +78,7 @@
 	for id := range lb.FlowID(15) {
 		table.Ambiguous(0, id, opening)
 	}
-	table.Ambiguous(0, 3, opening) // known already
+	table.Ambiguous(0, 3, opening) // is tracked already
 	is.Equal(table.Stats(), Stats{Untracked: 5, Flows: 10})
 	table.Resolve(settings.IdleTimeout, 3, accepted, 1)
 	table.Tick(settings.IdleTimeout + time.Second)
@@ -87,8 +87,8 @@
 	is.Equal(table.Stats().Flows, 0)
 }
 
-// TestFlowsAreAnnounced: each flow that may be moved by a late answer, when it is open and once more;
-// and one that was heard of is known as if it were opened here.
+// TestFlowsAreAnnounced checks that a flow which a late answer could move is announced once it is
+// open and once more later, and that the receiver treats it like a flow opened here.
 func TestFlowsAreAnnounced(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
@@ -105,7 +105,7 @@
 	is.Equal(len(opener.Announcements(time.Hour)), 0)
 
 	is.Equal(other.Learn(3, announced), announced)
-	is.Equal(len(other.Learn(4, announced)), 0) // it comes again by another way
+	is.Equal(len(other.Learn(4, announced)), 0) // the same announcement on another path
 	is.Equal(other.Resolve(5, 1, late, 1100), accepted)
 	is.Equal(len(other.Announcements(5)), 0)
 	is.Equal(other.Announcements(3+repeat), announced)
@@ -113,8 +113,9 @@
 	is.Equal(other.Resolve(6, 1, late, 1100), late)
 }
 
-// TestAnnouncedFlowGoesByWhatWasSeenHere: the balancer that took the first later packet knows best.
-func TestAnnouncedFlowGoesByWhatWasSeenHere(t *testing.T) {
+// TestAnnouncementDoesNotReplaceOwnObservation: the balancer that received the first packet after
+// the opening has the correct token, whatever others announce.
+func TestAnnouncementDoesNotReplaceOwnObservation(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
 	table.Ambiguous(0, 1, opening)
@@ -138,8 +139,9 @@
 	is.Equal(len(table.Announcements(time.Hour)), 0)
 }
 
-// TestStartingBalancerHearsOfRecentFlows: those that are open, of the last seconds.
-func TestStartingBalancerHearsOfRecentFlows(t *testing.T) {
+// TestRecentFlowsAreReturned checks that a starting balancer receives open flows of the last
+// RecentTime only.
+func TestRecentFlowsAreReturned(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	table := New(settings)
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,13 +1,12 @@
-// Package turns deals one node's new flows out over the back ends of a service:
-// evenly, by turns, and among a few of them only. A node sees some twenty
-// openings a second; spread over all back ends of a zone by chance it knows
-// next to nothing of any of them, and some of them get three at once while
-// others rest. A node therefore keeps to a hand of neighbouring back ends on a
-// circle, which it shares with a few nodes, so that it sees a good part of what
-// they do; the hands of the nodes of a zone cover the circle evenly. Nothing is
-// agreed on: a hand follows from the node's own list of members and back ends,
-// and two nodes that differ only cover the circle a little unevenly. It has no I/O
-// and no clock. See docs/design/hosts.md.
+// Package subset distributes one node's new flows over a deterministic subset of a service's back
+// ends by smooth weighted round-robin. A node receives some twenty openings a second. Distributed
+// randomly over all back ends of a zone they would give the node almost no measurements of any of
+// them, and some back ends would receive three at once while others were idle. A node therefore
+// uses a subset of neighbouring back ends on a ring, which it shares with a few other nodes, so
+// that it observes a large part of their work. The subsets of the nodes of a zone cover the ring
+// evenly. The nodes need no agreement: each computes its subset from its own list of members and
+// back ends, and if the lists of two nodes differ, the ring is only covered slightly unevenly. The
+// package has no I/O and no clock. See docs/design/hosts.md.
 package subset
 
 import (
@@ -20,103 +19,104 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// Identity names a run of a back end, as packets do.
+// Identity identifies an instance of a back end (one start of it), as packets carry it.
 type Identity uint64
 
-// Backend is one that takes new flows.
+// Backend is a back end that accepts new flows.
 type Backend struct {
 	Identity Identity
 	Zone     lb.Zone
-	// Size is what it can do, against the others: slots times speed.
+	// Size is the relative capacity: slots times speed.
 	Size float64
 }
 
-// Position is where a node stands among the staying nodes of its zone, in an order
-// that all of them share.
+// Position is the rank of a node among the nodes of its zone that are not leaving, in an order that
+// is the same at all of them.
 type Position struct{ Rank, Nodes int }
 
-// Settings of a dealer. See DefaultSettings.
+// Settings are the parameters of a picker. See DefaultSettings.
 type Settings struct {
-	// SubsetSize is how many back ends of a zone a node deals to.
+	// SubsetSize is the target number of back ends per zone in a node's subset.
 	SubsetSize float64
-	// Replication is by how many nodes of a zone each back end is dealt to at the least,
-	// so that one that ends unnoticed takes little of its back ends' flows with it.
+	// Replication is the minimum number of nodes of a zone whose subsets contain a given back end.
+	// A node that fails unnoticed then disrupts only a small part of the flows to its back ends.
 	Replication float64
-	// InFlightPenalty is how many turns a back end is put back for each request of
-	// this node that is under way there.
+	// InFlightPenalty is the credit that is deducted from a back end for each request of this node
+	// in flight there.
 	InFlightPenalty float64
 }
 
-// DefaultSettings gives the defaults.
+// DefaultSettings returns the default parameters.
 func DefaultSettings() Settings { return Settings{SubsetSize: 8, Replication: 3, InFlightPenalty: 1} }
 
-// member is a back end in a hand.
+// member is a back end in a subset.
 type member struct {
-	index    int // in the list that the hand was dealt from
+	index    int // in the list of back ends given to NewRing
 	identity Identity
-	weight   float64 // its part of its zone's turns; one in sum
-	credit   float64 // turns that it is owed
-	factor   float64 // of the pick at hand
+	weight   float64 // fraction of the zone's flows; the weights add up to 1
+	credit   float64 // round-robin credit, in flows
+	factor   float64 // weight factor for the current pick
 }
 
-// zoneSubset is the hand's part in one zone.
+// zoneSubset is the part of the subset in one zone.
 type zoneSubset struct {
-	zone         lb.Zone
-	credit       float64
-	members      []member
-	share        float64 // of this node's flows, at the pick at hand
-	factor       float64 // mean of its cards', of the pick at hand
-	unresponsive float64 // part of its cards' turns that take no flows, likewise
+	zone        lb.Zone
+	credit      float64
+	members     []member
+	share       float64 // weight of the zone for the current pick
+	factor      float64 // weighted mean of the members' factors for the current pick
+	unavailable float64 // sum of the weights of members with factor 0 for the current pick
 }
 
-// Picker deals the flows of one node to one service. It is not safe for concurrent use.
+// Picker distributes the flows of one node to one service. It is not safe for concurrent use.
 type Picker struct {
 	settings Settings
 	subsets  []zoneSubset
 }
 
-// New gives a dealer without a hand. seed tells nodes apart.
+// New returns a picker without a subset.
 func New(settings Settings) *Picker { return &Picker{settings: settings} }
 
-// Ring is the order of a service's back ends, by zone. It is the same at all nodes that know the same
-// back ends, and does not change with the nodes: to sort 3,000 of them takes most of a
-// millisecond, and nodes come and go many times a second while a fleet starts. Those who keep the order
-// of hashes themselves give back ends in it, which costs no sorting. It is immutable.
+// Ring is the order of a service's back ends, by zone. It is the same at all nodes with the same
+// list of back ends, and independent of the nodes. It is computed separately from the subset
+// because sorting 3,000 back ends takes most of a millisecond, while nodes come and go many times a
+// second when a fleet starts. A list that is already in the order of the hashes is not sorted
+// again. A Ring is immutable.
 type Ring struct {
 	zones []zoneRing
 }
 
-// zoneRing is one zone's part, in order.
+// zoneRing is the order of the back ends of one zone.
 type zoneRing struct {
 	zone    lb.Zone
 	members []member
-	size    float64 // of all of them
+	size    float64 // sum of the sizes of all members
 }
 
-// NewRing orders back ends. Places in what Pick gives are those in this list.
+// NewRing orders the back ends. Pick returns indexes into the given list.
 func NewRing(backends []Backend) *Ring {
 	byZone := make(map[lb.Zone]*zoneRing)
 	for index := range backends {
 		backend := &backends[index]
-		known := byZone[backend.Zone]
-		if known == nil {
-			known = &zoneRing{zone: backend.Zone}
-			byZone[backend.Zone] = known
+		inZone := byZone[backend.Zone]
+		if inZone == nil {
+			inZone = &zoneRing{zone: backend.Zone}
+			byZone[backend.Zone] = inZone
 		}
-		known.members = append(known.members, member{index: index, identity: backend.Identity, weight: backend.Size})
+		inZone.members = append(inZone.members, member{index: index, identity: backend.Identity, weight: backend.Size})
 	}
-	circle := &Ring{}
+	ring := &Ring{}
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-		known := byZone[zone]
-		if !slices.IsSortedFunc(known.members, compareMembers) {
-			slices.SortFunc(known.members, compareMembers)
+		inZone := byZone[zone]
+		if !slices.IsSortedFunc(inZone.members, compareMembers) {
+			slices.SortFunc(inZone.members, compareMembers)
 		}
-		for index := range known.members {
-			known.size += known.members[index].weight
+		for index := range inZone.members {
+			inZone.size += inZone.members[index].weight
 		}
-		circle.zones = append(circle.zones, *known)
+		ring.zones = append(ring.zones, *inZone)
 	}
-	return circle
+	return ring
 }
 
 func compareMembers(a, b member) int {
@@ -124,119 +124,122 @@
 	return cmp.Or(cmp.Compare(rendezvous.Mix(left), rendezvous.Mix(right)), cmp.Compare(left, right))
 }
 
-// SetSubset gives the node a new hand. What its back ends are owed stays. seed tells
-// nodes apart, so that they begin their turns at different back ends.
-func (d *Picker) SetSubset(circle *Ring, place Position, seed uint64) {
-	owed := make(map[Identity]float64)
-	for _, g := range d.subsets {
-		for _, c := range g.members {
-			owed[c.identity] = c.credit
+// SetSubset computes a new subset for the node. Back ends that were in the previous one keep their
+// credit. seed differs between nodes, so that they start the round-robin at different back ends.
+func (p *Picker) SetSubset(ring *Ring, position Position, seed uint64) {
+	credits := make(map[Identity]float64)
+	for _, s := range p.subsets {
+		for _, m := range s.members {
+			credits[m.identity] = m.credit
 		}
 	}
-	d.subsets = d.subsets[:0]
-	for index := range circle.zones {
-		zone := &circle.zones[index]
-		g := zoneSubset{zone: zone.zone, members: d.zoneMembers(zone, place)}
-		for index := range g.members {
-			c := &g.members[index]
-			credit, known := owed[c.identity]
+	p.subsets = p.subsets[:0]
+	for index := range ring.zones {
+		zone := &ring.zones[index]
+		s := zoneSubset{zone: zone.zone, members: p.zoneMembers(zone, position)}
+		for index := range s.members {
+			m := &s.members[index]
+			credit, known := credits[m.identity]
 			if !known {
-				credit = rendezvous.Uniform(rendezvous.Mix(seed^uint64(c.identity))) - 0.5
+				credit = rendezvous.Uniform(rendezvous.Mix(seed^uint64(m.identity))) - 0.5
 			}
-			c.credit = credit
+			m.credit = credit
 		}
-		d.subsets = append(d.subsets, g)
+		p.subsets = append(p.subsets, s)
 	}
 }
 
-// zoneMembers gives the part of a zone's circle that the node's arc covers.
-func (d *Picker) zoneMembers(zone *zoneRing, place Position) []member {
-	nodes := float64(max(place.Nodes, 1))
-	// Each point of the circle is covered by as many nodes as any other.
-	cover := math.Ceil(max(d.settings.SubsetSize/float64(len(zone.members))*nodes, d.settings.Replication))
-	arc := min(1, cover/nodes)
-	from := float64(place.Rank) / nodes
-	var cards []member
+// zoneMembers returns the back ends of a zone that the node's arc of the ring covers, with their
+// weights.
+func (p *Picker) zoneMembers(zone *zoneRing, position Position) []member {
+	nodes := float64(max(position.Nodes, 1))
+	// Each point of the ring is covered by the same number of nodes.
+	replication := math.Ceil(max(p.settings.SubsetSize/float64(len(zone.members))*nodes, p.settings.Replication))
+	arc := min(1, replication/nodes)
+	from := float64(position.Rank) / nodes
+	var members []member
 	at := 0.0
-	for _, c := range zone.members {
-		length := c.weight / zone.size
+	for _, m := range zone.members {
+		length := m.weight / zone.size
 		covered := overlap(at, at+length, from, from+arc) + overlap(at, at+length, from-1, from+arc-1)
 		at += length
 		if covered > 0 {
-			cards = append(cards, member{index: c.index, identity: c.identity, weight: covered / arc})
+			members = append(members, member{index: m.index, identity: m.identity, weight: covered / arc})
 		}
 	}
-	return cards
+	return members
 }
 
-// overlap is the length of what two intervals have in common.
+// overlap returns the length of the intersection of two intervals.
 func overlap(from, to, otherFrom, otherTo float64) float64 {
 	return max(0, min(to, otherTo)-max(from, otherFrom))
 }
 
-// maxCredit bounds the turns that a back end is owed, or ahead: one that was passed
-// over for long is not given them all at once.
+// maxCredit bounds the credit of a back end in both directions, so that one that was passed over
+// for long does not receive a burst.
 const maxCredit = 2
 
-// Pick gives the place, in the list that the hand was dealt from, of the back end
-// whose turn it is; -1: there is none, or most of a zone's hand whose turn it is take no flows. parts are those of zones of this node's flows, factor is by how much the weight of one is lowered,
-// from 0 to 1, and busy how many requests of this node are under way there.
-func (d *Picker) Pick(parts map[lb.Zone]float64, factor func(index int) float64, busy func(index int) int) int {
-	best := d.pickZone(parts, factor)
-	if best == nil || best.unresponsive > maxUnresponsive {
+// Pick returns the index, in the list given to NewRing, of the back end for the next flow. It
+// returns -1 if there is none, or if more than maxUnavailable of the subset in the selected zone is
+// unavailable. zoneWeights are the fractions of this node's flows per zone. factor returns the
+// factor, from 0 to 1, by which a back end's weight is multiplied, and busy returns the number of
+// this node's requests in flight there.
+func (p *Picker) Pick(zoneWeights map[lb.Zone]float64, factor func(index int) float64, busy func(index int) int) int {
+	best := p.pickZone(zoneWeights, factor)
+	if best == nil || best.unavailable > maxUnavailable {
 		return -1
 	}
 	var chosen *member
-	most := math.Inf(-1)
+	highest := math.Inf(-1)
 	for index := range best.members {
-		c := &best.members[index]
-		if c.factor == 0 {
+		m := &best.members[index]
+		if m.factor == 0 {
 			continue
 		}
-		c.credit = min(c.credit+c.weight*c.factor/best.factor, maxCredit)
-		score := c.credit
-		if d.settings.InFlightPenalty > 0 {
-			score -= d.settings.InFlightPenalty * float64(busy(c.index))
+		m.credit = min(m.credit+m.weight*m.factor/best.factor, maxCredit)
+		score := m.credit
+		if p.settings.InFlightPenalty > 0 {
+			score -= p.settings.InFlightPenalty * float64(busy(m.index))
 		}
-		if score > most {
-			chosen, most = c, score
+		if score > highest {
+			chosen, highest = m, score
 		}
 	}
 	chosen.credit = max(chosen.credit-1, -maxCredit)
 	return chosen.index
 }
 
-// maxUnresponsive is the part of a hand that may take no flows: with more of them the
-// rest would be crowded, and who sees so little may be at fault itself.
-const maxUnresponsive = 0.5
+// maxUnavailable is the maximum fraction of a subset that may be unavailable. Beyond it the rest
+// would be overloaded, and a node that reaches so few back ends may be at fault itself.
+const maxUnavailable = 0.5
 
-// pickZone gives the zone whose turn it is; nil: no back end in any takes flows.
-func (d *Picker) pickZone(parts map[lb.Zone]float64, factor func(index int) float64) *zoneSubset {
+// pickZone returns the zone for the next flow, or nil if no back end in any zone accepts flows.
+func (p *Picker) pickZone(zoneWeights map[lb.Zone]float64, factor func(index int) float64) *zoneSubset {
 	sum := 0.0
-	for index := range d.subsets {
-		g := &d.subsets[index]
-		g.factor, g.unresponsive, g.share = 0, 0, parts[g.zone]
-		for index := range g.members {
-			c := &g.members[index]
-			c.factor = factor(c.index)
-			g.factor += c.weight * c.factor
-			if c.factor == 0 {
-				g.unresponsive += c.weight
+	for index := range p.subsets {
+		s := &p.subsets[index]
+		s.factor, s.unavailable, s.share = 0, 0, zoneWeights[s.zone]
+		for index := range s.members {
+			m := &s.members[index]
+			m.factor = factor(m.index)
+			s.factor += m.weight * m.factor
+			if m.factor == 0 {
+				s.unavailable += m.weight
 			}
 		}
-		if g.factor > 0 {
-			sum += g.share
+		if s.factor > 0 {
+			sum += s.share
 		}
 	}
 	var best *zoneSubset
-	for index := range d.subsets {
-		g := &d.subsets[index]
-		if g.factor == 0 || g.share == 0 {
+	for index := range p.subsets {
+		s := &p.subsets[index]
+		if s.factor == 0 || s.share == 0 {
 			continue
 		}
-		g.credit += g.share / sum
-		if best == nil || g.credit > best.credit {
-			best = g
+		s.credit += s.share / sum
+		if best == nil || s.credit > best.credit {
+			best = s
 		}
 	}
 	if best != nil {
