--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -95,8 +95,8 @@
 }
 
 // Update recomputes the rates from the reported state of the service. slots is the number of slots
-// of its ready back ends; 0 means unknown. openFlowShare returns the fraction of a priority's requests that
-// arrive on flows opened earlier, which refusing openings can't reduce.
+// of its ready back ends; 0 means unknown. openFlowShare returns the fraction of a priority's
+// requests that arrive on flows opened earlier, which refusing openings can't reduce.
 func (s *Service) Update(now time.Duration, state *fleetload.Service, slots float64, openFlowShare func(uint16) float64, settings *Settings) {
 	demands := demandsOf(state)
 	remaining := 0.0 // work that back ends do for this priority and the less important ones
--- a/internal/admissionqueue/freeslots.go
+++ b/internal/admissionqueue/freeslots.go
@@ -73,14 +73,14 @@
 	}
 }
 
-// Answered records that a back end has answered a request and, if quick is true, that the back end
+// Answered records that a back end has answered a request and, if spare is true, that the back end
 // has spare capacity for another one.
-func (f *FreeSlots) Answered(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, quick bool) {
+func (f *FreeSlots) Answered(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, spare bool) {
 	if f.settings.Off {
 		return
 	}
 	f.kind(service, objective).requests++
-	if !quick {
+	if !spare {
 		return
 	}
 	f.slots[f.next] = freeSlot{service: service, identity: identity, at: now}
--- a/internal/admissionqueue/queue.go
+++ b/internal/admissionqueue/queue.go
@@ -27,7 +27,7 @@
 
 // Settings are the parameters of a queue. See DefaultSettings.
 type Settings struct {
-	// Off disables the queue: Hold accepts no opening.
+	// Off disables the queue: it accepts no opening.
 	Off   bool
 	Order Order
 	// Capacity is the maximum number of queued openings.
@@ -164,8 +164,8 @@
 }
 
 // Hold queues an opening for which there is no spare capacity at present, and returns its entry,
-// whose Kept the caller must set. It returns nil if the opening must be refused immediately,
-// because the queue is full or the opening can't be admitted in time.
+// in which the caller must store its own data. It returns nil if the opening must be refused
+// immediately, because the queue is full or the opening can't be admitted in time.
 func (q *Queue[K]) Hold(now time.Duration, opening Opening) *Waiter[K] {
 	limit := q.maxWait(opening.Objective)
 	if q.settings.Off || limit < q.settings.Interval || len(q.order) == len(q.entries) {
--- a/internal/admissionqueue/queue_test.go
+++ b/internal/admissionqueue/queue_test.go
@@ -18,7 +18,8 @@
 	return Opening{Flow: flow, Service: "web", Objective: lb.Objective{Priority: priority, TargetMillis: 400}}
 }
 
-// retryAll calls Look with decide, and returns the flows in the order of their retries.
+// retryAll retries the queued openings with decide, and returns their flows in the order of the
+// retries.
 func retryAll(q *Queue[int], now time.Duration, decide func(*Waiter[int], Chance) Fate) (retried []lb.FlowID) {
 	q.Look(now, false, func(w *Waiter[int], phase Chance) Fate {
 		retried = append(retried, w.Flow)
@@ -84,9 +85,9 @@
 	}
 }
 
-// TestChances checks that an opening may stay queued until its deadline, must be decided then, and
+// TestPhases checks that an opening may stay queued until its deadline, must be decided then, and
 // must be dropped once a copy may have reached another node.
-func TestChances(t *testing.T) {
+func TestPhases(t *testing.T) {
 	is := is.New(t)
 	for _, test := range []struct {
 		at    time.Duration
--- a/internal/committedload/committedload.go
+++ b/internal/committedload/committedload.go
@@ -54,7 +54,7 @@
 	first        time.Duration // start of the first request
 	at           time.Duration // time of the last decay of the counts
 	work         float64       // of all requests, in slot seconds
-	openFlowWork float64       // factor of work on flows opened earlier
+	openFlowWork float64       // part of work that arrived on flows opened earlier
 	openings     float64       // number of admitted openings
 	flows        int           // number of open flows
 }
--- a/internal/overload/estimate.go
+++ b/internal/overload/estimate.go
@@ -116,7 +116,7 @@
 	return load / max(total, 1), total
 }
 
-// class holds the response times of requests with the same objective.
+// class holds the target and the estimated idle time of the requests with one objective.
 type class struct {
 	target float64 // in seconds; 0 means none
 	idle   idleTime
@@ -153,8 +153,8 @@
 
 // Parameters of the estimate of the idle time.
 const (
-	idleRate    = 1.0 / 128
-	idleSamples = 16 // minimum number of answers before an estimate is used
+	idleRate    = 1.0 / 128 // minimum weight of an answer in the moving means
+	idleSamples = 16        // minimum number of answers before an estimate is used
 	// idleRise is the fraction of the difference to the present mean by which the estimate rises
 	// each second. Back ends that have become slower permanently are thus accepted as they are
 	// after some minutes.
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -164,7 +164,7 @@
 	c.meter.Begun(name, objective.Priority, s.class(objective).idle.value)
 }
 
-// Carried records the flow of the request that was just recorded by Begun.
+// Carried records on which flow the most recently recorded request arrived.
 func (c *Controller) Carried(now time.Duration, name lb.ServiceName, objective lb.Objective, flow lb.FlowID) {
 	c.committed.RecordRequest(now, name, objective.Priority, flow, c.service(now, name).class(objective).idle.value)
 }
@@ -177,10 +177,10 @@
 	c.service(now, name).slots = slots
 }
 
-// Full returns true if the open flows that this balancer has admitted use up its share of the
+// ExceedsSlots returns true if the open flows that this balancer has admitted use up its share of the
 // slots. It returns false while the fleet's admit rates are known, since these decide then: the
 // shares of other balancers may be unused.
-func (c *Controller) Full(now time.Duration, name lb.ServiceName, objective lb.Objective) bool {
+func (c *Controller) ExceedsSlots(now time.Duration, name lb.ServiceName, objective lb.Objective) bool {
 	s := c.service(now, name)
 	return !c.settings.Off && !s.fleetRatesFresh(now, &c.settings) && c.committed.ExceedsSlots(now, name, objective.Priority, s.slots)
 }
@@ -239,13 +239,13 @@
 
 // Learn applies the fleet's load report about a service. slots is the number of slots of its ready
 // back ends; 0 means unknown.
-func (c *Controller) Learn(now time.Duration, name lb.ServiceName, known *fleetload.Service, slots float64) {
+func (c *Controller) Learn(now time.Duration, name lb.ServiceName, report *fleetload.Service, slots float64) {
 	if c.settings.Off {
 		return
 	}
 	s := c.service(now, name)
-	s.fleet.Update(now, known, slots, s.openFlowShare, &c.settings.Fleet)
-	s.fleetAt = known.At
+	s.fleet.Update(now, report, slots, s.openFlowShare, &c.settings.Fleet)
+	s.fleetAt = report.At
 }
 
 // Admit returns true if the first copy of an opening may be forwarded to a back end. draw is a hash
@@ -258,7 +258,7 @@
 	c.scan(now, s)
 	l := s.level(objective.Priority, &c.settings)
 	l.lastOpening = now
-	if !c.Full(now, name, objective) && c.admits(now, s, l, identity, draw) {
+	if !c.ExceedsSlots(now, name, objective) && c.admits(now, s, l, identity, draw) {
 		c.Opened(now, name, objective)
 		return true
 	}
@@ -331,11 +331,11 @@
 // Pressure returns the ratio of the response times of a service to the allowed response time; 0
 // means unknown.
 func (c *Controller) Pressure(name lb.ServiceName) float64 {
-	known := c.services[name]
-	if known == nil {
+	s := c.services[name]
+	if s == nil {
 		return 0
 	}
-	return known.pressure
+	return s.pressure
 }
 
 // Tick updates the admit rates. The caller must call it several times a second.
@@ -387,7 +387,7 @@
 }
 
 // Forget deletes the state of all back ends and services for which the functions return false, and
-// of objectives without requests for stateTimeout.
+// of objectives and priorities not used for stateTimeout.
 func (c *Controller) Forget(now time.Duration, backend func(Identity) bool, service func(lb.ServiceName) bool) {
 	for identity, b := range c.backends {
 		if !backend(identity) {
@@ -436,12 +436,12 @@
 	if c.settings.mergeServices {
 		name = ""
 	}
-	known := c.services[name]
-	if known == nil {
-		known = &service{adapted: now, averagingTime: c.settings.AveragingTime}
-		known.classes = make(map[lb.Objective]*class)
-		known.backends = make(map[Identity]*backend)
-		c.services[name] = known
+	s := c.services[name]
+	if s == nil {
+		s = &service{adapted: now, averagingTime: c.settings.AveragingTime}
+		s.classes = make(map[lb.Objective]*class)
+		s.backends = make(map[Identity]*backend)
+		c.services[name] = s
 	}
-	return known
+	return s
 }
--- a/internal/overload/queueing_test.go
+++ b/internal/overload/queueing_test.go
@@ -9,9 +9,10 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TestQuick: a request that took about the idle time shows spare capacity at its back end. One that
-// queued does not, and one that ended immediately was rejected by a full back end.
-func TestQuick(t *testing.T) {
+// TestSpareCapacityAfterAnswer: a request that took about the idle time shows spare capacity at its
+// back end. One that queued does not, and one that ended immediately was rejected by a full back
+// end.
+func TestSpareCapacityAfterAnswer(t *testing.T) {
 	is := is.New(t)
 	c := New(DefaultSettings())
 	objective := lb.Objective{Priority: 1, TargetMillis: 400}
--- a/internal/overload/service.go
+++ b/internal/overload/service.go
@@ -72,18 +72,18 @@
 const openFlowWindow = 2 * time.Second
 
 func (s *service) class(objective lb.Objective) *class {
-	known := s.classes[objective]
-	if known == nil {
-		known = newClass(objective)
-		s.classes[objective] = known
+	c := s.classes[objective]
+	if c == nil {
+		c = newClass(objective)
+		s.classes[objective] = c
 	}
-	return known
+	return c
 }
 
 // stateTimeout is how long an objective or a priority is remembered after its last use.
 const stateTimeout = 10 * time.Minute
 
-// forget deletes objectives and levels that have not been used for stateTimeout.
+// forget deletes objectives and levels that were not used for stateTimeout.
 func (s *service) forget(now time.Duration) {
 	maps.DeleteFunc(s.classes, func(_ lb.Objective, c *class) bool { return now-c.idle.at > stateTimeout })
 	s.levels = slices.DeleteFunc(s.levels, func(l *level) bool { return now-l.lastOpening > stateTimeout })
