--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -1,8 +1,7 @@
-// Package core implements the decision core of one balancer: it takes events
-// (packets, placements, members, peer messages, ticks) and gives effects. It
-// does no I/O and has no clock and no randomness of its own, so that processes,
-// tests and benches drive the same code. See docs/DESIGN.md,
-// "The chain" and "Moves".
+// Package core implements the decision core of one balancer. The core processes events (packets,
+// placements, members, peer messages, ticks) and returns effects. It does no I/O and has neither a
+// clock nor a source of randomness, so that production processes, tests and benchmarks run the same
+// code. See docs/DESIGN.md, "The chain" and "Moves".
 package core
 
 import (
@@ -22,7 +21,7 @@
 	"robinpulley.example/robinpulley/internal/subset"
 )
 
-// PacketKind says what a packet tells about its flow.
+// PacketKind is the position of a packet in its flow.
 type PacketKind uint8
 
 // The kinds of packets.
@@ -31,77 +30,79 @@
 	PacketOpening PacketKind = iota + 1
 	// PacketMiddle belongs to a TCP flow opened before.
 	PacketMiddle
-	// PacketClosing is a TCP FIN or RST from the caller.
+	// PacketClosing is a TCP FIN or RST sent by the client.
 	PacketClosing
-	// PacketUnmarked is a UDP packet: it does not tell whether it opens its flow.
+	// PacketUnmarked is a UDP packet. UDP does not show whether a packet is the first of its flow.
 	PacketUnmarked
 )
 
-// Packet is what the core needs to know of one packet.
+// Packet holds the properties of a packet that the core decides by.
 type Packet struct {
 	Key  lb.FlowKey
 	Kind PacketKind
-	// OpeningID tells retransmissions of one opening from a new opening of
-	// the same 5-tuple: the TCP initial sequence number. Zero for others.
+	// OpeningID distinguishes a new opening from a retransmission of an earlier opening of the same
+	// 5-tuple. It is the TCP initial sequence number, and zero for other protocols.
 	OpeningID uint32
-	Relay     lb.Relay // Hop is HopIngress for packets from the fabric
-	// Token is what a path that carries tokens carries; see AffinityToken.
+	Relay     lb.Relay // Hop is HopIngress for packets that come from the fabric
+	// Token is the token in the packet, on paths that carry tokens; see AffinityToken.
 	Token steering.Token
-	// Copies is how many copies of this opening the caller has sent before,
-	// as far as the path tells.
+	// Copies is the number of times that the client has already sent this opening, if the path
+	// shows it.
 	Copies uint32
-	// Acknowledged is the packet's acknowledgement number, and HasData tells
-	// whether it carries data, where the path tells.
+	// Acknowledged is the packet's acknowledgement number and HasData reports whether the packet
+	// carries data, if the path shows them.
 	Acknowledged uint32
 	HasData      bool
-	// Datagram is the packet as it came, where the path may hold it: ActionHold
-	// keeps a copy. It holds only during the step.
+	// Datagram is the received datagram, if the path allows it to be held; ActionHold copies it.
+	// The slice is valid only during the step.
 	Datagram []byte
 }
 
-// Action is what is to be done with the packet of the event.
+// Action is how the data plane must handle the packet of an event.
 type Action uint8
 
 // The actions.
 const (
-	// ActionDrop: count by Reason and forget.
+	// ActionDrop discards the packet and counts it under Reason.
 	ActionDrop Action = iota + 1
-	// ActionForward: send to Host in Geneve.
+	// ActionForward sends the packet to Host, encapsulated in Geneve.
 	ActionForward
-	// ActionRelay: send to the node Peer in Geneve with Relay as option.
+	// ActionRelay sends the packet to the node Peer, encapsulated in Geneve with Relay as an
+	// option.
 	ActionRelay
-	// ActionRefuse: answer the caller with Refusal (TCP RST, ICMP for UDP).
+	// ActionRefuse replies to the client with Refusal (TCP RST, or ICMP for UDP).
 	ActionRefuse
-	// ActionHold: the core keeps the packet, and decides later; see Effects.Released.
+	// ActionHold leaves the packet in the core's admission queue. The core decides it in a later
+	// step; see Effects.Released.
 	ActionHold
 )
 
-// Reason says why a packet was dropped or refused; it labels metrics.
+// Reason is why a packet was dropped or refused. Its value is a metric label.
 type Reason string
 
 // The reasons.
 const (
 	ReasonUnknownService Reason = "unknown-service" // no service has this front end
 	ReasonNoBackend      Reason = "no-backend"      // the service has no active back end
-	ReasonEvacuated      Reason = "evacuated"       // all zones with active back ends of the service are evacuated
-	ReasonUnreachable    Reason = "unreachable"     // this node reaches no zone with back ends of the service
-	ReasonCold           Reason = "cold"            // the back ends have just started, and bear no more new flows
-	ReasonBackendFailed  Reason = "backend-failed"  // the flow's back end is gone
-	ReasonAdmission      Reason = "admission"       // new flows exceed the limit
-	ReasonTupleReuse     Reason = "tuple-reuse"     // 5-tuple used again too soon after a move
-	ReasonUnknownPeer    Reason = "unknown-peer"    // relayed by or to a node not known
-	ReasonDraining       Reason = "draining"        // proposed to a back end that drains by now, and perhaps forwarded
-	ReasonPaused         Reason = "paused"          // waited in a queue while this process was paused
-	ReasonWrongService   Reason = "wrong-service"   // the last check before the write failed
-	ReasonViewsDiffer    Reason = "views-differ"    // two nodes each think the other the head
+	ReasonEvacuated      Reason = "evacuated"       // every zone with active back ends of the service is evacuated
+	ReasonUnreachable    Reason = "unreachable"     // this node can reach none of the zones with back ends of the service
+	ReasonCold           Reason = "cold"            // the service's back ends have just started and accept no more new flows for now
+	ReasonBackendFailed  Reason = "backend-failed"  // the flow's back end has failed or been removed
+	ReasonAdmission      Reason = "admission"       // the rate of new flows exceeds the service's limit
+	ReasonTupleReuse     Reason = "tuple-reuse"     // the client reused the 5-tuple too soon after a move
+	ReasonUnknownPeer    Reason = "unknown-peer"    // relayed by or to an unknown node
+	ReasonDraining       Reason = "draining"        // proposed to a back end that now drains, and possibly forwarded already
+	ReasonPaused         Reason = "paused"          // queued while this process was paused
+	ReasonWrongService   Reason = "wrong-service"   // the front end or back end does not belong to the service
+	ReasonViewsDiffer    Reason = "views-differ"    // two nodes each consider the other one the head
 	ReasonStray          Reason = "stray"           // a later packet of a flow whose opening was refused
-	ReasonNoView         Reason = "no-view"         // this node knows no configuration yet
-	ReasonOverload       Reason = "overload"        // the service has more work than it can do in time
-	ReasonUnknownToken   Reason = "unknown-token"   // the token names no back end known here for the front end
-	ReasonCopied         Reason = "copied"          // another datagram of the same flow is decided in its place
+	ReasonNoView         Reason = "no-view"         // this node has received no configuration yet
+	ReasonOverload       Reason = "overload"        // the service cannot process its load within its latency objective
+	ReasonUnknownToken   Reason = "unknown-token"   // the token identifies no back end of the front end known to this node
+	ReasonCopied         Reason = "copied"          // replaced by another datagram of the same flow
 )
 
-// Decision is the effect on the packet of the event.
+// Decision is how the core handles the packet of an event.
 type Decision struct {
 	Action  Action
 	Reason  Reason
@@ -111,15 +112,16 @@
 	Peer    lb.NodeID
 	Relay   lb.Relay
 	Refusal lb.Refusal
-	// Pressure is that on the service, for ReasonOverload: what was decided by.
+	// Pressure is the service's pressure at the time of the decision, for ReasonOverload.
 	Pressure float64
-	// Token is to be written on a forwarded packet that opens a flow, and on a later one that is
-	// Corrected: it came with the token of a back end at which its flow is not open.
+	// Token must be written into the forwarded packet if the packet opens a flow, or if Corrected
+	// is set. Corrected marks a later packet that carried the token of a back end at which its flow
+	// is not open.
 	Token     steering.Token
 	Corrected bool
-	// Identity names the back end that is meant, on paths whose packets do so.
+	// Identity is the identity of the chosen back end, on paths whose packets carry it.
 	Identity uint64
-	// Waited is how long the packet was held before this decision.
+	// Waited is the time for which the packet was held before this decision.
 	Waited time.Duration
 }
 
@@ -134,87 +136,91 @@
 	decision.Refusal = refusal
 }
 
-// Outgoing is a message to a peer.
+// Outgoing is a message to send to a peer.
 type Outgoing struct {
 	To      lb.NodeID
 	Message message.Message
 }
 
-// Effects is filled by one Step. The caller reuses it; Step resets it first.
+// Effects holds the results of one Step. The calling code reuses it; Step resets it first.
 type Effects struct {
 	Decision Decision // valid after a packet event
 	Messages []Outgoing
-	// HandoverDone is set while a planned stop has no record left to hand over.
-	// Others may go on sending until they know of the stop, so the node should
-	// end only when it has been set for a few seconds on end.
+	// HandoverDone is set during a planned stop while no record is left to hand over. Other nodes
+	// may keep sending until they learn of the stop, so the process should exit only after
+	// HandoverDone has been set without interruption for a few seconds.
 	HandoverDone bool
-	// Backends are back ends that have fallen silent or answer again, as far as
-	// this node sees. They hold until the next step.
+	// Backends are the back ends that have become unresponsive, or responsive again, as observed by
+	// this node. The slice is valid until the next step.
 	Backends []passivehealth.Change
-	// Outcomes are how requests at back ends went. They hold until the next step.
+	// Outcomes are the results of requests at back ends. The slice is valid until the next step.
 	Outcomes []passivehealth.Outcome
-	// Overload are services that have become overloaded, or are so no more. They
-	// hold until the next step.
+	// Overload lists the services that have become overloaded or are no longer overloaded. The
+	// slice is valid until the next step.
 	Overload []overload.Change
-	// Samples are what this node has seen of the load of services since the last ones; nil: they are
-	// not due yet.
+	// Samples are this node's load measurements of services since the last samples, or nil while no
+	// samples are due.
 	Samples []fleetload.Sample
-	// OpenFlows are flows to be announced to other balancers, for AffinityToken.
+	// OpenFlows are the flows to announce to other balancers, for AffinityToken.
 	OpenFlows []conntrack.Flow
-	// Reach are zones that are reached no more, or are again. They hold until the next step.
+	// Reach lists the zones that have become unreachable or reachable again. The slice is valid
+	// until the next step.
 	Reach []reachability.Change
-	// Released are openings that were held and are now decided. They hold until
+	// Released are the held openings that have been decided in this step. The slice is valid until
 	// the next step.
 	Released []Released
-	// Unverified is set while the core distrusts its view and waits for ContactRegained.
+	// Unverified is set while the core considers its view possibly stale and waits for
+	// ContactRegained.
 	Unverified bool
 }
 
-// Member is one node as the membership sees it.
+// Member is one node of the membership.
 type Member struct {
 	ID   lb.NodeID
 	Zone lb.Zone
-	// Leaving nodes still relay and answer, but are in no chain.
+	// Leaving nodes still relay packets and reply to messages, but belong to no chain.
 	Leaving bool
 }
 
-// Event is one input of the core. Exactly one field is set, besides Tick.
+// Event is one input of the core. Exactly one field is set, apart from Tick and the fields that
+// accompany it.
 type Event struct {
 	Packet    *Packet
-	Placement *lb.Placement // adopted only when its version is higher
-	// Members are all nodes thought alive, self included; with AffinityToken those of
-	// the own zone, and no others.
+	Placement *lb.Placement // applied only if its version is higher than the current one
+	// Members are all nodes considered alive, including this one. With AffinityToken, they are only
+	// the nodes of the local zone.
 	Members []Member
-	// Table is a new table, for AffinityToken.
+	// Table is a new steering table, for AffinityToken.
 	Table *steering.Table
-	// Ejected are the back ends that the nodes together take for failing, for
-	// AffinityToken; empty, not nil: none.
+	// Ejected are the back ends that outlier detection across the nodes has ejected, for
+	// AffinityToken. Empty but not nil means that no back end is ejected.
 	Ejected []passivehealth.Identity
-	// Loads is what the fleet knows of the load of services, for AffinityToken; empty, not
-	// nil: nothing.
+	// Loads is the fleet-wide load of each service, for AffinityToken. Empty but not nil means that
+	// no load is known.
 	Loads map[lb.ServiceName]fleetload.Service
 	// OpenFlows are flows that another balancer has announced, for AffinityToken.
 	OpenFlows []conntrack.Flow
 	Peer      *PeerEvent
-	Tick      bool // at least every TickInterval
-	// Heard tells, with a tick, when balancers of zones were last heard, for AffinityToken.
+	Tick      bool // sent at least every TickInterval
+	// Heard accompanies a tick. It lists when this node last received a message from balancers of
+	// other zones, for AffinityToken.
 	Heard []ZoneHeard
-	Leave bool // planned stop begins
-	// RetryQueued decides anew on openings that wait, and Close decides on all of them
-	// for good and holds no more: the last step of a planned stop.
+	Leave bool // begins a planned stop
+	// RetryQueued decides the queued openings again. CloseQueue decides all of them finally and
+	// disables the admission queue; it is the last step of a planned stop.
 	RetryQueued, CloseQueue bool
-	// Contact tells whether this node has lately exchanged placements with a
-	// peer. ContactRegained is valid only after an exchange that began after
-	// the contact was lost or Effects.Unsure was first set.
+	// Contact reports whether this node has recently exchanged placements with a peer.
+	// ContactRegained is valid only after an exchange that began after the contact was lost or
+	// Effects.Unverified was first set.
 	Contact ContactChange
 }
 
-// ZoneHeard is what the membership knows of one zone.
+// ZoneHeard is the membership's contact with one zone.
 type ZoneHeard struct {
 	Zone lb.Zone
-	// At is when a message last came straight from a node of the zone.
+	// At is when this node last received a message directly from a node of the zone.
 	At time.Duration
-	// Lost: the membership does not reach the zone.
+	// Lost reports that the membership has no contact with the zone.
 	Lost bool
 }
 
@@ -224,77 +230,80 @@
 	Message message.Message
 }
 
-// ContactChange tells the core of lost or regained contact with peers.
+// ContactChange reports that contact with peers was lost or regained.
 type ContactChange uint8
 
-// Changes of contact.
+// The changes of contact.
 const (
 	ContactUnchanged ContactChange = iota
 	ContactLost
 	ContactRegained
 )
 
-// TickInterval is the longest time between two ticks in normal running.
+// TickInterval is the maximum time between two ticks in normal operation.
 const TickInterval = 200 * time.Millisecond
 
-// Affinity is how a later packet of a flow finds the flow's back end.
+// Affinity is the method by which later packets of a flow are sent to the flow's back end.
 type Affinity string
 
 // The affinities.
 const (
-	// AffinityChain: by records at a chain of two nodes, for paths whose
-	// packets carry nothing of the balancer's.
+	// AffinityChain keeps flow records at a chain of two nodes, for paths whose packets cannot
+	// carry balancer data.
 	AffinityChain Affinity = "chain"
-	// AffinityToken: by a token that the path's packets carry.
+	// AffinityToken uses a token that the path's packets carry.
 	AffinityToken Affinity = "token"
 )
 
-// Picking is a way of choosing the back end of a new flow.
+// Picking is the method of choosing the back end of a new flow.
 type Picking string
 
-// The ways of picking.
+// The methods of picking.
 const (
-	// PickTurns: by turns among a hand of back ends of its own; see package turns.
+	// PickSubset uses smooth weighted round-robin within this node's own subset of back ends; see
+	// package subset.
 	PickSubset Picking = "turns"
-	// PickRank: the first by weighted rendezvous, alike at the nodes of a zone.
+	// PickRank picks the first back end by weighted rendezvous hashing, which is the same on all
+	// nodes of a zone.
 	PickRank Picking = "rank"
 )
 
-// Settings are the core's parameters. Zero values are not valid; see DefaultSettings.
+// Settings are the core's parameters. Zero values are invalid; see DefaultSettings.
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// Affinity is AffinityChain if empty.
+	// Affinity defaults to AffinityChain if empty.
 	Affinity Affinity
-	// OpeningHold is how long an opening is remembered: the longest time
-	// over which callers retransmit one opening.
+	// OpeningHold is how long an opening is remembered. It must be at least the longest time over
+	// which clients retransmit one opening.
 	OpeningHold time.Duration
-	// IdleTimeout ends flows without packets. Placements settle no faster.
+	// IdleTimeout ends flows that have sent no packets for this time. Placements settle no sooner.
 	IdleTimeout time.Duration
-	// PinLifetime bounds how long a node forwards by a pin without asking again.
+	// PinLifetime is the maximum time for which a node forwards by a pin without asking the head
+	// again.
 	PinLifetime time.Duration
-	// PauseLimit is the gap between steps after which the node distrusts its view.
+	// PauseLimit is the gap between two steps after which the node treats its view as unverified.
 	PauseLimit time.Duration
-	// PinBytesPerSecond bounds the pins and confirmations sent.
+	// PinBytesPerSecond limits the rate of pins and confirmations sent.
 	PinBytesPerSecond int
-	// HandoverBytesPerSecond bounds the records handed over. While there are
-	// any to hand over, no pins or confirmations are sent.
+	// HandoverBytesPerSecond limits the rate of records handed over. No pins or confirmations are
+	// sent while records wait to be handed over.
 	HandoverBytesPerSecond int
-	// RetryAfter is the base of the time to come back given with a refusal.
+	// RetryAfter is the base of the retry time sent with a refusal.
 	RetryAfter time.Duration
-	// Overload are the parameters of overload control, for AffinityToken.
+	// Overload holds the parameters of overload control, for AffinityToken.
 	Overload overload.Settings
-	// Picking is how the back end of a new flow is chosen, for AffinityToken.
+	// Picking is the method of choosing the back end of a new flow, for AffinityToken.
 	Picking Picking
-	// Subset are the parameters of PickTurns.
+	// Subset holds the parameters of PickSubset.
 	Subset subset.Settings
-	// AdmissionQueue are those of openings that wait for room, for AffinityToken.
+	// AdmissionQueue holds the parameters of the admission queue, for AffinityToken.
 	AdmissionQueue admissionqueue.Settings
-	// ColdStart bounds the new flows of back ends that have just started, for AffinityToken.
+	// ColdStart limits the new flows sent to back ends that have just started, for AffinityToken.
 	ColdStart coldstart.Settings
 }
 
-// DefaultSettings gives the defaults for a node.
+// DefaultSettings returns the default settings of a node.
 func DefaultSettings(self lb.NodeID, zone lb.Zone) Settings {
 	return Settings{
 		Self:                   self,
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -55,13 +55,13 @@
 
 func benchCore(b *testing.B, documents ...*lb.Placement) *Core {
 	b.Helper()
-	core := New(unhurried("a", "1"))
+	core := New(settingsWithoutPauses("a", "1"))
 	var effects Effects
 	core.Step(0, &Event{Members: testMembers}, &effects)
 	for _, document := range documents {
 		core.Step(0, &Event{Placement: document}, &effects)
 	}
-	core.joinedAt = -joinHold // long since a member
+	core.joinedAt = -joinGracePeriod // long since a member
 	return core
 }
 
@@ -106,7 +106,7 @@
 	calm, _, _, _ := testPlacements(b, "ABCDEF", "ABCDE")
 	core := benchCore(b, calm)
 	service := core.services[testService]
-	packets := flowsWhere(benchFlows, PacketOpening, func(index uint16) bool { return core.heads(core.groupOf(service, index)) })
+	packets := flowsWhere(benchFlows, PacketOpening, func(index uint16) bool { return core.isHead(core.groupOf(service, index)) })
 	benchPackets(b, core, packets, ActionRelay)
 }
 
@@ -114,7 +114,7 @@
 	calm, _, _, _ := testPlacements(b, "ABCDEF", "ABCDE")
 	core := benchCore(b, calm)
 	service := core.services[testService]
-	packets := flowsWhere(benchFlows, PacketOpening, func(index uint16) bool { return !core.heads(core.groupOf(service, index)) })
+	packets := flowsWhere(benchFlows, PacketOpening, func(index uint16) bool { return !core.isHead(core.groupOf(service, index)) })
 	benchPackets(b, core, packets, ActionRelay)
 }
 
@@ -134,7 +134,7 @@
 	core := benchCore(b, calm, prepared, committed)
 	service := core.services[testService]
 	packets := flowsWhere(benchFlows, PacketMiddle, func(index uint16) bool {
-		return service.table.InMotion(index) && !core.heads(core.groupOf(service, index))
+		return service.table.InMotion(index) && !core.isHead(core.groupOf(service, index))
 	})
 	pins := message.Pins{Service: testService}
 	for index := range packets {
@@ -167,7 +167,7 @@
 func benchState(b *testing.B, moved bool) {
 	calm, prepared, committed, _ := testPlacements(b, "ABCDEF", "ABCDE")
 	pair := []*Core{benchCore(b, calm, prepared, committed), nil}
-	pair[1] = New(unhurried("b", "2"))
+	pair[1] = New(settingsWithoutPauses("b", "2"))
 	var effects Effects
 	now := time.Second
 	for _, member := range []Event{{Members: testMembers}, {Placement: committed}} {
--- a/internal/core/chain.go
+++ b/internal/core/chain.go
@@ -8,16 +8,16 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// ChainGroups is the number of chains. Every bucket of every service belongs
-// to one of them, so that the cost of a change of the membership and the
-// memory for chains do not grow with the services (docs/DESIGN.md, "The chain").
+// ChainGroups is the number of chains. Every bucket of every service belongs to one of them, so
+// that neither the cost of a membership change nor the memory for chains grows with the number of
+// services (docs/DESIGN.md, "The chain").
 const ChainGroups = 4096
 
-// groupsKey is the name under which the chains of groups are ranked.
+// groupsKey is the rendezvous key under which the chains of groups are ranked.
 const groupsKey = "chain-groups"
 
-// chain is the head and the tail of a group in this node's view. Both are nil
-// when no node may be in chains; the tail alone when there is one node.
+// chain holds the head and the tail of a group in this node's view. Both are nil if no node is
+// eligible; only the tail is nil if exactly one node is.
 type chain struct {
 	head, tail *node
 }
@@ -26,19 +26,19 @@
 	return member != nil && (pair.head == member || pair.tail == member)
 }
 
-// group is a chain and this node's part in it, shared by the buckets that hash to it.
+// group is a chain and this node's membership in it. All buckets that hash to the group share it.
 type group struct {
-	chain       chain
-	memberSince time.Duration // notInChain outside the chain
-	leftStamp   stamp         // when this node last left the chain
-	leftBefore  stamp         // when it left the time before
-	tailSince   stamp         // answers of the present tail are later than this
+	chain            chain
+	memberSince      time.Duration // since when this node is in the chain; notInChain outside it
+	leftAt           timestamp     // when this node last left the chain
+	previouslyLeftAt timestamp     // when this node left the chain before leftAt
+	tailSince        timestamp     // answers of the present tail are learned at this time or later
 }
 
 // notInChain is the value of group.memberSince outside the chain.
 const notInChain = time.Duration(-1)
 
-// newGroups gives groups without chains.
+// newGroups returns groups without chains.
 func newGroups() []group {
 	groups := make([]group, ChainGroups)
 	for index := range groups {
@@ -47,13 +47,13 @@
 	return groups
 }
 
-// groupOf gives the group of a bucket.
+// groupOf returns the group of a bucket.
 func (core *Core) groupOf(service *service, index uint16) *group {
 	return &core.groups[uint64(service.key.BucketKey(index))%ChainGroups]
 }
 
-// updateChains recomputes the chains that the changed nodes are in, or enter,
-// and hands records over to those who enter.
+// updateChains recomputes the chains that contain a changed node or may now include one, and hands
+// over records to the nodes that enter a chain.
 func (core *Core) updateChains(changed []*node) {
 	if len(changed) == 0 {
 		return
@@ -61,43 +61,45 @@
 	previous := make(map[*group]chain)
 	onlyAdded := !slices.ContainsFunc(changed, func(candidate *node) bool { return !candidate.eligible })
 	for index := range core.groups {
-		member := &core.groups[index]
+		group := &core.groups[index]
 		key := core.groupsKey.BucketKey(uint16(index))
-		if !member.affectedBy(key, changed) {
+		if !group.affectedBy(key, changed) {
 			continue
 		}
-		before, after := member.chain, chain{}
+		before, after := group.chain, chain{}
 		if onlyAdded && before.spansZones() {
 			after = before.rankWith(key, changed)
 		} else {
-			after = rank(key, core.members.eligible, core.members.candidates)
+			after = rankChain(key, core.members.eligible, core.members.candidates)
 		}
-		if core.setChain(member, after) {
-			previous[member] = before
+		if core.setChain(group, after) {
+			previous[group] = before
 		}
 	}
 	core.chainChanges++
 	core.handOverChanged(previous)
 }
 
-// handOverChanged hands records of the buckets whose chains changed over to the entrants.
+// handOverChanged hands over the records of all buckets whose chains changed to the nodes that
+// enter those chains.
 func (core *Core) handOverChanged(previous map[*group]chain) {
 	if len(previous) == 0 {
 		return
 	}
-	for _, service := range core.ordered {
-		service.each(func(index uint16, bucket *bucket) {
+	for _, service := range core.servicesByName {
+		service.eachBucket(func(index uint16, bucket *bucket) {
 			before, found := previous[bucket.group]
 			if found && (before.has(core.self) || bucket.group.chain.has(core.self) || core.leaving) {
-				core.handOverToEntrants(service, index, before, bucket.group.chain)
+				core.handOverToNewMembers(service, index, before, bucket.group.chain)
 			}
 		})
 	}
 }
 
-// affectedBy tells whether any of the nodes is in the chain or would be by its score.
-func (member *group) affectedBy(key rendezvous.Key, changed []*node) bool {
-	pair := member.chain
+// affectedBy reports whether any of the changed nodes is in the chain or ranks high enough to enter
+// it.
+func (group *group) affectedBy(key rendezvous.Key, changed []*node) bool {
+	pair := group.chain
 	if !pair.spansZones() {
 		return true
 	}
@@ -109,25 +111,25 @@
 	return false
 }
 
-// spansZones tells whether the chain has a head and a tail in two zones.
+// spansZones reports whether the chain has a head and a tail in different zones.
 func (pair chain) spansZones() bool {
 	return pair.head != nil && pair.tail != nil && pair.head.Zone != pair.tail.Zone
 }
 
-// rankWith computes the chain after nodes have been added to those that it was
-// computed from. No other node can enter it: the head is the first of all, and
-// the tail the first outside the head's zone, or the head before it was passed.
+// rankWith computes the chain after nodes were added. Only the previous head and tail and the added
+// nodes can be in it: the head is the first node by rank, and the tail is the first node outside
+// the head's zone, which may be the previous head if an added node outranks it.
 func (pair chain) rankWith(key rendezvous.Key, added []*node) chain {
 	nodes := append([]*node{pair.head, pair.tail}, added...)
 	candidates := make([]rendezvous.Candidate, len(nodes))
 	for index, candidate := range nodes {
 		candidates[index] = candidate.Candidate
 	}
-	return rank(key, nodes, candidates)
+	return rankChain(key, nodes, candidates)
 }
 
-// rank computes a chain from nodes and, at the same indexes, their candidates.
-func rank(key rendezvous.Key, nodes []*node, candidates []rendezvous.Candidate) chain {
+// rankChain computes a chain from nodes and their candidates, which are at the same indexes.
+func rankChain(key rendezvous.Key, nodes []*node, candidates []rendezvous.Candidate) chain {
 	head, tail := rendezvous.Chain(key, candidates)
 	var pair chain
 	if head >= 0 {
@@ -139,31 +141,31 @@
 	return pair
 }
 
-// setChain takes a group's new chain and tells whether it differs.
-func (core *Core) setChain(member *group, pair chain) bool {
-	previous := member.chain
+// setChain sets the chain of a group and reports whether it changed.
+func (core *Core) setChain(group *group, pair chain) bool {
+	previous := group.chain
 	if previous == pair {
 		return false
 	}
-	member.chain = pair
+	group.chain = pair
 	wasMember, isMember := previous.has(core.self), pair.has(core.self)
 	if previous.tail != pair.tail || !wasMember {
-		member.tailSince = core.stamp + 1
+		group.tailSince = core.timestamp + 1
 	}
 	switch {
 	case isMember && !wasMember:
-		member.memberSince = core.now
+		group.memberSince = core.now
 	case !isMember:
-		member.memberSince = notInChain
+		group.memberSince = notInChain
 		if wasMember {
-			member.leftBefore, member.leftStamp = member.leftStamp, core.stamp
+			group.previouslyLeftAt, group.leftAt = group.leftAt, core.timestamp
 		}
 	}
 	return true
 }
 
-func (core *Core) handOverToEntrants(service *service, index uint16, previous, pair chain) {
-	if core.off.noHandoverToJoined || core.leaving && core.off.noHandoverBeforeLeave {
+func (core *Core) handOverToNewMembers(service *service, index uint16, previous, pair chain) {
+	if core.disabled.noHandoverToJoined || core.leaving && core.disabled.noHandoverBeforeLeave {
 		return
 	}
 	for _, entrant := range [...]*node{pair.head, pair.tail} {
@@ -173,13 +175,13 @@
 	}
 }
 
-// headed is the number of the service's buckets that this node heads: its share
-// of the service's limit of new flows.
-func (core *Core) headed(service *service) int {
-	if service.headedAt == core.chainChanges {
+// headedBuckets returns the number of the service's buckets that this node heads. It determines
+// this node's fraction of the service's limit of new flows.
+func (core *Core) headedBuckets(service *service) int {
+	if service.headedAtChange == core.chainChanges {
 		return service.headedBuckets
 	}
-	service.headedAt = core.chainChanges
+	service.headedAtChange = core.chainChanges
 	service.headedBuckets = 0
 	for index := range uint16(lb.BucketCount) {
 		if core.groupOf(service, index).chain.head == core.self {
@@ -189,23 +191,23 @@
 	return service.headedBuckets
 }
 
-// heads tells whether this node decides openings of the group: it is the
-// head, or no node may be.
-func (core *Core) heads(member *group) bool {
-	return member.chain.head == core.self || member.chain.head == nil
+// isHead reports whether this node decides openings of the group: it is the head, or no node is
+// eligible.
+func (core *Core) isHead(group *group) bool {
+	return group.chain.head == core.self || group.chain.head == nil
 }
 
-// vouches tells whether this node knows every opening of the bucket that may
-// still be retransmitted: it has been in the chain for OpeningHold, without a
-// pause or loss of contact, and no node is missing that may have forwarded a
-// copy on the other side of a cut.
-func (core *Core) vouches(service *service, member *group) bool {
-	if core.off.noVouchBeforeNotRun {
+// vouches reports whether this node knows every opening of the bucket that a client may still
+// retransmit. That requires that this node has been in the chain for OpeningHold without a pause or
+// a loss of contact, and that no node is missing that may have forwarded a copy on the other side
+// of a network partition.
+func (core *Core) vouches(service *service, group *group) bool {
+	if core.disabled.noVouchBeforeNotRun {
 		return true
 	}
-	if !core.sure || member.memberSince == notInChain || core.isNodeMissing() {
+	if !core.viewVerified || group.memberSince == notInChain || core.isNodeMissing() {
 		return false
 	}
-	since := max(member.memberSince, core.sureSince, service.frontendsSince)
+	since := max(group.memberSince, core.viewVerifiedSince, service.frontendsChangedAt)
 	return core.now-since >= core.settings.OpeningHold
 }
--- a/internal/core/chain_test.go
+++ b/internal/core/chain_test.go
@@ -35,7 +35,7 @@
 		core.Step(0, &Event{Members: members}, &effects)
 		for index := range core.groups {
 			key := core.groupsKey.BucketKey(uint16(index))
-			is.Equal(core.groups[index].chain, rank(key, core.members.eligible, core.members.candidates))
+			is.Equal(core.groups[index].chain, rankChain(key, core.members.eligible, core.members.candidates))
 		}
 	}
 }
--- a/internal/core/clean.go
+++ b/internal/core/clean.go
@@ -11,30 +11,30 @@
 // cleanInterval is the time between two reports of clean buckets.
 const cleanInterval = 30 * time.Second
 
-// cleanReporter reports, service by service, the buckets with history in which
-// this node, as head, knows of no flow away from the base.
+// cleanReporter periodically reports, one service after another, the clean buckets: buckets with
+// history for which this node, as head, knows of no flow on another back end than the base.
 type cleanReporter struct {
 	reportedAt time.Duration
-	service    int // next to report; all are reported when past the last
+	service    int // index of the next service to report; past the last one, all are reported
 }
 
-// run reports at most one service at each tick.
+// run reports at most one service per tick.
 func (reporter *cleanReporter) run(core *Core, effects *Effects) {
-	if reporter.service >= len(core.ordered) {
+	if reporter.service >= len(core.servicesByName) {
 		if core.now-reporter.reportedAt < cleanInterval {
 			return
 		}
 		reporter.reportedAt = core.now
 		reporter.service = 0
 	}
-	if reporter.service < len(core.ordered) {
-		core.reportClean(core.ordered[reporter.service], effects)
+	if reporter.service < len(core.servicesByName) {
+		core.reportClean(core.servicesByName[reporter.service], effects)
 		reporter.service++
 	}
 }
 
 func (core *Core) reportClean(service *service, effects *Effects) {
-	if !core.sure || core.leaving {
+	if !core.viewVerified || core.leaving {
 		return
 	}
 	if len(service.table.Document().History) == 0 {
@@ -55,15 +55,16 @@
 	}
 }
 
-// isClean tells whether this node heads the bucket, has done so, with the
-// history as it is, for the life of a record, and knows of no flow away from
-// the base. A guess that no tail has confirmed may be wrong, and counts as one.
+// isClean reports whether a bucket is clean. This node must have headed the bucket, with its
+// present history, for the lifetime of a record, and must know of no flow on another back end than
+// the base. A guessed record that no tail has confirmed may be wrong and makes the bucket unclean,
+// too.
 func (core *Core) isClean(service *service, index uint16) bool {
-	member := core.groupOf(service, index)
-	if member.chain.head != core.self || !service.table.HasHistory(index) || service.table.InMotion(index) {
+	group := core.groupOf(service, index)
+	if group.chain.head != core.self || !service.table.HasHistory(index) || service.table.InMotion(index) {
 		return false
 	}
-	if core.now-core.completeSince(service, member) < core.recordLifetime() {
+	if core.now-core.completeSince(service, group) < core.recordLifetime() {
 		return false
 	}
 	bucket := service.buckets[index]
@@ -76,7 +77,7 @@
 		if entry.flags == 0 || entry.refused() {
 			continue
 		}
-		guess := !core.confirmed(member, entry) && entry.openingID == 0 && !core.off.noCleanOnlyConfirmed
+		guess := !core.isConfirmed(group, entry) && entry.openingID == 0 && !core.disabled.noCleanOnlyConfirmed
 		if entry.backend != base || guess {
 			return false
 		}
@@ -84,12 +85,12 @@
 	return true
 }
 
-// completeSince is the time since when every flow of the bucket that sent a
-// packet away from the base went by this node.
-func (core *Core) completeSince(service *service, member *group) time.Duration {
-	since := max(member.memberSince, core.sureSince)
-	if core.off.noCleanWait {
+// completeSince returns the time since which this node has seen every flow of the bucket that sent
+// a packet to another back end than the base.
+func (core *Core) completeSince(service *service, group *group) time.Duration {
+	since := max(group.memberSince, core.viewVerifiedSince)
+	if core.disabled.noCleanWait {
 		return since
 	}
-	return max(since, service.historySince)
+	return max(since, service.historyChangedAt)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,90 +13,91 @@
 	"robinpulley.example/robinpulley/internal/steering"
 )
 
-// Core decides for one balancer. It is not safe for concurrent use: one
-// goroutine at a time calls its methods.
+// Core makes the decisions of one balancer. It is not safe for concurrent use.
 type Core struct {
-	settings Settings
-	affinity affinity
-	off      rules
-	now      time.Duration
-	stamp    stamp
-	started  bool
+	settings  Settings
+	affinity  affinity
+	disabled  disabledRules
+	now       time.Duration
+	timestamp timestamp
+	started   bool
 
 	self    *node
 	nodes   map[lb.NodeID]*node
 	byHash  map[lb.NodeHash]*node
 	members memberList
-	// groups are the chains; chainChanges counts their changes.
+	// groups are the chains. chainChanges counts updates of the chains, so that values derived from
+	// them can be cached.
 	groups       []group
 	groupsKey    rendezvous.Key
 	chainChanges uint64
 
-	services map[lb.ServiceName]*service
-	ordered  []*service // by name, so that walks are deterministic
-	// bucketCount is the number of buckets of which something is held, over all services.
+	services       map[lb.ServiceName]*service
+	servicesByName []*service // sorted, so that iteration is deterministic
+	// bucketCount is the number of buckets with state, over all services.
 	bucketCount int
 	frontends   map[lb.FrontendKey]*service
 
-	sure      bool          // the view may be trusted
-	sureSince time.Duration // when it last became so
-	// resumed: unsure since a pause.
-	resumed bool
-	// discardUntil: packets up to then may have waited in a socket over a pause.
-	discardUntil time.Duration
-	// joinedAt is when this node first saw others; zero before that.
+	viewVerified      bool          // false: the view may be stale
+	viewVerifiedSince time.Duration // when viewVerified last changed
+	// unverifiedSincePause reports that the view has been unverified since a pause of this process.
+	unverifiedSincePause bool
+	// dropPacketsUntil is the time up to which packets may have waited in a socket during a pause.
+	dropPacketsUntil time.Duration
+	// joinedAt is when this node first saw other members, or zero before that.
 	joinedAt time.Duration
-	// missing are nodes that vanished without having left, and when.
-	missing map[lb.NodeID]time.Duration
-	leaving bool
-
-	hints    hintQueue
-	handover handover
-	sweeper  sweeper
-	clean    cleanReporter
-	stats    Stats
+	// missingNodes maps each node that vanished without a planned stop to the time at which it
+	// vanished.
+	missingNodes map[lb.NodeID]time.Duration
+	leaving      bool
+
+	hints         hintQueue
+	handover      handover
+	sweeper       sweeper
+	cleanReporter cleanReporter
+	stats         Stats
 }
 
-// stampUnit is the unit of times in records.
-const stampUnit = 10 * time.Millisecond
+// timestampUnit is the resolution of timestamp.
+const timestampUnit = 10 * time.Millisecond
 
-// affinity finds the back ends of flows; see Affinity.
+// affinity finds the back ends of flows by one method; see Affinity.
 type affinity interface {
-	packet(packet *Packet, decision *Decision)
+	decide(packet *Packet, decision *Decision)
 	setMembers(members []Member)
 	setTable(table *steering.Table)
 	tick()
-	changes() []passivehealth.Change
+	backendChanges() []passivehealth.Change
 	outcomes() []passivehealth.Outcome
-	avoid(identities []passivehealth.Identity)
-	overloads() []overload.Change
-	pressures() []overload.Status
+	setEjected(identities []passivehealth.Identity)
+	overloadChanges() []overload.Change
+	overloadStatus() []overload.Status
 	setLoads(loads map[lb.ServiceName]fleetload.Service)
-	samples() []fleetload.Sample
-	heard(zones []ZoneHeard)
-	reached() []reachability.Change
-	zones() []reachability.Status
-	look(all bool)
+	loadSamples() []fleetload.Sample
+	updateReachability(zones []ZoneHeard)
+	reachabilityChanges() []reachability.Change
+	reachabilityStatus() []reachability.Status
+	retryQueued(all bool)
 	takeReleased() []Released
-	waits() int
-	tracked() conntrack.Stats
-	openFlows() []conntrack.Flow
-	learn(flows []conntrack.Flow) []conntrack.Flow
+	queuedOpenings() int
+	trackedStats() conntrack.Stats
+	openFlowAnnouncements() []conntrack.Flow
+	applyOpenFlows(flows []conntrack.Flow) []conntrack.Flow
 	recentFlows() []conntrack.Flow
 }
 
-// New gives a core that knows of no other member and no service.
+// New returns a core without other members and without services.
 func New(settings Settings) *Core {
 	core := &Core{
-		settings:  settings,
-		nodes:     make(map[lb.NodeID]*node),
-		byHash:    make(map[lb.NodeHash]*node),
-		services:  make(map[lb.ServiceName]*service),
-		frontends: make(map[lb.FrontendKey]*service),
-		groups:    newGroups(),
-		groupsKey: rendezvous.NewKey(groupsKey),
-		missing:   make(map[lb.NodeID]time.Duration),
-		sure:      true,
+		settings:     settings,
+		nodes:        make(map[lb.NodeID]*node),
+		byHash:       make(map[lb.NodeHash]*node),
+		services:     make(map[lb.ServiceName]*service),
+		frontends:    make(map[lb.FrontendKey]*service),
+		groups:       newGroups(),
+		groupsKey:    rendezvous.NewKey(groupsKey),
+		missingNodes: make(map[lb.NodeID]time.Duration),
+		viewVerified: true,
 	}
 	core.affinity = chainAffinity{core}
 	if settings.Affinity == AffinityToken {
@@ -109,65 +110,66 @@
 	return core
 }
 
-// Step takes one event at the time now, counted from any fixed origin not
-// after it, and fills effects. Times must not go back.
+// Step processes one event at the time now and fills effects. Times are offsets from an arbitrary
+// fixed origin and must not decrease.
 func (core *Core) Step(now time.Duration, event *Event, effects *Effects) {
 	effects.reset()
 	core.setTime(now)
 	switch {
 	case event.Packet != nil:
-		core.affinity.packet(event.Packet, &effects.Decision)
+		core.affinity.decide(event.Packet, &effects.Decision)
 		core.count(&effects.Decision)
 	case event.Placement != nil:
-		core.adopt(event.Placement)
+		core.applyPlacement(event.Placement)
 	case event.Table != nil:
 		core.affinity.setTable(event.Table)
 	case event.Members != nil:
 		core.affinity.setMembers(event.Members)
 	case event.Peer != nil:
-		core.peer(event.Peer, effects)
+		core.handlePeerMessage(event.Peer, effects)
 	case event.Ejected != nil:
-		core.affinity.avoid(event.Ejected)
+		core.affinity.setEjected(event.Ejected)
 	case event.Loads != nil:
 		core.affinity.setLoads(event.Loads)
 	case event.OpenFlows != nil:
-		effects.OpenFlows = core.affinity.learn(event.OpenFlows)
+		effects.OpenFlows = core.affinity.applyOpenFlows(event.OpenFlows)
 	case event.Leave:
 		core.leave()
 	case event.RetryQueued || event.CloseQueue:
-		core.affinity.look(event.CloseQueue)
+		core.affinity.retryQueued(event.CloseQueue)
 	}
 	core.setContact(event.Contact)
 	if event.Tick {
-		core.affinity.heard(event.Heard)
+		core.affinity.updateReachability(event.Heard)
 		core.affinity.tick()
 		core.tick(effects)
-		effects.Samples = core.affinity.samples()
-		effects.OpenFlows = core.affinity.openFlows()
+		effects.Samples = core.affinity.loadSamples()
+		effects.OpenFlows = core.affinity.openFlowAnnouncements()
 	}
-	effects.Backends = core.affinity.changes()
+	effects.Backends = core.affinity.backendChanges()
 	effects.Outcomes = core.affinity.outcomes()
-	effects.Overload = core.affinity.overloads()
-	effects.Reach = core.affinity.reached()
+	effects.Overload = core.affinity.overloadChanges()
+	effects.Reach = core.affinity.reachabilityChanges()
 	effects.Released = core.affinity.takeReleased()
-	effects.Unverified = !core.sure
+	effects.Unverified = !core.viewVerified
 	effects.HandoverDone = core.leaving && core.handover.idle()
 }
 
-// Zones gives which zones' back ends are reached, for AffinityToken.
-func (core *Core) Zones() []reachability.Status { return core.affinity.zones() }
+// Zones returns the reachability of the zones with back ends, for AffinityToken.
+func (core *Core) Zones() []reachability.Status { return core.affinity.reachabilityStatus() }
 
-// Waiting is how many openings are held, for AffinityToken.
-func (core *Core) Waiting() int { return core.affinity.waits() }
+// Waiting returns the number of held openings, for AffinityToken.
+func (core *Core) Waiting() int { return core.affinity.queuedOpenings() }
 
-// Tracked counts the flows that a late answer to their opening must not move, for AffinityToken.
-func (core *Core) Tracked() conntrack.Stats { return core.affinity.tracked() }
+// Tracked returns counters of the flows that must not move to another back end when a late reply to
+// their opening arrives, for AffinityToken.
+func (core *Core) Tracked() conntrack.Stats { return core.affinity.trackedStats() }
 
-// RecentFlows gives the flows of Tracked that were opened a short time ago.
+// RecentFlows returns the flows counted by Tracked that were opened recently.
 func (core *Core) RecentFlows() []conntrack.Flow { return core.affinity.recentFlows() }
 
-// Pressures gives what is known of the load of services, for AffinityToken.
-func (core *Core) Pressures() []overload.Status { return core.affinity.pressures() }
+// Pressures returns the load status of the services, for AffinityToken.
+func (core *Core) Pressures() []overload.Status { return core.affinity.overloadStatus() }
 
 func (effects *Effects) reset() {
 	effects.Decision = Decision{}
@@ -179,46 +181,49 @@
 	effects.Unverified = false
 }
 
-// setTime notices a pause of this process: its view may be old by now.
+// setTime sets the time of the step. It detects a pause of this process, during which the view may
+// have become stale.
 func (core *Core) setTime(now time.Duration) {
 	paused := core.started && now-core.now > core.settings.PauseLimit
 	core.started = true
 	core.now = now
-	core.stamp = toStamp(now)
-	if paused && !core.off.noUnsureAfterPause {
+	core.timestamp = toTimestamp(now)
+	if paused && !core.disabled.noUnverifiedAfterPause {
 		core.stats.Pauses++
-		core.discardUntil = now + TickInterval
-		core.resumed = !core.members.alone()
-		core.distrust()
+		core.dropPacketsUntil = now + TickInterval
+		core.unverifiedSincePause = !core.members.alone()
+		core.markViewUnverified()
 	}
 }
 
-func toStamp(now time.Duration) stamp { return stamp(now / stampUnit) }
+func toTimestamp(now time.Duration) timestamp { return timestamp(now / timestampUnit) }
 
-// distrust makes the node unsure of its view, unless it has no peers to ask.
-func (core *Core) distrust() {
-	core.sure = core.members.alone()
-	core.sureSince = core.now
+// markViewUnverified marks the view as unverified, unless there are no peers with which to verify
+// it.
+func (core *Core) markViewUnverified() {
+	core.viewVerified = core.members.alone()
+	core.viewVerifiedSince = core.now
 }
 
 func (core *Core) setContact(change ContactChange) {
 	switch change {
 	case ContactLost:
-		core.distrust()
+		core.markViewUnverified()
 	case ContactRegained:
-		if !core.sure {
-			core.regain()
+		if !core.viewVerified {
+			core.markViewVerified()
 		}
 	}
 }
 
-// regain makes the node trust its view again. Tails may have changed meanwhile.
-func (core *Core) regain() {
-	core.sure = true
-	core.resumed = false
-	core.sureSince = core.now
+// markViewVerified marks the view as verified again. The tails of chains may have changed in the
+// meantime.
+func (core *Core) markViewVerified() {
+	core.viewVerified = true
+	core.unverifiedSincePause = false
+	core.viewVerifiedSince = core.now
 	for index := range core.groups {
-		core.groups[index].tailSince = core.stamp + 1
+		core.groups[index].tailSince = core.timestamp + 1
 	}
 }
 
@@ -226,5 +231,5 @@
 	core.sweeper.run(core)
 	core.handover.run(core, effects)
 	core.hints.flush(core, effects)
-	core.clean.run(core, effects)
+	core.cleanReporter.run(core, effects)
 }
--- a/internal/core/fault_test.go
+++ b/internal/core/fault_test.go
@@ -12,9 +12,9 @@
 
 // The tests of this file are named after faults that random schedules found.
 
-// unhurried gives settings with which the jumps in time of these tests are no
+// settingsWithoutPauses gives settings with which the jumps in time of these tests are no
 // pauses: packets that come right after a pause are dropped.
-func unhurried(id lb.NodeID, zone lb.Zone) Settings {
+func settingsWithoutPauses(id lb.NodeID, zone lb.Zone) Settings {
 	settings := DefaultSettings(id, zone)
 	settings.PauseLimit = time.Hour
 	return settings
@@ -24,7 +24,7 @@
 func movingFlow(t *testing.T) (*Core, lb.FlowKey) {
 	t.Helper()
 	calm, prepared, committed, _ := testPlacements(t, "ABCDEF", "ABCDE")
-	core := New(unhurried("a", "1"))
+	core := New(settingsWithoutPauses("a", "1"))
 	var effects Effects
 	for _, event := range []Event{{Members: testMembers}, {Placement: calm}, {Placement: prepared}, {Placement: committed}} {
 		core.Step(0, &event, &effects)
@@ -36,13 +36,13 @@
 	return core, packets[0].Key
 }
 
-func decide(core *Core, now time.Duration, packet Packet) Decision {
+func decideAt(core *Core, now time.Duration, packet Packet) Decision {
 	var effects Effects
 	core.Step(now, &Event{Packet: &packet}, &effects)
 	return effects.Decision
 }
 
-func give(core *Core, now time.Duration, from lb.NodeID, content message.Message) {
+func deliver(core *Core, now time.Duration, from lb.NodeID, content message.Message) {
 	var effects Effects
 	core.Step(now, &Event{Peer: &PeerEvent{From: from, Message: content}}, &effects)
 }
@@ -50,9 +50,9 @@
 func TestHeadRefusesNoOpeningByItsGuessForALaterPacket(t *testing.T) {
 	is := is.New(t)
 	core, key := movingFlow(t)
-	later := decide(core, time.Second, Packet{Key: key, Kind: PacketMiddle})
+	later := decideAt(core, time.Second, Packet{Key: key, Kind: PacketMiddle})
 	is.Equal(later.Action, ActionRelay) // the base back end is a guess
-	opening := decide(core, time.Second, Packet{Key: key, Kind: PacketOpening, OpeningID: 7})
+	opening := decideAt(core, time.Second, Packet{Key: key, Kind: PacketOpening, OpeningID: 7})
 	is.Equal(opening.Action, ActionRelay) // the tail may know better
 }
 
@@ -70,7 +70,7 @@
 		core, key := movingFlow(t)
 		for _, records := range order {
 			records.Flows[0].Flow = key.ID()
-			give(core, 20*time.Second, "d", records)
+			deliver(core, 20*time.Second, "d", records)
 		}
 		entry := core.services[testService].buckets[key.ID().Bucket()].records.get(key.ID())
 		is.Equal(entry.backend, lb.BackendID(2))
@@ -83,26 +83,26 @@
 	core, key := movingFlow(t)
 	member := core.groupOf(core.services[testService], key.ID().Bucket())
 	records := message.Records{Service: testService, Flows: []message.FlowRecord{{Flow: key.ID(), Backend: 1, OpeningID: 7}}}
-	give(core, 20*time.Second, "d", records)
-	is.Equal(decide(core, 20*time.Second, Packet{Key: key, Kind: PacketMiddle}).Action, ActionRelay)
+	deliver(core, 20*time.Second, "d", records)
+	is.Equal(decideAt(core, 20*time.Second, Packet{Key: key, Kind: PacketMiddle}).Action, ActionRelay)
 	answer := message.Pins{Service: testService, Confirm: true, Flows: records.Flows}
-	give(core, 20*time.Second, member.chain.tail.ID, answer)
-	is.Equal(decide(core, 20*time.Second, Packet{Key: key, Kind: PacketMiddle}).Action, ActionForward)
+	deliver(core, 20*time.Second, member.chain.tail.ID, answer)
+	is.Equal(decideAt(core, 20*time.Second, Packet{Key: key, Kind: PacketMiddle}).Action, ActionForward)
 }
 
 func TestLeavingNodeHandsOverKnownUDPFlowsAndYoungOpenings(t *testing.T) {
 	is := is.New(t)
 	calm, _, _, _ := testPlacements(t, "ABC", "AB")
-	core := New(unhurried("a", "1"))
+	core := New(settingsWithoutPauses("a", "1"))
 	var effects Effects
 	core.Step(0, &Event{Members: testMembers}, &effects)
 	core.Step(0, &Event{Placement: calm}, &effects)
 	service := core.services[testService]
 	opening := flowsWhere(1, PacketOpening, func(index uint16) bool { return core.groupOf(service, index).chain.head == core.self })[0]
-	is.Equal(decide(core, 5*time.Second, opening).Action, ActionRelay)
+	is.Equal(decideAt(core, 5*time.Second, opening).Action, ActionRelay)
 	udp := testKey(1)
 	udp.Protocol = lb.UDP
-	is.Equal(decide(core, 5*time.Second, Packet{Key: udp, Kind: PacketUnmarked}).Action, ActionForward)
+	is.Equal(decideAt(core, 5*time.Second, Packet{Key: udp, Kind: PacketUnmarked}).Action, ActionForward)
 	core.Step(5*time.Second, &Event{Leave: true}, &effects)
 	is.True(!effects.HandoverDone)
 	core.Step(5*time.Second, &Event{Tick: true}, &effects)
@@ -110,7 +110,7 @@
 	for _, outgoing := range effects.Messages {
 		records := outgoing.Message.(message.Records)
 		handed[records.Flows[0].Flow] = records.Established
-		give(core, 5*time.Second, outgoing.To, message.RecordsAck{Sequence: records.Sequence})
+		deliver(core, 5*time.Second, outgoing.To, message.RecordsAck{Sequence: records.Sequence})
 	}
 	is.Equal(handed, map[lb.FlowID]bool{udp.ID(): true, opening.Key.ID(): false})
 	core.Step(5*time.Second, &Event{Tick: true}, &effects)
@@ -121,30 +121,30 @@
 // end has the packet, so that it proposes the same when the tail is gone, and
 // that it would not if the tail just carried its answer out.
 func TestReturnToTheHead(t *testing.T) {
-	for _, off := range []rules{{}, {noReturnToHead: true}} {
+	for _, off := range []disabledRules{{}, {noReturnToHead: true}} {
 		is := is.New(t)
 		head, key := movingFlow(t)
 		service := head.services[testService]
 		index := key.ID().Bucket()
 		base := service.table.Base(index)
 		pair := head.groupOf(service, index).chain
-		tail := New(unhurried(pair.tail.ID, pair.tail.Zone))
-		tail.off = off
+		tail := New(settingsWithoutPauses(pair.tail.ID, pair.tail.Zone))
+		tail.disabled = off
 		var effects Effects
 		tail.Step(0, &Event{Members: testMembers}, &effects)
 		tail.Step(0, &Event{Placement: service.table.Document()}, &effects)
-		give(tail, 0, "d", message.Records{Service: testService, Flows: []message.FlowRecord{{Flow: key.ID(), Backend: base, OpeningID: 7}}})
+		deliver(tail, 0, "d", message.Records{Service: testService, Flows: []message.FlowRecord{{Flow: key.ID(), Backend: base, OpeningID: 7}}})
 
 		opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
 		relayed := opening
-		relayed.Relay = decide(head, time.Second, opening).Relay
+		relayed.Relay = decideAt(head, time.Second, opening).Relay
 		is.True(relayed.Relay.Proposal != base) // the head would have it elsewhere
-		answer := decide(tail, time.Second, relayed)
+		answer := decideAt(tail, time.Second, relayed)
 		if !off.noReturnToHead {
 			is.Equal(answer.Action, ActionRelay)
 			is.Equal(answer.Peer, head.self.ID)
 			relayed.Relay = answer.Relay
-			answer = decide(head, time.Second, relayed)
+			answer = decideAt(head, time.Second, relayed)
 		}
 		is.Equal(answer.Action, ActionForward)
 		is.Equal(answer.Backend, base)
@@ -156,6 +156,6 @@
 			}
 		}
 		head.Step(time.Second, &Event{Members: left}, &effects)
-		is.Equal(decide(head, time.Second, opening).Relay.Proposal == base, !off.noReturnToHead)
+		is.Equal(decideAt(head, time.Second, opening).Relay.Proposal == base, !off.noReturnToHead)
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -9,89 +9,90 @@
 )
 
 const (
-	// recordsPerBatch bounds the flows of one Records so that it fits a datagram.
+	// recordsPerBatch limits the flows of one Records message so that it fits into a datagram.
 	recordsPerBatch = 40
-	// batchBytes is the size of a full Records.
+	// batchBytes is the size of a full Records message.
 	batchBytes = messageBytes + recordsPerBatch*flowBytes
-	// bucketsPerRun bounds the buckets read in one tick for one node.
+	// bucketsPerRun limits the buckets read for one node in one tick.
 	bucketsPerRun = 256
-	// resendAfter is the time after which an unacknowledged Records is repeated.
+	// resendAfter is the time after which an unacknowledged Records message is sent again.
 	resendAfter = 500 * time.Millisecond
 )
 
-// handover sends records to nodes that enter chains, repeated until
-// acknowledged, within a byte budget.
+// handover sends records to nodes that enter chains. It stays within a byte budget and resends
+// until acknowledged.
 type handover struct {
 	limit    limiter
 	sequence uint64
-	targets  []*target // by node ID
+	targets  []*handoverTarget // sorted by node ID
 }
 
-// target is one node that is given records.
-type target struct {
+// handoverTarget is a node to which records are handed over.
+type handoverTarget struct {
 	to *node
-	// buckets are still to be read.
+	// buckets are the buckets still to be read.
 	buckets []bucketRef
-	// flows are read and wait to be sent.
+	// flows have been read and wait to be sent.
 	flows []pendingFlow
-	// batches are sent and wait for their acknowledgement.
+	// batches have been sent and wait for their acknowledgement.
 	batches []*batch
 }
 
-// bucketRef is one bucket to be read: for the records without which flows would
-// go elsewhere, or for the young openings besides.
+// bucketRef is one bucket to be read. It selects either the records without which flows would move
+// to another back end or, if recentOpenings is set, the other openings that may still be
+// retransmitted.
 type bucketRef struct {
-	service *service
-	index   uint16
-	young   bool
+	service        *service
+	index          uint16
+	recentOpenings bool
 }
 
-// pendingFlow is a record to hand over, with what a batch has in common.
+// pendingFlow is a record to hand over, with the properties that all records of a batch share.
 type pendingFlow struct {
 	class  batchClass
 	record message.FlowRecord
-	seen   stamp // when this node last saw the flow
+	seen   timestamp // when this node last saw the flow
 }
 
-// batchClass is what all records of one batch share.
+// batchClass holds the properties that all records of one batch share.
 type batchClass struct {
 	service     *service
 	unconfirmed bool
 	established bool
 }
 
-// batch is one Records on its way.
+// batch is a Records message that has been sent and not yet acknowledged.
 type batch struct {
-	content message.Records // without idle times
-	seen    []stamp         // of its flows
+	content message.Records // without idle times, which send adds
+	seen    []timestamp     // when this node last saw each flow
 	sentAt  time.Duration
 }
 
-// send sends the batch, with the idle times as they are now.
+// send sends the batch with the present idle times of its flows.
 func (sent *batch) send(core *Core, effects *Effects, to *node) {
 	sent.sentAt = core.now
 	content := sent.content
 	for _, seen := range sent.seen {
-		idle := time.Duration(core.stamp-seen) * stampUnit
+		idle := time.Duration(core.timestamp-seen) * timestampUnit
 		content.IdleSeconds = append(content.IdleSeconds, uint32(idle/time.Second))
 	}
 	effects.send(to, content)
 }
 
-// idle tells whether nothing waits to be handed over or acknowledged.
+// idle reports whether no record waits to be handed over or acknowledged.
 func (handover *handover) idle() bool { return len(handover.targets) == 0 }
 
-// HandoverIdle tells whether nothing waits to be handed over. A node reports a
-// prepared placement as in force only then: its known UDP flows are in the
-// chains before new flows go elsewhere.
+// HandoverIdle reports whether no record waits to be handed over or acknowledged. A node may report
+// a prepared placement as in force only then, so that the chains know the node's UDP flows before
+// new flows go to other back ends.
 func (core *Core) HandoverIdle() bool { return core.handover.idle() }
 
-func (handover *handover) target(to *node) *target {
-	position, found := slices.BinarySearchFunc(handover.targets, to, func(known *target, to *node) int {
+func (handover *handover) ensureTarget(to *node) *handoverTarget {
+	position, found := slices.BinarySearchFunc(handover.targets, to, func(known *handoverTarget, to *node) int {
 		return cmp.Compare(known.to.ID, to.ID)
 	})
 	if !found {
-		handover.targets = slices.Insert(handover.targets, position, &target{to: to})
+		handover.targets = slices.Insert(handover.targets, position, &handoverTarget{to: to})
 	}
 	return handover.targets[position]
 }
@@ -101,13 +102,13 @@
 	if bucket := ref.service.buckets[ref.index]; bucket == nil || bucket.records.len() == 0 {
 		return
 	}
-	entry := handover.target(to)
+	entry := handover.ensureTarget(to)
 	entry.buckets = append(entry.buckets, ref)
 }
 
-// queue adds one flow to what is sent to the node.
+// queue queues one flow for a node.
 func (handover *handover) queue(to *node, class batchClass, entry *record) {
-	queued := handover.target(to)
+	queued := handover.ensureTarget(to)
 	queued.flows = append(queued.flows, pendingFlow{class: class, record: flowRecord(entry), seen: entry.lastSeen})
 }
 
@@ -119,12 +120,12 @@
 	return content
 }
 
-// dropAbsent forgets targets that are no longer members.
+// dropAbsent removes targets that are no longer members.
 func (handover *handover) dropAbsent() {
-	handover.targets = slices.DeleteFunc(handover.targets, func(entry *target) bool { return !entry.to.member })
+	handover.targets = slices.DeleteFunc(handover.targets, func(entry *handoverTarget) bool { return !entry.to.member })
 }
 
-// acknowledge ends a batch.
+// acknowledge removes the batch that a node has acknowledged.
 func (handover *handover) acknowledge(from *node, sequence uint64) {
 	for _, entry := range handover.targets {
 		if entry.to == from {
@@ -137,14 +138,14 @@
 }
 
 func (handover *handover) dropFinished() {
-	handover.targets = slices.DeleteFunc(handover.targets, (*target).finished)
+	handover.targets = slices.DeleteFunc(handover.targets, (*handoverTarget).finished)
 }
 
-func (entry *target) finished() bool {
+func (entry *handoverTarget) finished() bool {
 	return len(entry.buckets) == 0 && len(entry.flows) == 0 && len(entry.batches) == 0
 }
 
-// run repeats what is due and sends more, as the byte budget allows.
+// run resends batches that are due and sends further batches, as far as the byte budget allows.
 func (handover *handover) run(core *Core, effects *Effects) {
 	for _, entry := range handover.targets {
 		handover.resend(core, effects, entry)
@@ -155,7 +156,7 @@
 	handover.dropFinished()
 }
 
-func (handover *handover) resend(core *Core, effects *Effects, entry *target) {
+func (handover *handover) resend(core *Core, effects *Effects, entry *handoverTarget) {
 	for _, sent := range entry.batches {
 		if core.now-sent.sentAt < resendAfter {
 			continue
@@ -170,7 +171,7 @@
 
 func (sent *batch) bytes() int64 { return messageBytes + int64(len(sent.content.Flows))*flowBytes }
 
-func (handover *handover) sendMore(core *Core, effects *Effects, entry *target) {
+func (handover *handover) sendMore(core *Core, effects *Effects, entry *handoverTarget) {
 	unread := bucketsPerRun
 	for {
 		unread -= entry.readBuckets(core, unread)
@@ -190,9 +191,9 @@
 	}
 }
 
-// readBuckets takes records from the next buckets, at most limit, until there is
-// a batch. It gives the number of buckets read.
-func (entry *target) readBuckets(core *Core, limit int) int {
+// readBuckets reads records from the next buckets, at most limit of them, until there is enough for
+// a batch. It returns the number of buckets read.
+func (entry *handoverTarget) readBuckets(core *Core, limit int) int {
 	read := 0
 	for ; read < limit && len(entry.flows) < recordsPerBatch && len(entry.buckets) > 0; read++ {
 		next := entry.buckets[0]
@@ -214,14 +215,14 @@
 	return 1
 }
 
-func (entry *target) readBucket(core *Core, next bucketRef) {
+func (entry *handoverTarget) readBucket(core *Core, next bucketRef) {
 	bucket := next.service.buckets[next.index]
 	if bucket == nil {
 		return
 	}
 	for slot := range bucket.records.slots {
 		found := &bucket.records.slots[slot]
-		if found.flags != 0 && core.wanted(next, found) {
+		if found.flags != 0 && core.selectedBy(next, found) {
 			class := core.classOf(next.service, bucket, found)
 			entry.flows = append(entry.flows, pendingFlow{class: class, record: flowRecord(found), seen: found.lastSeen})
 		}
@@ -232,8 +233,8 @@
 	return batchClass{service: service, unconfirmed: !core.wasConfirmed(bucket.group, entry)}
 }
 
-// nextBatch makes a Records of the first flows that are of one class.
-func (entry *target) nextBatch() *batch {
+// nextBatch returns a batch of the leading flows that share one class.
+func (entry *handoverTarget) nextBatch() *batch {
 	class := entry.flows[0].class
 	next := &batch{content: message.Records{
 		Service:     class.service.name,
@@ -250,18 +251,18 @@
 	return next
 }
 
-// wanted tells whether a record is what the bucket is read for.
-func (core *Core) wanted(ref bucketRef, entry *record) bool {
-	matters := core.matters(ref.service, ref.index, entry)
-	if ref.young {
-		return !matters && core.age(entry) <= core.settings.OpeningHold
+// selectedBy reports whether ref selects a record of its bucket.
+func (core *Core) selectedBy(ref bucketRef, entry *record) bool {
+	needed := core.neededByChain(ref.service, ref.index, entry)
+	if ref.recentOpenings {
+		return !needed && core.age(entry) <= core.settings.OpeningHold
 	}
-	return matters
+	return needed
 }
 
-// matters tells whether the next chain needs the record: without it the flow
-// would go by the table.
-func (core *Core) matters(service *service, index uint16, entry *record) bool {
+// neededByChain reports whether the next chain needs the record, because the placement table alone
+// would send the flow or its retransmitted opening elsewhere.
+func (core *Core) neededByChain(service *service, index uint16, entry *record) bool {
 	table := service.table
 	if entry.refused() || entry.backend != table.Base(index) || table.InMotion(index) {
 		return true
--- a/internal/core/head.go
+++ b/internal/core/head.go
@@ -6,194 +6,197 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// pinDelay bounds how late a pin may arrive after the head saw the flow.
-const pinDelay = 5 * time.Second
-
-// relayedToHead handles a packet that another node relayed to this one as the
-// head. A node that is not the head in its own view passes it on once: were it
-// to decide, two chains without a common node could.
-func (current *turn) relayedToHead() {
-	core, relay := current.core, current.packet.Relay
-	if core.heads(current.group) {
-		current.head(relay)
+// maxPinDelay is the maximum time by which a pin may arrive after the head saw the flow.
+const maxPinDelay = 5 * time.Second
+
+// handleRelayedToHead handles a packet that another node relayed to this one as the head. If this
+// node is not the head in its own view, it passes the packet on once. If it decided instead, two
+// chains without a common node could decide the same flow.
+func (handler *packetHandler) handleRelayedToHead() {
+	core, relay := handler.core, handler.packet.Relay
+	if core.isHead(handler.group) {
+		handler.handleAsHead(relay)
 		return
 	}
-	if !current.opening() && current.forwardByRecord() {
+	if !handler.isOpening() && handler.forwardByRecord() {
 		return
 	}
 	if relay.Rerouted {
-		current.drop(ReasonViewsDiffer)
+		handler.drop(ReasonViewsDiffer)
 		return
 	}
 	relay.Rerouted = true
 	core.stats.Rerouted++
-	current.relay(current.group.chain.head, relay)
+	handler.relay(handler.group.chain.head, relay)
 }
 
-// forwardByRecord forwards a later packet of a flow whose back end is certain.
-func (current *turn) forwardByRecord() bool {
-	entry := current.record()
-	if entry == nil || entry.refused() || !current.core.confirmed(current.group, entry) {
+// forwardByRecord forwards a later packet of a flow with a confirmed record, and reports whether it
+// did.
+func (handler *packetHandler) forwardByRecord() bool {
+	entry := handler.record()
+	if entry == nil || entry.refused() || !handler.core.isConfirmed(handler.group, entry) {
 		return false
 	}
-	current.forward(entry.backend)
+	handler.forward(entry.backend)
 	return true
 }
 
-// head decides as head of the bucket's chain.
-func (current *turn) head(relay lb.Relay) {
-	if current.opening() {
-		current.headOpening(relay)
+// handleAsHead decides as the head of the bucket's chain.
+func (handler *packetHandler) handleAsHead(relay lb.Relay) {
+	if handler.isOpening() {
+		handler.handleOpeningAsHead(relay)
 		return
 	}
-	current.headLater(relay)
+	handler.handleLaterAsHead(relay)
 }
 
-// headOpening handles an opening.
-func (current *turn) headOpening(relay lb.Relay) {
-	core := current.core
-	entry := current.record()
-	if entry != nil && entry.openingID == current.packet.OpeningID {
-		entry.lastSeen = core.stamp
-		if current.tooLate(entry) {
-			current.refuse(lb.MayHaveRun, ReasonDraining)
+// handleOpeningAsHead decides an opening.
+func (handler *packetHandler) handleOpeningAsHead(relay lb.Relay) {
+	core := handler.core
+	entry := handler.record()
+	if entry != nil && entry.openingID == handler.packet.OpeningID {
+		entry.lastSeen = core.timestamp
+		if handler.drainGraceExpired(entry) {
+			handler.refuse(lb.MayHaveRun, ReasonDraining)
 			return
 		}
-		current.propose(relay, current.proposalOf(entry))
+		handler.propose(relay, handler.proposalOf(entry))
 		return
 	}
 	if entry != nil && !entry.refused() {
-		if current.active(entry.backend) {
-			entry.openingID = current.packet.OpeningID
-			entry.lastSeen = core.stamp
-			current.propose(relay, current.proposalOf(entry))
+		if handler.isActive(entry.backend) {
+			entry.openingID = handler.packet.OpeningID
+			entry.lastSeen = core.timestamp
+			handler.propose(relay, handler.proposalOf(entry))
 			return
 		}
-		if core.confirmed(current.group, entry) && current.maybePinned(entry) {
-			current.refuse(lb.MayHaveRun, ReasonTupleReuse)
+		if core.isConfirmed(handler.group, entry) && handler.mayBePinned(entry) {
+			handler.refuse(lb.MayHaveRun, ReasonTupleReuse)
 			return
 		}
 	}
-	if core.resumed && !core.off.noDropAfterPause {
-		current.drop(ReasonPaused) // the placements may be old; a sure head gets the retransmission
+	if core.unverifiedSincePause && !core.disabled.noDropAfterPause {
+		handler.drop(ReasonPaused) // placements may be stale; a head with a verified view will get the retransmission
 		return
 	}
-	chosen := current.choose()
-	current.keep(chosen, false)
-	current.propose(relay, chosen)
+	chosen := handler.chooseBackend()
+	handler.saveRecord(chosen, false)
+	handler.propose(relay, chosen)
 }
 
-// drainGrace is how long after a back end began to drain an opening that was
-// proposed to it before, and that no tail is known to have forwarded, may still
-// go there. With PrepareLimit it stays below three seconds after the change.
+// drainGrace is how long after a back end began to drain an opening may still go there, if the
+// opening was proposed to it before and no tail is known to have forwarded it. Together with
+// PrepareLimit it stays below three seconds after the change.
 const drainGrace = 500 * time.Millisecond
 
-// tooLate tells whether the opening's back end has been draining for a while
-// and may not have got any copy. Another back end is out of the question: a
-// tail that does not answer may have forwarded one.
-func (current *turn) tooLate(entry *record) bool {
-	core := current.core
-	if core.off.noLateOpeningRefused || entry.refused() || core.confirmed(current.group, entry) {
+// drainGraceExpired reports whether the opening's back end has been draining for longer than
+// drainGrace and may not have received any copy. The opening cannot go to another back end instead,
+// because a tail that does not reply may have forwarded a copy.
+func (handler *packetHandler) drainGraceExpired(entry *record) bool {
+	core := handler.core
+	if core.disabled.noLateOpeningRefused || entry.refused() || core.isConfirmed(handler.group, entry) {
 		return false
 	}
-	return !current.active(entry.backend) && core.now-current.service.currentSince > drainGrace
+	return !handler.isActive(entry.backend) && core.now-handler.service.generationChangedAt > drainGrace
 }
 
-// choose decides an opening afresh: the current back end, or refusal.
-func (current *turn) choose() proposal {
-	backend := current.service.table.Current(current.index)
-	if !current.takesNewFlows(backend) || !current.core.admit(current.service) {
+// chooseBackend decides an opening without a record: the current back end, or refusal.
+func (handler *packetHandler) chooseBackend() proposal {
+	backend := handler.service.table.Current(handler.index)
+	if !handler.notFailed(backend) || !handler.core.admit(handler.service) {
 		return proposal{refuse: true}
 	}
 	return proposal{backend: backend}
 }
 
-// maybePinned tells whether some ingress may still forward packets of the
-// 5-tuple to the record's back end.
-func (current *turn) maybePinned(entry *record) bool {
-	hold := max(current.core.settings.PinLifetime+pinDelay, current.core.settings.OpeningHold)
-	return current.core.age(entry) <= hold
+// mayBePinned reports whether some ingress may still forward packets of the 5-tuple to the record's
+// back end.
+func (handler *packetHandler) mayBePinned(entry *record) bool {
+	hold := max(handler.core.settings.PinLifetime+maxPinDelay, handler.core.settings.OpeningHold)
+	return handler.core.age(entry) <= hold
 }
 
-func (current *turn) proposalOf(entry *record) proposal {
+func (handler *packetHandler) proposalOf(entry *record) proposal {
 	return proposal{
-		backend: entry.backend,
-		refuse:  entry.refused(),
-		known:   current.core.confirmed(current.group, entry),
+		backend:   entry.backend,
+		refuse:    entry.refused(),
+		confirmed: handler.core.isConfirmed(handler.group, entry),
 	}
 }
 
-// headLater handles a packet after the opening, or a UDP packet.
-func (current *turn) headLater(relay lb.Relay) {
-	core := current.core
-	entry := current.record()
+// handleLaterAsHead decides a packet after the opening, or a UDP packet.
+func (handler *packetHandler) handleLaterAsHead(relay lb.Relay) {
+	core := handler.core
+	entry := handler.record()
 	switch {
 	case entry == nil:
-		chosen := proposal{backend: current.unrecorded(relay)}
-		current.keep(chosen, false)
-		current.propose(relay, chosen)
-	case entry.refused() && core.confirmed(current.group, entry):
-		current.drop(ReasonStray)
+		chosen := proposal{backend: handler.backendWithoutRecord(relay)}
+		handler.saveRecord(chosen, false)
+		handler.propose(relay, chosen)
+	case entry.refused() && core.isConfirmed(handler.group, entry):
+		handler.drop(ReasonStray)
 	default:
-		entry.lastSeen = core.stamp
-		if !entry.refused() && current.seenByTail(entry) {
-			current.forward(entry.backend)
-			current.pinIngress(relay, entry)
+		entry.lastSeen = core.timestamp
+		if !entry.refused() && handler.recentlyConfirmedByTail(entry) {
+			handler.forward(entry.backend)
+			handler.pinIngress(relay, entry)
 			return
 		}
-		current.propose(relay, current.proposalOf(entry))
+		handler.propose(relay, handler.proposalOf(entry))
 	}
 }
 
-// unrecorded gives the back end of a flow without a record. TCP flows without
-// one are older than all motion. UDP packets do not tell, but the ingress may.
-func (current *turn) unrecorded(relay lb.Relay) lb.BackendID {
-	if current.packet.Kind == PacketUnmarked && !relay.Established {
-		return current.service.table.Current(current.index)
+// backendWithoutRecord returns the back end of a flow without a record. TCP flows without a record
+// were opened before the bucket started to move. UDP packets do not show the age of their flow, but
+// the ingress may know the flow.
+func (handler *packetHandler) backendWithoutRecord(relay lb.Relay) lb.BackendID {
+	if handler.packet.Kind == PacketUnmarked && !relay.Established {
+		return handler.service.table.Current(handler.index)
 	}
-	return current.service.table.Base(current.index)
+	return handler.service.table.Base(handler.index)
 }
 
-// seenByTail tells whether the present tail has the record and saw the flow lately.
-func (current *turn) seenByTail(entry *record) bool {
-	core := current.core
-	if !core.confirmed(current.group, entry) {
+// recentlyConfirmedByTail reports whether the present tail has the record and has seen the flow
+// recently.
+func (handler *packetHandler) recentlyConfirmedByTail(entry *record) bool {
+	core := handler.core
+	if !core.isConfirmed(handler.group, entry) {
 		return false
 	}
-	if current.group.chain.tail == nil {
+	if handler.group.chain.tail == nil {
 		return true
 	}
-	if entry.learnedAt < current.group.tailSince {
+	if entry.learnedAt < handler.group.tailSince {
 		return false
 	}
-	return core.stamp-entry.learnedAt < toStamp(core.settings.PinLifetime)
+	return core.timestamp-entry.learnedAt < toTimestamp(core.settings.PinLifetime)
 }
 
-// pinIngress tells the ingress node the flow's back end, within the byte budget.
-func (current *turn) pinIngress(relay lb.Relay, entry *record) {
-	core := current.core
-	if relay.Ingress == core.self.Hash || current.decision.Action != ActionForward {
+// pinIngress sends the flow's back end to the ingress node as a pin, within the byte budget.
+func (handler *packetHandler) pinIngress(relay lb.Relay, entry *record) {
+	core := handler.core
+	if relay.Ingress == core.self.Hash || handler.decision.Action != ActionForward {
 		return
 	}
 	if ingress := core.byHash[relay.Ingress]; ingress != nil {
-		core.hints.add(core, hint{to: ingress, service: current.service, flow: entry.flow, backend: entry.backend})
+		core.hints.add(core, hint{to: ingress, service: handler.service, flow: entry.flow, backend: entry.backend})
 	}
 }
 
-// propose relays the packet with the proposal to the tail, or decides alone if
-// there is none.
-func (current *turn) propose(relay lb.Relay, chosen proposal) {
-	core := current.core
-	if current.group.chain.tail == nil {
-		current.conclude(chosen, false)
+// propose relays the packet with the proposal to the tail. Without a tail, the head's decision is
+// final.
+func (handler *packetHandler) propose(relay lb.Relay, chosen proposal) {
+	core := handler.core
+	if handler.group.chain.tail == nil {
+		handler.applyFinalAnswer(chosen, false)
 		return
 	}
 	relay.Hop = lb.HopTail
-	relay.Version = current.service.table.Version()
+	relay.Version = handler.service.table.Version()
 	relay.Proposal = chosen.backend
 	relay.Refuse = chosen.refuse
-	relay.Known = chosen.known
-	relay.Vouched = core.vouches(current.service, current.group)
+	relay.Known = chosen.confirmed
+	relay.Vouched = core.vouches(handler.service, handler.group)
 	relay.Rerouted = false
-	current.relay(current.group.chain.tail, relay)
+	handler.relay(handler.group.chain.tail, relay)
 }
--- a/internal/core/ingress.go
+++ b/internal/core/ingress.go
@@ -6,132 +6,133 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// ingress handles a packet from the fabric. Openings go through the chain,
-// always; others only where flows may be away from the base.
-func (current *turn) ingress() {
-	core := current.core
-	if current.opening() {
-		if core.off.noOpeningThroughChain && current.calm() {
-			current.forward(current.service.table.Base(current.index))
+// handleFromFabric handles a packet from the fabric. Openings always go through the chain. Other
+// packets do so only if flows of the bucket may be on other back ends than the base.
+func (handler *packetHandler) handleFromFabric() {
+	core := handler.core
+	if handler.isOpening() {
+		if core.disabled.noOpeningThroughChain && handler.allOnBase() {
+			handler.forward(handler.service.table.Base(handler.index))
 			return
 		}
-		current.throughChain(false)
+		handler.sendToHead(false)
 		return
 	}
-	if current.calm() {
-		current.forwardToBase()
+	if handler.allOnBase() {
+		handler.forwardToBase()
 		return
 	}
-	established := current.established()
-	if core.heads(current.group) {
-		current.head(lb.Relay{Ingress: core.self.Hash, Established: established})
+	established := handler.isKnownUDPFlow()
+	if core.isHead(handler.group) {
+		handler.handleAsHead(lb.Relay{Ingress: core.self.Hash, Established: established})
 		return
 	}
-	if pin := current.pin(); pin != nil && core.stamp-pin.lastSeen < toStamp(core.settings.PinLifetime) {
+	if pin := handler.pin(); pin != nil && core.timestamp-pin.lastSeen < toTimestamp(core.settings.PinLifetime) {
 		core.stats.PinnedPackets++
-		current.forward(pin.backend)
+		handler.forward(pin.backend)
 		return
 	}
-	current.throughChain(established)
+	handler.sendToHead(established)
 }
 
-// calm tells whether every flow of the bucket is on the base back end, as far
-// as this node can tell.
-func (current *turn) calm() bool {
-	core := current.core
-	return core.sure && !core.justJoined() && stateless(current.service.table, current.index)
+// allOnBase reports whether every flow of the bucket is on the base back end, as far as this node
+// can know.
+func (handler *packetHandler) allOnBase() bool {
+	core := handler.core
+	return core.viewVerified && !core.recentlyJoined() && needsNoRecords(handler.service.table, handler.index)
 }
 
-// joinHold is longer than any placement waits to be acknowledged (docs/DESIGN.md,
-// "Placement"). A placement that was prepared before this node counted as a
-// member did not wait for it.
-const joinHold = 3 * time.Second
+// joinGracePeriod is longer than any placement waits for its acknowledgements (docs/DESIGN.md,
+// "Placement"). A placement that was prepared before this node counted as a member did not wait for
+// this node's acknowledgement.
+const joinGracePeriod = 3 * time.Second
 
-func (core *Core) justJoined() bool {
-	return core.joinedAt != 0 && core.now-core.joinedAt < joinHold && !core.members.alone()
+func (core *Core) recentlyJoined() bool {
+	return core.joinedAt != 0 && core.now-core.joinedAt < joinGracePeriod && !core.members.alone()
 }
 
-// pin gives the pin of the flow, or nil.
-func (current *turn) pin() *record {
-	if current.bucket == nil {
+// pin returns the pin of the flow, or nil.
+func (handler *packetHandler) pin() *record {
+	if handler.bucket == nil {
 		return nil
 	}
-	return current.bucket.pins.get(current.flow)
+	return handler.bucket.pins.get(handler.flow)
 }
 
-// knownFlow gives the entry of the UDP flow among those that this node knows, or nil.
-func (current *turn) knownFlow() *record {
-	if current.bucket == nil {
+// knownUDPFlow returns the entry of the packet's flow among the known UDP flows, or nil.
+func (handler *packetHandler) knownUDPFlow() *record {
+	if handler.bucket == nil {
 		return nil
 	}
-	return current.bucket.known.get(current.flow)
+	return handler.bucket.knownUDP.get(handler.flow)
 }
 
-// throughChain passes a packet from the fabric to the head.
-func (current *turn) throughChain(established bool) {
-	core := current.core
+// sendToHead relays a packet from the fabric to the head, or handles it here if this node is the
+// head.
+func (handler *packetHandler) sendToHead(established bool) {
+	core := handler.core
 	relay := lb.Relay{
 		Hop:         lb.HopHead,
 		Ingress:     core.self.Hash,
-		Version:     current.service.table.Version(),
+		Version:     handler.service.table.Version(),
 		Established: established,
 	}
-	if core.heads(current.group) {
-		current.head(relay)
+	if core.isHead(handler.group) {
+		handler.handleAsHead(relay)
 		return
 	}
-	current.relay(current.group.chain.head, relay)
+	handler.relay(handler.group.chain.head, relay)
 }
 
-// forwardToBase forwards a packet of a bucket that needs no records.
-func (current *turn) forwardToBase() {
-	current.remember(current.service.table.Base(current.index))
-	current.forward(current.service.table.Base(current.index))
+// forwardToBase forwards a packet whose bucket needs no records.
+func (handler *packetHandler) forwardToBase() {
+	handler.rememberUDPFlow(handler.service.table.Base(handler.index))
+	handler.forward(handler.service.table.Base(handler.index))
 }
 
-// remember keeps a UDP flow of a bucket that needs no records as known on the
-// base back end: its packets do not tell later whether the flow is new, and a
-// record would end with OpeningHold.
-func (current *turn) remember(base lb.BackendID) {
-	if current.packet.Kind != PacketUnmarked {
+// rememberUDPFlow stores a UDP flow of a bucket without records as a known flow on the base back
+// end. Its later packets do not show whether the flow is new, and a record would expire after
+// OpeningHold.
+func (handler *packetHandler) rememberUDPFlow(base lb.BackendID) {
+	if handler.packet.Kind != PacketUnmarked {
 		return
 	}
-	entry := current.core.known(current.held(), current.flow)
-	learned := entry.backend != base
+	entry := handler.core.ensureKnownUDPFlow(handler.ensureBucket(), handler.flow)
+	changed := entry.backend != base
 	entry.backend = base
-	entry.lastSeen = current.core.stamp
-	if learned {
-		current.core.handover.learned(current.core, current.service, current.held(), entry)
+	entry.lastSeen = handler.core.timestamp
+	if changed {
+		handler.core.handover.handOverNewKnownFlow(handler.core, handler.service, handler.ensureBucket(), entry)
 	}
 }
 
-// known gives the entry of a UDP flow that this node knows, a new one if need be.
-func (core *Core) known(bucket *bucket, flow lb.FlowID) *record {
-	if bucket.known == nil {
-		bucket.known = &flowTable{}
+// ensureKnownUDPFlow returns the entry of a known UDP flow and creates it if necessary.
+func (core *Core) ensureKnownUDPFlow(bucket *bucket, flow lb.FlowID) *record {
+	if bucket.knownUDP == nil {
+		bucket.knownUDP = &flowTable{}
 	}
-	return bucket.known.put(flow)
+	return bucket.knownUDP.put(flow)
 }
 
-// established tells whether this node saw the UDP flow, on the present base
-// back end, before the bucket was in motion.
-func (current *turn) established() bool {
-	if current.packet.Kind != PacketUnmarked {
+// isKnownUDPFlow reports whether this node saw the UDP flow on the present base back end before the
+// bucket started to move.
+func (handler *packetHandler) isKnownUDPFlow() bool {
+	if handler.packet.Kind != PacketUnmarked {
 		return false
 	}
-	core := current.core
-	entry := current.knownFlow()
-	if entry == nil || entry.backend != current.service.table.Base(current.index) {
+	core := handler.core
+	entry := handler.knownUDPFlow()
+	if entry == nil || entry.backend != handler.service.table.Base(handler.index) {
 		return false
 	}
 	if core.age(entry) > core.settings.IdleTimeout {
 		return false
 	}
-	entry.lastSeen = core.stamp
+	entry.lastSeen = core.timestamp
 	return true
 }
 
-// age is the time since the record's flow was last seen.
+// age returns the time since the record's flow was last seen.
 func (core *Core) age(entry *record) time.Duration {
-	return time.Duration(core.stamp-entry.lastSeen) * stampUnit
+	return time.Duration(core.timestamp-entry.lastSeen) * timestampUnit
 }
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -4,31 +4,31 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// leave begins the planned stop: this node is in no chain any more. It hands its
-// records to who enters the chains that it leaves, the UDP flows that it knows
-// to the heads, and then the openings that may still be retransmitted; these
-// are worth nothing after OpeningHold, so that they end by themselves.
+// leave begins a planned stop and removes this node from all chains. The node hands over its
+// records to the nodes that enter those chains, its known UDP flows to the heads, and then the
+// openings that may still be retransmitted. These openings are useless after OpeningHold, so their
+// handover ends by itself.
 func (core *Core) leave() {
 	if core.leaving {
 		return
 	}
 	core.leaving = true
 	core.leaveChains()
-	if core.off.noHandoverBeforeLeave {
+	if core.disabled.noHandoverBeforeLeave {
 		return
 	}
-	for _, service := range core.ordered {
-		service.each(func(index uint16, bucket *bucket) { core.handOverAllKnown(service, index, bucket) })
+	for _, service := range core.servicesByName {
+		service.eachBucket(func(index uint16, bucket *bucket) { core.handOverKnownToHead(service, index, bucket) })
 	}
 	for _, target := range core.handover.targets {
-		target.addYoung()
+		target.queueRecentOpenings()
 	}
 }
 
-// addYoung queues the buckets to be read again, for their young openings.
-func (entry *target) addYoung() {
+// queueRecentOpenings queues the target's buckets a second time, for their recent openings.
+func (entry *handoverTarget) queueRecentOpenings() {
 	for _, ref := range entry.buckets {
-		ref.young = true
+		ref.recentOpenings = true
 		entry.buckets = append(entry.buckets, ref)
 	}
 }
@@ -43,18 +43,19 @@
 	core.setMembers(members)
 }
 
-// handOverAllKnown gives the head the UDP flows that this node knows: another
-// node may not have seen them.
-func (core *Core) handOverAllKnown(service *service, index uint16, bucket *bucket) {
-	if head := bucket.group.chain.head; bucket.known.len() > 0 && head != nil {
+// handOverKnownToHead hands over this node's known UDP flows of a bucket to the head, because other
+// nodes may not have seen them.
+func (core *Core) handOverKnownToHead(service *service, index uint16, bucket *bucket) {
+	if head := bucket.group.chain.head; bucket.knownUDP.len() > 0 && head != nil {
 		core.handOverKnownTo(service, index, head)
 	}
 }
 
-// recorded hands over at once what a leaving node still records, be it an
-// opening in a bucket at rest: others may still take this node for the tail.
-func (handover *handover) recorded(core *Core, service *service, index uint16, entry *record) {
-	if !core.leaving || core.off.noHandoverBeforeLeave {
+// handOverNewRecord hands over at once each record that a leaving node still writes, even an
+// opening in a bucket that does not move, because other nodes may still consider this node the
+// tail.
+func (handover *handover) handOverNewRecord(core *Core, service *service, index uint16, entry *record) {
+	if !core.leaving || core.disabled.noHandoverBeforeLeave {
 		return
 	}
 	bucket := service.buckets[index]
@@ -66,28 +67,28 @@
 	}
 }
 
-// learned hands over at once a UDP flow that a leaving node has just seen.
-func (handover *handover) learned(core *Core, service *service, bucket *bucket, entry *record) {
+// handOverNewKnownFlow hands over at once a UDP flow that a leaving node has just seen.
+func (handover *handover) handOverNewKnownFlow(core *Core, service *service, bucket *bucket, entry *record) {
 	head := bucket.group.chain.head
-	if core.leaving && !core.off.noHandoverBeforeLeave && head != nil && head != core.self {
+	if core.leaving && !core.disabled.noHandoverBeforeLeave && head != nil && head != core.self {
 		handover.queue(head, batchClass{service: service, unconfirmed: true, established: true}, entry)
 	}
 }
 
-// handOverKnown gives the chains the UDP flows that this node knows in buckets
-// that begin to move: all of them are on the previous base back end.
-func (core *Core) handOverKnown(service *service, previous *placement.Table) {
-	service.each(func(index uint16, bucket *bucket) {
-		begins := stateless(previous, index) && !stateless(service.table, index)
-		if begins && bucket.known.len() > 0 {
-			core.handOverKnownIn(service, index)
+// handOverKnownOnMove hands over this node's known UDP flows to the chains of all buckets that
+// begin to move. All these flows are on the previous base back end.
+func (core *Core) handOverKnownOnMove(service *service, previous *placement.Table) {
+	service.eachBucket(func(index uint16, bucket *bucket) {
+		beginsToMove := needsNoRecords(previous, index) && !needsNoRecords(service.table, index)
+		if beginsToMove && bucket.knownUDP.len() > 0 {
+			core.handOverKnownToChain(service, index)
 		}
 	})
 }
 
-// handOverKnownIn records the known flows of the bucket here if this node is in
-// the chain, and gives them to the others that are.
-func (core *Core) handOverKnownIn(service *service, index uint16) {
+// handOverKnownToChain hands over the known UDP flows of the bucket to the nodes of its chain. If
+// this node is one of them, it creates records itself.
+func (core *Core) handOverKnownToChain(service *service, index uint16) {
 	pair := core.groupOf(service, index).chain
 	for _, member := range [...]*node{pair.head, pair.tail} {
 		if member != nil {
@@ -96,17 +97,18 @@
 	}
 }
 
-// handOverKnownTo gives one node the known flows of the bucket that are on the base back end.
+// handOverKnownTo hands over to one node the known UDP flows of the bucket that are on the base
+// back end.
 func (core *Core) handOverKnownTo(service *service, index uint16, to *node) {
 	bucket := service.buckets[index]
 	base := service.table.Base(index)
-	for slot := range bucket.known.slots {
-		entry := &bucket.known.slots[slot]
+	for slot := range bucket.knownUDP.slots {
+		entry := &bucket.knownUDP.slots[slot]
 		if entry.flags == 0 || entry.backend != base || core.age(entry) > core.settings.IdleTimeout {
 			continue
 		}
 		if to == core.self {
-			core.merge(service, bucket, flowRecord(entry), incoming{idle: core.age(entry)})
+			core.mergeRecord(service, bucket, flowRecord(entry), recordOrigin{idle: core.age(entry)})
 			continue
 		}
 		class := batchClass{service: service, unconfirmed: true, established: true}
--- a/internal/core/limiter.go
+++ b/internal/core/limiter.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// limiter is a token bucket in integers: no rounding differs between runs.
+// limiter is a token bucket. It uses integers, so that results do not depend on rounding.
 type limiter struct {
 	perSecond int64
-	capacity  int64 // in millionths of a token
-	tokens    int64 // in millionths of a token
+	capacity  int64 // in microtokens
+	tokens    int64 // in microtokens
 	updated   time.Duration
 }
 
-// millionths of a token make one.
-const millionths = int64(time.Second / time.Microsecond)
+// microTokensPerToken is the number of microtokens in a token.
+const microTokensPerToken = int64(time.Second / time.Microsecond)
 
-// newLimiter gives a full bucket of burst tokens that fills at perSecond, at
-// most 2^43 of them.
+// newLimiter returns a full bucket of burst tokens that refills at perSecond tokens per second.
+// Neither may exceed 2^43.
 func newLimiter(perSecond, burst int64) limiter {
-	capacity := burst * millionths
+	capacity := burst * microTokensPerToken
 	return limiter{perSecond: perSecond, capacity: capacity, tokens: capacity}
 }
 
-// refill adds the tokens of the time since the last call, at most one second.
+// refill adds the tokens for the time since the last call, at most one second's worth.
 func (limit *limiter) refill(now time.Duration) {
 	elapsed := (now - limit.updated).Truncate(time.Microsecond)
 	if elapsed <= 0 {
@@ -31,12 +31,12 @@
 	limit.tokens = min(limit.capacity, limit.tokens+added)
 }
 
-// take takes count tokens if there are as many.
+// take removes count tokens and reports whether there were enough.
 func (limit *limiter) take(now time.Duration, count int64) bool {
 	limit.refill(now)
-	if limit.tokens < count*millionths {
+	if limit.tokens < count*microTokensPerToken {
 		return false
 	}
-	limit.tokens -= count * millionths
+	limit.tokens -= count * microTokensPerToken
 	return true
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -8,25 +8,25 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// node is one balancer that this core has heard of.
+// node is a balancer that this core knows.
 type node struct {
 	rendezvous.Candidate
-	member   bool // thought alive
+	member   bool // considered alive
 	eligible bool // may be in chains: alive and not leaving
 }
 
-// memberList is the membership in the form that chains are computed from.
+// memberList is the membership in the form from which chains are computed.
 type memberList struct {
-	all      []*node // members, by ID
-	eligible []*node // by ID
-	// candidates are those of eligible, at the same indexes.
+	all      []*node // sorted by ID
+	eligible []*node // sorted by ID
+	// candidates are the rendezvous candidates of eligible, at the same indexes.
 	candidates []rendezvous.Candidate
 }
 
-// alone tells whether there is no other member.
+// alone reports whether there is no other member.
 func (list *memberList) alone() bool { return len(list.all) < 2 }
 
-// node finds or adds a node.
+// node returns the node with the ID and adds it if it is unknown.
 func (core *Core) node(id lb.NodeID) *node {
 	if known := core.nodes[id]; known != nil {
 		return known
@@ -37,37 +37,37 @@
 	return added
 }
 
-// setMembers takes a new view of the membership and mends the chains that it changes.
+// setMembers applies a new membership and updates the chains that it changes.
 func (core *Core) setMembers(members []Member) {
 	previous := core.members.eligible
 	core.members = core.newMemberList(members)
 	core.forgetNodes()
-	core.noteMissing(previous)
+	core.updateMissing(previous)
 	core.updateChains(symmetricDifference(previous, core.members.eligible))
 	core.handover.dropAbsent()
 	if core.members.alone() {
-		core.sure = true
-		core.resumed = false
+		core.viewVerified = true
+		core.unverifiedSincePause = false
 	}
 }
 
-// missingHold is how many times OpeningHold a node that vanished counts as
-// missing: it may be alive behind a cut. After that it is taken as dead.
-const missingHold = 10
+// missingHoldFactor is the multiple of OpeningHold for which a vanished node counts as missing,
+// because it may be alive behind a network partition. After that it counts as dead.
+const missingHoldFactor = 10
 
-// noteMissing notes the nodes that have vanished without leaving by plan, and
-// those that are back.
-func (core *Core) noteMissing(previous []*node) {
+// updateMissing records the nodes that vanished without a planned stop, and shortens the remaining
+// time for nodes that have returned.
+func (core *Core) updateMissing(previous []*node) {
 	for _, known := range previous {
 		if !known.member && known != core.self {
-			core.missing[known.ID] = core.now
+			core.missingNodes[known.ID] = core.now
 		}
 	}
-	for id, since := range core.missing {
+	for id, since := range core.missingNodes {
 		known := core.nodes[id]
 		if known != nil && known.member {
-			// It may have forwarded openings meanwhile, for as long as they are retransmitted.
-			core.missing[id] = min(since, core.now-(missingHold-1)*core.settings.OpeningHold)
+			// While away, it may have forwarded openings that clients still retransmit.
+			core.missingNodes[id] = min(since, core.now-(missingHoldFactor-1)*core.settings.OpeningHold)
 		}
 	}
 	if core.joinedAt == 0 && !core.members.alone() {
@@ -75,22 +75,23 @@
 	}
 }
 
-// isNodeMissing tells whether some node may be alive, and forward, unseen by this one.
+// isNodeMissing reports whether some node may be alive and forwarding packets without this node's
+// knowledge.
 func (core *Core) isNodeMissing() bool {
-	if core.off.noVouchOnlyComplete {
+	if core.disabled.noVouchOnlyComplete {
 		return false
 	}
-	for id, since := range core.missing {
-		if core.now-since < missingHold*core.settings.OpeningHold {
+	for id, since := range core.missingNodes {
+		if core.now-since < missingHoldFactor*core.settings.OpeningHold {
 			return true
 		}
-		delete(core.missing, id)
+		delete(core.missingNodes, id)
 	}
 	return false
 }
 
-// newMemberList marks the nodes. A node whose zone changes is taken for
-// another one: chains depend on it.
+// newMemberList returns the member list and updates the flags of the nodes. A node whose zone has
+// changed becomes a new node, because chains depend on zones.
 func (core *Core) newMemberList(members []Member) memberList {
 	for _, known := range core.nodes {
 		known.member = false
@@ -127,7 +128,7 @@
 	return replacement
 }
 
-// forgetNodes drops nodes that are no longer members.
+// forgetNodes removes nodes that are no longer members.
 func (core *Core) forgetNodes() {
 	for id, known := range core.nodes {
 		if !known.member && known != core.self {
@@ -137,7 +138,7 @@
 	}
 }
 
-// symmetricDifference gives the nodes of one list that are not in the other.
+// symmetricDifference returns the nodes that are in exactly one of the lists.
 func symmetricDifference(before, after []*node) []*node {
 	var changed []*node
 	for _, candidate := range before {
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -13,8 +13,8 @@
 // The tests of this file repeat schedules in which the models of spec/ refuted
 // a rule, or found that one is needed: each also with the rule switched off.
 
-// ranTo steps a core by ticks to a time, so that no gap counts as a pause.
-func ranTo(core *Core, from, to time.Duration) {
+// tickUntil steps a core by ticks to a time, so that no gap counts as a pause.
+func tickUntil(core *Core, from, to time.Duration) {
 	var effects Effects
 	for now := from; now <= to; now += TickInterval {
 		core.Step(now, &Event{Tick: true}, &effects)
@@ -24,28 +24,28 @@
 // TestPacketsThatWaitedOverAPauseAreDropped: refusal.pml, KEEPS_QUEUE_OVER_PAUSE.
 func TestPacketsThatWaitedOverAPauseAreDropped(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []rules{{}, {noDropAfterPause: true}} {
+	for _, off := range []disabledRules{{}, {noDropAfterPause: true}} {
 		core, key := movingFlow(t)
-		core.off = off
+		core.disabled = off
 		core.settings.PauseLimit = time.Second
 		opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
-		queued := decide(core, time.Minute, opening)
+		queued := decideAt(core, time.Minute, opening)
 		is.Equal(queued.Action == ActionDrop, !off.noDropAfterPause)
 		is.Equal(queued.Reason == ReasonPaused, !off.noDropAfterPause)
 		var effects Effects
 		core.Step(time.Minute, &Event{Contact: ContactRegained}, &effects)
-		is.Equal(decide(core, time.Minute+TickInterval, opening).Action, ActionRelay) // later ones are new
+		is.Equal(decideAt(core, time.Minute+TickInterval, opening).Action, ActionRelay) // later ones are new
 	}
 }
 
 // TestLateReturnOfAnotherTailIsDropped: move.pml, HEAD_TAKES_ANY_RETURN.
 func TestLateReturnOfAnotherTailIsDropped(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []rules{{}, {noDropOfReturn: true}} {
+	for _, off := range []disabledRules{{}, {noDropOfReturn: true}} {
 		head, key := movingFlow(t)
-		head.off = off
+		head.disabled = off
 		opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
-		proposed := decide(head, time.Second, opening)
+		proposed := decideAt(head, time.Second, opening)
 		var left []Member
 		for _, member := range testMembers {
 			if member.ID != proposed.Peer {
@@ -54,21 +54,21 @@
 		}
 		var effects Effects
 		head.Step(2*time.Second, &Event{Members: left}, &effects)
-		is.True(decide(head, 2*time.Second, opening).Peer != proposed.Peer) // the next tail may forward it
+		is.True(decideAt(head, 2*time.Second, opening).Peer != proposed.Peer) // the next tail may forward it
 		late := opening
 		late.Relay = lb.Relay{Hop: lb.HopReturn, Known: true, Proposal: head.services[testService].table.Base(key.ID().Bucket())}
 		is.True(late.Relay.Proposal != proposed.Relay.Proposal)
-		is.Equal(decide(head, 2*time.Second, late).Action == ActionDrop, !off.noDropOfReturn)
+		is.Equal(decideAt(head, 2*time.Second, late).Action == ActionDrop, !off.noDropOfReturn)
 	}
 }
 
 // historyCore gives a core that heads a bucket with history, for longer than
 // the life of a record, but which adopted that history only now.
-func historyCore(t *testing.T, off rules) (*Core, lb.FlowKey, time.Duration) {
+func historyCore(t *testing.T, off disabledRules) (*Core, lb.FlowKey, time.Duration) {
 	t.Helper()
 	calm, prepared, committed, settled := testPlacements(t, "ABCDEF", "ABCDE")
-	core := New(unhurried("a", "1"))
-	core.off = off
+	core := New(settingsWithoutPauses("a", "1"))
+	core.disabled = off
 	var effects Effects
 	for _, event := range []Event{{Members: testMembers}, {Placement: calm}, {Placement: prepared}, {Placement: committed}} {
 		core.Step(0, &event, &effects)
@@ -82,7 +82,7 @@
 	return core, packets[0].Key, now
 }
 
-func cleanNow(core *Core, now time.Duration, key lb.FlowKey) bool {
+func isCleanAt(core *Core, now time.Duration, key lb.FlowKey) bool {
 	var effects Effects
 	core.Step(now, &Event{}, &effects)
 	return core.isClean(core.services[testService], key.ID().Bucket())
@@ -91,21 +91,21 @@
 // TestBucketIsCleanOnlyAfterItsHistoryWasWatched: settle.pml, CLEAN_WITHOUT_WAIT.
 func TestBucketIsCleanOnlyAfterItsHistoryWasWatched(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []rules{{}, {noCleanWait: true}} {
+	for _, off := range []disabledRules{{}, {noCleanWait: true}} {
 		core, key, now := historyCore(t, off)
-		is.Equal(cleanNow(core, now, key), off.noCleanWait)
-		is.True(cleanNow(core, now+core.recordLifetime(), key))
+		is.Equal(isCleanAt(core, now, key), off.noCleanWait)
+		is.True(isCleanAt(core, now+core.recordLifetime(), key))
 	}
 }
 
 // TestGuessIsNotClean: settle.pml, a head's own guess that no tail has confirmed.
 func TestGuessIsNotClean(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []rules{{}, {noCleanOnlyConfirmed: true}} {
+	for _, off := range []disabledRules{{}, {noCleanOnlyConfirmed: true}} {
 		core, key, now := historyCore(t, off)
 		now += core.recordLifetime()
-		is.Equal(decide(core, now, Packet{Key: key, Kind: PacketMiddle}).Action, ActionRelay)
-		is.Equal(cleanNow(core, now, key), off.noCleanOnlyConfirmed)
+		is.Equal(decideAt(core, now, Packet{Key: key, Kind: PacketMiddle}).Action, ActionRelay)
+		is.Equal(isCleanAt(core, now, key), off.noCleanOnlyConfirmed)
 	}
 }
 
@@ -113,13 +113,13 @@
 // this side did not see.
 func TestNoVouchingWhileANodeIsMissing(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []rules{{}, {noVouchOnlyComplete: true}} {
+	for _, off := range []disabledRules{{}, {noVouchOnlyComplete: true}} {
 		core, key := movingFlow(t)
-		core.off = off
+		core.disabled = off
 		service := core.services[testService]
 		member := core.groupOf(service, key.ID().Bucket())
 		hold := core.settings.OpeningHold
-		ranTo(core, 0, hold)
+		tickUntil(core, 0, hold)
 		is.True(core.vouches(service, member))
 		var rest []Member
 		for _, known := range testMembers {
@@ -132,7 +132,7 @@
 		is.Equal(core.vouches(service, member), off.noVouchOnlyComplete)
 		core.Step(hold, &Event{Members: testMembers}, &effects) // the cut is over
 		is.Equal(core.vouches(service, member), off.noVouchOnlyComplete)
-		ranTo(core, hold, 2*hold+TickInterval)
+		tickUntil(core, hold, 2*hold+TickInterval)
 		is.True(core.vouches(service, member))
 	}
 }
@@ -142,14 +142,14 @@
 func TestANodeThatHasJustJoinedAsksTheChain(t *testing.T) {
 	is := is.New(t)
 	calm, _, _, _ := testPlacements(t, "ABCDEF", "ABCDE")
-	core := New(unhurried("a", "1"))
+	core := New(settingsWithoutPauses("a", "1"))
 	var effects Effects
 	core.Step(0, &Event{Members: testMembers}, &effects)
 	core.Step(0, &Event{Placement: calm}, &effects)
 	service := core.services[testService]
-	packet := flowsWhere(1, PacketMiddle, func(index uint16) bool { return !core.heads(core.groupOf(service, index)) })[0]
-	is.Equal(decide(core, joinHold-1, packet).Action, ActionRelay)
-	is.Equal(decide(core, joinHold+1, packet).Action, ActionForward)
+	packet := flowsWhere(1, PacketMiddle, func(index uint16) bool { return !core.isHead(core.groupOf(service, index)) })[0]
+	is.Equal(decideAt(core, joinGracePeriod-1, packet).Action, ActionRelay)
+	is.Equal(decideAt(core, joinGracePeriod+1, packet).Action, ActionForward)
 }
 
 // TestUnansweredOpeningIsRefusedOnceItsBackendDrains: an opening whose tail
@@ -157,10 +157,10 @@
 // anywhere else. Found by the fault run freeze and the scenario tally-wallet-freeze.
 func TestUnansweredOpeningIsRefusedOnceItsBackendDrains(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []rules{{}, {noLateOpeningRefused: true}} {
+	for _, off := range []disabledRules{{}, {noLateOpeningRefused: true}} {
 		calm, prepared, committed, _ := testPlacements(t, "ABCDEF", "ABCDE")
-		core := New(unhurried("a", "1"))
-		core.off = off
+		core := New(settingsWithoutPauses("a", "1"))
+		core.disabled = off
 		var effects Effects
 		for _, event := range []Event{{Members: testMembers}, {Placement: calm}, {Placement: prepared}} {
 			core.Step(0, &event, &effects)
@@ -170,10 +170,10 @@
 		opening := flowsWhere(1, PacketOpening, func(index uint16) bool {
 			return service.table.Current(index) == drained && core.groupOf(service, index).chain.head == core.self
 		})[0]
-		is.Equal(decide(core, time.Second, opening).Relay.Proposal, drained)
+		is.Equal(decideAt(core, time.Second, opening).Relay.Proposal, drained)
 		core.Step(2*time.Second, &Event{Placement: committed}, &effects)
-		is.Equal(decide(core, 2*time.Second+drainGrace, opening).Relay.Proposal, drained) // in time
-		late := decide(core, 2*time.Second+drainGrace+1, opening)
+		is.Equal(decideAt(core, 2*time.Second+drainGrace, opening).Relay.Proposal, drained) // in time
+		late := decideAt(core, 2*time.Second+drainGrace+1, opening)
 		is.Equal(late.Action == ActionRefuse, !off.noLateOpeningRefused)
 		is.Equal(late.Refusal.Verdict == lb.MayHaveRun, !off.noLateOpeningRefused)
 	}
@@ -186,26 +186,26 @@
 	core, key := movingFlow(t)
 	core.settings.PauseLimit = time.Second
 	opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
-	ranTo(core, time.Minute, time.Minute+time.Second)
-	is.Equal(decide(core, time.Minute+time.Second, opening).Reason, ReasonPaused)
+	tickUntil(core, time.Minute, time.Minute+time.Second)
+	is.Equal(decideAt(core, time.Minute+time.Second, opening).Reason, ReasonPaused)
 	var effects Effects
 	core.Step(time.Minute+time.Second, &Event{Contact: ContactRegained}, &effects)
-	is.Equal(decide(core, time.Minute+time.Second, opening).Action, ActionRelay)
+	is.Equal(decideAt(core, time.Minute+time.Second, opening).Action, ActionRelay)
 }
 
 // TestReturnDoesNotUndoAConfirmedRecord: another tail has forwarded the opening
 // by the head's own record. Found by random schedules (planned, seed 11).
 func TestReturnDoesNotUndoAConfirmedRecord(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []rules{{}, {noDropOfReturn: true}} {
+	for _, off := range []disabledRules{{}, {noDropOfReturn: true}} {
 		head, key := movingFlow(t)
-		head.off = off
+		head.disabled = off
 		opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
-		proposed := decide(head, time.Second, opening)
+		proposed := decideAt(head, time.Second, opening)
 		flow := message.FlowRecord{Flow: key.ID(), Backend: proposed.Relay.Proposal, OpeningID: 7}
-		give(head, time.Second, proposed.Peer, message.Pins{Service: testService, Confirm: true, Flows: []message.FlowRecord{flow}})
+		deliver(head, time.Second, proposed.Peer, message.Pins{Service: testService, Confirm: true, Flows: []message.FlowRecord{flow}})
 		late := opening
 		late.Relay = lb.Relay{Hop: lb.HopReturn, Known: true, Proposal: head.services[testService].table.Base(key.ID().Bucket())}
-		is.Equal(decide(head, time.Second, late).Action == ActionDrop, !off.noDropOfReturn)
+		is.Equal(decideAt(head, time.Second, late).Action == ActionDrop, !off.noDropOfReturn)
 	}
 }
--- a/internal/core/mutant_test.go
+++ b/internal/core/mutant_test.go
@@ -9,32 +9,32 @@
 
 // mutant switches one rule off. The plans of its kind must then breach the property.
 type mutant struct {
-	name   string
-	off    rules
-	plan   func(*plan) // where the rule is one of the publisher's, not the core's
-	kind   string
-	breach property
-	from   int // first schedule tried: the one that was found to catch it
+	name      string
+	off       disabledRules
+	plan      func(*plan) // where the rule is one of the publisher's, not the core's
+	kind      string
+	violates  property
+	firstSeed int // first schedule tried: the one that was found to catch it
 }
 
 var mutants = []mutant{
-	{name: "the tail's record wins", off: rules{noTailRecordWins: true}, kind: "uneven", breach: oneBackend, from: 250},
-	{name: "record before forward", off: rules{noRecordBeforeForward: true}, kind: "laggard", breach: oneBackend},
-	{name: "openings through the chain", off: rules{noOpeningThroughChain: true}, kind: "laggard", breach: oneBackend, from: 13},
-	{name: "vouch before not run", off: rules{noVouchBeforeNotRun: true}, kind: "two deaths", breach: notRunTrue, from: 220},
-	{name: "refusals are recorded", off: rules{noRefusalRecord: true}, kind: "planned", breach: notRunTrue},
-	{name: "versions only grow", off: rules{noMonotoneVersion: true}, kind: "planned", breach: versionGrows},
-	{name: "handover before leave", off: rules{noHandoverBeforeLeave: true}, kind: "stop then death", breach: flowStays, from: 65},
-	{name: "handover to who joins", off: rules{noHandoverToJoined: true}, kind: "joins", breach: flowStays, from: 30},
-	{name: "unsure after a pause", off: rules{noUnsureAfterPause: true}, kind: "pause", breach: flowStays, from: 150},
-	{name: "last check of the service", off: rules{noLastServiceCheck: true}, kind: "laggard", breach: ownService},
-	{name: "records kept in history", off: rules{noRecordsInHistory: true}, kind: "history", breach: flowStays, from: 70},
-	{name: "prepare before commit", plan: func(drawn *plan) { drawn.SkipPrepare = true }, kind: "planned", breach: flowStays, from: 70},
-	{name: "settle only after idle", plan: func(drawn *plan) { drawn.SettleEarly = true }, kind: "planned", breach: flowStays, from: 100},
+	{name: "the tail's record wins", off: disabledRules{noTailRecordWins: true}, kind: "uneven", violates: oneBackend, firstSeed: 250},
+	{name: "record before forward", off: disabledRules{noRecordBeforeForward: true}, kind: "laggard", violates: oneBackend},
+	{name: "openings through the chain", off: disabledRules{noOpeningThroughChain: true}, kind: "laggard", violates: oneBackend, firstSeed: 13},
+	{name: "vouch before not run", off: disabledRules{noVouchBeforeNotRun: true}, kind: "two deaths", violates: notRunTrue, firstSeed: 220},
+	{name: "refusals are recorded", off: disabledRules{noRefusalRecord: true}, kind: "planned", violates: notRunTrue},
+	{name: "versions only grow", off: disabledRules{noMonotoneVersion: true}, kind: "planned", violates: versionGrows},
+	{name: "handover before leave", off: disabledRules{noHandoverBeforeLeave: true}, kind: "stop then death", violates: flowStays, firstSeed: 65},
+	{name: "handover to who joins", off: disabledRules{noHandoverToJoined: true}, kind: "joins", violates: flowStays, firstSeed: 30},
+	{name: "unsure after a pause", off: disabledRules{noUnverifiedAfterPause: true}, kind: "pause", violates: flowStays, firstSeed: 150},
+	{name: "last check of the service", off: disabledRules{noLastServiceCheck: true}, kind: "laggard", violates: ownService},
+	{name: "records kept in history", off: disabledRules{noRecordsInHistory: true}, kind: "history", violates: flowStays, firstSeed: 70},
+	{name: "prepare before commit", plan: func(drawn *plan) { drawn.SkipPrepare = true }, kind: "planned", violates: flowStays, firstSeed: 70},
+	{name: "settle only after idle", plan: func(drawn *plan) { drawn.SettleEarly = true }, kind: "planned", violates: flowStays, firstSeed: 100},
 }
 
-// mutantSchedules is the most schedules in which a mutant must be caught.
-const mutantSchedules = 200
+// maxMutantSchedules is the most schedules in which a mutant must be caught.
+const maxMutantSchedules = 200
 
 // TestMutants shows that the properties depend on each rule: with it off, a
 // schedule breaches its property, and the same schedule with it on does not.
@@ -46,20 +46,20 @@
 			kind := findKind(candidate.kind)
 			is.True(kind != nil) // the mutant's kind of plans exists
 			generator := rapid.Custom(kind.draw)
-			for seed := candidate.from; seed < candidate.from+mutantSchedules; seed++ {
+			for seed := candidate.firstSeed; seed < candidate.firstSeed+maxMutantSchedules; seed++ {
 				drawn := generator.Example(seed)
 				changed := drawn
 				if candidate.plan != nil {
 					candidate.plan(&changed)
 				}
-				if detail, caught := caughtBy(changed.run(candidate.off), candidate.breach); caught {
-					_, also := caughtBy(drawn.run(rules{}), candidate.breach)
+				if detail, caught := findViolation(changed.run(candidate.off), candidate.violates); caught {
+					_, also := findViolation(drawn.run(disabledRules{}), candidate.violates)
 					is.True(!also) // the rule is what makes the difference
-					t.Logf("%s: caught by %s %d: %s: %s", candidate.name, kind.name, seed, candidate.breach, detail)
+					t.Logf("%s: caught by %s %d: %s: %s", candidate.name, kind.name, seed, candidate.violates, detail)
 					return
 				}
 			}
-			t.Fatalf("not caught in %d schedules", mutantSchedules)
+			t.Fatalf("not caught in %d schedules", maxMutantSchedules)
 		})
 	}
 }
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func caughtBy(ran *network, breach property) (string, bool) {
+func findViolation(ran *network, breach property) (string, bool) {
 	for _, found := range ran.violations {
 		if found.property == breach {
 			return found.detail, true
--- a/internal/core/network_test.go
+++ b/internal/core/network_test.go
@@ -38,16 +38,16 @@
 
 // testNode is one core in the network.
 type testNode struct {
-	core    *Core
-	alive   bool
-	sprayed bool // the fabric sends to it
-	leaving bool
-	paused  bool
-	known   bool // not thought dead by the others
-	version lb.Version
-	effects Effects
-	// doneSince is when a leaving node last had something to hand over.
-	doneSince time.Duration
+	core            *Core
+	alive           bool
+	receivesTraffic bool // the fabric sends to it
+	leaving         bool
+	paused          bool
+	inMembership    bool // not thought dead by the others
+	version         lb.Version
+	effects         Effects
+	// busyAt is when a leaving node last had something to hand over.
+	busyAt time.Duration
 }
 
 // openingKey names one opening.
@@ -64,24 +64,24 @@
 
 // network runs cores over an unreliable network in virtual time.
 type network struct {
-	plan       plan
-	off        rules
-	random     *rand.Rand
-	now        time.Duration
-	queue      deliveries
-	order      int
-	nodes      []*testNode
-	document   *lb.Placement
-	history    []*lb.Placement
-	hosts      map[string]bool // of the service's back ends
-	callers    map[lb.FlowKey]*caller
-	openings   map[openingKey]*opening
-	violations []violation
-	changed    time.Duration // when the membership last changed
+	plan                plan
+	off                 disabledRules
+	random              *rand.Rand
+	now                 time.Duration
+	queue               deliveries
+	order               int
+	nodes               []*testNode
+	document            *lb.Placement
+	history             []*lb.Placement
+	hosts               map[string]bool // of the service's back ends
+	clients             map[lb.FlowKey]*client
+	openings            map[openingKey]*opening
+	violations          []violation
+	membershipChangedAt time.Duration // when the membership last changed
 	// interrupted: a node died or paused.
 	interrupted bool
 	// dieNext: a node dies as soon as a planned stop is through.
-	dieNext bool
+	dieAfterStop bool
 	// What happened: openings refused as not run, packets forwarded, flows
 	// opened, packets of open flows at another back end.
 	refusals, forwards, established, moved int
@@ -121,11 +121,11 @@
 	heap.Push(&network.queue, delivery{network.now + delay, network.order, run})
 }
 
-func (network *network) millis(low, high int) time.Duration {
+func (network *network) randomMillis(low, high int) time.Duration {
 	return time.Duration(low+network.random.IntN(high-low+1)) * time.Millisecond
 }
 
-func (network *network) percent(chance int) bool { return network.random.IntN(100) < chance }
+func (network *network) chance(chance int) bool { return network.random.IntN(100) < chance }
 
 func (network *network) violate(broken property, format string, arguments ...any) {
 	detail := fmt.Sprintf("%v: ", network.now) + fmt.Sprintf(format, arguments...)
@@ -135,23 +135,23 @@
 // send delivers over the unreliable network: lost, late, or twice.
 func (network *network) send(run func()) {
 	copies := 1
-	if network.percent(network.plan.Duplicate) {
+	if network.chance(network.plan.Duplicate) {
 		copies = 2
 	}
 	for range copies {
-		if network.percent(network.plan.Loss) {
+		if network.chance(network.plan.Loss) {
 			continue
 		}
-		delay := network.millis(1, 20)
-		if network.percent(5) {
-			delay = network.millis(20, 900)
+		delay := network.randomMillis(1, 20)
+		if network.chance(5) {
+			delay = network.randomMillis(20, 900)
 		}
 		network.after(delay, run)
 	}
 }
 
-// step gives a node one event and carries out its effects.
-func (network *network) step(node *testNode, event Event) {
+// stepNode gives a node one event and carries out its effects.
+func (network *network) stepNode(node *testNode, event Event) {
 	if !node.alive || node.paused {
 		return
 	}
@@ -166,11 +166,11 @@
 		from, to := node.core.self.ID, network.node(outgoing.To)
 		peer := &PeerEvent{From: from, Message: outgoing.Message}
 		if to != nil {
-			network.send(func() { network.step(to, Event{Peer: peer}) })
+			network.send(func() { network.stepNode(to, Event{Peer: peer}) })
 		}
 	}
 	if event.Packet != nil {
-		network.decided(node, *event.Packet, node.effects.Decision)
+		network.applyDecision(node, *event.Packet, node.effects.Decision)
 	}
 }
 
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// decided carries out a decision and checks it.
-func (network *network) decided(node *testNode, packet Packet, decision Decision) {
+// applyDecision carries out a decision and checks it.
+func (network *network) applyDecision(node *testNode, packet Packet, decision Decision) {
 	flow := openingKey{packet.Key, packet.OpeningID}
 	isOpening := packet.Kind == PacketOpening
 	switch decision.Action {
@@ -193,7 +193,7 @@
 	case ActionRelay:
 		packet.Relay = decision.Relay
 		if to := network.node(decision.Peer); to != nil {
-			network.send(func() { network.step(to, Event{Packet: &packet}) })
+			network.send(func() { network.stepNode(to, Event{Packet: &packet}) })
 		}
 	case ActionForward:
 		network.forwards++
@@ -209,8 +209,8 @@
 			network.refused(flow)
 		}
 	}
-	if flow := network.callers[packet.Key]; flow != nil {
-		flow.heard(packet, decision)
+	if flow := network.clients[packet.Key]; flow != nil {
+		flow.observe(packet, decision)
 	}
 }
 
@@ -251,21 +251,21 @@
 		network.hosts[backend.Host.String()] = true
 	}
 	for index, node := range network.nodes {
-		delay := network.millis(1, 300)
-		if network.plan.Laggard && index == 0 {
-			delay = network.millis(3000, 15000)
+		delay := network.randomMillis(1, 300)
+		if network.plan.LatePlacements && index == 0 {
+			delay = network.randomMillis(3000, 15000)
 		}
-		network.after(delay, func() { network.step(node, Event{Placement: document}) })
-		if network.percent(30) { // an old document comes again
+		network.after(delay, func() { network.stepNode(node, Event{Placement: document}) })
+		if network.chance(30) { // an old document comes again
 			stale := network.history[network.random.IntN(len(network.history))]
-			network.after(delay+network.millis(1, 2000), func() { network.step(node, Event{Placement: stale}) })
+			network.after(delay+network.randomMillis(1, 2000), func() { network.stepNode(node, Event{Placement: stale}) })
 		}
 	}
 }
 
-// everywhere tells whether all live nodes have the newest document, and have
+// inForceEverywhere tells whether all live nodes have the newest document, and have
 // handed over the UDP flows that it is to move.
-func (network *network) everywhere() bool {
+func (network *network) inForceEverywhere() bool {
 	for _, node := range network.nodes {
 		if node.alive && (node.version < network.document.Version || !node.core.HandoverIdle()) {
 			return false
@@ -276,7 +276,7 @@
 
 // move publishes a move to the named back ends: prepare, commit, settle.
 func (network *network) move(names string) {
-	document, err := placement.Next(network.document, network.stampOf(), placement.Prepare(testTargets(names)))
+	document, err := placement.Next(network.document, network.nextStamp(), placement.Prepare(testTargets(names)))
 	if err != nil || document.Current == len(document.Generations)-1 {
 		return
 	}
@@ -289,14 +289,14 @@
 	network.awaitPrepared(version, network.now+2*time.Second)
 }
 
-func (network *network) stampOf() placement.Stamp {
+func (network *network) nextStamp() placement.Stamp {
 	network.order++
 	return placement.Stamp{WriteID: fmt.Sprint(network.order)}
 }
 
 // awaitPrepared commits once the prepared document is in force everywhere, or at the deadline.
 func (network *network) awaitPrepared(version lb.Version, deadline time.Duration) {
-	if !network.everywhere() && network.now < deadline {
+	if !network.inForceEverywhere() && network.now < deadline {
 		network.after(100*time.Millisecond, func() { network.awaitPrepared(version, deadline) })
 		return
 	}
@@ -304,7 +304,7 @@
 }
 
 func (network *network) commit(prepared *lb.Placement, version lb.Version) {
-	document, err := placement.Next(prepared, network.stampOf(), placement.Commit())
+	document, err := placement.Next(prepared, network.nextStamp(), placement.Commit())
 	if err != nil {
 		return
 	}
@@ -317,24 +317,24 @@
 }
 
 func (network *network) settle(version lb.Version) {
-	document, err := placement.Next(network.document, network.stampOf(), placement.Settle(version))
+	document, err := placement.Next(network.document, network.nextStamp(), placement.Settle(version))
 	if err == nil {
 		network.publish(document)
 	}
 }
 
-// views tells each node of the members, after a delay of its own.
-func (network *network) views() {
-	network.changed = network.now
+// publishMembers tells each node of the members, after a delay of its own.
+func (network *network) publishMembers() {
+	network.membershipChangedAt = network.now
 	for _, node := range network.nodes {
-		network.after(network.millis(1, network.plan.ViewDelay), func() { network.step(node, Event{Members: network.members()}) })
+		network.after(network.randomMillis(1, network.plan.ViewDelay), func() { network.stepNode(node, Event{Members: network.members()}) })
 	}
 }
 
 func (network *network) members() []Member {
 	var members []Member
 	for _, node := range network.nodes {
-		if node.known {
+		if node.inMembership {
 			members = append(members, Member{ID: node.core.self.ID, Zone: node.core.self.Zone, Leaving: node.leaving})
 		}
 	}
@@ -346,56 +346,56 @@
 	number := len(network.nodes)
 	zone := lb.Zone(fmt.Sprint(number % 3))
 	core := New(testSettings(lb.NodeID(fmt.Sprintf("node-%d", number)), zone))
-	core.off = network.off
-	node := &testNode{core: core, alive: true, known: true, sprayed: true}
+	core.disabled = network.off
+	node := &testNode{core: core, alive: true, inMembership: true, receivesTraffic: true}
 	network.nodes = append(network.nodes, node)
-	network.step(node, Event{Members: network.members()})
+	network.stepNode(node, Event{Members: network.members()})
 	if network.document != nil {
-		network.step(node, Event{Placement: network.document})
+		network.stepNode(node, Event{Placement: network.document})
 	}
 	network.ticks(node)
-	network.views()
+	network.publishMembers()
 }
 
 func (network *network) ticks(node *testNode) {
 	if !node.alive {
 		return
 	}
-	network.step(node, Event{Tick: true})
+	network.stepNode(node, Event{Tick: true})
 	if node.leaving {
-		network.end(node)
+		network.endIfHandedOver(node)
 	}
 	network.after(500*time.Millisecond, func() { network.ticks(node) })
 }
 
-// end ends a leaving node once it has had nothing to hand over for a while, so
+// endIfHandedOver ends a leaving node once it has had nothing to hand over for a while, so
 // that all others know by then that it is in no chain.
-func (network *network) end(node *testNode) {
+func (network *network) endIfHandedOver(node *testNode) {
 	if !node.effects.HandoverDone {
-		node.doneSince = network.now
+		node.busyAt = network.now
 		return
 	}
-	node.sprayed = false
-	if network.now-node.doneSince >= 2*time.Second {
-		network.gone(node)
+	node.receivesTraffic = false
+	if network.now-node.busyAt >= 2*time.Second {
+		network.removeNode(node)
 	}
 }
 
-// gone ends a node that the others are told of at once.
-func (network *network) gone(node *testNode) {
+// removeNode ends a node that the others are told of at once.
+func (network *network) removeNode(node *testNode) {
 	if !node.alive {
 		return
 	}
-	node.alive, node.known, node.sprayed = false, false, false
-	network.views()
-	if network.dieNext {
-		network.dieNext = false
+	node.alive, node.inMembership, node.receivesTraffic = false, false, false
+	network.publishMembers()
+	if network.dieAfterStop {
+		network.dieAfterStop = false
 		network.die()
 	}
 }
 
-// pick gives a random node that is neither dead, leaving nor paused.
-func (network *network) pick() *testNode {
+// randomNode gives a random node that is neither dead, leaving nor paused.
+func (network *network) randomNode() *testNode {
 	var candidates []*testNode
 	for _, node := range network.nodes {
 		if node.alive && !node.leaving && !node.paused {
@@ -406,44 +406,44 @@
 }
 
 func (network *network) stop() {
-	node := network.pick()
+	node := network.randomNode()
 	node.leaving = true
-	node.doneSince = network.now
-	network.step(node, Event{Leave: true})
-	network.views()
+	node.busyAt = network.now
+	network.stepNode(node, Event{Leave: true})
+	network.publishMembers()
 }
 
 // die ends a node; the others notice a second later.
 func (network *network) die() {
 	network.interrupted = true
-	node := network.pick()
-	node.alive, node.sprayed = false, false
+	node := network.randomNode()
+	node.alive, node.receivesTraffic = false, false
 	network.after(time.Second, func() {
-		node.known = false
-		network.views()
+		node.inMembership = false
+		network.publishMembers()
 	})
 }
 
 // pause stops a node for a while; it learns what it missed some time after it goes on.
 func (network *network) pause() {
 	network.interrupted = true
-	node := network.pick()
+	node := network.randomNode()
 	node.paused = true
 	network.after(1500*time.Millisecond, func() {
-		node.known = false
-		network.views()
+		node.inMembership = false
+		network.publishMembers()
 	})
-	network.after(network.millis(3000, 9000), func() { network.resume(node) })
+	network.after(network.randomMillis(3000, 9000), func() { network.resume(node) })
 }
 
 func (network *network) resume(node *testNode) {
 	node.paused = false
-	network.after(network.millis(100, 900), func() {
-		network.step(node, Event{Placement: network.document})
-		network.step(node, Event{Members: network.members()})
-		network.step(node, Event{Contact: ContactRegained})
-		node.known = true
-		network.views()
+	network.after(network.randomMillis(100, 900), func() {
+		network.stepNode(node, Event{Placement: network.document})
+		network.stepNode(node, Event{Members: network.members()})
+		network.stepNode(node, Event{Contact: ContactRegained})
+		node.inMembership = true
+		network.publishMembers()
 	})
 }
 
@@ -459,14 +459,14 @@
 	}
 }
 
-// spray gives a packet of a caller to any balancer.
-func (network *network) spray(packet Packet) {
+// sendToAnyNode gives a packet of a caller to any balancer.
+func (network *network) sendToAnyNode(packet Packet) {
 	var candidates []*testNode
 	for _, node := range network.nodes {
-		if node.sprayed {
+		if node.receivesTraffic {
 			candidates = append(candidates, node)
 		}
 	}
 	node := candidates[network.random.IntN(len(candidates))]
-	network.send(func() { network.step(node, Event{Packet: &packet}) })
+	network.send(func() { network.stepNode(node, Event{Packet: &packet}) })
 }
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -10,9 +10,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// crowdedCore is a core whose web service is overloaded: its requests take 300 ms
+// overloadedCore is a core whose web service is overloaded: its requests take 300 ms
 // in place of 20. It gives the time, and a flow that is open.
-func crowdedCore(t testing.TB, backends int) (core *tokenCore, now time.Duration, open Packet) {
+func overloadedCore(t testing.TB, backends int) (core *tokenCore, now time.Duration, open Packet) {
 	is := is.New(t)
 	core = newTokenCore()
 	listing := tokenListing(9)
@@ -65,7 +65,7 @@
 // back; a later copy may have been forwarded by another node before.
 func TestOverloadRefusesFirstCopiesOnly(t *testing.T) {
 	is := is.New(t)
-	core, now, _ := crowdedCore(t, 4)
+	core, now, _ := overloadedCore(t, 4)
 	refused, decision := refusals(core, now, 200, 0)
 	is.True(refused > 150)
 	is.Equal(decision.Reason, ReasonOverload)
@@ -79,7 +79,7 @@
 // TestOverloadTouchesNoOpenFlow: later packets are forwarded as ever.
 func TestOverloadTouchesNoOpenFlow(t *testing.T) {
 	is := is.New(t)
-	core, now, open := crowdedCore(t, 4)
+	core, now, open := overloadedCore(t, 4)
 	for i := range 100 {
 		open.Acknowledged, open.HasData = uint32(10+i), i%2 == 0
 		is.Equal(core.send(now, open).Action, ActionForward)
@@ -89,7 +89,7 @@
 // TestOverloadOfOneServiceIsNotThatOfAnother on the same node.
 func TestOverloadOfOneServiceIsNotThatOfAnother(t *testing.T) {
 	is := is.New(t)
-	core, now, _ := crowdedCore(t, 4)
+	core, now, _ := overloadedCore(t, 4)
 	listing := tokenListing(19, tokenBackend("i-docs", "docs", 90, lb.BackendActive))
 	for i := range 4 {
 		name := lb.BackendName(fmt.Sprintf("i-%d", i))
@@ -123,7 +123,7 @@
 		bench(b, core, 0)
 	})
 	b.Run("overloaded", func(b *testing.B) {
-		core, now, _ := crowdedCore(b, 18)
+		core, now, _ := overloadedCore(b, 18)
 		bench(b, core, now)
 	})
 }
--- a/internal/core/packet.go
+++ b/internal/core/packet.go
@@ -10,173 +10,176 @@
 	"robinpulley.example/robinpulley/internal/steering"
 )
 
-// turn is the handling of one packet.
-type turn struct {
+// packetHandler decides one packet.
+type packetHandler struct {
 	core     *Core
 	packet   *Packet
 	decision *Decision
 	service  *service
 	group    *group
-	bucket   *bucket // nil while nothing is held of the bucket
+	bucket   *bucket // nil if this node has no state of the bucket
 	index    uint16  // of the bucket
 	flow     lb.FlowID
 	key      lb.FrontendKey
 }
 
-// proposal is what a head proposes to a tail: a back end, or refusal.
+// proposal is the decision that a head proposes to a tail: a back end, or refusal.
 type proposal struct {
-	backend lb.BackendID
-	refuse  bool
-	known   bool // from a record that a tail confirmed
+	backend   lb.BackendID
+	refuse    bool
+	confirmed bool // it comes from a record that a tail has confirmed
 }
 
-// chainAffinity is AffinityChain: the rules of docs/DESIGN.md, "The chain".
+// chainAffinity implements AffinityChain by the rules of docs/DESIGN.md, "The chain". The methods
+// that concern only AffinityToken do nothing.
 type chainAffinity struct{ *Core }
 
-// setTable is not for this affinity, which goes by placements.
+// setTable does nothing: the chain uses placements in place of a steering table.
 func (chainAffinity) setTable(*steering.Table) {}
 
-// tick does nothing: what is due for the chain is due for the core.
+// tick does nothing: Core.tick does the periodic work of the chain.
 func (chainAffinity) tick() {}
 
-// changes gives nothing: the chain's evidence is gathered by its node.
-func (chainAffinity) changes() []passivehealth.Change { return nil }
+// backendChanges, outcomes and setEjected do nothing: the node collects the outcome reports of the
+// chain outside the core.
+func (chainAffinity) backendChanges() []passivehealth.Change { return nil }
 
-// outcomes gives nothing, and avoid does nothing: see changes.
 func (chainAffinity) outcomes() []passivehealth.Outcome { return nil }
 
-func (chainAffinity) avoid([]passivehealth.Identity) {}
+func (chainAffinity) setEjected([]passivehealth.Identity) {}
 
-// overloads and pressures give nothing: this affinity has no overload control.
-func (chainAffinity) overloads() []overload.Change { return nil }
+// overloadChanges and overloadStatus return nothing: the chain has no overload control.
+func (chainAffinity) overloadChanges() []overload.Change { return nil }
 
-func (chainAffinity) pressures() []overload.Status { return nil }
+func (chainAffinity) overloadStatus() []overload.Status { return nil }
 
-// setLoads and samples are for overload control, too.
+// setLoads and loadSamples do nothing, because they serve overload control as well.
 func (chainAffinity) setLoads(map[lb.ServiceName]fleetload.Service) {}
 
-func (chainAffinity) samples() []fleetload.Sample { return nil }
-func (chainAffinity) heard([]ZoneHeard)           {}
+func (chainAffinity) loadSamples() []fleetload.Sample { return nil }
+func (chainAffinity) updateReachability([]ZoneHeard)  {}
 
-func (chainAffinity) reached() []reachability.Change { return nil }
+func (chainAffinity) reachabilityChanges() []reachability.Change { return nil }
 
-func (chainAffinity) zones() []reachability.Status { return nil }
+func (chainAffinity) reachabilityStatus() []reachability.Status { return nil }
 
-// look, takeReleased and waits do nothing: nothing is held for room here.
-func (chainAffinity) look(bool) {}
+// retryQueued, takeReleased and queuedOpenings do nothing: the chain holds no openings.
+func (chainAffinity) retryQueued(bool) {}
 
 func (chainAffinity) takeReleased() []Released { return nil }
 
-func (chainAffinity) waits() int { return 0 }
+func (chainAffinity) queuedOpenings() int { return 0 }
 
-func (chainAffinity) openFlows() []conntrack.Flow { return nil }
+func (chainAffinity) openFlowAnnouncements() []conntrack.Flow { return nil }
 
-func (chainAffinity) learn([]conntrack.Flow) []conntrack.Flow { return nil }
+func (chainAffinity) applyOpenFlows([]conntrack.Flow) []conntrack.Flow { return nil }
 
 func (chainAffinity) recentFlows() []conntrack.Flow { return nil }
 
-func (chainAffinity) tracked() conntrack.Stats { return conntrack.Stats{} }
+func (chainAffinity) trackedStats() conntrack.Stats { return conntrack.Stats{} }
 
-// packet decides on one packet.
-func (core chainAffinity) packet(packet *Packet, decision *Decision) {
-	current := turn{core: core.Core, packet: packet, decision: decision}
-	if core.now < core.discardUntil && !core.off.noDropAfterPause {
-		current.drop(ReasonPaused)
+// decide decides one packet.
+func (core chainAffinity) decide(packet *Packet, decision *Decision) {
+	handler := packetHandler{core: core.Core, packet: packet, decision: decision}
+	if core.now < core.dropPacketsUntil && !core.disabled.noDropAfterPause {
+		handler.drop(ReasonPaused)
 		return
 	}
-	current.key = packet.Key.Frontend()
-	current.service = core.frontends[current.key]
-	if current.service == nil {
-		current.drop(ReasonUnknownService)
+	handler.key = packet.Key.Frontend()
+	handler.service = core.frontends[handler.key]
+	if handler.service == nil {
+		handler.drop(ReasonUnknownService)
 		return
 	}
-	current.flow = packet.Key.ID()
-	current.index = current.flow.Bucket()
-	current.group = core.groupOf(current.service, current.index)
-	current.bucket = current.service.buckets[current.index]
-	decision.Service = current.service.name
+	handler.flow = packet.Key.ID()
+	handler.index = handler.flow.Bucket()
+	handler.group = core.groupOf(handler.service, handler.index)
+	handler.bucket = handler.service.buckets[handler.index]
+	decision.Service = handler.service.name
 	switch packet.Relay.Hop {
 	case lb.HopIngress:
-		current.ingress()
+		handler.handleFromFabric()
 	case lb.HopHead:
-		current.relayedToHead()
+		handler.handleRelayedToHead()
 	case lb.HopTail:
-		current.tail()
+		handler.handleAsTail()
 	case lb.HopReturn:
-		current.returned()
+		handler.handleReturned()
 	default:
-		current.drop(ReasonUnknownPeer)
+		handler.drop(ReasonUnknownPeer)
 	}
 }
 
-// held gives the bucket, a new one if nothing is held of it yet.
-func (current *turn) held() *bucket {
-	if current.bucket == nil {
-		current.bucket = current.core.ensureBucket(current.service, current.index)
+// ensureBucket returns the packet's bucket and creates it if this node has no state of it yet.
+func (handler *packetHandler) ensureBucket() *bucket {
+	if handler.bucket == nil {
+		handler.bucket = handler.core.ensureBucket(handler.service, handler.index)
 	}
-	return current.bucket
+	return handler.bucket
 }
 
-// record gives this node's record of the flow, or nil.
-func (current *turn) record() *record { return current.bucket.record(current.flow) }
+// record returns this node's record of the flow, or nil.
+func (handler *packetHandler) record() *record { return handler.bucket.record(handler.flow) }
 
-func (current *turn) opening() bool { return current.packet.Kind == PacketOpening }
+func (handler *packetHandler) isOpening() bool { return handler.packet.Kind == PacketOpening }
 
-func (current *turn) drop(reason Reason) { current.decision.drop(reason) }
+func (handler *packetHandler) drop(reason Reason) { handler.decision.drop(reason) }
 
 // relay sends the packet on to another balancer.
-func (current *turn) relay(peer *node, relay lb.Relay) {
-	current.decision.Action = ActionRelay
-	current.decision.Peer = peer.ID
-	current.decision.Relay = relay
+func (handler *packetHandler) relay(peer *node, relay lb.Relay) {
+	handler.decision.Action = ActionRelay
+	handler.decision.Peer = peer.ID
+	handler.decision.Relay = relay
 }
 
-// forward sends the packet to a back end, after a last check that both the
-// packet's front end and the back end belong to the service.
-func (current *turn) forward(id lb.BackendID) {
-	current.decision.Backend = id
-	if current.core.off.noLastServiceCheck {
-		backend, _ := current.service.table.Backend(id)
-		current.decision.Action = ActionForward
-		current.decision.Host = backend.Host
+// forward sends the packet to a back end, after a final check that both the packet's front end and
+// the back end belong to the service.
+func (handler *packetHandler) forward(id lb.BackendID) {
+	handler.decision.Backend = id
+	if handler.core.disabled.noLastServiceCheck {
+		backend, _ := handler.service.table.Backend(id)
+		handler.decision.Action = ActionForward
+		handler.decision.Host = backend.Host
 		return
 	}
-	if !current.ownFrontend() {
-		current.drop(ReasonWrongService)
+	if !handler.serviceHasFrontend() {
+		handler.drop(ReasonWrongService)
 		return
 	}
-	backend, found := current.service.table.Backend(id)
+	backend, found := handler.service.table.Backend(id)
 	switch {
 	case id == lb.NoBackend:
-		current.refuse(lb.MayHaveRun, ReasonNoBackend)
+		handler.refuse(lb.MayHaveRun, ReasonNoBackend)
 	case found && backend.State != lb.BackendFailed:
-		current.decision.Action = ActionForward
-		current.decision.Host = backend.Host
-	case found || id < current.service.table.Document().NextBackendID:
-		current.refuse(lb.MayHaveRun, ReasonBackendFailed)
-	default: // of a newer placement than this node has
-		current.drop(ReasonWrongService)
+		handler.decision.Action = ActionForward
+		handler.decision.Host = backend.Host
+	case found || id < handler.service.table.Document().NextBackendID:
+		handler.refuse(lb.MayHaveRun, ReasonBackendFailed)
+	default: // the back end belongs to a newer placement than this node's
+		handler.drop(ReasonWrongService)
 	}
 }
 
-// ownFrontend tells whether the service in force has the packet's front end.
-func (current *turn) ownFrontend() bool {
-	for index := range current.service.frontendKeys {
-		if current.service.frontendKeys[index] == current.key {
+// serviceHasFrontend reports whether the service's present placement contains the packet's front
+// end.
+func (handler *packetHandler) serviceHasFrontend() bool {
+	for index := range handler.service.frontendKeys {
+		if handler.service.frontendKeys[index] == handler.key {
 			return true
 		}
 	}
 	return false
 }
 
-// takesNewFlows tells whether a back end may be given a flow afresh.
-func (current *turn) takesNewFlows(id lb.BackendID) bool {
-	backend, found := current.service.table.Backend(id)
+// notFailed reports whether the back end exists and has not failed, so that a flow may be placed on
+// it.
+func (handler *packetHandler) notFailed(id lb.BackendID) bool {
+	backend, found := handler.service.table.Backend(id)
 	return found && backend.State != lb.BackendFailed
 }
 
-// active tells whether the back end takes new flows by its own state.
-func (current *turn) active(id lb.BackendID) bool {
-	backend, found := current.service.table.Backend(id)
+// isActive reports whether the back end is in the state in which it accepts new flows.
+func (handler *packetHandler) isActive(id lb.BackendID) bool {
+	backend, found := handler.service.table.Backend(id)
 	return found && backend.State == lb.BackendActive
 }
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -7,15 +7,15 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// peer takes a message from another node. Messages of other concerns
-// (membership, gossip) are not the core's and are ignored.
-func (core *Core) peer(event *PeerEvent, effects *Effects) {
+// handlePeerMessage handles a message from another node. Messages that do not concern the core,
+// such as membership and gossip messages, are ignored.
+func (core *Core) handlePeerMessage(event *PeerEvent, effects *Effects) {
 	from := core.nodes[event.From]
 	switch content := event.Message.(type) {
 	case message.Pins:
-		core.takePins(from, &content)
+		core.applyPins(from, &content)
 	case message.Records:
-		if core.takeRecords(from, &content) {
+		if core.applyRecords(from, &content) {
 			acknowledgement := message.RecordsAck{Sequence: content.Sequence}
 			effects.Messages = append(effects.Messages, Outgoing{To: event.From, Message: acknowledgement})
 		}
@@ -26,15 +26,15 @@
 	}
 }
 
-// takePins keeps pins, and lets the present tail's confirmations correct records.
-func (core *Core) takePins(from *node, content *message.Pins) {
+// applyPins stores pins, and applies confirmations of the present tail to records.
+func (core *Core) applyPins(from *node, content *message.Pins) {
 	service := core.services[content.Service]
 	if service == nil || from == nil {
 		return
 	}
 	for _, flow := range content.Flows {
 		if content.Confirm {
-			core.takeConfirmation(service, from, flow)
+			core.applyConfirmation(service, from, flow)
 			continue
 		}
 		if flow.Backend == lb.NoBackend {
@@ -46,24 +46,24 @@
 		}
 		pin := bucket.pins.put(flow.Flow)
 		pin.backend = flow.Backend
-		pin.lastSeen = core.stamp
+		pin.lastSeen = core.timestamp
 	}
 }
 
-func (core *Core) takeConfirmation(service *service, from *node, flow message.FlowRecord) {
+func (core *Core) applyConfirmation(service *service, from *node, flow message.FlowRecord) {
 	index := flow.Flow.Bucket()
 	bucket := service.buckets[index]
 	entry := bucket.record(flow.Flow)
 	if from != core.groupOf(service, index).chain.tail || entry == nil || entry.openingID != flow.OpeningID {
-		return // of another chain, or of an earlier flow of the 5-tuple
+		return // from a node of another chain, or for an earlier flow of the 5-tuple
 	}
-	core.merge(service, bucket, flow, incoming{confirmed: true, fromTail: true})
-	entry.learnedAt = core.stamp
+	core.mergeRecord(service, bucket, flow, recordOrigin{confirmed: true, fromTail: true})
+	entry.learnedAt = core.timestamp
 }
 
-// takeRecords keeps records that a node hands over, and tells whether it could:
-// those of a service not known here yet are not acknowledged, so they come again.
-func (core *Core) takeRecords(from *node, content *message.Records) bool {
+// applyRecords stores records that a node hands over and reports whether it could. Records of a
+// service that is still unknown here are not acknowledged, so the sender repeats them.
+func (core *Core) applyRecords(from *node, content *message.Records) bool {
 	service := core.services[content.Service]
 	if service == nil {
 		return false
@@ -75,10 +75,10 @@
 		}
 		bucket := core.ensureBucket(service, flow.Flow.Bucket())
 		if content.Established {
-			core.takeEstablished(service, bucket, flow, idle)
+			core.applyKnownUDPFlow(service, bucket, flow, idle)
 			continue
 		}
-		core.merge(service, bucket, flow, incoming{
+		core.mergeRecord(service, bucket, flow, recordOrigin{
 			confirmed: !content.Unconfirmed,
 			fromTail:  from != nil && from == bucket.group.chain.tail,
 			idle:      idle,
@@ -87,32 +87,32 @@
 	return true
 }
 
-// takeEstablished keeps a UDP flow that another node saw on the base back end:
-// as a known flow as long as the bucket needs no records, then as a record.
-func (core *Core) takeEstablished(service *service, bucket *bucket, flow message.FlowRecord, idle time.Duration) {
-	if !stateless(service.table, flow.Flow.Bucket()) {
-		core.merge(service, bucket, flow, incoming{idle: idle})
+// applyKnownUDPFlow stores a UDP flow that another node saw on the base back end. It becomes a
+// known flow while the bucket needs no records, and a record otherwise.
+func (core *Core) applyKnownUDPFlow(service *service, bucket *bucket, flow message.FlowRecord, idle time.Duration) {
+	if !needsNoRecords(service.table, flow.Flow.Bucket()) {
+		core.mergeRecord(service, bucket, flow, recordOrigin{idle: idle})
 		return
 	}
-	seen := toStamp(max(0, core.now-idle))
-	entry := core.known(bucket, flow.Flow)
+	seen := toTimestamp(max(0, core.now-idle))
+	entry := core.ensureKnownUDPFlow(bucket, flow.Flow)
 	if entry.lastSeen <= seen {
 		entry.lastSeen = seen
 		entry.backend = flow.Backend
 	}
 }
 
-// incoming says how certain a record from another node is.
-type incoming struct {
-	confirmed bool // a tail answered with it
+// recordOrigin describes how certain a record from another node is.
+type recordOrigin struct {
+	confirmed bool // a tail answered with the record
 	fromTail  bool // the sender is the present tail
 	idle      time.Duration
 }
 
-// merge takes a record from another node, unless this node's own is more certain.
-func (core *Core) merge(service *service, bucket *bucket, flow message.FlowRecord, origin incoming) {
+// mergeRecord stores a record from another node, unless this node's own record is more certain.
+func (core *Core) mergeRecord(service *service, bucket *bucket, flow message.FlowRecord, origin recordOrigin) {
 	entry := bucket.records.get(flow.Flow)
-	seen := toStamp(max(0, core.now-origin.idle))
+	seen := toTimestamp(max(0, core.now-origin.idle))
 	if entry != nil && !core.replaces(bucket, entry, flow.OpeningID, seen, origin) {
 		return
 	}
@@ -130,21 +130,21 @@
 	if origin.confirmed {
 		entry.flags |= recordConfirmed
 	}
-	// However certain, it is no sign that the present tail has the record.
-	entry.learnedAt = min(core.stamp, bucket.group.tailSince-1)
+	// Even a confirmed record does not prove that the present tail has it.
+	entry.learnedAt = min(core.timestamp, bucket.group.tailSince-1)
 	if !previous.sameAs(entry) {
-		core.handover.recorded(core, service, flow.Flow.Bucket(), entry)
+		core.handover.handOverNewRecord(core, service, flow.Flow.Bucket(), entry)
 	}
 }
 
-// replaces tells whether the incoming record replaces this node's own. Of
-// records of different openings of a 5-tuple, the one seen later counts.
-func (core *Core) replaces(bucket *bucket, entry *record, openingID uint32, seen stamp, origin incoming) bool {
-	confirmed := core.confirmed(bucket.group, entry)
+// replaces reports whether an incoming record replaces this node's own record. Of two records for
+// different openings of a 5-tuple, the one seen later is kept.
+func (core *Core) replaces(bucket *bucket, entry *record, openingID uint32, seen timestamp, origin recordOrigin) bool {
+	confirmed := core.isConfirmed(bucket.group, entry)
 	switch {
 	case !origin.confirmed:
 		return false
-	case !confirmed && entry.openingID == 0: // a guess for a later packet
+	case !confirmed && entry.openingID == 0: // a record guessed from a later packet
 		return true
 	case openingID != entry.openingID:
 		return seen > entry.lastSeen
--- a/internal/core/property_test.go
+++ b/internal/core/property_test.go
@@ -52,60 +52,60 @@
 
 // plan is one schedule. Seed decides what the network does with each packet.
 type plan struct {
-	Seed        uint64
-	Loss        int // percent
-	Duplicate   int // percent
-	Limit       uint32
-	Changes     []change
-	Laggard     bool // one node gets placements late
-	Unplanned   bool // flows may move: something else than planned changes happens
-	SkipPrepare bool // moves are committed unannounced
-	SettleEarly bool // moves settle before IdleTimeout
-	Silences    int  // percent
-	Unanswered  int  // percent
-	ViewDelay   int  // milliseconds
+	Seed              uint64
+	Loss              int // percent
+	Duplicate         int // percent
+	Limit             uint32
+	Changes           []change
+	LatePlacements    bool // one node gets placements late
+	MayMove           bool // flows may move: something else than planned changes happens
+	SkipPrepare       bool // moves are committed unannounced
+	SettleEarly       bool // moves settle before IdleTimeout
+	IdlePercent       int  // percent
+	UnansweredPercent int  // percent
+	ViewDelay         int  // milliseconds
 }
 
 // planKind draws plans of one kind.
 type planKind struct {
-	name       string
-	actions    []action // drawn in turn, spaced by gap
-	laggard    bool
-	unplanned  bool
-	silences   int // percent of packets after which a flow is silent
-	unanswered int // percent of openings whose answer is lost
-	viewDelay  int // longest time until a node sees a change of the members, in ms
-	properties []property
+	name              string
+	actions           []action // drawn in turn, spaced by gap
+	latePlacements    bool
+	mayMove           bool
+	idlePercent       int // percent of packets after which a flow is silent
+	unansweredPercent int // percent of openings whose answer is lost
+	viewDelay         int // longest time until a node sees a change of the members, in ms
+	properties        []property
 }
 
-var always = []property{oneBackend, notRunTrue, flowStays, ownService, versionGrows}
+var allProperties = []property{oneBackend, notRunTrue, flowStays, ownService, versionGrows}
 
 // planKinds are the situations in which properties are checked.
 var planKinds = []planKind{
-	{name: "planned", actions: []action{actionMove, actionJoin, actionStop, actionMove, actionJoin, actionStop}, properties: always},
-	{name: "joins", actions: []action{actionMove, actionJoin, actionJoin, actionJoin, actionJoin, actionMove, actionJoin}, silences: 50, properties: always},
-	{name: "history", actions: []action{actionMove, actionMove, actionStop}, silences: 60, properties: always},
-	{name: "stop then death", actions: []action{actionMove, actionStopThenDie, actionMove}, silences: 50, viewDelay: 2600, properties: always},
-	{name: "pause", actions: []action{actionMove, actionPause, actionMove, actionMove}, properties: always},
-	{name: "laggard", actions: []action{actionMove, actionMove, actionJoin}, laggard: true, unplanned: true, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
-	{name: "uneven", actions: []action{actionMove, actionJoinAtBurst, actionMove, actionJoinAtBurst, actionMove}, laggard: true, unplanned: true, unanswered: 70, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
-	{name: "death", actions: []action{actionMove, actionDie, actionMove}, unplanned: true, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
-	{name: "two deaths", actions: []action{actionMove, actionDieTwo, actionMove}, unplanned: true, unanswered: 70, properties: []property{notRunTrue, ownService, versionGrows}},
+	{name: "planned", actions: []action{actionMove, actionJoin, actionStop, actionMove, actionJoin, actionStop}, properties: allProperties},
+	{name: "joins", actions: []action{actionMove, actionJoin, actionJoin, actionJoin, actionJoin, actionMove, actionJoin}, idlePercent: 50, properties: allProperties},
+	{name: "history", actions: []action{actionMove, actionMove, actionStop}, idlePercent: 60, properties: allProperties},
+	{name: "stop then death", actions: []action{actionMove, actionStopThenDie, actionMove}, idlePercent: 50, viewDelay: 2600, properties: allProperties},
+	{name: "pause", actions: []action{actionMove, actionPause, actionMove, actionMove}, properties: allProperties},
+	{name: "laggard", actions: []action{actionMove, actionMove, actionJoin}, latePlacements: true, mayMove: true, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
+	{name: "uneven", actions: []action{actionMove, actionJoinAtBurst, actionMove, actionJoinAtBurst, actionMove}, latePlacements: true, mayMove: true, unansweredPercent: 70, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
+	{name: "death", actions: []action{actionMove, actionDie, actionMove}, mayMove: true, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
+	{name: "two deaths", actions: []action{actionMove, actionDieTwo, actionMove}, mayMove: true, unansweredPercent: 70, properties: []property{notRunTrue, ownService, versionGrows}},
 }
 
 var hostSets = []string{"ABC", "DEF", "ABCD", "BDF", "E"}
 
 func (kind *planKind) draw(t *rapid.T) plan {
 	drawn := plan{
-		Seed:       rapid.Uint64().Draw(t, "seed"),
-		Loss:       rapid.IntRange(0, 15).Draw(t, "loss"),
-		Duplicate:  rapid.IntRange(0, 30).Draw(t, "duplicate"),
-		Limit:      rapid.SampledFrom([]uint32{0, 1, 5}).Draw(t, "limit"),
-		Laggard:    kind.laggard,
-		Unplanned:  kind.unplanned,
-		Silences:   max(kind.silences, 10),
-		Unanswered: max(kind.unanswered, 20),
-		ViewDelay:  max(kind.viewDelay, 400),
+		Seed:              rapid.Uint64().Draw(t, "seed"),
+		Loss:              rapid.IntRange(0, 15).Draw(t, "loss"),
+		Duplicate:         rapid.IntRange(0, 30).Draw(t, "duplicate"),
+		Limit:             rapid.SampledFrom([]uint32{0, 1, 5}).Draw(t, "limit"),
+		LatePlacements:    kind.latePlacements,
+		MayMove:           kind.mayMove,
+		IdlePercent:       max(kind.idlePercent, 10),
+		UnansweredPercent: max(kind.unansweredPercent, 20),
+		ViewDelay:         max(kind.viewDelay, 400),
 	}
 	at := time.Duration(0)
 	for _, wanted := range kind.actions {
@@ -124,13 +124,13 @@
 )
 
 // run runs the plan and gives the network at its end.
-func (drawn plan) run(off rules) *network {
+func (drawn plan) run(off disabledRules) *network {
 	network := &network{
 		plan:     drawn,
 		off:      off,
 		random:   rand.New(rand.NewPCG(drawn.Seed, 1)),
 		hosts:    make(map[string]bool),
-		callers:  make(map[lb.FlowKey]*caller),
+		clients:  make(map[lb.FlowKey]*client),
 		openings: make(map[openingKey]*opening),
 		drops:    make(map[Reason]int),
 	}
@@ -150,7 +150,7 @@
 
 func (network *network) publishFirst() {
 	frontends := placement.SetFrontends([]lb.Frontend{testFrontend, testFrontendUDP})
-	document, err := placement.New(testService, network.stampOf(), frontends,
+	document, err := placement.New(testService, network.nextStamp(), frontends,
 		placement.SetOpensPerSecond(network.plan.Limit), placement.Prepare(testTargets("ABC")), placement.Commit())
 	if err != nil {
 		panic(err)
@@ -164,17 +164,17 @@
 	if number%5 == 0 {
 		key.Protocol = lb.UDP
 	}
-	flow := &caller{network: network, key: key, openingID: uint32(number+1) << 8}
-	network.callers[key] = flow
-	starts := network.millis(500, 40000)
+	flow := &client{network: network, key: key, openingID: uint32(number+1) << 8}
+	network.clients[key] = flow
+	starts := network.randomMillis(500, 40000)
 	if number%2 == 0 {
 		starts = time.Duration(1+network.random.IntN(8)) * burstEvery
 	}
-	flow.ends = starts + network.millis(1000, 40000)
+	flow.ends = starts + network.randomMillis(1000, 40000)
 	network.after(starts, func() { flow.open(0) })
 	if number%4 == 1 {
-		again := flow.ends + network.millis(4000, 12000)
-		network.after(again, func() { flow.reopen(again + network.millis(1000, 30000)) })
+		again := flow.ends + network.randomMillis(4000, 12000)
+		network.after(again, func() { flow.reopen(again + network.randomMillis(1000, 30000)) })
 	}
 }
 
@@ -192,7 +192,7 @@
 		network.whenIdle(network.die)
 	case actionStopThenDie:
 		network.whenIdle(func() {
-			network.dieNext = true
+			network.dieAfterStop = true
 			network.stop()
 		})
 	case actionDieTwo:
@@ -207,14 +207,14 @@
 
 // atBurst runs while many flows are being opened.
 func (network *network) atBurst(run func()) {
-	burst := network.now.Truncate(burstEvery) + burstEvery + network.millis(50, 900)
+	burst := network.now.Truncate(burstEvery) + burstEvery + network.randomMillis(50, 900)
 	network.after(burst-network.now, run)
 }
 
 // whenIdle changes the membership only when the last change to it is through
 // and its records are handed over: views differ by one node.
 func (network *network) whenIdle(run func()) {
-	idle := network.now-network.changed > 2*time.Second
+	idle := network.now-network.membershipChangedAt > 2*time.Second
 	for _, node := range network.nodes {
 		idle = idle && (!node.alive || !node.leaving && !node.paused && node.core.handover.idle())
 	}
@@ -222,7 +222,7 @@
 		network.after(200*time.Millisecond, func() { network.whenIdle(run) })
 		return
 	}
-	network.changed = network.now
+	network.membershipChangedAt = network.now
 	run()
 }
 
@@ -230,13 +230,13 @@
 	for _, kind := range planKinds {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
-			total := &tally{drops: make(map[Reason]int)}
+			total := &totals{drops: make(map[Reason]int)}
 			rapid.Check(t, func(t *rapid.T) {
 				drawn := kind.draw(t)
-				ran := drawn.run(rules{})
+				ran := drawn.run(disabledRules{})
 				total.add(ran)
 				for _, breach := range ran.violations {
-					if breach.concerns(kind.properties) {
+					if breach.isAmong(kind.properties) {
 						t.Fatalf("%s: %s\nplan %+v", breach.property, breach.detail, drawn)
 					}
 				}
@@ -246,7 +246,7 @@
 	}
 }
 
-func (breach violation) concerns(properties []property) bool {
+func (breach violation) isAmong(properties []property) bool {
 	for _, wanted := range properties {
 		if breach.property == wanted {
 			return true
@@ -255,13 +255,13 @@
 	return false
 }
 
-// tally adds up what happened in the schedules.
-type tally struct {
+// totals adds up what happened in the schedules.
+type totals struct {
 	schedules, forwards, established, refusals, moved int
 	drops                                             map[Reason]int
 }
 
-func (total *tally) add(network *network) {
+func (total *totals) add(network *network) {
 	total.schedules++
 	total.forwards += network.forwards
 	total.established += network.established
@@ -272,7 +272,7 @@
 	}
 }
 
-func (total *tally) String() string {
+func (total *totals) String() string {
 	return fmt.Sprintf("%d schedules, %d packets forwarded, %d flows opened, %d refused as not run, %d packets of open flows at another back end; dropped %v",
 		total.schedules, total.forwards, total.established, total.refusals, total.moved, total.drops)
 }
--- /dev/null
+++ b/internal/core/queue.go
@@ -0,0 +1,232 @@
+package core
+
+import (
+	"time"
+
+	"robinpulley.example/robinpulley/internal/admissionqueue"
+	"robinpulley.example/robinpulley/internal/lb"
+	"robinpulley.example/robinpulley/internal/passivehealth"
+	"robinpulley.example/robinpulley/internal/steering"
+)
+
+// MaxHeldBytes is the maximum size of a held datagram. Openings carry no data, and packet headers
+// on this path have 34 bytes.
+const MaxHeldBytes = 64
+
+// Released is an opening that was held, with its final decision.
+type Released struct {
+	Packet   Packet
+	Decision Decision
+	// Kept is the datagram of the opening as it was received.
+	Kept HeldDatagram
+}
+
+// Datagram returns the datagram of the opening as it was received.
+func (released *Released) Datagram() []byte {
+	return released.Kept.bytes[:released.Kept.length]
+}
+
+// HeldDatagram is a copy of a datagram. A copy is necessary because the packet reader reuses its
+// buffer at once.
+type HeldDatagram struct {
+	bytes  [MaxHeldBytes]byte
+	length uint8
+}
+
+// Keep copies at most MaxHeldBytes of a datagram.
+func (held *HeldDatagram) Keep(datagram []byte) {
+	held.length = uint8(copy(held.bytes[:], datagram))
+}
+
+// heldOpening is the data kept of an opening in the admission queue.
+type heldOpening struct {
+	packet   Packet
+	datagram HeldDatagram
+}
+
+// admittedHost returns the back end to which an opening goes now, or nil if it must wait or be
+// refused. While the service is under pressure, a back end that has just freed a slot takes
+// precedence. Otherwise it is the given back end, if overload control admits the opening.
+func (a *tokenAffinity) admittedHost(packet *Packet, service *steering.Service, frontend *lb.FrontendKey, host *steering.Host) *steering.Host {
+	admitted := a.admit(packet, service, frontend, host)
+	if packet.Copies == 0 && !host.Cold && a.reachability.Reaches(host.Zone) && a.overload.Pressed(service.Name) {
+		if freeHost := a.claimFreeSlot(service, frontend); freeHost != nil {
+			a.core.stats.Waited.Freed++
+			if !admitted {
+				objective, _ := a.table.Objective(frontend)
+				a.overload.Held(a.core.now, service.Name, objective)
+				a.overload.Opened(a.core.now, service.Name, objective)
+			}
+			return freeHost
+		}
+	}
+	if !admitted {
+		return nil
+	}
+	return host
+}
+
+// claimFreeSlot claims a slot at a back end that has just freed one. It returns nil if there is
+// none, or if the back end is a suspect, unresponsive or unreachable.
+func (a *tokenAffinity) claimFreeSlot(service *steering.Service, frontend *lb.FrontendKey) *steering.Host {
+	objective, _ := a.table.Objective(frontend)
+	identity, found := a.freeSlots.Claim(a.core.now, service.Name, objective)
+	if !found || a.observer.Factor(a.core.now, service.Name, passivehealth.Identity(identity)) < 1 {
+		return nil
+	}
+	host := a.table.HostOfRun(identity)
+	if host == nil || !service.Takes(host) || !a.reachability.Reaches(host.Zone) {
+		return nil
+	}
+	return host
+}
+
+// countOpened counts a flow that is placed for the first time.
+func (a *tokenAffinity) countOpened(service *steering.Service, frontend *lb.FrontendKey) {
+	objective, _ := a.table.Objective(frontend)
+	a.freeSlots.Opened(service.Name, objective)
+}
+
+// holdOrRefuse holds an opening that overload control has not admitted, or refuses it at once.
+func (a *tokenAffinity) holdOrRefuse(packet *Packet, service *steering.Service, decision *Decision) {
+	if a.hold(packet, service, decision) {
+		return
+	}
+	a.refuse(packet, decision, packet.Key.ID(), ReasonOverload)
+	decision.Pressure = a.overload.Pressure(service.Name)
+}
+
+// hold adds the first copy of an opening that was not admitted to the admission queue. It returns
+// false if the opening must be refused at once.
+func (a *tokenAffinity) hold(packet *Packet, service *steering.Service, decision *Decision) bool {
+	if a.retryingQueue || a.queueClosed || packet.Copies > 0 || len(packet.Datagram) == 0 || len(packet.Datagram) > MaxHeldBytes {
+		return false
+	}
+	frontend := packet.Key.Frontend()
+	objective, _ := a.table.Objective(&frontend)
+	held := a.admissionQueue.Hold(a.core.now, admissionqueue.Opening{
+		Flow: packet.Key.ID(), OpeningID: packet.OpeningID, Service: service.Name, Objective: objective,
+	})
+	if held == nil {
+		return false
+	}
+	held.Kept.packet = *packet
+	held.Kept.packet.Datagram = nil
+	held.Kept.datagram.Keep(packet.Datagram)
+	a.overload.Held(a.core.now, service.Name, objective)
+	decision.Action = ActionHold
+	return true
+}
+
+// isDuplicateOfHeld handles a datagram of a flow whose opening is held. If it repeats the held
+// datagram, it is dropped and isDuplicateOfHeld returns true. If it is a later copy or a new
+// opening of the flow, the held opening is dropped and the new datagram is decided in its place, so
+// that only one of the two gets a decision.
+func (a *tokenAffinity) isDuplicateOfHeld(packet *Packet, decision *Decision) bool {
+	held := a.admissionQueue.Find(packet.Key.ID())
+	if held == nil {
+		return false
+	}
+	if packet.Copies == 0 && packet.OpeningID == held.OpeningID {
+		decision.drop(ReasonCopied)
+		return true
+	}
+	replaced := Decision{Service: held.Service, Waited: a.core.now - held.Arrived}
+	replaced.drop(ReasonCopied)
+	a.release(held, &replaced)
+	a.admissionQueue.Remove(held)
+	return false
+}
+
+// retryQueued decides the queued openings again by the present view. If all is set, it decides all
+// of them finally and disables the queue.
+func (a *tokenAffinity) retryQueued(all bool) {
+	a.retryingQueue = true
+	defer func() { a.retryingQueue = false }()
+	a.queueClosed = a.queueClosed || all
+	a.admissionQueue.Look(a.core.now, all, a.retryHeld)
+}
+
+// retryHeld decides one held opening again.
+func (a *tokenAffinity) retryHeld(held *admissionqueue.Waiter[heldOpening], chance admissionqueue.Chance) admissionqueue.Fate {
+	decision := Decision{Service: held.Service, Waited: a.core.now - held.Arrived}
+	if chance == admissionqueue.ChanceGone || a.core.now < a.core.dropPacketsUntil {
+		decision.drop(ReasonPaused)
+		a.release(held, &decision)
+		return admissionqueue.FateEnded
+	}
+	if !a.retryOpening(&held.Kept.packet, &decision, chance) {
+		return admissionqueue.FateWaits
+	}
+	a.release(held, &decision)
+	if decision.Action == ActionForward {
+		return admissionqueue.FateWent
+	}
+	return admissionqueue.FateEnded
+}
+
+// retryOpening decides a held opening again and returns false if it must wait longer. While the
+// service is under pressure, the opening goes only to a back end that has freed a slot. If
+// admission decided instead, all held openings would go out together as soon as the admission rate
+// rises.
+func (a *tokenAffinity) retryOpening(packet *Packet, decision *Decision, chance admissionqueue.Chance) bool {
+	service := a.table.Service(&packet.Key)
+	frontend := packet.Key.Frontend()
+	objective, _ := a.table.Objective(&frontend)
+	if service == nil || len(service.Ready) == 0 || a.allZonesUnreachable(service) || !a.overload.Pressed(service.Name) {
+		a.decideOpening(packet, decision)
+		if decision.Reason == ReasonOverload && chance == admissionqueue.ChanceMore {
+			a.overload.Held(a.core.now, decision.Service, objective)
+			return false
+		}
+		return true
+	}
+	if host := a.claimFreeSlot(service, &frontend); host != nil {
+		a.core.stats.Waited.Freed++
+		a.overload.Opened(a.core.now, service.Name, objective)
+		a.countOpened(service, &frontend)
+		a.forwardOpening(packet, decision, &frontend, host)
+		return true
+	}
+	if chance == admissionqueue.ChanceMore {
+		return false
+	}
+	decision.Service = service.Name
+	a.overload.Refused(a.core.now, service.Name, objective)
+	a.holdOrRefuse(packet, service, decision)
+	return true
+}
+
+func (a *tokenAffinity) release(held *admissionqueue.Waiter[heldOpening], decision *Decision) {
+	a.core.count(decision)
+	a.core.stats.Waited.add(decision.Waited, decision.Action == ActionForward)
+	a.released = append(a.released, Released{Packet: held.Kept.packet, Decision: *decision, Kept: held.Kept.datagram})
+}
+
+// takeReleased returns the openings decided since the last call. The slice is valid until the next
+// step.
+func (a *tokenAffinity) takeReleased() []Released {
+	released := a.released
+	a.released = a.released[:0]
+	return released
+}
+
+// Waits counts held openings.
+type Waits struct {
+	// Held counts the openings that were held, and Went those of them that were then forwarded. The
+	// others were refused or dropped.
+	Held, Went uint64
+	// Freed counts the openings, held or not, that went to a back end which had just freed a slot.
+	Freed uint64
+	// Time is the total time for which decided openings were held.
+	Time time.Duration
+}
+
+func (waits *Waits) add(waited time.Duration, went bool) {
+	waits.Time += waited
+	if went {
+		waits.Went++
+	}
+}
+
+func (a *tokenAffinity) queuedOpenings() int { return a.admissionQueue.Len() }
--- a/internal/core/waiting_test.go
+++ b/internal/core/queue_test.go
@@ -14,27 +14,27 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// holdable gives an opening of port 443 that may be held.
-func holdable(number uint16) Packet {
+// holdableOpening gives an opening of port 443 that may be held.
+func holdableOpening(number uint16) Packet {
 	packet := tokenOpening(number, 443)
 	packet.Datagram = make([]byte, 34)
 	packet.Datagram[0] = byte(number)
 	return packet
 }
 
-// holding is a core whose web service is overloaded, and which holds openings.
-func holding(t testing.TB, openings int) (core *tokenCore, now time.Duration) {
-	core, now, _ = crowdedCore(t, 4)
+// coreWithHeldOpenings is a core whose web service is overloaded, and which holds openings.
+func coreWithHeldOpenings(t testing.TB, openings int) (core *tokenCore, now time.Duration) {
+	core, now, _ = overloadedCore(t, 4)
 	for number := uint16(40000); core.Waiting() < openings; number++ {
 		if number > 60000 {
 			t.Fatalf("%d openings wait", core.Waiting())
 		}
-		core.send(now, holdable(number))
+		core.send(now, holdableOpening(number))
 	}
 	return core, now
 }
 
-func (core *tokenCore) look(now time.Duration) []Released {
+func (core *tokenCore) retryQueued(now time.Duration) []Released {
 	core.Step(now, &Event{RetryQueued: true}, &core.effects)
 	return core.effects.Released
 }
@@ -43,10 +43,10 @@
 // objective, refused as not run, with what was kept of it.
 func TestAnOpeningWaitsForRoom(t *testing.T) {
 	is := is.New(t)
-	core, now := holding(t, 1)
+	core, now := coreWithHeldOpenings(t, 1)
 	is.Equal(core.effects.Decision.Action, ActionHold)
-	is.Equal(len(core.look(now+10*time.Millisecond)), 0)
-	released := core.look(now + 40*time.Millisecond)
+	is.Equal(len(core.retryQueued(now+10*time.Millisecond)), 0)
+	released := core.retryQueued(now + 40*time.Millisecond)
 	is.Equal(len(released), 1)
 	is.Equal(released[0].Decision.Action, ActionRefuse)
 	is.Equal(released[0].Decision.Reason, ReasonOverload)
@@ -63,9 +63,9 @@
 // packets of paths that hold none.
 func TestWhatIsNotHeld(t *testing.T) {
 	is := is.New(t)
-	core, now := holding(t, 0)
+	core, now := coreWithHeldOpenings(t, 0)
 	for number := range uint16(100) {
-		packet := holdable(40000 + number)
+		packet := holdableOpening(40000 + number)
 		packet.Copies = 1
 		is.Equal(core.send(now, packet).Action, ActionForward)
 		is.True(core.send(now, tokenOpening(42000+number, 443)).Action != ActionHold)
@@ -78,8 +78,8 @@
 func TestAfterAPauseWhatWaitedIsDropped(t *testing.T) {
 	for _, pause := range []time.Duration{90 * time.Millisecond, 250 * time.Millisecond, 5 * time.Second} {
 		is := is.New(t)
-		core, now := holding(t, 3)
-		released := core.look(now + pause)
+		core, now := coreWithHeldOpenings(t, 3)
+		released := core.retryQueued(now + pause)
 		is.Equal(len(released), 3)
 		for _, one := range released {
 			is.Equal(one.Decision.Action, ActionDrop)
@@ -103,10 +103,10 @@
 	cases := map[Reason]*view.Listing{ReasonNoBackend: draining, ReasonUnknownService: withoutRoutes}
 	for reason, listing := range cases {
 		is := is.New(t)
-		core, now := holding(t, 3)
+		core, now := coreWithHeldOpenings(t, 3)
 		core.list(now+time.Millisecond, listing)
 		is.Equal(core.Waiting(), 3)
-		released := core.look(now + 10*time.Millisecond)
+		released := core.retryQueued(now + 10*time.Millisecond)
 		is.Equal(len(released), 3)
 		for _, one := range released {
 			is.Equal(one.Decision.Action, ActionRefuse)
@@ -116,8 +116,8 @@
 	}
 }
 
-// peek copies the packet that waits.
-func peek(packet *Packet) func(*admissionqueue.Waiter[heldOpening], admissionqueue.Chance) admissionqueue.Fate {
+// copyHeldPacket copies the packet that waits.
+func copyHeldPacket(packet *Packet) func(*admissionqueue.Waiter[heldOpening], admissionqueue.Chance) admissionqueue.Fate {
 	return func(held *admissionqueue.Waiter[heldOpening], _ admissionqueue.Chance) admissionqueue.Fate {
 		*packet = held.Kept.packet
 		return admissionqueue.FateWaits
@@ -128,9 +128,9 @@
 // is decided in its place, and so is a new opening of the same port.
 func TestOtherDatagramsOfAFlowThatWaits(t *testing.T) {
 	is := is.New(t)
-	core, now := holding(t, 1)
+	core, now := coreWithHeldOpenings(t, 1)
 	var packet Packet
-	core.affinity.(*tokenAffinity).waiting.Look(now, false, peek(&packet))
+	core.affinity.(*tokenAffinity).admissionQueue.Look(now, false, copyHeldPacket(&packet))
 	packet.Datagram = make([]byte, 34)
 	repeated := core.send(now, packet)
 	is.Equal(repeated.Action, ActionDrop)
@@ -144,20 +144,20 @@
 	is.Equal(core.effects.Released[0].Decision.Action, ActionDrop)
 	is.Equal(core.effects.Released[0].Decision.Reason, ReasonCopied)
 	is.Equal(core.Waiting(), 0)
-	is.Equal(len(core.look(now+40*time.Millisecond)), 0)
+	is.Equal(len(core.retryQueued(now+40*time.Millisecond)), 0)
 }
 
 // TestAtTheEndNothingWaits: all is decided at once, and nothing held any more.
 func TestAtTheEndNothingWaits(t *testing.T) {
 	is := is.New(t)
-	core, now := holding(t, 3)
+	core, now := coreWithHeldOpenings(t, 3)
 	core.Step(now, &Event{CloseQueue: true}, &core.effects)
 	is.Equal(len(core.effects.Released), 3)
 	for _, one := range core.effects.Released {
 		is.True(one.Decision.Action == ActionRefuse || one.Decision.Action == ActionForward)
 	}
 	for number := range uint16(100) {
-		is.True(core.send(now, holdable(45000+number)).Action != ActionHold)
+		is.True(core.send(now, holdableOpening(45000+number)).Action != ActionHold)
 	}
 	is.Equal(core.Waiting(), 0)
 }
@@ -165,12 +165,12 @@
 // TestWhatWaitsGoesWhereABackendHasBecomeFree, as this node sees by an answer that came quickly.
 func TestWhatWaitsGoesWhereABackendHasBecomeFree(t *testing.T) {
 	is := is.New(t)
-	core, now := holding(t, 2)
+	core, now := coreWithHeldOpenings(t, 2)
 	key := tokenFlow(1, 443)
 	host := core.affinity.(*tokenAffinity).table.Service(&key).Ready[0]
 	objective := lb.Objective{Priority: 1, TargetMillis: 200}
-	core.affinity.(*tokenAffinity).rooms.Answered(now, "web", objective, host.Identity, true)
-	released := core.look(now + 10*time.Millisecond)
+	core.affinity.(*tokenAffinity).freeSlots.Answered(now, "web", objective, host.Identity, true)
+	released := core.retryQueued(now + 10*time.Millisecond)
 	is.Equal(len(released), 1)
 	is.Equal(released[0].Decision.Action, ActionForward)
 	is.Equal(released[0].Decision.Identity, host.Identity)
@@ -183,12 +183,12 @@
 // one of which something bad is known.
 func TestABackendThatHasGoneIsNotFree(t *testing.T) {
 	is := is.New(t)
-	core, now := holding(t, 2)
+	core, now := coreWithHeldOpenings(t, 2)
 	affinity := core.affinity.(*tokenAffinity)
-	affinity.rooms.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 99, true)
-	affinity.rooms.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 1, true)
+	affinity.freeSlots.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 99, true)
+	affinity.freeSlots.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 1, true)
 	core.Step(now, &Event{Ejected: []passivehealth.Identity{1}}, &core.effects)
-	is.Equal(len(core.look(now+10*time.Millisecond)), 0)
+	is.Equal(len(core.retryQueued(now+10*time.Millisecond)), 0)
 	is.Equal(core.Waiting(), 2)
 }
 
@@ -200,9 +200,9 @@
 // TestAQueueThatIsFullRefusesAtOnce, as does one that is off.
 func TestAQueueThatIsFullRefusesAtOnce(t *testing.T) {
 	is := is.New(t)
-	core, now := holding(t, 128)
+	core, now := coreWithHeldOpenings(t, 128)
 	for number := range uint16(50) {
-		is.True(core.send(now, holdable(50000+number)).Action != ActionHold)
+		is.True(core.send(now, holdableOpening(50000+number)).Action != ActionHold)
 	}
 	is.Equal(core.Waiting(), 128)
 }
@@ -211,8 +211,8 @@
 // ends are lost is decided at the next look as one that comes is: refused, but for a probe.
 func TestWhatWaitsIsRefusedOutOfReach(t *testing.T) {
 	is := is.New(t)
-	core, now := holding(t, 3)
-	tracker := core.affinity.(*tokenAffinity).reach
+	core, now := coreWithHeldOpenings(t, 3)
+	tracker := core.affinity.(*tokenAffinity).reachability
 	sent := now
 	now += 5 * time.Millisecond
 	for identity := range reachability.Identity(4) {
@@ -220,7 +220,7 @@
 	}
 	tracker.Tick(sent + 300*time.Millisecond)
 	is.True(!tracker.Reaches(""))
-	released := core.look(now)
+	released := core.retryQueued(now)
 	is.Equal(len(released), 3)
 	refused := 0
 	for _, one := range released {
--- a/internal/core/reach_test.go
+++ b/internal/core/reachability_test.go
@@ -17,15 +17,15 @@
 	*tokenCore
 	now    time.Duration
 	number uint16
-	// silent zones answer nothing; alone: nothing is heard of the own zone.
-	silent map[lb.Zone]bool
-	alone  bool
+	// unreachable zones answer nothing; alone: nothing is heard of the own zone.
+	unreachable        map[lb.Zone]bool
+	ownZoneUnreachable bool
 }
 
 const zonedBackends = 12
 
 func newZonedCore() *zonedCore {
-	core := &zonedCore{tokenCore: newTokenCore(), silent: map[lb.Zone]bool{}}
+	core := &zonedCore{tokenCore: newTokenCore(), unreachable: map[lb.Zone]bool{}}
 	listing := tokenListing(20)
 	for index := range zonedBackends {
 		stored := tokenBackend(lb.BackendName(rune('a'+index)), "web", uint64(index+1), lb.BackendActive)
@@ -50,7 +50,7 @@
 	opening := tokenOpening(core.number, 443)
 	opening.Copies = copies
 	decision := core.send(core.now, opening)
-	if decision.Action == ActionForward && !core.silent[core.zoneOf(decision)] {
+	if decision.Action == ActionForward && !core.unreachable[core.zoneOf(decision)] {
 		answered := opening
 		answered.Kind, answered.Token, answered.Acknowledged = PacketMiddle, decision.Token, 1
 		core.send(core.now, answered)
@@ -78,7 +78,7 @@
 func (core *zonedCore) zonesHeard() []ZoneHeard {
 	var heard []ZoneHeard
 	for _, zone := range []lb.Zone{"za", "zb", "zc"} {
-		if !core.silent[zone] && !(zone == "za" && core.alone) {
+		if !core.unreachable[zone] && !(zone == "za" && core.ownZoneUnreachable) {
 			heard = append(heard, ZoneHeard{Zone: zone, At: core.now})
 		}
 	}
@@ -91,9 +91,9 @@
 	for _, alone := range []bool{false, true} {
 		is := is.New(t)
 		core := newZonedCore()
-		core.alone = alone
+		core.ownZoneUnreachable = alone
 		is.Equal(core.run(2 * time.Second)[ReasonUnreachable], 0)
-		core.silent = map[lb.Zone]bool{"zb": true, "zc": true}
+		core.unreachable = map[lb.Zone]bool{"zb": true, "zc": true}
 		core.run(500 * time.Millisecond)
 		lost := core.run(5 * time.Second)
 		probes := lost["zb"] + lost["zc"]
@@ -106,7 +106,7 @@
 		is.Equal(decision.Reason, ReasonUnreachable)
 		is.Equal(decision.Refusal.Verdict, lb.NotRun)
 		is.Equal(core.open(1).Refusal.Verdict, lb.MayHaveRun) // an earlier copy may have gone elsewhere
-		clear(core.silent)
+		clear(core.unreachable)
 		core.run(time.Second)
 		is.Equal(core.run(time.Second)[ReasonUnreachable], 0)
 	}
@@ -118,7 +118,7 @@
 	is := is.New(t)
 	core := newZonedCore()
 	core.run(2 * time.Second)
-	core.silent = map[lb.Zone]bool{"zb": true}
+	core.unreachable = map[lb.Zone]bool{"zb": true}
 	core.run(time.Second)
 	counts := core.run(5 * time.Second)
 	is.Equal(counts["zb"]+counts["zc"], 250)
@@ -138,9 +138,9 @@
 		core.run(2 * time.Second)
 		affinity := core.affinity.(*tokenAffinity)
 		parts := zoneweight.Weights{"zb": 1}
-		affinity.shares["web"] = &share{parts: parts, weights: affinity.table.ServiceNamed("web").Weights(parts)}
+		affinity.serviceWeights["web"] = &serviceWeights{byZone: parts, byHost: affinity.table.ServiceNamed("web").Weights(parts)}
 		is.Equal(core.run(time.Second)["zb"], 50)
-		core.silent = map[lb.Zone]bool{"zb": true}
+		core.unreachable = map[lb.Zone]bool{"zb": true}
 		core.run(time.Second)
 		counts := core.run(5 * time.Second)
 		is.Equal(counts["zb"]+counts["zc"], 250)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -4,34 +4,34 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// stamp is a time in units of stampUnit since the core's time zero; it wraps
-// after 497 days.
-type stamp uint32
+// timestamp is a time in units of timestampUnit since the core's time zero. It wraps around after
+// 497 days.
+type timestamp uint32
 
-// recordFlags are the marks of a record. A slot with no mark is free.
+// recordFlags are the flags of a record. A slot without flags is free.
 type recordFlags uint8
 
 const (
 	recordUsed recordFlags = 1 << iota
-	// recordConfirmed: a tail answered with this record.
+	// recordConfirmed is set if a tail answered with this record.
 	recordConfirmed
-	// recordRefused: the opening was refused; the record is its tombstone.
+	// recordRefused is set if the opening was refused; the record is then a tombstone.
 	recordRefused
 )
 
-// record places one flow on one back end (24 bytes).
+// record assigns one flow to one back end. Its size is recordBytes.
 type record struct {
 	flow      lb.FlowID
 	openingID uint32
-	lastSeen  stamp
-	learnedAt stamp
+	lastSeen  timestamp
+	learnedAt timestamp
 	backend   lb.BackendID
 	flags     recordFlags
 }
 
 func (entry *record) refused() bool { return entry.flags&recordRefused != 0 }
 
-// sameAs tells whether two records say the same of the flow, whenever it was seen.
+// sameAs reports whether two records hold the same decision. It ignores when the flow was seen.
 func (entry *record) sameAs(other *record) bool {
 	return entry.backend == other.backend && entry.openingID == other.openingID && entry.flags == other.flags
 }
@@ -39,27 +39,25 @@
 // recordBytes is the size of a record in memory.
 const recordBytes = 24
 
-// smallestTable is the number of slots of a table with one record.
-const smallestTable = 4
+// minTableSlots is the number of slots of a table with one record.
+const minTableSlots = 4
 
-// flowTable is a hash table of records with open addressing and linear
-// probing. It holds no pointers, so the garbage collector does not scan it.
-// The zero value is empty.
+// flowTable is a hash table of records with open addressing and linear probing. It contains no
+// pointers, so that the garbage collector does not scan it. The zero value is an empty table.
 type flowTable struct {
 	slots []record
 	count int
 }
 
-// index gives the first slot to look at. The bucket is flow modulo
-// lb.BucketCount, so all bits are mixed again.
+// index returns the first slot to probe. The bucket is the flow ID modulo lb.BucketCount, so all
+// flows of a table share their low bits; index therefore mixes all bits again.
 func (table *flowTable) index(flow lb.FlowID) int {
 	const golden = 0x9e3779b97f4a7c15
 	mixed := uint64(flow) * golden
 	return int(mixed>>32) & (len(table.slots) - 1)
 }
 
-// get finds the record of the flow; nil if there is none. The pointer is valid
-// until the next put or remove.
+// get returns the record of the flow, or nil. The pointer is valid until the next put or removal.
 func (table *flowTable) get(flow lb.FlowID) *record {
 	if table == nil || table.count == 0 {
 		return nil
@@ -76,13 +74,13 @@
 	}
 }
 
-// put gives the record of the flow, a new one if there was none.
+// put returns the record of the flow and creates it if necessary.
 func (table *flowTable) put(flow lb.FlowID) *record {
 	if entry := table.get(flow); entry != nil {
 		return entry
 	}
 	if 4*(table.count+1) > 3*len(table.slots) {
-		table.resize(max(smallestTable, 2*len(table.slots)))
+		table.resize(max(minTableSlots, 2*len(table.slots)))
 	}
 	table.count++
 	entry := table.freeSlot(flow)
@@ -109,8 +107,8 @@
 	}
 }
 
-// removeAt frees a slot and moves the records after it that belong before it
-// (Knuth, The Art of Computer Programming, volume 3, section 6.4, algorithm R).
+// removeAt frees a slot and moves later records of the same probe sequence forward (Knuth, The Art
+// of Computer Programming, volume 3, section 6.4, algorithm R).
 func (table *flowTable) removeAt(slot int) {
 	mask := len(table.slots) - 1
 	table.count--
@@ -128,12 +126,12 @@
 	table.slots[slot] = record{}
 }
 
-// sweep removes the records that are over. A table that has become nearly
-// empty is made smaller.
-func (table *flowTable) sweep(over func(*record) bool) {
+// sweep removes the records for which expired returns true. It shrinks a table that has become
+// nearly empty.
+func (table *flowTable) sweep(expired func(*record) bool) {
 	for slot := 0; slot < len(table.slots); {
 		entry := &table.slots[slot]
-		if entry.flags != 0 && over(entry) {
+		if entry.flags != 0 && expired(entry) {
 			table.removeAt(slot)
 			continue // another record may have moved here
 		}
@@ -148,7 +146,7 @@
 		return
 	}
 	size := len(table.slots)
-	for size > smallestTable && 4*table.count < size {
+	for size > minTableSlots && 4*table.count < size {
 		size /= 2
 	}
 	if size < len(table.slots) {
@@ -156,7 +154,7 @@
 	}
 }
 
-// len counts the records.
+// len returns the number of records.
 func (table *flowTable) len() int {
 	if table == nil {
 		return 0
@@ -164,7 +162,7 @@
 	return table.count
 }
 
-// bytes gives the memory held by the slots.
+// bytes returns the memory used by the slots.
 func (table *flowTable) bytes() int {
 	if table == nil {
 		return 0
--- a/internal/core/refusal.go
+++ b/internal/core/refusal.go
@@ -6,20 +6,20 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// refuse answers the caller at once, with a verdict and the time to come back.
-func (current *turn) refuse(verdict lb.Verdict, reason Reason) {
-	current.decision.refuse(reason, lb.Refusal{Verdict: verdict, RetryAfter: current.retryAfter()})
+// refuse replies to the client at once with a verdict and a retry time.
+func (handler *packetHandler) refuse(verdict lb.Verdict, reason Reason) {
+	handler.decision.refuse(reason, lb.Refusal{Verdict: verdict, RetryAfter: handler.retryAfter()})
 }
 
-// retryAfter is when the caller should come back.
-func (current *turn) retryAfter() time.Duration {
-	return spreadRetry(current.core.settings.RetryAfter, current.flow, current.packet.OpeningID)
+// retryAfter returns the time after which the client should retry.
+func (handler *packetHandler) retryAfter() time.Duration {
+	return jitteredRetryAfter(handler.core.settings.RetryAfter, handler.flow, handler.packet.OpeningID)
 }
 
-// refusalReason says why a tail that refuses does so, as far as it can tell:
-// proposals carry no reason.
-func (current *turn) refusalReason() Reason {
-	if !current.takesNewFlows(current.service.table.Current(current.index)) {
+// refusalReason returns the probable reason of a refusal at the tail, since proposals carry no
+// reason.
+func (handler *packetHandler) refusalReason() Reason {
+	if !handler.notFailed(handler.service.table.Current(handler.index)) {
 		return ReasonNoBackend
 	}
 	return ReasonAdmission
