--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -11,38 +11,38 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// service is the state of one service at this node.
+// service is this node's state of one service.
 type service struct {
 	name  lb.ServiceName
 	key   rendezvous.Key
 	table *placement.Table
-	// frontendKeys are the front ends of table.
+	// frontendKeys are the keys of the front ends in table.
 	frontendKeys []lb.FrontendKey
-	// frontendsSince is when they last changed.
-	frontendsSince time.Duration
-	admission      limiter
-	admissionRate  int64 // tokens a second that admission was made for
-	// headedBuckets is the number headed by this node as of Core.chainChanges headedAt.
-	headedBuckets int
-	headedAt      uint64
-	// historySince is when the base, or the buckets with history, last changed
-	// but by clearing.
-	historySince time.Duration
-	// currentSince is when new flows last began to go by another generation.
-	currentSince time.Duration
-	// buckets are those of which something is held.
+	// frontendsChangedAt is when frontendKeys last changed.
+	frontendsChangedAt time.Duration
+	admission          limiter
+	admissionRate      int64 // rate of admission, in tokens per second
+	// headedBuckets caches the number of buckets that this node heads. It is valid while
+	// headedAtChange equals Core.chainChanges.
+	headedBuckets  int
+	headedAtChange uint64
+	// historyChangedAt is when the base last changed or a bucket last gained history.
+	historyChangedAt time.Duration
+	// generationChangedAt is when the generation for new flows last changed.
+	generationChangedAt time.Duration
+	// buckets are the buckets with state.
 	buckets map[uint16]*bucket
 }
 
-// bucket is what this node holds of one bucket of a service.
+// bucket is this node's state of one bucket of a service.
 type bucket struct {
-	group   *group
-	records flowTable
-	pins    *flowTable // hints of heads, at an ingress
-	known   *flowTable // UDP flows seen by this node as ingress, with their back end
+	group    *group
+	records  flowTable
+	pins     *flowTable // back ends of flows as sent by heads, for use as ingress
+	knownUDP *flowTable // UDP flows seen by this node as ingress, with their back ends
 }
 
-// record gives the record of a flow, or nil.
+// record returns the record of a flow, or nil.
 func (bucket *bucket) record(flow lb.FlowID) *record {
 	if bucket == nil {
 		return nil
@@ -50,7 +50,7 @@
 	return bucket.records.get(flow)
 }
 
-// ensureBucket gives a bucket, a new one if nothing is held of it yet.
+// ensureBucket returns a bucket and creates it if this node has no state of it yet.
 func (core *Core) ensureBucket(service *service, index uint16) *bucket {
 	if found := service.buckets[index]; found != nil {
 		return found
@@ -61,34 +61,35 @@
 	return added
 }
 
-// forgetEmpty drops a bucket of which nothing is held any more.
+// forgetEmpty removes a bucket that has no state left.
 func (core *Core) forgetEmpty(service *service, index uint16) {
 	bucket := service.buckets[index]
-	if bucket != nil && bucket.records.count == 0 && bucket.pins == nil && bucket.known == nil {
+	if bucket != nil && bucket.records.count == 0 && bucket.pins == nil && bucket.knownUDP == nil {
 		delete(service.buckets, index)
 		core.bucketCount--
 	}
 }
 
-// indexes lists the buckets of which something is held, in order.
-func (service *service) indexes() []uint16 { return slices.Sorted(maps.Keys(service.buckets)) }
+// bucketIndexes returns the indexes of the buckets with state, in ascending order.
+func (service *service) bucketIndexes() []uint16 { return slices.Sorted(maps.Keys(service.buckets)) }
 
-// each visits the buckets of which something is held, in order.
-func (service *service) each(visit func(index uint16, bucket *bucket)) {
-	for _, index := range service.indexes() {
+// eachBucket calls visit for each bucket with state, in ascending order of indexes.
+func (service *service) eachBucket(visit func(index uint16, bucket *bucket)) {
+	for _, index := range service.bucketIndexes() {
 		visit(index, service.buckets[index])
 	}
 }
 
-// stateless tells whether flows of the bucket need no record.
-func stateless(table *placement.Table, index uint16) bool {
+// needsNoRecords reports whether the placement table alone determines the back ends of the bucket's
+// flows.
+func needsNoRecords(table *placement.Table, index uint16) bool {
 	return !table.InMotion(index) && !table.HasHistory(index)
 }
 
-// adopt takes a placement if its version is higher than the one in force.
-func (core *Core) adopt(document *lb.Placement) {
+// applyPlacement applies a placement if its version is higher than that of the present one.
+func (core *Core) applyPlacement(document *lb.Placement) {
 	known := core.services[document.Service]
-	if known != nil && !core.newer(known, document) {
+	if known != nil && !core.isNewer(known, document) {
 		return
 	}
 	table, err := placement.Compile(document)
@@ -103,13 +104,13 @@
 	previous := known.table
 	core.setTable(known, table)
 	if previous != nil {
-		core.handOverKnown(known, previous)
+		core.handOverKnownOnMove(known, previous)
 	}
 }
 
-// newer tells whether the document replaces the one in force.
-func (core *Core) newer(known *service, document *lb.Placement) bool {
-	if core.off.noMonotoneVersion {
+// isNewer reports whether the document replaces the present one.
+func (core *Core) isNewer(known *service, document *lb.Placement) bool {
+	if core.disabled.noMonotoneVersion {
 		return true
 	}
 	version := known.table.Version()
@@ -126,45 +127,45 @@
 		buckets: make(map[uint16]*bucket),
 	}
 	core.services[name] = added
-	position, _ := slices.BinarySearchFunc(core.ordered, name, func(known *service, name lb.ServiceName) int {
+	position, _ := slices.BinarySearchFunc(core.servicesByName, name, func(known *service, name lb.ServiceName) int {
 		return cmp.Compare(known.name, name)
 	})
-	core.ordered = slices.Insert(core.ordered, position, added)
-	added.headedAt = core.chainChanges - 1 // not counted yet
+	core.servicesByName = slices.Insert(core.servicesByName, position, added)
+	added.headedAtChange = core.chainChanges - 1 // not counted yet
 	return added
 }
 
 func (core *Core) setTable(known *service, table *placement.Table) {
-	if gainsHistory(known.table, table) {
-		known.historySince = core.now
+	if addsHistory(known.table, table) {
+		known.historyChangedAt = core.now
 	}
 	if known.table == nil || currentGeneration(known.table) != currentGeneration(table) {
-		known.currentSince = core.now
+		known.generationChangedAt = core.now
 	}
 	known.table = table
-	keys := documentKeys(table.Document())
+	keys := frontendKeys(table.Document())
 	if slices.Equal(keys, known.frontendKeys) {
 		return
 	}
 	previous := known.frontendKeys
 	known.frontendKeys = keys
-	known.frontendsSince = core.now
+	known.frontendsChangedAt = core.now
 	for _, key := range previous {
-		core.indexFrontend(key)
+		core.reassignFrontend(key)
 	}
 	for _, key := range keys {
 		core.claimFrontend(known, key)
 	}
 }
 
-// currentGeneration gives the version that introduced the generation for new flows.
+// currentGeneration returns the version that introduced the generation for new flows.
 func currentGeneration(table *placement.Table) lb.Version {
 	document := table.Document()
 	return document.Generations[document.Current].Version
 }
 
-// gainsHistory tells whether the base, or any bucket's history, is new in a table.
-func gainsHistory(previous, next *placement.Table) bool {
+// addsHistory reports whether the next table has a new base, or history in a bucket that had none.
+func addsHistory(previous, next *placement.Table) bool {
 	if previous == nil || previous.Document().Generations[0].Version != next.Document().Generations[0].Version {
 		return true
 	}
@@ -176,8 +177,8 @@
 	return false
 }
 
-// documentKeys gives the front ends of a document; a deleted service has none.
-func documentKeys(document *lb.Placement) []lb.FrontendKey {
+// frontendKeys returns the keys of the front ends of a document. A deleted service has none.
+func frontendKeys(document *lb.Placement) []lb.FrontendKey {
 	if document.Deleted {
 		return nil
 	}
@@ -188,8 +189,8 @@
 	return keys
 }
 
-// claimFrontend indexes a front end of a service. One that two services claim
-// goes to the first by name, at every node.
+// claimFrontend adds a front end of a service to the index. If two services claim it, every node
+// assigns it to the first by name.
 func (core *Core) claimFrontend(claimant *service, key lb.FrontendKey) {
 	owner := core.frontends[key]
 	if owner == nil || claimant.name < owner.name {
@@ -197,10 +198,11 @@
 	}
 }
 
-// indexFrontend finds the service of a front end that another one has given up.
-func (core *Core) indexFrontend(key lb.FrontendKey) {
+// reassignFrontend assigns a front end that its service has given up to the next service that
+// claims it, if any.
+func (core *Core) reassignFrontend(key lb.FrontendKey) {
 	delete(core.frontends, key)
-	for _, known := range core.ordered {
+	for _, known := range core.servicesByName {
 		if slices.Contains(known.frontendKeys, key) {
 			core.frontends[key] = known
 			return
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -4,30 +4,31 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Stats counts what a core did since it began, and what it holds.
+// Stats counts the actions of a core since its creation.
 type Stats struct {
 	Forwarded uint64
 	Relayed   uint64
 	Dropped   uint64
 	Refused   uint64
-	// Waited are openings that were held; they count above when they are decided.
+	// Waited counts the openings that were held. They also count in the fields above once they are
+	// decided.
 	Waited Waits
 	// ByReason counts dropped and refused packets, in the order of Reasons.
 	ByReason [reasonCount]uint64
 
-	PinnedPackets     uint64 // forwarded by a pin
-	Rerouted          uint64 // passed on by a node that is not the head
-	Returned          uint64 // sent back to the head by the tail
-	HintsSent         uint64 // pins and confirmations
-	HintsSuppressed   uint64 // for want of budget
+	PinnedPackets     uint64 // packets forwarded by a pin
+	Rerouted          uint64 // packets passed on by a node that is not the head
+	Returned          uint64 // packets sent back to the head by the tail
+	HintsSent         uint64 // pins and confirmations sent
+	HintsSuppressed   uint64 // pins and confirmations not sent: no byte budget, or the recipient has left
 	HandoverSent      uint64 // records handed over
-	HandoverResent    uint64 // messages of records repeated
+	HandoverResent    uint64 // messages with records sent again
 	PlacementsAdopted uint64
 	InvalidPlacements uint64
-	// VersionConflicts counts placements of a known version with another write
-	// id: two writers, which the store's compare-and-swap rules out.
+	// VersionConflicts counts placements with a known version and a different write ID. They mean
+	// two concurrent writers, which the store's compare-and-swap should rule out.
 	VersionConflicts uint64
-	Pauses           uint64 // gaps between steps longer than PauseLimit
+	Pauses           uint64 // gaps between steps that were longer than PauseLimit
 }
 
 // reasonCount is the number of reasons.
@@ -67,20 +68,20 @@
 	}
 }
 
-// Stats gives the counters.
+// Stats returns the counters.
 func (core *Core) Stats() Stats { return core.stats }
 
-// State sums up what a core holds, for debugging.
+// State is a summary of a core's state, for debugging.
 type State struct {
 	Verified bool           `json:"sure"`
 	Leaving  bool           `json:"leaving"`
 	Members  int            `json:"members"`
 	Services []ServiceState `json:"services"`
-	// HandoverTargets are the nodes that records are being handed to.
+	// HandoverTargets are the nodes to which records are being handed over.
 	HandoverTargets []HandoverState `json:"handover_targets,omitempty"`
 }
 
-// ServiceState sums up one service.
+// ServiceState is a summary of one service.
 type ServiceState struct {
 	Service       lb.ServiceName `json:"service"`
 	Version       lb.Version     `json:"version"`
@@ -100,10 +101,11 @@
 	Unacknowledged int       `json:"unacknowledged"`
 }
 
-// State walks over all buckets; call it for debugging and metrics only.
+// State returns a summary of the core's state. It iterates over all buckets, so use it for
+// debugging and metrics only.
 func (core *Core) State() State {
-	state := State{Verified: core.sure, Leaving: core.leaving, Members: len(core.members.all)}
-	for _, service := range core.ordered {
+	state := State{Verified: core.viewVerified, Leaving: core.leaving, Members: len(core.members.all)}
+	for _, service := range core.servicesByName {
 		state.Services = append(state.Services, core.serviceState(service))
 	}
 	for _, entry := range core.handover.targets {
@@ -119,13 +121,13 @@
 		Service:       service.name,
 		Version:       service.table.Version(),
 		MovingBuckets: service.table.MovingBuckets(),
-		Headed:        core.headed(service),
+		Headed:        core.headedBuckets(service),
 	}
 	for _, bucket := range service.buckets {
 		state.Records += bucket.records.len()
 		state.Pins += bucket.pins.len()
-		state.KnownUDP += bucket.known.len()
-		state.Bytes += bucket.records.bytes() + bucket.pins.bytes() + bucket.known.bytes()
+		state.KnownUDP += bucket.knownUDP.len()
+		state.Bytes += bucket.records.bytes() + bucket.pins.bytes() + bucket.knownUDP.bytes()
 	}
 	return state
 }
--- a/internal/core/hands_test.go
+++ b/internal/core/subset_test.go
@@ -16,8 +16,8 @@
 // zoneNodes and zoneHosts are those of handCore.
 const zoneNodes, zoneHosts = 24, 40
 
-// handCore is one of the nodes of zone-1, before hosts of three zones.
-func handCore(rank int) *Core {
+// subsetCore is one of the nodes of zone-1, before hosts of three zones.
+func subsetCore(rank int) *Core {
 	settings := DefaultSettings(lb.NodeID(fmt.Sprintf("n%d", rank)), "zone-1")
 	settings.Affinity = AffinityToken
 	core := New(settings)
@@ -40,7 +40,7 @@
 	return core
 }
 
-func handOpening(number int) Packet {
+func subsetOpening(number int) Packet {
 	source := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 51, byte(number >> 8), byte(number)}), 4000)
 	return Packet{Key: lb.NewFlowKey(source, tokenFrontend(443), lb.TCP), Kind: PacketOpening, OpeningID: 7}
 }
@@ -50,11 +50,11 @@
 	is := is.New(t)
 	all := map[uint64]int{}
 	for rank := range zoneNodes {
-		core := handCore(rank)
+		core := subsetCore(rank)
 		own := map[uint64]int{}
 		var effects Effects
 		for number := range 400 {
-			packet := handOpening(number)
+			packet := subsetOpening(number)
 			core.Step(time.Millisecond, &Event{Packet: &packet}, &effects)
 			if (effects.Decision.Identity-1)%3 == 1 {
 				own[effects.Decision.Identity]++
@@ -73,17 +73,17 @@
 // whatever came in between, and whoever has joined the zone since.
 func TestCopiesStayWhileTurnsGoOn(t *testing.T) {
 	is := is.New(t)
-	core := handCore(3)
+	core := subsetCore(3)
 	var effects Effects
 	var hosts []uint64
 	for number := range 50 {
-		packet := handOpening(number)
+		packet := subsetOpening(number)
 		core.Step(time.Millisecond, &Event{Packet: &packet}, &effects)
 		hosts = append(hosts, effects.Decision.Identity)
 	}
 	core.Step(2*time.Millisecond, &Event{Members: []Member{{ID: "n3", Zone: "zone-1"}, {ID: "n9", Zone: "zone-1"}}}, &effects)
 	for number := range 50 {
-		packet := handOpening(number)
+		packet := subsetOpening(number)
 		packet.Copies = 1
 		core.Step(50*time.Millisecond, &Event{Packet: &packet}, &effects)
 		is.Equal(effects.Decision.Identity, hosts[number])
@@ -97,7 +97,7 @@
 	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "docs", 2, lb.BackendActive)))
 	core.send(0, tokenOpening(1, 443))
 	core.send(0, tokenOpening(1, 8443))
-	dealers := func() int { return len(core.affinity.(*tokenAffinity).hands.dealers) }
+	dealers := func() int { return len(core.affinity.(*tokenAffinity).subsets.byService) }
 	is.Equal(dealers(), 2)
 	replica := view.NewReplica()
 	listing := tokenListing(12, tokenBackend("i-1", "web", 1, lb.BackendActive))
@@ -110,11 +110,11 @@
 // BenchmarkOpeningByToken places openings among 120 back ends of three zones, at
 // one of 24 nodes of its zone.
 func BenchmarkOpeningByToken(b *testing.B) {
-	core := handCore(1)
+	core := subsetCore(1)
 	var effects Effects
 	packets := make([]Packet, 4096)
 	for index := range packets {
-		packets[index] = handOpening(index)
+		packets[index] = subsetOpening(index)
 	}
 	now, index := time.Duration(0), 0
 	b.ReportAllocs()
--- a/internal/core/expiry.go
+++ b/internal/core/sweeper.go
@@ -4,20 +4,21 @@
 	"time"
 )
 
-// sweepShare is the part of OpeningHold in which all records are looked at once.
-const sweepShare = 4
+// sweepsPerOpeningHold is the number of times that all records are checked for expiry during
+// OpeningHold.
+const sweepsPerOpeningHold = 4
 
-// sweeper ends records, some buckets at each tick.
+// sweeper removes expired records from a few buckets per tick.
 type sweeper struct {
 	service int      // index in Core.ordered
 	indexes []uint16 // of its buckets that are still to be looked at
 	sweptAt time.Duration
 }
 
-// run looks at the next buckets: as many as make a round in the time of a round.
+// run sweeps the next buckets, as many as are needed to complete a round in time.
 func (sweeper *sweeper) run(core *Core) {
 	total := core.bucketCount
-	period := core.settings.OpeningHold / sweepShare
+	period := core.settings.OpeningHold / sweepsPerOpeningHold
 	elapsed := min(core.now-sweeper.sweptAt, period)
 	due := total * int(elapsed/time.Millisecond) / int(period/time.Millisecond)
 	if due == 0 {
@@ -29,19 +30,19 @@
 	}
 }
 
-// next looks at one bucket.
+// next sweeps one bucket.
 func (sweeper *sweeper) next(core *Core) {
-	for range core.ordered {
+	for range core.servicesByName {
 		if len(sweeper.indexes) > 0 {
 			break
 		}
-		sweeper.service = (sweeper.service + 1) % len(core.ordered)
-		sweeper.indexes = core.ordered[sweeper.service].indexes()
+		sweeper.service = (sweeper.service + 1) % len(core.servicesByName)
+		sweeper.indexes = core.servicesByName[sweeper.service].bucketIndexes()
 	}
 	if len(sweeper.indexes) == 0 {
 		return
 	}
-	core.sweepBucket(core.ordered[sweeper.service], sweeper.indexes[0])
+	core.sweepBucket(core.servicesByName[sweeper.service], sweeper.indexes[0])
 	sweeper.indexes = sweeper.indexes[1:]
 }
 
@@ -51,7 +52,7 @@
 		return
 	}
 	if bucket.records.count > 0 {
-		bucket.records.sweep(func(entry *record) bool { return core.recordOver(service, index, entry) })
+		bucket.records.sweep(func(entry *record) bool { return core.recordExpired(service, index, entry) })
 	}
 	if bucket.pins != nil {
 		bucket.pins.sweep(func(entry *record) bool { return core.age(entry) > core.settings.PinLifetime })
@@ -59,18 +60,18 @@
 			bucket.pins = nil
 		}
 	}
-	if bucket.known != nil {
-		bucket.known.sweep(func(entry *record) bool { return core.age(entry) > core.settings.IdleTimeout })
-		if bucket.known.count == 0 {
-			bucket.known = nil
+	if bucket.knownUDP != nil {
+		bucket.knownUDP.sweep(func(entry *record) bool { return core.age(entry) > core.settings.IdleTimeout })
+		if bucket.knownUDP.count == 0 {
+			bucket.knownUDP = nil
 		}
 	}
 	core.forgetEmpty(service, index)
 }
 
-// recordOver tells whether a record has ended. Tombstones, and records of flows
-// that go by the base anyway, are only there for retransmitted openings.
-func (core *Core) recordOver(service *service, index uint16, entry *record) bool {
+// recordExpired reports whether a record has expired. Tombstones, and records of flows that the
+// placement table sends to the base anyway, serve only retransmitted openings and expire earlier.
+func (core *Core) recordExpired(service *service, index uint16, entry *record) bool {
 	age := core.age(entry)
 	if age > core.recordLifetime() {
 		return true
@@ -81,12 +82,12 @@
 	if entry.refused() {
 		return true
 	}
-	free := stateless(service.table, index) || core.off.noRecordsInHistory && !service.table.InMotion(index)
-	return free && (entry.backend == service.table.Base(index) || core.off.noRecordsInHistory)
+	free := needsNoRecords(service.table, index) || core.disabled.noRecordsInHistory && !service.table.InMotion(index)
+	return free && (entry.backend == service.table.Base(index) || core.disabled.noRecordsInHistory)
 }
 
-// recordLifetime is how long a record outlives the last packet that its node
-// saw: a pinned ingress and a confirmed head each may forward for PinLifetime
+// recordLifetime is how long a record is kept after the last packet that its node saw. It includes
+// PinLifetime twice, because a pinned ingress and a confirmed head may each forward for PinLifetime
 // without the tail seeing the flow.
 func (core *Core) recordLifetime() time.Duration {
 	return core.settings.IdleTimeout + 2*core.settings.PinLifetime
--- a/internal/core/tail.go
+++ b/internal/core/tail.go
@@ -4,163 +4,163 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// tail handles a packet that the head relayed with its proposal. The tail's
-// record wins over the proposal, unless it is unconfirmed and the proposal is not.
-func (current *turn) tail() {
-	relay := &current.packet.Relay
-	proposed := proposal{backend: relay.Proposal, refuse: relay.Refuse, known: relay.Known}
-	if current.opening() {
-		current.tailOpening(proposed)
+// handleAsTail handles a packet that the head relayed with its proposal. The tail's record takes
+// precedence over the proposal, unless the record is unconfirmed and the proposal is confirmed.
+func (handler *packetHandler) handleAsTail() {
+	relay := &handler.packet.Relay
+	proposed := proposal{backend: relay.Proposal, refuse: relay.Refuse, confirmed: relay.Known}
+	if handler.isOpening() {
+		handler.handleOpeningAsTail(proposed)
 		return
 	}
-	current.tailLater(proposed)
+	handler.handleLaterAsTail(proposed)
 }
 
-// tailOpening handles an opening.
-func (current *turn) tailOpening(proposed proposal) {
-	entry := current.record()
+// handleOpeningAsTail decides an opening.
+func (handler *packetHandler) handleOpeningAsTail(proposed proposal) {
+	entry := handler.record()
 	switch {
-	case entry == nil || current.core.off.noTailRecordWins:
-	case entry.openingID == current.packet.OpeningID:
-		proposed = current.prevailing(entry, proposed)
+	case entry == nil || handler.core.disabled.noTailRecordWins:
+	case entry.openingID == handler.packet.OpeningID:
+		proposed = handler.moreCertain(entry, proposed)
 	case entry.refused() || entry.backend == proposed.backend:
-	case current.active(entry.backend):
+	case handler.isActive(entry.backend):
 		proposed = proposal{backend: entry.backend}
-	case current.maybePinned(entry):
-		current.refuse(lb.MayHaveRun, ReasonTupleReuse)
+	case handler.mayBePinned(entry):
+		handler.refuse(lb.MayHaveRun, ReasonTupleReuse)
 		return
 	}
-	current.answer(proposed)
+	handler.applyTailAnswer(proposed)
 }
 
-// tailLater handles a packet after the opening, or a UDP packet.
-func (current *turn) tailLater(proposed proposal) {
-	entry := current.record()
-	if entry != nil && !current.core.off.noTailRecordWins {
-		proposed = current.prevailing(entry, proposed)
+// handleLaterAsTail decides a packet after the opening, or a UDP packet.
+func (handler *packetHandler) handleLaterAsTail(proposed proposal) {
+	entry := handler.record()
+	if entry != nil && !handler.core.disabled.noTailRecordWins {
+		proposed = handler.moreCertain(entry, proposed)
 	}
 	if proposed.refuse {
-		current.drop(ReasonStray)
+		handler.drop(ReasonStray)
 		return
 	}
-	current.answer(proposed)
+	handler.applyTailAnswer(proposed)
 }
 
-// prevailing gives the record, or the proposal where that is the more certain.
-func (current *turn) prevailing(entry *record, proposed proposal) proposal {
-	recorded := current.proposalOf(entry)
-	if proposed.known && !recorded.known || current.group.outdates(entry) {
+// moreCertain returns the record's decision, or the proposal if the proposal is more certain.
+func (handler *packetHandler) moreCertain(entry *record, proposed proposal) proposal {
+	recorded := handler.proposalOf(entry)
+	if proposed.confirmed && !recorded.confirmed || handler.group.predatesLeave(entry) {
 		return proposed
 	}
 	return recorded
 }
 
-// answer records the tail's answer and carries it out. Where it is not the
-// proposal, the head records it first: a head that forgot, or that never knew,
-// must not propose something else to the next tail.
-func (current *turn) answer(answer proposal) {
-	core, relay := current.core, &current.packet.Relay
-	head := current.group.chain.head
+// applyTailAnswer records the tail's answer and carries it out. If the answer differs from the
+// proposal, the head must record it first: a head that has lost the record, or never had it, must
+// not propose a different decision to the next tail.
+func (handler *packetHandler) applyTailAnswer(answer proposal) {
+	core, relay := handler.core, &handler.packet.Relay
+	head := handler.group.chain.head
 	if head == nil || head == core.self {
-		current.conclude(answer, relay.Vouched)
+		handler.applyFinalAnswer(answer, relay.Vouched)
 		return
 	}
 	differs := answer.backend != relay.Proposal || answer.refuse != relay.Refuse
-	if differs && !core.off.noReturnToHead {
-		current.keep(answer, true)
-		current.returnToHead(head, answer)
+	if differs && !core.disabled.noReturnToHead {
+		handler.saveRecord(answer, true)
+		handler.returnToHead(head, answer)
 		return
 	}
-	current.conclude(answer, relay.Vouched)
-	current.confirm(head)
+	handler.applyFinalAnswer(answer, relay.Vouched)
+	handler.sendConfirmation(head)
 }
 
-// returnToHead sends the packet back with the tail's answer.
-func (current *turn) returnToHead(head *node, answer proposal) {
-	core := current.core
-	relay := current.packet.Relay
+// returnToHead sends the packet back to the head with the tail's answer.
+func (handler *packetHandler) returnToHead(head *node, answer proposal) {
+	core := handler.core
+	relay := handler.packet.Relay
 	relay.Hop = lb.HopReturn
-	relay.Version = current.service.table.Version()
+	relay.Version = handler.service.table.Version()
 	relay.Proposal = answer.backend
 	relay.Refuse = answer.refuse
 	relay.Known = true
-	relay.Vouched = relay.Vouched || core.vouches(current.service, current.group)
+	relay.Vouched = relay.Vouched || core.vouches(handler.service, handler.group)
 	core.stats.Returned++
-	current.relay(head, relay)
+	handler.relay(head, relay)
 }
 
-// returned records the tail's answer at the head and carries it out, unless
-// the head's own record may already have been forwarded by another tail.
-func (current *turn) returned() {
-	relay := current.packet.Relay
-	if entry := current.record(); entry != nil && current.contradicts(entry, relay) {
-		current.drop(ReasonViewsDiffer)
+// handleReturned records the tail's answer at the head and carries it out, unless another tail may
+// already have forwarded the flow by the head's own record.
+func (handler *packetHandler) handleReturned() {
+	relay := handler.packet.Relay
+	if entry := handler.record(); entry != nil && handler.contradictsRecord(entry, relay) {
+		handler.drop(ReasonViewsDiffer)
 		return
 	}
-	current.conclude(proposal{backend: relay.Proposal, refuse: relay.Refuse}, relay.Vouched)
-	if entry := current.record(); entry != nil {
-		current.pinIngress(relay, entry)
+	handler.applyFinalAnswer(proposal{backend: relay.Proposal, refuse: relay.Refuse}, relay.Vouched)
+	if entry := handler.record(); entry != nil {
+		handler.pinIngress(relay, entry)
 	}
 }
 
-// contradicts tells whether a returned answer differs from a record that a tail
-// has confirmed, or that was proposed to another tail than the present one.
-func (current *turn) contradicts(entry *record, relay lb.Relay) bool {
-	if current.core.off.noDropOfReturn || !current.opening() || entry.openingID != current.packet.OpeningID {
+// contradictsRecord reports whether a returned answer differs from a record that a tail has
+// confirmed, or that was proposed to a tail other than the present one.
+func (handler *packetHandler) contradictsRecord(entry *record, relay lb.Relay) bool {
+	if handler.core.disabled.noDropOfReturn || !handler.isOpening() || entry.openingID != handler.packet.OpeningID {
 		return false
 	}
 	if entry.backend == relay.Proposal && entry.refused() == relay.Refuse {
 		return false
 	}
-	return current.core.confirmed(current.group, entry) || entry.learnedAt < current.group.tailSince
+	return handler.core.isConfirmed(handler.group, entry) || entry.learnedAt < handler.group.tailSince
 }
 
-// confirm tells the head, within the byte budget, that the tail has the record,
-// where a later packet of the flow may ask the head.
-func (current *turn) confirm(head *node) {
-	entry := current.record()
-	if entry == nil || stateless(current.service.table, current.index) {
+// sendConfirmation tells the head, within the byte budget, that the tail has the record. It does so
+// only if the head may receive later packets of the flow.
+func (handler *packetHandler) sendConfirmation(head *node) {
+	entry := handler.record()
+	if entry == nil || needsNoRecords(handler.service.table, handler.index) {
 		return
 	}
-	current.core.hints.add(current.core, hint{
-		to: head, service: current.service, confirm: true,
+	handler.core.hints.add(handler.core, hint{
+		to: head, service: handler.service, confirm: true,
 		flow: entry.flow, backend: entry.backend, openingID: entry.openingID,
 	})
 }
 
-// conclude records the final answer and carries it out: on the tail, or on a
-// head without a tail.
-func (current *turn) conclude(answer proposal, vouched bool) {
+// applyFinalAnswer records the final answer and carries it out. It runs at the tail, or at a head
+// without a tail.
+func (handler *packetHandler) applyFinalAnswer(answer proposal, vouched bool) {
 	verdict := lb.MayHaveRun
-	if answer.refuse && (vouched || current.core.vouches(current.service, current.group)) {
+	if answer.refuse && (vouched || handler.core.vouches(handler.service, handler.group)) {
 		verdict = lb.NotRun
 	}
-	if answer.refuse && !current.opening() {
-		current.drop(ReasonStray)
+	if answer.refuse && !handler.isOpening() {
+		handler.drop(ReasonStray)
 		return
 	}
-	current.keep(answer, true)
-	if !answer.refuse && stateless(current.service.table, current.index) && answer.backend == current.service.table.Base(current.index) {
-		current.remember(answer.backend)
+	handler.saveRecord(answer, true)
+	if !answer.refuse && needsNoRecords(handler.service.table, handler.index) && answer.backend == handler.service.table.Base(handler.index) {
+		handler.rememberUDPFlow(answer.backend)
 	}
 	if answer.refuse {
-		current.refuse(verdict, current.refusalReason())
+		handler.refuse(verdict, handler.refusalReason())
 		return
 	}
-	current.forward(answer.backend)
+	handler.forward(answer.backend)
 }
 
-// keep records an answer. An opening replaces the opening id of the record;
-// later packets leave it as it is.
-func (current *turn) keep(answer proposal, confirmed bool) {
-	core := current.core
-	if core.off.noRecordBeforeForward || answer.refuse && core.off.noRefusalRecord {
+// saveRecord stores an answer in the flow's record. An opening replaces the record's opening ID;
+// later packets leave it unchanged.
+func (handler *packetHandler) saveRecord(answer proposal, confirmed bool) {
+	core := handler.core
+	if core.disabled.noRecordBeforeForward || answer.refuse && core.disabled.noRefusalRecord {
 		return
 	}
-	entry := current.held().records.put(current.flow)
+	entry := handler.ensureBucket().records.put(handler.flow)
 	previous := *entry
 	entry.backend = answer.backend
-	entry.lastSeen = core.stamp
+	entry.lastSeen = core.timestamp
 	entry.flags = recordUsed
 	if answer.refuse {
 		entry.flags |= recordRefused
@@ -168,35 +168,36 @@
 	if confirmed {
 		entry.flags |= recordConfirmed
 	}
-	entry.learnedAt = core.stamp
-	if current.opening() {
-		entry.openingID = current.packet.OpeningID
+	entry.learnedAt = core.timestamp
+	if handler.isOpening() {
+		entry.openingID = handler.packet.OpeningID
 	}
 	if !previous.sameAs(entry) {
-		core.handover.recorded(core, current.service, current.index, entry)
+		core.handover.handOverNewRecord(core, handler.service, handler.index, entry)
 	}
 }
 
-// confirmed tells whether a tail is known to have answered with the record
-// since this node last left the chain or lost trust in its view.
-func (core *Core) confirmed(member *group, entry *record) bool {
-	return core.confirmedSince(member.leftStamp, entry)
+// isConfirmed reports whether a tail has answered with the record since this node last left the
+// chain and since viewVerified last changed.
+func (core *Core) isConfirmed(group *group, entry *record) bool {
+	return core.confirmedSince(group.leftAt, entry)
 }
 
-// wasConfirmed is confirmed as of when this node left the chain, if it is out of it.
-func (core *Core) wasConfirmed(member *group, entry *record) bool {
-	if member.memberSince != notInChain {
-		return core.confirmed(member, entry)
+// wasConfirmed is like isConfirmed, but for a node outside the chain it evaluates the record as of
+// the time at which the node left.
+func (core *Core) wasConfirmed(group *group, entry *record) bool {
+	if group.memberSince != notInChain {
+		return core.isConfirmed(group, entry)
 	}
-	return core.confirmedSince(member.leftBefore, entry)
+	return core.confirmedSince(group.previouslyLeftAt, entry)
 }
 
-func (core *Core) confirmedSince(since stamp, entry *record) bool {
-	return entry.flags&recordConfirmed != 0 && entry.learnedAt >= max(since, toStamp(core.sureSince))
+func (core *Core) confirmedSince(since timestamp, entry *record) bool {
+	return entry.flags&recordConfirmed != 0 && entry.learnedAt >= max(since, toTimestamp(core.viewVerifiedSince))
 }
 
-// outdates tells whether the record is from before this node last left the
-// chain: the chain may have placed the flow anew since.
-func (member *group) outdates(entry *record) bool {
-	return entry.learnedAt < member.leftStamp
+// predatesLeave reports whether the record was learned before this node last left the chain. The
+// chain may have placed the flow again since then.
+func (group *group) predatesLeave(entry *record) bool {
+	return entry.learnedAt < group.leftAt
 }
--- a/internal/core/token_test.go
+++ b/internal/core/token_test.go
@@ -164,7 +164,7 @@
 func TestColdBackendsGetFewFlows(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
-	core.affinity.(*tokenAffinity).cold = coldstart.New(coldstart.Settings{
+	core.affinity.(*tokenAffinity).coldStart = coldstart.New(coldstart.Settings{
 		Zone: "za", Overage: 1, Slack: 5, Owners: 3, Window: time.Second, Alone: true,
 	})
 	core.Step(0, &Event{Members: []Member{{Zone: "za"}}}, &core.effects)
@@ -363,8 +363,8 @@
 	return core, first, second
 }
 
-// later is a packet of the flow of lateAnswerCore.
-func later(token steering.Token, acknowledged uint32) Packet {
+// laterPacket is a packet of the flow of lateAnswerCore.
+func laterPacket(token steering.Token, acknowledged uint32) Packet {
 	return Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: token, Acknowledged: acknowledged, HasData: true}
 }
 
@@ -373,9 +373,9 @@
 func TestLateAnswerMovesNoFlow(t *testing.T) {
 	is := is.New(t)
 	core, first, second := lateAnswerCore(is)
-	decision := core.send(202*time.Millisecond, later(second.Token, 5001))
+	decision := core.send(202*time.Millisecond, laterPacket(second.Token, 5001))
 	is.Equal(decision.Corrected, false)
-	decision = core.send(300*time.Millisecond, later(first.Token, 5001))
+	decision = core.send(300*time.Millisecond, laterPacket(first.Token, 5001))
 	is.Equal(decision.Identity, second.Identity)
 	is.Equal(decision.Token, second.Token)
 	is.True(decision.Corrected)
@@ -386,13 +386,13 @@
 func TestSlowAnswerOpensTheFlow(t *testing.T) {
 	is := is.New(t)
 	core, first, second := lateAnswerCore(is)
-	is.Equal(core.send(202*time.Millisecond, later(first.Token, 5001)).Identity, first.Identity)
-	is.Equal(core.send(203*time.Millisecond, later(second.Token, 5001)).Identity, first.Identity)
+	is.Equal(core.send(202*time.Millisecond, laterPacket(first.Token, 5001)).Identity, first.Identity)
+	is.Equal(core.send(203*time.Millisecond, laterPacket(second.Token, 5001)).Identity, first.Identity)
 }
 
-// openedCore has two back ends, and has placed the first copy of the flow of lateAnswerCore at one of
+// secondBalancerCore has two back ends, and has placed the first copy of the flow of lateAnswerCore at one of
 // them. It gives that decision, and the one by which another balancer would place a copy at the other.
-func openedCore() (core *tokenCore, first, other Decision) {
+func secondBalancerCore() (core *tokenCore, first, other Decision) {
 	core = newTokenCore()
 	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive)))
 	first = core.send(time.Millisecond, tokenOpening(1, 443))
@@ -406,35 +406,35 @@
 // another balancer, and the flow's packets come to this one later.
 func TestLateAnswerMovesNoFlowOpenedElsewhere(t *testing.T) {
 	is := is.New(t)
-	core, first, other := openedCore()
-	is.Equal(core.send(300*time.Millisecond, later(other.Token, 5001)).Identity, other.Identity)
-	is.Equal(core.send(400*time.Millisecond, later(first.Token, 5001)).Identity, other.Identity)
+	core, first, other := secondBalancerCore()
+	is.Equal(core.send(300*time.Millisecond, laterPacket(other.Token, 5001)).Identity, other.Identity)
+	is.Equal(core.send(400*time.Millisecond, laterPacket(first.Token, 5001)).Identity, other.Identity)
 }
 
 // TestLateAnswerOfAnotherBalancersHostMovesNoFlow: the first copy opened the flow here, and a second one
 // was placed elsewhere by another balancer.
 func TestLateAnswerOfAnotherBalancersHostMovesNoFlow(t *testing.T) {
 	is := is.New(t)
-	core, first, other := openedCore()
-	is.Equal(core.send(220*time.Millisecond, later(first.Token, 5001)).Identity, first.Identity)
-	moved := core.send(300*time.Millisecond, later(other.Token, 5400))
+	core, first, other := secondBalancerCore()
+	is.Equal(core.send(220*time.Millisecond, laterPacket(first.Token, 5001)).Identity, first.Identity)
+	moved := core.send(300*time.Millisecond, laterPacket(other.Token, 5400))
 	is.Equal(moved.Identity, first.Identity)
 	is.True(moved.Corrected)
 	// A new flow of the same ports has other acknowledgements, or begins here.
-	is.Equal(core.send(400*time.Millisecond, later(other.Token, 1<<31)).Identity, other.Identity)
+	is.Equal(core.send(400*time.Millisecond, laterPacket(other.Token, 1<<31)).Identity, other.Identity)
 }
 
 // TestReopenedPortsGoByTheNewToken: what was known of the flow before does not count.
 func TestReopenedPortsGoByTheNewToken(t *testing.T) {
 	is := is.New(t)
-	core, first, _ := openedCore()
-	core.send(10*time.Millisecond, later(first.Token, 5001))
+	core, first, _ := secondBalancerCore()
+	core.send(10*time.Millisecond, laterPacket(first.Token, 5001))
 	again := tokenOpening(1, 443)
 	again.OpeningID = 8
 	for range 4 {
 		again.OpeningID++
 		second := core.send(time.Second, again)
-		is.Equal(core.send(1010*time.Millisecond, later(second.Token, 5001)).Identity, second.Identity)
+		is.Equal(core.send(1010*time.Millisecond, laterPacket(second.Token, 5001)).Identity, second.Identity)
 	}
 }
 
@@ -442,13 +442,13 @@
 func TestNewFlowOfTheSamePortsGoesByItsToken(t *testing.T) {
 	is := is.New(t)
 	core, first, second := lateAnswerCore(is)
-	core.send(202*time.Millisecond, later(second.Token, 5001))
-	is.Equal(core.send(time.Second, later(first.Token, 1<<31)).Identity, first.Identity)
-	core.send(2*time.Second, later(second.Token, 5001))
+	core.send(202*time.Millisecond, laterPacket(second.Token, 5001))
+	is.Equal(core.send(time.Second, laterPacket(first.Token, 1<<31)).Identity, first.Identity)
+	core.send(2*time.Second, laterPacket(second.Token, 5001))
 	opening := tokenOpening(1, 443)
 	opening.OpeningID = 8
 	core.send(3*time.Second, opening)
-	is.Equal(core.send(4*time.Second, later(first.Token, 5001)).Identity, first.Identity)
+	is.Equal(core.send(4*time.Second, laterPacket(first.Token, 5001)).Identity, first.Identity)
 }
 
 // TestCopiesAreNoProbes guards against openings that go unanswered while back ends answer: a copy does not go to
@@ -456,7 +456,7 @@
 func TestCopiesAreNoProbes(t *testing.T) {
 	is := is.New(t)
 	for steps := range 60 {
-		s := &silentPair{tokenCore: newTokenCore()}
+		s := &coreWithSilentBackends{tokenCore: newTokenCore()}
 		s.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive),
 			tokenBackend("i-3", "web", 3, lb.BackendActive), tokenBackend("i-4", "web", 4, lb.BackendActive)))
 		now := time.Duration(0)
@@ -465,31 +465,31 @@
 			s.open(now)
 			s.Step(now, &Event{Tick: true}, &s.effects)
 		}
-		for s.open(now).Identity > silentBackends {
+		for s.open(now).Identity > lastSilentIdentity {
 			now += time.Millisecond
 		}
 		copied := tokenOpening(s.number, 443)
 		copied.Copies = 1
 		now += 200 * time.Millisecond
 		s.open(now - time.Millisecond)
-		is.True(s.send(now, copied).Identity > silentBackends)
+		is.True(s.send(now, copied).Identity > lastSilentIdentity)
 	}
 }
 
-// silentBackends is the identity of the last back end that leaves everything unanswered.
-const silentBackends = 2
+// lastSilentIdentity is the identity of the last back end that leaves everything unanswered.
+const lastSilentIdentity = 2
 
-// silentPair is a core two of whose four back ends are silent.
-type silentPair struct {
+// coreWithSilentBackends is a core two of whose four back ends are silent.
+type coreWithSilentBackends struct {
 	*tokenCore
 	number uint16 // of the last flow
 }
 
 // open opens a flow, if its back end answers.
-func (s *silentPair) open(now time.Duration) Decision {
+func (s *coreWithSilentBackends) open(now time.Duration) Decision {
 	s.number++
 	decision := s.send(now, tokenOpening(s.number, 443))
-	if decision.Identity > silentBackends {
+	if decision.Identity > lastSilentIdentity {
 		s.send(now, Packet{Key: tokenFlow(s.number, 443), Kind: PacketMiddle, Token: decision.Token, Acknowledged: 1})
 	}
 	return decision
