--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -27,7 +27,7 @@
 	return targets
 }
 
-// testPlacements gives the documents of a move from the back ends before to those after.
+// testPlacements returns the documents of a move from the back ends in before to those in after.
 func testPlacements(tb testing.TB, before, after string) (calm, prepared, committed, settled *lb.Placement) {
 	tb.Helper()
 	must := func(document *lb.Placement, err error) *lb.Placement {
@@ -61,11 +61,11 @@
 	for _, document := range documents {
 		core.Step(0, &Event{Placement: document}, &effects)
 	}
-	core.joinedAt = -joinGracePeriod // long since a member
+	core.joinedAt = -joinGracePeriod // the grace period after joining is over
 	return core
 }
 
-// benchPackets runs the packets in turn and checks that all get the action.
+// benchPackets decides the packets in turn and checks that every decision has the wanted action.
 func benchPackets(b *testing.B, core *Core, packets []Packet, want Action) {
 	b.Helper()
 	var effects Effects
@@ -82,7 +82,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "decisions/s")
 }
 
-// flowsWhere gives packets of count flows whose bucket has the property.
+// flowsWhere returns one packet for each of count flows whose buckets satisfy chosen.
 func flowsWhere(count int, kind PacketKind, chosen func(index uint16) bool) []Packet {
 	var packets []Packet
 	for number := 0; len(packets) < count; number++ {
@@ -147,9 +147,9 @@
 	benchPackets(b, core, packets, ActionForward)
 }
 
-// BenchmarkStatePerFlow opens flows through head and tail and reports the bytes
-// of state, and the control bytes, for each, after the openings have been
-// forgotten as retransmissions: in buckets that moved and in others.
+// BenchmarkStatePerFlow opens flows through head and tail. It reports the bytes of state and the
+// bytes of control messages per flow, in buckets that moved and in others. The state is measured
+// again after OpeningHold, when the openings can no longer be retransmitted.
 func BenchmarkStatePerFlow(b *testing.B) {
 	for _, moved := range []bool{false, true} {
 		name := "unmoved"
--- a/internal/core/chain_test.go
+++ b/internal/core/chain_test.go
@@ -10,9 +10,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TestChainsAreThoseOfTheWholeMembership changes the membership at random and
-// compares every chain, however it was mended, with one ranked afresh.
-func TestChainsAreThoseOfTheWholeMembership(t *testing.T) {
+// TestIncrementalChainsEqualFullRanking changes the membership at random and compares every
+// incrementally updated chain with a ranking of all nodes.
+func TestIncrementalChainsEqualFullRanking(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	core := New(DefaultSettings("node-0", "zone-0"))
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkJoin840 adds one node to 839 and takes it away again.
+// BenchmarkJoin840 adds one node to 839 nodes and removes it again.
 func BenchmarkJoin840(b *testing.B) {
 	core := New(DefaultSettings("node-0", "zone-0"))
 	var effects Effects
--- a/internal/core/client_test.go
+++ b/internal/core/clientflow_test.go
@@ -6,34 +6,36 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// client is one flow as its caller sees it.
-type client struct {
+// clientFlow is one flow as its client sees it.
+type clientFlow struct {
 	network         *network
 	key             lb.FlowKey
 	openingID       uint32
 	established     bool
 	host            string
 	ends            time.Duration
-	consecutiveLost int // packets of the open flow since the last that was forwarded
+	consecutiveLost int // packets of the open flow sent since one was last forwarded
 	refused         bool
 }
 
-// maxConsecutiveLost is the number of packets lost one after another that loss alone does not explain.
+// maxConsecutiveLost is the number of consecutive lost packets above which random loss is no longer
+// a plausible explanation.
 const maxConsecutiveLost = 15
 
 // retransmitDelays are the times between the copies of an opening (RFC 6298).
 var retransmitDelays = []time.Duration{time.Second, 2 * time.Second}
 
-func (flow *client) udp() bool { return flow.key.Protocol == lb.UDP }
+func (flow *clientFlow) udp() bool { return flow.key.Protocol == lb.UDP }
 
-// mayMove tells whether the flow is not promised to stay on its back end. A UDP
-// flow may have been known only to a node that died or paused.
-func (flow *client) mayMove() bool {
+// mayMove reports whether the flow may move to another back end without violating a property. This
+// includes UDP flows after a node has died or paused, because that node may have been the only one
+// to know the flow.
+func (flow *clientFlow) mayMove() bool {
 	return flow.network.plan.MayMove || flow.udp() && flow.network.interrupted
 }
 
-// open sends the opening and, until it is answered, its copies.
-func (flow *client) open(copies int) {
+// open sends the opening and, until there is a reply, its copies.
+func (flow *clientFlow) open(copies int) {
 	if flow.established || flow.refused {
 		return
 	}
@@ -52,8 +54,8 @@
 	}
 }
 
-// observe tells the caller what became of a packet.
-func (flow *client) observe(packet Packet, decision Decision) {
+// observe updates the flow after a decision on one of its packets and checks flowStays.
+func (flow *clientFlow) observe(packet Packet, decision Decision) {
 	network := flow.network
 	isOpening := packet.Kind == PacketOpening
 	if isOpening && packet.OpeningID != flow.openingID {
@@ -72,7 +74,7 @@
 	}
 }
 
-func (flow *client) checkBackend(decision Decision) {
+func (flow *clientFlow) checkBackend(decision Decision) {
 	flow.consecutiveLost = 0
 	host := decision.Host.String()
 	if host == flow.host {
@@ -84,8 +86,8 @@
 	}
 }
 
-// establish opens the flow, unless the answer is lost.
-func (flow *client) establish(host string) {
+// establish marks the flow as open, unless the reply is lost.
+func (flow *clientFlow) establish(host string) {
 	if !flow.udp() && flow.network.chance(flow.network.plan.UnansweredPercent) {
 		return
 	}
@@ -95,9 +97,9 @@
 	flow.sendLater()
 }
 
-// sendLater sends the packets of the open flow, some after long silences. What was
-// lost is sent again soon.
-func (flow *client) sendLater() {
+// sendLater sends the packets of the open flow, with occasional long idle periods. After a lost
+// packet, the next one follows soon.
+func (flow *clientFlow) sendLater() {
 	network := flow.network
 	gap := network.randomMillis(50, 1500)
 	if flow.consecutiveLost == 0 && network.chance(network.plan.IdlePercent) {
@@ -114,15 +116,15 @@
 		}
 		flow.consecutiveLost++
 		if flow.consecutiveLost > maxConsecutiveLost && !flow.mayMove() {
-			network.violate(flowStays, "bucket %d: cut off", flow.key.ID().Bucket())
+			network.violate(flowStays, "bucket %d: no packet forwarded any more", flow.key.ID().Bucket())
 		}
 		network.sendToAnyNode(Packet{Key: flow.key, Kind: kind})
 		flow.sendLater()
 	})
 }
 
-// reopen uses the 5-tuple for another flow.
-func (flow *client) reopen(ends time.Duration) {
+// reopen reuses the 5-tuple for another flow.
+func (flow *clientFlow) reopen(ends time.Duration) {
 	flow.openingID++
 	flow.established, flow.refused, flow.consecutiveLost = false, false, 0
 	flow.ends = ends
--- a/internal/core/fault_test.go
+++ b/internal/core/fault_test.go
@@ -10,18 +10,18 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// The tests of this file are named after faults that random schedules found.
+// The tests of this file cover faults that random schedules detected.
 
-// settingsWithoutPauses gives settings with which the jumps in time of these tests are no
-// pauses: packets that come right after a pause are dropped.
+// settingsWithoutPauses returns settings with which large time steps do not count as pauses.
+// Packets that arrive right after a pause would be dropped.
 func settingsWithoutPauses(id lb.NodeID, zone lb.Zone) Settings {
 	settings := DefaultSettings(id, zone)
 	settings.PauseLimit = time.Hour
 	return settings
 }
 
-// movingFlow gives a core that heads a moving bucket, and a flow of it.
-func movingFlow(t *testing.T) (*Core, lb.FlowKey) {
+// movingFlowCore returns a core that heads a moving bucket, and a flow of that bucket.
+func movingFlowCore(t *testing.T) (*Core, lb.FlowKey) {
 	t.Helper()
 	calm, prepared, committed, _ := testPlacements(t, "ABCDEF", "ABCDE")
 	core := New(settingsWithoutPauses("a", "1"))
@@ -47,16 +47,16 @@
 	core.Step(now, &Event{Peer: &PeerEvent{From: from, Message: content}}, &effects)
 }
 
-func TestHeadRefusesNoOpeningByItsGuessForALaterPacket(t *testing.T) {
+func TestGuessFromLaterPacketDoesNotRefuseOpening(t *testing.T) {
 	is := is.New(t)
-	core, key := movingFlow(t)
+	core, key := movingFlowCore(t)
 	later := decideAt(core, time.Second, Packet{Key: key, Kind: PacketMiddle})
-	is.Equal(later.Action, ActionRelay) // the base back end is a guess
+	is.Equal(later.Action, ActionRelay) // the head guesses the base back end
 	opening := decideAt(core, time.Second, Packet{Key: key, Kind: PacketOpening, OpeningID: 7})
-	is.Equal(opening.Action, ActionRelay) // the tail may know better
+	is.Equal(opening.Action, ActionRelay) // the tail may have a different record
 }
 
-func TestRecordOfAnEarlierFlowKeepsOutNoLaterOne(t *testing.T) {
+func TestRecordOfLaterFlowReplacesEarlierOne(t *testing.T) {
 	earlier := message.Records{
 		Service: testService, Sequence: 1, IdleSeconds: []uint32{9},
 		Flows: []message.FlowRecord{{Backend: 1, OpeningID: 7}},
@@ -67,7 +67,7 @@
 	}
 	for _, order := range [][]message.Records{{earlier, later}, {later, earlier}} {
 		is := is.New(t)
-		core, key := movingFlow(t)
+		core, key := movingFlowCore(t)
 		for _, records := range order {
 			records.Flows[0].Flow = key.ID()
 			deliver(core, 20*time.Second, "d", records)
@@ -78,9 +78,9 @@
 	}
 }
 
-func TestRecordHandedOverIsNotTheTailsAnswer(t *testing.T) {
+func TestHandedOverRecordIsNotTailConfirmation(t *testing.T) {
 	is := is.New(t)
-	core, key := movingFlow(t)
+	core, key := movingFlowCore(t)
 	member := core.groupOf(core.services[testService], key.ID().Bucket())
 	records := message.Records{Service: testService, Flows: []message.FlowRecord{{Flow: key.ID(), Backend: 1, OpeningID: 7}}}
 	deliver(core, 20*time.Second, "d", records)
@@ -90,7 +90,7 @@
 	is.Equal(decideAt(core, 20*time.Second, Packet{Key: key, Kind: PacketMiddle}).Action, ActionForward)
 }
 
-func TestLeavingNodeHandsOverKnownUDPFlowsAndYoungOpenings(t *testing.T) {
+func TestLeavingNodeHandsOverKnownUDPFlowsAndRecentOpenings(t *testing.T) {
 	is := is.New(t)
 	calm, _, _, _ := testPlacements(t, "ABC", "AB")
 	core := New(settingsWithoutPauses("a", "1"))
@@ -117,19 +117,19 @@
 	is.True(effects.HandoverDone)
 }
 
-// TestReturnToTheHead checks that a head knows the tail's answer before any back
-// end has the packet, so that it proposes the same when the tail is gone, and
-// that it would not if the tail just carried its answer out.
-func TestReturnToTheHead(t *testing.T) {
-	for _, off := range []disabledRules{{}, {noReturnToHead: true}} {
+// TestTailAnswerReachesHeadBeforeBackend checks that a head records the tail's answer before any
+// back end receives the packet, so that it proposes the same back end after the tail is lost. With
+// noReturnToHead, the head proposes a different one.
+func TestTailAnswerReachesHeadBeforeBackend(t *testing.T) {
+	for _, disabled := range []disabledRules{{}, {noReturnToHead: true}} {
 		is := is.New(t)
-		head, key := movingFlow(t)
+		head, key := movingFlowCore(t)
 		service := head.services[testService]
 		index := key.ID().Bucket()
 		base := service.table.Base(index)
 		pair := head.groupOf(service, index).chain
 		tail := New(settingsWithoutPauses(pair.tail.ID, pair.tail.Zone))
-		tail.disabled = off
+		tail.disabled = disabled
 		var effects Effects
 		tail.Step(0, &Event{Members: testMembers}, &effects)
 		tail.Step(0, &Event{Placement: service.table.Document()}, &effects)
@@ -138,9 +138,9 @@
 		opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
 		relayed := opening
 		relayed.Relay = decideAt(head, time.Second, opening).Relay
-		is.True(relayed.Relay.Proposal != base) // the head would have it elsewhere
+		is.True(relayed.Relay.Proposal != base) // the head proposes another back end
 		answer := decideAt(tail, time.Second, relayed)
-		if !off.noReturnToHead {
+		if !disabled.noReturnToHead {
 			is.Equal(answer.Action, ActionRelay)
 			is.Equal(answer.Peer, head.self.ID)
 			relayed.Relay = answer.Relay
@@ -149,13 +149,13 @@
 		is.Equal(answer.Action, ActionForward)
 		is.Equal(answer.Backend, base)
 
-		var left []Member
+		var remaining []Member
 		for _, member := range testMembers {
 			if member.ID != tail.self.ID {
-				left = append(left, member)
+				remaining = append(remaining, member)
 			}
 		}
-		head.Step(time.Second, &Event{Members: left}, &effects)
-		is.Equal(decideAt(head, time.Second, opening).Relay.Proposal == base, !off.noReturnToHead)
+		head.Step(time.Second, &Event{Members: remaining}, &effects)
+		is.Equal(decideAt(head, time.Second, opening).Relay.Proposal == base, !disabled.noReturnToHead)
 	}
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -10,10 +10,11 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// The tests of this file repeat schedules in which the models of spec/ refuted
-// a rule, or found that one is needed: each also with the rule switched off.
+// Each test of this file repeats a schedule in which a model of spec/, a fault run or a random
+// schedule violated a property. Each runs with the rule that prevents the violation and, mostly,
+// also without it.
 
-// tickUntil steps a core by ticks to a time, so that no gap counts as a pause.
+// tickUntil sends ticks to a core between two times, so that no gap counts as a pause.
 func tickUntil(core *Core, from, to time.Duration) {
 	var effects Effects
 	for now := from; now <= to; now += TickInterval {
@@ -21,54 +22,57 @@
 	}
 }
 
-// TestPacketsThatWaitedOverAPauseAreDropped: refusal.pml, KEEPS_QUEUE_OVER_PAUSE.
-func TestPacketsThatWaitedOverAPauseAreDropped(t *testing.T) {
+// TestPacketsQueuedDuringPauseAreDropped repeats a counterexample of refusal.pml with
+// KEEPS_QUEUE_OVER_PAUSE: a node handles packets that waited in its socket while it was paused.
+func TestPacketsQueuedDuringPauseAreDropped(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []disabledRules{{}, {noDropAfterPause: true}} {
-		core, key := movingFlow(t)
-		core.disabled = off
+	for _, disabled := range []disabledRules{{}, {noDropAfterPause: true}} {
+		core, key := movingFlowCore(t)
+		core.disabled = disabled
 		core.settings.PauseLimit = time.Second
 		opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
 		queued := decideAt(core, time.Minute, opening)
-		is.Equal(queued.Action == ActionDrop, !off.noDropAfterPause)
-		is.Equal(queued.Reason == ReasonPaused, !off.noDropAfterPause)
+		is.Equal(queued.Action == ActionDrop, !disabled.noDropAfterPause)
+		is.Equal(queued.Reason == ReasonPaused, !disabled.noDropAfterPause)
 		var effects Effects
 		core.Step(time.Minute, &Event{Contact: ContactRegained}, &effects)
-		is.Equal(decideAt(core, time.Minute+TickInterval, opening).Action, ActionRelay) // later ones are new
+		is.Equal(decideAt(core, time.Minute+TickInterval, opening).Action, ActionRelay) // packets after dropPacketsUntil are handled
 	}
 }
 
-// TestLateReturnOfAnotherTailIsDropped: move.pml, HEAD_TAKES_ANY_RETURN.
-func TestLateReturnOfAnotherTailIsDropped(t *testing.T) {
+// TestLateReturnFromPreviousTailIsDropped repeats a counterexample of move.pml with
+// HEAD_TAKES_ANY_RETURN: the answer of a previous tail arrives after the head proposed the opening
+// to the next tail.
+func TestLateReturnFromPreviousTailIsDropped(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []disabledRules{{}, {noDropOfReturn: true}} {
-		head, key := movingFlow(t)
-		head.disabled = off
+	for _, disabled := range []disabledRules{{}, {noDropOfReturn: true}} {
+		head, key := movingFlowCore(t)
+		head.disabled = disabled
 		opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
 		proposed := decideAt(head, time.Second, opening)
-		var left []Member
+		var remaining []Member
 		for _, member := range testMembers {
 			if member.ID != proposed.Peer {
-				left = append(left, member)
+				remaining = append(remaining, member)
 			}
 		}
 		var effects Effects
-		head.Step(2*time.Second, &Event{Members: left}, &effects)
-		is.True(decideAt(head, 2*time.Second, opening).Peer != proposed.Peer) // the next tail may forward it
+		head.Step(2*time.Second, &Event{Members: remaining}, &effects)
+		is.True(decideAt(head, 2*time.Second, opening).Peer != proposed.Peer) // the next tail may forward the opening
 		late := opening
 		late.Relay = lb.Relay{Hop: lb.HopReturn, Known: true, Proposal: head.services[testService].table.Base(key.ID().Bucket())}
 		is.True(late.Relay.Proposal != proposed.Relay.Proposal)
-		is.Equal(decideAt(head, 2*time.Second, late).Action == ActionDrop, !off.noDropOfReturn)
+		is.Equal(decideAt(head, 2*time.Second, late).Action == ActionDrop, !disabled.noDropOfReturn)
 	}
 }
 
-// historyCore gives a core that heads a bucket with history, for longer than
-// the life of a record, but which adopted that history only now.
-func historyCore(t *testing.T, off disabledRules) (*Core, lb.FlowKey, time.Duration) {
+// historyCore returns a core that has headed a bucket for longer than the lifetime of a record, but
+// has applied the bucket's history only now.
+func historyCore(t *testing.T, disabled disabledRules) (*Core, lb.FlowKey, time.Duration) {
 	t.Helper()
 	calm, prepared, committed, settled := testPlacements(t, "ABCDEF", "ABCDE")
 	core := New(settingsWithoutPauses("a", "1"))
-	core.disabled = off
+	core.disabled = disabled
 	var effects Effects
 	for _, event := range []Event{{Members: testMembers}, {Placement: calm}, {Placement: prepared}, {Placement: committed}} {
 		core.Step(0, &event, &effects)
@@ -88,58 +92,61 @@
 	return core.isClean(core.services[testService], key.ID().Bucket())
 }
 
-// TestBucketIsCleanOnlyAfterItsHistoryWasWatched: settle.pml, CLEAN_WITHOUT_WAIT.
-func TestBucketIsCleanOnlyAfterItsHistoryWasWatched(t *testing.T) {
+// TestBucketIsCleanOnlyAfterObservingHistory repeats a counterexample of settle.pml with
+// CLEAN_WITHOUT_WAIT: a head reports a bucket as clean before it has observed the bucket's history
+// for the lifetime of a record.
+func TestBucketIsCleanOnlyAfterObservingHistory(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []disabledRules{{}, {noCleanWait: true}} {
-		core, key, now := historyCore(t, off)
-		is.Equal(isCleanAt(core, now, key), off.noCleanWait)
+	for _, disabled := range []disabledRules{{}, {noCleanWait: true}} {
+		core, key, now := historyCore(t, disabled)
+		is.Equal(isCleanAt(core, now, key), disabled.noCleanWait)
 		is.True(isCleanAt(core, now+core.recordLifetime(), key))
 	}
 }
 
-// TestGuessIsNotClean: settle.pml, a head's own guess that no tail has confirmed.
-func TestGuessIsNotClean(t *testing.T) {
+// TestBucketWithUnconfirmedGuessIsNotClean repeats a counterexample of settle.pml: a head guesses
+// the back end of a flow, and no tail has confirmed it.
+func TestBucketWithUnconfirmedGuessIsNotClean(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []disabledRules{{}, {noCleanOnlyConfirmed: true}} {
-		core, key, now := historyCore(t, off)
+	for _, disabled := range []disabledRules{{}, {noCleanOnlyConfirmed: true}} {
+		core, key, now := historyCore(t, disabled)
 		now += core.recordLifetime()
 		is.Equal(decideAt(core, now, Packet{Key: key, Kind: PacketMiddle}).Action, ActionRelay)
-		is.Equal(isCleanAt(core, now, key), off.noCleanOnlyConfirmed)
+		is.Equal(isCleanAt(core, now, key), disabled.noCleanOnlyConfirmed)
 	}
 }
 
-// TestNoVouchingWhileANodeIsMissing: a cut zone may have forwarded a copy that
-// this side did not see.
-func TestNoVouchingWhileANodeIsMissing(t *testing.T) {
+// TestNoVouchingWhileNodeIsMissing covers a network partition: a zone on the other side may have
+// forwarded a copy that the nodes of this side did not see.
+func TestNoVouchingWhileNodeIsMissing(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []disabledRules{{}, {noVouchOnlyComplete: true}} {
-		core, key := movingFlow(t)
-		core.disabled = off
+	for _, disabled := range []disabledRules{{}, {noVouchOnlyComplete: true}} {
+		core, key := movingFlowCore(t)
+		core.disabled = disabled
 		service := core.services[testService]
 		member := core.groupOf(service, key.ID().Bucket())
 		hold := core.settings.OpeningHold
 		tickUntil(core, 0, hold)
 		is.True(core.vouches(service, member))
-		var rest []Member
+		var remaining []Member
 		for _, known := range testMembers {
 			if known.ID == core.self.ID || member.chain.tail.ID == known.ID {
-				rest = append(rest, known)
+				remaining = append(remaining, known)
 			}
 		}
 		var effects Effects
-		core.Step(hold, &Event{Members: rest}, &effects)
-		is.Equal(core.vouches(service, member), off.noVouchOnlyComplete)
-		core.Step(hold, &Event{Members: testMembers}, &effects) // the cut is over
-		is.Equal(core.vouches(service, member), off.noVouchOnlyComplete)
+		core.Step(hold, &Event{Members: remaining}, &effects)
+		is.Equal(core.vouches(service, member), disabled.noVouchOnlyComplete)
+		core.Step(hold, &Event{Members: testMembers}, &effects) // the partition has healed
+		is.Equal(core.vouches(service, member), disabled.noVouchOnlyComplete)
 		tickUntil(core, hold, 2*hold+TickInterval)
 		is.True(core.vouches(service, member))
 	}
 }
 
-// TestANodeThatHasJustJoinedAsksTheChain: a placement that was prepared before
-// it counted as a member was committed without its acknowledgement.
-func TestANodeThatHasJustJoinedAsksTheChain(t *testing.T) {
+// TestRecentlyJoinedNodeUsesChain covers a placement that was prepared before a node counted as a
+// member: it was committed without an acknowledgement from that node.
+func TestRecentlyJoinedNodeUsesChain(t *testing.T) {
 	is := is.New(t)
 	calm, _, _, _ := testPlacements(t, "ABCDEF", "ABCDE")
 	core := New(settingsWithoutPauses("a", "1"))
@@ -152,15 +159,15 @@
 	is.Equal(decideAt(core, joinGracePeriod+1, packet).Action, ActionForward)
 }
 
-// TestUnansweredOpeningIsRefusedOnceItsBackendDrains: an opening whose tail
-// died or froze is neither sent to a back end that has begun to drain, nor
-// anywhere else. Found by the fault run freeze and the scenario tally-wallet-freeze.
+// TestUnansweredOpeningIsRefusedOnceItsBackendDrains covers an opening whose tail died or froze, as
+// in the fault run freeze and the scenario tally-wallet-freeze. The head must neither send it to a
+// back end that has begun to drain, nor to any other.
 func TestUnansweredOpeningIsRefusedOnceItsBackendDrains(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []disabledRules{{}, {noLateOpeningRefused: true}} {
+	for _, disabled := range []disabledRules{{}, {noLateOpeningRefused: true}} {
 		calm, prepared, committed, _ := testPlacements(t, "ABCDEF", "ABCDE")
 		core := New(settingsWithoutPauses("a", "1"))
-		core.disabled = off
+		core.disabled = disabled
 		var effects Effects
 		for _, event := range []Event{{Members: testMembers}, {Placement: calm}, {Placement: prepared}} {
 			core.Step(0, &event, &effects)
@@ -172,18 +179,18 @@
 		})[0]
 		is.Equal(decideAt(core, time.Second, opening).Relay.Proposal, drained)
 		core.Step(2*time.Second, &Event{Placement: committed}, &effects)
-		is.Equal(decideAt(core, 2*time.Second+drainGrace, opening).Relay.Proposal, drained) // in time
+		is.Equal(decideAt(core, 2*time.Second+drainGrace, opening).Relay.Proposal, drained) // within drainGrace
 		late := decideAt(core, 2*time.Second+drainGrace+1, opening)
-		is.Equal(late.Action == ActionRefuse, !off.noLateOpeningRefused)
-		is.Equal(late.Refusal.Verdict == lb.MayHaveRun, !off.noLateOpeningRefused)
+		is.Equal(late.Action == ActionRefuse, !disabled.noLateOpeningRefused)
+		is.Equal(late.Refusal.Verdict == lb.MayHaveRun, !disabled.noLateOpeningRefused)
 	}
 }
 
-// TestResumedHeadDecidesNothingNew: a head that was paused may have old
-// placements until it has heard from its peers again.
-func TestResumedHeadDecidesNothingNew(t *testing.T) {
+// TestHeadWithUnverifiedViewDropsNewOpenings covers a head that was paused: its placements may be
+// stale until it regains contact with its peers.
+func TestHeadWithUnverifiedViewDropsNewOpenings(t *testing.T) {
 	is := is.New(t)
-	core, key := movingFlow(t)
+	core, key := movingFlowCore(t)
 	core.settings.PauseLimit = time.Second
 	opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
 	tickUntil(core, time.Minute, time.Minute+time.Second)
@@ -193,19 +200,19 @@
 	is.Equal(decideAt(core, time.Minute+time.Second, opening).Action, ActionRelay)
 }
 
-// TestReturnDoesNotUndoAConfirmedRecord: another tail has forwarded the opening
-// by the head's own record. Found by random schedules (planned, seed 11).
-func TestReturnDoesNotUndoAConfirmedRecord(t *testing.T) {
+// TestReturnDoesNotReplaceConfirmedRecord covers an answer that arrives at the head after another
+// tail has forwarded the opening by the head's own record.
+func TestReturnDoesNotReplaceConfirmedRecord(t *testing.T) {
 	is := is.New(t)
-	for _, off := range []disabledRules{{}, {noDropOfReturn: true}} {
-		head, key := movingFlow(t)
-		head.disabled = off
+	for _, disabled := range []disabledRules{{}, {noDropOfReturn: true}} {
+		head, key := movingFlowCore(t)
+		head.disabled = disabled
 		opening := Packet{Key: key, Kind: PacketOpening, OpeningID: 7}
 		proposed := decideAt(head, time.Second, opening)
 		flow := message.FlowRecord{Flow: key.ID(), Backend: proposed.Relay.Proposal, OpeningID: 7}
 		deliver(head, time.Second, proposed.Peer, message.Pins{Service: testService, Confirm: true, Flows: []message.FlowRecord{flow}})
 		late := opening
 		late.Relay = lb.Relay{Hop: lb.HopReturn, Known: true, Proposal: head.services[testService].table.Base(key.ID().Bucket())}
-		is.Equal(decideAt(head, time.Second, late).Action == ActionDrop, !off.noDropOfReturn)
+		is.Equal(decideAt(head, time.Second, late).Action == ActionDrop, !disabled.noDropOfReturn)
 	}
 }
--- a/internal/core/network_test.go
+++ b/internal/core/network_test.go
@@ -10,7 +10,7 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// property names a guarantee, as in docs/PROOFS.md.
+// property is the name of a guarantee, as in docs/PROOFS.md.
 type property string
 
 const (
@@ -21,13 +21,13 @@
 	versionGrows property = "versions never go back"
 )
 
-// violation is one breach of a property.
+// violation is one violation of a property.
 type violation struct {
 	property property
 	detail   string
 }
 
-// testSettings are the defaults with shorter times.
+// testSettings returns the default settings with shorter times.
 func testSettings(id lb.NodeID, zone lb.Zone) Settings {
 	settings := DefaultSettings(id, zone)
 	settings.OpeningHold = 6 * time.Second
@@ -36,36 +36,36 @@
 	return settings
 }
 
-// testNode is one core in the network.
+// testNode is one core in the simulated network.
 type testNode struct {
 	core            *Core
 	alive           bool
-	receivesTraffic bool // the fabric sends to it
+	receivesTraffic bool // the fabric sends packets to it
 	leaving         bool
 	paused          bool
-	inMembership    bool // not thought dead by the others
+	inMembership    bool // the other nodes consider it alive
 	version         lb.Version
 	effects         Effects
 	// busyAt is when a leaving node last had something to hand over.
 	busyAt time.Duration
 }
 
-// openingKey names one opening.
+// openingKey identifies one opening.
 type openingKey struct {
 	key lb.FlowKey
 	id  uint32
 }
 
-// opening is what the network knows of one opening.
+// opening is the history of one opening.
 type opening struct {
-	host    string // of the back end that it reached first
-	refused bool   // as not run
+	host    string // the first back end that received it
+	refused bool   // a refusal claimed that it has not run
 }
 
-// network runs cores over an unreliable network in virtual time.
+// network simulates cores connected by an unreliable network, in virtual time.
 type network struct {
 	plan                plan
-	off                 disabledRules
+	disabled            disabledRules
 	random              *rand.Rand
 	now                 time.Duration
 	queue               deliveries
@@ -73,22 +73,22 @@
 	nodes               []*testNode
 	document            *lb.Placement
 	history             []*lb.Placement
-	hosts               map[string]bool // of the service's back ends
-	clients             map[lb.FlowKey]*client
+	hosts               map[string]bool // addresses of the service's back ends
+	clients             map[lb.FlowKey]*clientFlow
 	openings            map[openingKey]*opening
 	violations          []violation
 	membershipChangedAt time.Duration // when the membership last changed
-	// interrupted: a node died or paused.
+	// interrupted is set once a node has died or paused.
 	interrupted bool
-	// dieNext: a node dies as soon as a planned stop is through.
+	// dieAfterStop makes a node die as soon as the present planned stop ends.
 	dieAfterStop bool
-	// What happened: openings refused as not run, packets forwarded, flows
-	// opened, packets of open flows at another back end.
+	// Counters: openings refused as not run, packets forwarded, flows established,
+	// packets of open flows forwarded to another back end, and dropped packets.
 	refusals, forwards, established, moved int
 	drops                                  map[Reason]int
 }
 
-// delivery is something that happens at a time.
+// delivery is an action scheduled at a time.
 type delivery struct {
 	at    time.Duration
 	order int
@@ -132,7 +132,7 @@
 	network.violations = append(network.violations, violation{broken, detail})
 }
 
-// send delivers over the unreliable network: lost, late, or twice.
+// send delivers over the unreliable network, which loses, delays and duplicates messages.
 func (network *network) send(run func()) {
 	copies := 1
 	if network.chance(network.plan.Duplicate) {
@@ -150,7 +150,7 @@
 	}
 }
 
-// stepNode gives a node one event and carries out its effects.
+// stepNode passes one event to a node and carries out its effects.
 func (network *network) stepNode(node *testNode, event Event) {
 	if !node.alive || node.paused {
 		return
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// applyDecision carries out a decision and checks it.
+// applyDecision carries out a decision and checks the properties.
 func (network *network) applyDecision(node *testNode, packet Packet, decision Decision) {
 	flow := openingKey{packet.Key, packet.OpeningID}
 	isOpening := packet.Kind == PacketOpening
@@ -243,7 +243,7 @@
 	}
 }
 
-// publish makes the document known to each node after a delay of its own.
+// publish delivers the document to each node after a random delay.
 func (network *network) publish(document *lb.Placement) {
 	network.document = document
 	network.history = append(network.history, document)
@@ -256,15 +256,15 @@
 			delay = network.randomMillis(3000, 15000)
 		}
 		network.after(delay, func() { network.stepNode(node, Event{Placement: document}) })
-		if network.chance(30) { // an old document comes again
+		if network.chance(30) { // a stale document arrives again
 			stale := network.history[network.random.IntN(len(network.history))]
 			network.after(delay+network.randomMillis(1, 2000), func() { network.stepNode(node, Event{Placement: stale}) })
 		}
 	}
 }
 
-// inForceEverywhere tells whether all live nodes have the newest document, and have
-// handed over the UDP flows that it is to move.
+// inForceEverywhere reports whether all live nodes have the newest document and have handed over
+// the UDP flows that it moves.
 func (network *network) inForceEverywhere() bool {
 	for _, node := range network.nodes {
 		if node.alive && (node.version < network.document.Version || !node.core.HandoverIdle()) {
@@ -294,7 +294,8 @@
 	return placement.Stamp{WriteID: fmt.Sprint(network.order)}
 }
 
-// awaitPrepared commits once the prepared document is in force everywhere, or at the deadline.
+// awaitPrepared commits as soon as the prepared document is in force everywhere, at the latest at
+// the deadline.
 func (network *network) awaitPrepared(version lb.Version, deadline time.Duration) {
 	if !network.inForceEverywhere() && network.now < deadline {
 		network.after(100*time.Millisecond, func() { network.awaitPrepared(version, deadline) })
@@ -323,7 +324,7 @@
 	}
 }
 
-// publishMembers tells each node of the members, after a delay of its own.
+// publishMembers sends the membership to each node after a random delay.
 func (network *network) publishMembers() {
 	network.membershipChangedAt = network.now
 	for _, node := range network.nodes {
@@ -346,7 +347,7 @@
 	number := len(network.nodes)
 	zone := lb.Zone(fmt.Sprint(number % 3))
 	core := New(testSettings(lb.NodeID(fmt.Sprintf("node-%d", number)), zone))
-	core.disabled = network.off
+	core.disabled = network.disabled
 	node := &testNode{core: core, alive: true, inMembership: true, receivesTraffic: true}
 	network.nodes = append(network.nodes, node)
 	network.stepNode(node, Event{Members: network.members()})
@@ -368,8 +369,8 @@
 	network.after(500*time.Millisecond, func() { network.ticks(node) })
 }
 
-// endIfHandedOver ends a leaving node once it has had nothing to hand over for a while, so
-// that all others know by then that it is in no chain.
+// endIfHandedOver removes a leaving node once it has had nothing to hand over for a while. By then,
+// all other nodes have removed it from the chains.
 func (network *network) endIfHandedOver(node *testNode) {
 	if !node.effects.HandoverDone {
 		node.busyAt = network.now
@@ -381,7 +382,7 @@
 	}
 }
 
-// removeNode ends a node that the others are told of at once.
+// removeNode ends a node. The other nodes learn of it at once.
 func (network *network) removeNode(node *testNode) {
 	if !node.alive {
 		return
@@ -394,7 +395,7 @@
 	}
 }
 
-// randomNode gives a random node that is neither dead, leaving nor paused.
+// randomNode returns a random node that is neither dead, leaving nor paused.
 func (network *network) randomNode() *testNode {
 	var candidates []*testNode
 	for _, node := range network.nodes {
@@ -413,7 +414,7 @@
 	network.publishMembers()
 }
 
-// die ends a node; the others notice a second later.
+// die ends a node without notice. The other nodes detect it a second later.
 func (network *network) die() {
 	network.interrupted = true
 	node := network.randomNode()
@@ -424,7 +425,7 @@
 	})
 }
 
-// pause stops a node for a while; it learns what it missed some time after it goes on.
+// pause suspends a node. Some time after it resumes, it receives the updates that it missed.
 func (network *network) pause() {
 	network.interrupted = true
 	node := network.randomNode()
@@ -447,7 +448,7 @@
 	})
 }
 
-// runUntil runs what is due until the end.
+// runUntil runs all deliveries that are due until the end.
 func (network *network) runUntil(end time.Duration) {
 	for len(network.queue) > 0 {
 		next := heap.Pop(&network.queue).(delivery)
@@ -459,7 +460,7 @@
 	}
 }
 
-// sendToAnyNode gives a packet of a caller to any balancer.
+// sendToAnyNode sends a client's packet to a random balancer, like the fabric.
 func (network *network) sendToAnyNode(packet Packet) {
 	var candidates []*testNode
 	for _, node := range network.nodes {
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -10,8 +10,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// overloadedCore is a core whose web service is overloaded: its requests take 300 ms
-// in place of 20. It gives the time, and a flow that is open.
+// overloadedCore returns a core whose web service is overloaded: its requests take 300 ms instead
+// of 20 ms. It also returns the time and a packet of an open flow.
 func overloadedCore(t testing.TB, backends int) (core *tokenCore, now time.Duration, open Packet) {
 	is := is.New(t)
 	core = newTokenCore()
@@ -48,7 +48,7 @@
 	return core, now, open
 }
 
-// refusals counts what becomes of openings at one moment.
+// refusals sends openings at one moment and counts the refused ones.
 func refusals(core *tokenCore, now time.Duration, openings int, copies uint32) (refused int, last Decision) {
 	for i := range openings {
 		packet := tokenOpening(uint16(40000+i), 443)
@@ -61,8 +61,9 @@
 	return refused, last
 }
 
-// TestOverloadRefusesFirstCopiesOnly: at once, as not run, with a time to come
-// back; a later copy may have been forwarded by another node before.
+// TestOverloadRefusesFirstCopiesOnly checks that first copies are refused at once as not run, with
+// a retry time. Later copies are not refused, because another node may have forwarded an earlier
+// copy.
 func TestOverloadRefusesFirstCopiesOnly(t *testing.T) {
 	is := is.New(t)
 	core, now, _ := overloadedCore(t, 4)
@@ -76,8 +77,9 @@
 	is.Equal(refused, 0)
 }
 
-// TestOverloadTouchesNoOpenFlow: later packets are forwarded as ever.
-func TestOverloadTouchesNoOpenFlow(t *testing.T) {
+// TestOverloadDoesNotAffectOpenFlows checks that all later packets of open flows are still
+// forwarded.
+func TestOverloadDoesNotAffectOpenFlows(t *testing.T) {
 	is := is.New(t)
 	core, now, open := overloadedCore(t, 4)
 	for i := range 100 {
@@ -86,8 +88,8 @@
 	}
 }
 
-// TestOverloadOfOneServiceIsNotThatOfAnother on the same node.
-func TestOverloadOfOneServiceIsNotThatOfAnother(t *testing.T) {
+// TestOverloadOfOneServiceDoesNotAffectAnother covers two services on the same node.
+func TestOverloadOfOneServiceDoesNotAffectAnother(t *testing.T) {
 	is := is.New(t)
 	core, now, _ := overloadedCore(t, 4)
 	listing := tokenListing(19, tokenBackend("i-docs", "docs", 90, lb.BackendActive))
@@ -101,8 +103,8 @@
 	}
 }
 
-// BenchmarkTokenOpen is the decision on an opening among 18 back ends, in calm
-// and while the service is overloaded.
+// BenchmarkTokenOpen measures the decision on an opening among 18 back ends, while the service is
+// not overloaded and while it is.
 func BenchmarkTokenOpen(b *testing.B) {
 	bench := func(b *testing.B, core *tokenCore, now time.Duration) {
 		packet := tokenOpening(1, 443)
--- a/internal/core/property_test.go
+++ b/internal/core/property_test.go
@@ -14,8 +14,8 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict,
-// unless the command line gives others, such as -rapid.checks=1000 -rapid.seed=7.
+// TestMain fixes the seed of rapid, so that every run has the same result. The command line can
+// override it, for example with -rapid.checks=1000 -rapid.seed=7.
 func TestMain(main *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20260", "rapid.checks": "20", "rapid.nofailfile": "true", "rapid.shrinktime": "5s"} {
 		if err := flag.Set(name, value); err != nil {
@@ -35,11 +35,11 @@
 	actionStop  action = "stop"
 	actionDie   action = "die"
 	actionPause action = "pause"
-	// actionJoinAtBurst: a node joins while flows are being opened.
+	// actionJoinAtBurst adds a node while flows are being opened.
 	actionJoinAtBurst action = "join at burst"
-	// actionStopThenDie: a planned stop, and another node dies as soon as it is through.
+	// actionStopThenDie stops a node by plan and kills another node as soon as the stop ends.
 	actionStopThenDie action = "stop then die"
-	// actionDieTwo: two nodes die while flows are being opened.
+	// actionDieTwo kills two nodes while flows are being opened.
 	actionDieTwo action = "die two"
 )
 
@@ -50,16 +50,16 @@
 	Hosts  string // of a move
 }
 
-// plan is one schedule. Seed decides what the network does with each packet.
+// plan is one schedule. Seed determines how the network treats each packet.
 type plan struct {
 	Seed              uint64
 	Loss              int // percent
 	Duplicate         int // percent
 	Limit             uint32
 	Changes           []change
-	LatePlacements    bool // one node gets placements late
-	MayMove           bool // flows may move: something else than planned changes happens
-	SkipPrepare       bool // moves are committed unannounced
+	LatePlacements    bool // one node receives placements late
+	MayMove           bool // flows may move, because unplanned changes happen
+	SkipPrepare       bool // moves are committed without being prepared
 	SettleEarly       bool // moves settle before IdleTimeout
 	IdlePercent       int  // percent
 	UnansweredPercent int  // percent
@@ -69,26 +69,26 @@
 // planKind draws plans of one kind.
 type planKind struct {
 	name              string
-	actions           []action // drawn in turn, spaced by gap
+	actions           []action // in this order, with random gaps
 	latePlacements    bool
 	mayMove           bool
-	idlePercent       int // percent of packets after which a flow is silent
-	unansweredPercent int // percent of openings whose answer is lost
-	viewDelay         int // longest time until a node sees a change of the members, in ms
+	idlePercent       int // percentage of packets after which a flow sends nothing for a while
+	unansweredPercent int // percentage of openings whose reply is lost
+	viewDelay         int // maximum delay until a node sees a membership change, in ms
 	properties        []property
 }
 
 var allProperties = []property{oneBackend, notRunTrue, flowStays, ownService, versionGrows}
 
-// planKinds are the situations in which properties are checked.
+// planKinds are the kinds of plans under which the properties are checked.
 var planKinds = []planKind{
 	{name: "planned", actions: []action{actionMove, actionJoin, actionStop, actionMove, actionJoin, actionStop}, properties: allProperties},
 	{name: "joins", actions: []action{actionMove, actionJoin, actionJoin, actionJoin, actionJoin, actionMove, actionJoin}, idlePercent: 50, properties: allProperties},
 	{name: "history", actions: []action{actionMove, actionMove, actionStop}, idlePercent: 60, properties: allProperties},
-	{name: "stop then death", actions: []action{actionMove, actionStopThenDie, actionMove}, idlePercent: 50, viewDelay: 2600, properties: allProperties},
+	{name: "death after stop", actions: []action{actionMove, actionStopThenDie, actionMove}, idlePercent: 50, viewDelay: 2600, properties: allProperties},
 	{name: "pause", actions: []action{actionMove, actionPause, actionMove, actionMove}, properties: allProperties},
-	{name: "laggard", actions: []action{actionMove, actionMove, actionJoin}, latePlacements: true, mayMove: true, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
-	{name: "uneven", actions: []action{actionMove, actionJoinAtBurst, actionMove, actionJoinAtBurst, actionMove}, latePlacements: true, mayMove: true, unansweredPercent: 70, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
+	{name: "late placements", actions: []action{actionMove, actionMove, actionJoin}, latePlacements: true, mayMove: true, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
+	{name: "late placements and joins", actions: []action{actionMove, actionJoinAtBurst, actionMove, actionJoinAtBurst, actionMove}, latePlacements: true, mayMove: true, unansweredPercent: 70, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
 	{name: "death", actions: []action{actionMove, actionDie, actionMove}, mayMove: true, properties: []property{oneBackend, notRunTrue, ownService, versionGrows}},
 	{name: "two deaths", actions: []action{actionMove, actionDieTwo, actionMove}, mayMove: true, unansweredPercent: 70, properties: []property{notRunTrue, ownService, versionGrows}},
 }
@@ -108,10 +108,10 @@
 		ViewDelay:         max(kind.viewDelay, 400),
 	}
 	at := time.Duration(0)
-	for _, wanted := range kind.actions {
+	for _, next := range kind.actions {
 		at += time.Duration(rapid.IntRange(2500, 7000).Draw(t, "gap")) * time.Millisecond
 		hosts := rapid.SampledFrom(hostSets).Draw(t, "hosts")
-		drawn.Changes = append(drawn.Changes, change{At: at, Action: wanted, Hosts: hosts})
+		drawn.Changes = append(drawn.Changes, change{At: at, Action: next, Hosts: hosts})
 	}
 	return drawn
 }
@@ -123,14 +123,14 @@
 	burstEvery   = 5 * time.Second
 )
 
-// run runs the plan and gives the network at its end.
-func (drawn plan) run(off disabledRules) *network {
+// run executes the plan and returns the network at its end.
+func (drawn plan) run(disabled disabledRules) *network {
 	network := &network{
 		plan:     drawn,
-		off:      off,
+		disabled: disabled,
 		random:   rand.New(rand.NewPCG(drawn.Seed, 1)),
 		hosts:    make(map[string]bool),
-		clients:  make(map[lb.FlowKey]*client),
+		clients:  make(map[lb.FlowKey]*clientFlow),
 		openings: make(map[openingKey]*opening),
 		drops:    make(map[Reason]int),
 	}
@@ -141,8 +141,8 @@
 	for number := range testFlows {
 		network.addFlow(number)
 	}
-	for _, wanted := range drawn.Changes {
-		network.after(wanted.At, func() { network.apply(wanted) })
+	for _, next := range drawn.Changes {
+		network.after(next.At, func() { network.apply(next) })
 	}
 	network.runUntil(planDuration)
 	return network
@@ -158,13 +158,13 @@
 	network.publish(document)
 }
 
-// addFlow schedules a flow; some open in bursts, some use their 5-tuple twice.
+// addFlow schedules a flow. Some flows open in bursts, and some reuse their 5-tuple.
 func (network *network) addFlow(number int) {
 	key := testKey(number)
 	if number%5 == 0 {
 		key.Protocol = lb.UDP
 	}
-	flow := &client{network: network, key: key, openingID: uint32(number+1) << 8}
+	flow := &clientFlow{network: network, key: key, openingID: uint32(number+1) << 8}
 	network.clients[key] = flow
 	starts := network.randomMillis(500, 40000)
 	if number%2 == 0 {
@@ -178,10 +178,10 @@
 	}
 }
 
-func (network *network) apply(wanted change) {
-	switch wanted.Action {
+func (network *network) apply(next change) {
+	switch next.Action {
 	case actionMove:
-		network.move(wanted.Hosts)
+		network.move(next.Hosts)
 	case actionJoin:
 		network.whenIdle(network.join)
 	case actionJoinAtBurst:
@@ -205,14 +205,14 @@
 	}
 }
 
-// atBurst runs while many flows are being opened.
+// atBurst calls run while many flows are being opened.
 func (network *network) atBurst(run func()) {
 	burst := network.now.Truncate(burstEvery) + burstEvery + network.randomMillis(50, 900)
 	network.after(burst-network.now, run)
 }
 
-// whenIdle changes the membership only when the last change to it is through
-// and its records are handed over: views differ by one node.
+// whenIdle calls run once the last membership change is complete and its records are handed over.
+// The views of the nodes then differ by at most one node.
 func (network *network) whenIdle(run func()) {
 	idle := network.now-network.membershipChangedAt > 2*time.Second
 	for _, node := range network.nodes {
@@ -233,11 +233,11 @@
 			total := &totals{drops: make(map[Reason]int)}
 			rapid.Check(t, func(t *rapid.T) {
 				drawn := kind.draw(t)
-				ran := drawn.run(disabledRules{})
-				total.add(ran)
-				for _, breach := range ran.violations {
-					if breach.isAmong(kind.properties) {
-						t.Fatalf("%s: %s\nplan %+v", breach.property, breach.detail, drawn)
+				result := drawn.run(disabledRules{})
+				total.add(result)
+				for _, found := range result.violations {
+					if found.isAmong(kind.properties) {
+						t.Fatalf("%s: %s\nplan %+v", found.property, found.detail, drawn)
 					}
 				}
 			})
@@ -246,16 +246,16 @@
 	}
 }
 
-func (breach violation) isAmong(properties []property) bool {
-	for _, wanted := range properties {
-		if breach.property == wanted {
+func (found violation) isAmong(properties []property) bool {
+	for _, next := range properties {
+		if found.property == next {
 			return true
 		}
 	}
 	return false
 }
 
-// totals adds up what happened in the schedules.
+// totals sums up the counters of all schedules.
 type totals struct {
 	schedules, forwards, established, refusals, moved int
 	drops                                             map[Reason]int
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -118,11 +118,11 @@
 	return true
 }
 
-// isDuplicateOfHeld handles a datagram of a flow whose opening is held. If it repeats the held
-// datagram, it is dropped and isDuplicateOfHeld returns true. If it is a later copy or a new
+// resolveDuplicate handles a datagram of a flow whose opening is held. If it repeats the held
+// datagram, it is dropped and resolveDuplicate returns true. If it is a later copy or a new
 // opening of the flow, the held opening is dropped and the new datagram is decided in its place, so
 // that only one of the two gets a decision.
-func (a *tokenAffinity) isDuplicateOfHeld(packet *Packet, decision *Decision) bool {
+func (a *tokenAffinity) resolveDuplicate(packet *Packet, decision *Decision) bool {
 	held := a.admissionQueue.Find(packet.Key.ID())
 	if held == nil {
 		return false
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -14,7 +14,7 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// holdableOpening gives an opening of port 443 that may be held.
+// holdableOpening returns an opening for port 443 that may be held.
 func holdableOpening(number uint16) Packet {
 	packet := tokenOpening(number, 443)
 	packet.Datagram = make([]byte, 34)
@@ -22,12 +22,13 @@
 	return packet
 }
 
-// coreWithHeldOpenings is a core whose web service is overloaded, and which holds openings.
+// coreWithHeldOpenings returns a core whose web service is overloaded and which holds the given
+// number of openings.
 func coreWithHeldOpenings(t testing.TB, openings int) (core *tokenCore, now time.Duration) {
 	core, now, _ = overloadedCore(t, 4)
 	for number := uint16(40000); core.Waiting() < openings; number++ {
 		if number > 60000 {
-			t.Fatalf("%d openings wait", core.Waiting())
+			t.Fatalf("%d openings are held", core.Waiting())
 		}
 		core.send(now, holdableOpening(number))
 	}
@@ -39,9 +40,9 @@
 	return core.effects.Released
 }
 
-// TestAnOpeningWaitsForRoom: it is held, and after its time, a fifth of its
-// objective, refused as not run, with what was kept of it.
-func TestAnOpeningWaitsForRoom(t *testing.T) {
+// TestHeldOpeningIsRefusedAfterTimeout checks that an opening is held for a fifth of its objective
+// and then refused as not run, together with its datagram.
+func TestHeldOpeningIsRefusedAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 1)
 	is.Equal(core.effects.Decision.Action, ActionHold)
@@ -59,9 +60,9 @@
 	is.Equal(core.Stats().Waited.Went, uint64(0))
 }
 
-// TestWhatIsNotHeld: later copies, which may have been forwarded elsewhere, and
-// packets of paths that hold none.
-func TestWhatIsNotHeld(t *testing.T) {
+// TestCopiesAndPacketsWithoutDatagramAreNotHeld covers later copies, which another node may have
+// forwarded, and packets of paths that provide no datagram to hold.
+func TestCopiesAndPacketsWithoutDatagramAreNotHeld(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 0)
 	for number := range uint16(100) {
@@ -73,24 +74,26 @@
 	is.Equal(core.Waiting(), 0)
 }
 
-// TestAfterAPauseWhatWaitedIsDropped: its caller has sent copies elsewhere; to
-// refuse it would reset the flow that they have opened.
-func TestAfterAPauseWhatWaitedIsDropped(t *testing.T) {
+// TestHeldOpeningsAreDroppedAfterPause checks that openings that were held during a pause are
+// dropped. Meanwhile their clients have sent copies to other nodes, and a refusal would reset the
+// flows that those copies opened.
+func TestHeldOpeningsAreDroppedAfterPause(t *testing.T) {
 	for _, pause := range []time.Duration{90 * time.Millisecond, 250 * time.Millisecond, 5 * time.Second} {
 		is := is.New(t)
 		core, now := coreWithHeldOpenings(t, 3)
 		released := core.retryQueued(now + pause)
 		is.Equal(len(released), 3)
-		for _, one := range released {
-			is.Equal(one.Decision.Action, ActionDrop)
-			is.Equal(one.Decision.Reason, ReasonPaused)
+		for _, opening := range released {
+			is.Equal(opening.Decision.Action, ActionDrop)
+			is.Equal(opening.Decision.Reason, ReasonPaused)
 		}
 		is.Equal(core.Waiting(), 0)
 	}
 }
 
-// TestTheViewChangesWhileOpeningsWait: they are decided by the new one at the next look.
-func TestTheViewChangesWhileOpeningsWait(t *testing.T) {
+// TestHeldOpeningsAreDecidedByNewView checks that the next retry decides held openings by the view
+// that has changed since.
+func TestHeldOpeningsAreDecidedByNewView(t *testing.T) {
 	draining := tokenListing(20)
 	for i := range 4 {
 		name := lb.BackendName(fmt.Sprintf("i-%d", i))
@@ -108,15 +111,15 @@
 		is.Equal(core.Waiting(), 3)
 		released := core.retryQueued(now + 10*time.Millisecond)
 		is.Equal(len(released), 3)
-		for _, one := range released {
-			is.Equal(one.Decision.Action, ActionRefuse)
-			is.Equal(one.Decision.Reason, reason)
-			is.Equal(one.Decision.Refusal.Verdict, lb.NotRun)
+		for _, opening := range released {
+			is.Equal(opening.Decision.Action, ActionRefuse)
+			is.Equal(opening.Decision.Reason, reason)
+			is.Equal(opening.Decision.Refusal.Verdict, lb.NotRun)
 		}
 	}
 }
 
-// copyHeldPacket copies the packet that waits.
+// copyHeldPacket returns a function that copies a held packet.
 func copyHeldPacket(packet *Packet) func(*admissionqueue.Waiter[heldOpening], admissionqueue.Chance) admissionqueue.Fate {
 	return func(held *admissionqueue.Waiter[heldOpening], _ admissionqueue.Chance) admissionqueue.Fate {
 		*packet = held.Kept.packet
@@ -124,9 +127,9 @@
 	}
 }
 
-// TestOtherDatagramsOfAFlowThatWaits: a repeated one waits with the first; a copy
-// is decided in its place, and so is a new opening of the same port.
-func TestOtherDatagramsOfAFlowThatWaits(t *testing.T) {
+// TestOtherDatagramsOfHeldFlow checks that a repeated datagram is dropped while the first remains
+// held, and that a later copy is decided in place of the held one.
+func TestOtherDatagramsOfHeldFlow(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 1)
 	var packet Packet
@@ -147,14 +150,15 @@
 	is.Equal(len(core.retryQueued(now+40*time.Millisecond)), 0)
 }
 
-// TestAtTheEndNothingWaits: all is decided at once, and nothing held any more.
-func TestAtTheEndNothingWaits(t *testing.T) {
+// TestCloseQueueDecidesAllHeldOpenings checks that closing the queue decides all held openings at
+// once and that no more are held afterwards.
+func TestCloseQueueDecidesAllHeldOpenings(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 3)
 	core.Step(now, &Event{CloseQueue: true}, &core.effects)
 	is.Equal(len(core.effects.Released), 3)
-	for _, one := range core.effects.Released {
-		is.True(one.Decision.Action == ActionRefuse || one.Decision.Action == ActionForward)
+	for _, opening := range core.effects.Released {
+		is.True(opening.Decision.Action == ActionRefuse || opening.Decision.Action == ActionForward)
 	}
 	for number := range uint16(100) {
 		is.True(core.send(now, holdableOpening(45000+number)).Action != ActionHold)
@@ -162,8 +166,9 @@
 	is.Equal(core.Waiting(), 0)
 }
 
-// TestWhatWaitsGoesWhereABackendHasBecomeFree, as this node sees by an answer that came quickly.
-func TestWhatWaitsGoesWhereABackendHasBecomeFree(t *testing.T) {
+// TestHeldOpeningGoesToFreedBackend checks that a held opening goes to a back end that has just
+// freed a slot, as shown by a quick reply.
+func TestHeldOpeningGoesToFreedBackend(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 2)
 	key := tokenFlow(1, 443)
@@ -179,9 +184,9 @@
 	is.Equal(core.Stats().Waited.Went, uint64(1))
 }
 
-// TestABackendThatHasGoneIsNotFree: one that is unknown by now gets nothing, nor
-// one of which something bad is known.
-func TestABackendThatHasGoneIsNotFree(t *testing.T) {
+// TestUnknownAndEjectedBackendsAreNotFree checks that freed slots of back ends that are unknown or
+// ejected by now are not used.
+func TestUnknownAndEjectedBackendsAreNotFree(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 2)
 	affinity := core.affinity.(*tokenAffinity)
@@ -197,8 +202,8 @@
 	return &frontend
 }
 
-// TestAQueueThatIsFullRefusesAtOnce, as does one that is off.
-func TestAQueueThatIsFullRefusesAtOnce(t *testing.T) {
+// TestFullQueueHoldsNoMoreOpenings checks that openings are not held once the queue is full.
+func TestFullQueueHoldsNoMoreOpenings(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 128)
 	for number := range uint16(50) {
@@ -207,9 +212,9 @@
 	is.Equal(core.Waiting(), 128)
 }
 
-// TestWhatWaitsIsRefusedOutOfReach: an opening that waits while all zones with back
-// ends are lost is decided at the next look as one that comes is: refused, but for a probe.
-func TestWhatWaitsIsRefusedOutOfReach(t *testing.T) {
+// TestHeldOpeningsToUnreachableZonesAreRefused checks that the next retry refuses held openings,
+// apart from a probe, once all zones with back ends are unreachable.
+func TestHeldOpeningsToUnreachableZonesAreRefused(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 3)
 	tracker := core.affinity.(*tokenAffinity).reachability
@@ -223,9 +228,9 @@
 	released := core.retryQueued(now)
 	is.Equal(len(released), 3)
 	refused := 0
-	for _, one := range released {
-		if one.Decision.Action == ActionRefuse {
-			is.Equal(one.Decision.Reason, ReasonUnreachable)
+	for _, opening := range released {
+		if opening.Decision.Action == ActionRefuse {
+			is.Equal(opening.Decision.Reason, ReasonUnreachable)
 			refused++
 		}
 	}
--- a/internal/core/reachability_test.go
+++ b/internal/core/reachability_test.go
@@ -11,13 +11,14 @@
 	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
-// zonedCore is a core of zone za whose back ends are in zones zb and zc, as while
-// its own are evacuated.
+// zonedCore is a core in zone za whose usable back ends are in zones zb and zc, because za is
+// evacuated.
 type zonedCore struct {
 	*tokenCore
 	now    time.Duration
 	number uint16
-	// unreachable zones answer nothing; alone: nothing is heard of the own zone.
+	// unreachable zones send no replies. If ownZoneUnreachable is set, no message arrives from the
+	// node's own zone either.
 	unreachable        map[lb.Zone]bool
 	ownZoneUnreachable bool
 }
@@ -44,7 +45,7 @@
 	return []lb.Zone{"zb", "zc"}[(decision.Identity-1)%2]
 }
 
-// open sends an opening, and the next packet of its flow if it is answered.
+// open sends an opening and, if its back end replies, the next packet of the flow.
 func (core *zonedCore) open(copies uint32) Decision {
 	core.number++
 	opening := tokenOpening(core.number, 443)
@@ -58,7 +59,7 @@
 	return decision
 }
 
-// run lets time pass with an opening each 20 ms, and counts what becomes of them.
+// run sends an opening every 20 ms for the given time and counts the decisions by zone or reason.
 func (core *zonedCore) run(lasting time.Duration) map[Reason]int {
 	counts := make(map[Reason]int)
 	for end := core.now + lasting; core.now < end; core.now += 20 * time.Millisecond {
@@ -85,9 +86,11 @@
 	return heard
 }
 
-// TestOpeningsOfACutZone: they are refused at once, first copies as not run, whether the
-// node is alone or its whole zone is cut off; a few go on as probes, which find the return.
-func TestOpeningsOfACutZone(t *testing.T) {
+// TestOpeningsToUnreachableZones checks that openings are refused at once while no zone with back
+// ends is reachable, and first copies as not run. It makes no difference whether only this node or
+// its whole zone is cut off. A few openings are still forwarded as probes, which detect when the
+// zones are reachable again.
+func TestOpeningsToUnreachableZones(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		is := is.New(t)
 		core := newZonedCore()
@@ -100,21 +103,21 @@
 		is.True(lost[ReasonUnreachable] > 200)
 		is.True(probes > 10 && probes <= 40)
 		core.run(6 * time.Second)
-		core.open(0)             // perhaps a probe
-		decision := core.open(0) // that is due no more
+		core.open(0)             // may be a probe
+		decision := core.open(0) // no further probe is due
 		is.Equal(decision.Action, ActionRefuse)
 		is.Equal(decision.Reason, ReasonUnreachable)
 		is.Equal(decision.Refusal.Verdict, lb.NotRun)
-		is.Equal(core.open(1).Refusal.Verdict, lb.MayHaveRun) // an earlier copy may have gone elsewhere
+		is.Equal(core.open(1).Refusal.Verdict, lb.MayHaveRun) // another node may have forwarded an earlier copy
 		clear(core.unreachable)
 		core.run(time.Second)
 		is.Equal(core.run(time.Second)[ReasonUnreachable], 0)
 	}
 }
 
-// TestFlowsGoToZonesInReach: none is refused while a zone answers, though more than
-// half of the back ends are silent, and the other gets probes only.
-func TestFlowsGoToZonesInReach(t *testing.T) {
+// TestFlowsGoToReachableZones checks that no opening is refused while one zone replies, although
+// half of the back ends are unresponsive, and that the unreachable zone receives only probes.
+func TestFlowsGoToReachableZones(t *testing.T) {
 	is := is.New(t)
 	core := newZonedCore()
 	core.run(2 * time.Second)
@@ -128,9 +131,9 @@
 	}
 }
 
-// TestSharesOfAZoneOutOfReach: where all flows were to go to a zone that is cut off
-// meanwhile, those in reach get them.
-func TestSharesOfAZoneOutOfReach(t *testing.T) {
+// TestZoneWeightsOfUnreachableZone checks that flows go to reachable zones if the zone weights send
+// all of them to a zone that has become unreachable.
+func TestZoneWeightsOfUnreachableZone(t *testing.T) {
 	for _, picking := range []Picking{PickSubset, PickRank} {
 		is := is.New(t)
 		core := newZonedCore()
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -13,10 +13,10 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// zoneNodes and zoneHosts are those of handCore.
+// zoneNodes and zoneHosts are the numbers of nodes and hosts per zone in subsetCore.
 const zoneNodes, zoneHosts = 24, 40
 
-// subsetCore is one of the nodes of zone-1, before hosts of three zones.
+// subsetCore returns one of the nodes of zone-1, with hosts in three zones.
 func subsetCore(rank int) *Core {
 	settings := DefaultSettings(lb.NodeID(fmt.Sprintf("n%d", rank)), "zone-1")
 	settings.Affinity = AffinityToken
@@ -45,8 +45,9 @@
 	return Packet{Key: lb.NewFlowKey(source, tokenFrontend(443), lb.TCP), Kind: PacketOpening, OpeningID: 7}
 }
 
-// TestNodesDealToHandsOfTheirOwn: few hosts of the own zone each, all of them together.
-func TestNodesDealToHandsOfTheirOwn(t *testing.T) {
+// TestNodesUseOwnSubsets checks that each node sends flows to few hosts of the local zone, and that
+// all nodes together use every host evenly.
+func TestNodesUseOwnSubsets(t *testing.T) {
 	is := is.New(t)
 	all := map[uint64]int{}
 	for rank := range zoneNodes {
@@ -65,13 +66,13 @@
 	}
 	is.Equal(len(all), zoneHosts)
 	for _, count := range all {
-		is.True(count > 150 && count < 320) // 24 nodes, 400 openings, 40 hosts: 235 of the own zone
+		is.True(count > 150 && count < 320) // 235 on average: 24 nodes with 400 openings each, 40 hosts in the local zone
 	}
 }
 
-// TestCopiesStayWhileTurnsGoOn: a copy of an opening goes where the first went,
-// whatever came in between, and whoever has joined the zone since.
-func TestCopiesStayWhileTurnsGoOn(t *testing.T) {
+// TestCopiesKeepBackendWhileRoundRobinAdvances checks that a copy of an opening goes to the same
+// back end as the first copy, even if other openings came in between or a node has joined the zone.
+func TestCopiesKeepBackendWhileRoundRobinAdvances(t *testing.T) {
 	is := is.New(t)
 	core := subsetCore(3)
 	var effects Effects
@@ -90,25 +91,25 @@
 	}
 }
 
-// TestHandsOfServicesThatAreGoneAreForgotten, so that their number is bounded.
-func TestHandsOfServicesThatAreGoneAreForgotten(t *testing.T) {
+// TestPickersOfDeletedServicesAreRemoved checks that the number of subset pickers stays bounded.
+func TestPickersOfDeletedServicesAreRemoved(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
 	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "docs", 2, lb.BackendActive)))
 	core.send(0, tokenOpening(1, 443))
 	core.send(0, tokenOpening(1, 8443))
-	dealers := func() int { return len(core.affinity.(*tokenAffinity).subsets.byService) }
-	is.Equal(dealers(), 2)
+	pickers := func() int { return len(core.affinity.(*tokenAffinity).subsets.byService) }
+	is.Equal(pickers(), 2)
 	replica := view.NewReplica()
 	listing := tokenListing(12, tokenBackend("i-1", "web", 1, lb.BackendActive))
 	listing.Configuration.Configuration.Routes = listing.Configuration.Configuration.Routes[:1]
 	replica.ApplyListing(time.Second, listing)
 	core.Step(time.Second, &Event{Table: steering.Compile(replica, "za", time.Second)}, &core.effects)
-	is.Equal(dealers(), 1)
+	is.Equal(pickers(), 1)
 }
 
-// BenchmarkOpeningByToken places openings among 120 back ends of three zones, at
-// one of 24 nodes of its zone.
+// BenchmarkOpeningByToken places openings among 120 back ends of three zones, at one of 24 nodes of
+// its zone.
 func BenchmarkOpeningByToken(b *testing.B) {
 	core := subsetCore(1)
 	var effects Effects
--- a/internal/core/token.go
+++ b/internal/core/token.go
@@ -65,7 +65,7 @@
 	a.table = table
 	a.subsets.retain(table.HasService)
 	a.reachability.Forget(table.HasZone)
-	present := func(run uint64) bool { return table.HostOfRun(run) != nil }
+	present := func(instance uint64) bool { return table.HostOfRun(instance) != nil }
 	a.coldStart.Forget(func(identity coldstart.Identity) bool { return present(uint64(identity)) })
 	a.observer.Forget(func(identity passivehealth.Identity) bool { return present(uint64(identity)) })
 	a.overload.Forget(a.core.now, func(identity overload.Identity) bool { return present(uint64(identity)) }, table.HasService)
@@ -75,11 +75,11 @@
 }
 
 func (a *tokenAffinity) setMembers(members []Member) {
-	coldMembers := make([]coldstart.Member, len(members))
+	coldStartMembers := make([]coldstart.Member, len(members))
 	for index, member := range members {
-		coldMembers[index] = coldstart.Member{ID: member.ID, Leaving: member.Leaving}
+		coldStartMembers[index] = coldstart.Member{ID: member.ID, Leaving: member.Leaving}
 	}
-	a.coldStart.SetMembers(a.core.now, coldMembers)
+	a.coldStart.SetMembers(a.core.now, coldStartMembers)
 	a.subsets.setMembers(a.core.settings.Self, members)
 	a.reachability.SetNodes(len(members))
 }
@@ -124,7 +124,7 @@
 	case a.table == nil:
 		decision.drop(ReasonNoView)
 	case packet.Kind == PacketOpening:
-		if !a.isDuplicateOfHeld(packet, decision) {
+		if !a.resolveDuplicate(packet, decision) {
 			a.decideOpening(packet, decision)
 		}
 	default:
--- a/internal/core/token_test.go
+++ b/internal/core/token_test.go
@@ -26,7 +26,7 @@
 	}}
 }
 
-// tokenListing sends port 443 to web and port 8443 to docs.
+// tokenListing returns a listing that routes port 443 to web and port 8443 to docs.
 func tokenListing(revision int64, backends ...view.StoredBackend) *view.Listing {
 	configuration := view.Configuration{Version: 1}
 	for index, service := range []lb.ServiceName{"web", "docs"} {
@@ -45,7 +45,7 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), port)
 }
 
-// tokenCore is a core with a view.
+// tokenCore is a core with AffinityToken and its view.
 type tokenCore struct {
 	*Core
 	replica *view.Replica
@@ -77,7 +77,7 @@
 	return Packet{Key: tokenFlow(number, port), Kind: PacketOpening, OpeningID: 7}
 }
 
-func TestTokenBeforeAnyView(t *testing.T) {
+func TestPacketsBeforeAnyViewAreDropped(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
 	for _, packet := range []Packet{tokenOpening(1, 443), {Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: 5}} {
@@ -101,7 +101,7 @@
 		{"unknown front end", tokenOpening(1, 80), 0, ActionRefuse, ReasonUnknownService, lb.NotRun},
 		{"a copy may have been forwarded elsewhere", tokenOpening(1, 80), 1, ActionRefuse, ReasonUnknownService, lb.MayHaveRun},
 		{"no back end", tokenOpening(1, 8443), 0, ActionRefuse, ReasonNoBackend, lb.NotRun},
-		{"token that nobody gave", Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: 12345}, 0, ActionDrop, ReasonUnknownToken, 0},
+		{"token that was never issued", Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: 12345}, 0, ActionDrop, ReasonUnknownToken, 0},
 		{"no token", Packet{Key: tokenFlow(1, 443), Kind: PacketClosing}, 0, ActionDrop, ReasonUnknownToken, 0},
 	}
 	for _, test := range cases {
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestOpeningsOfEvacuatedServicesAreRefusedAtOnce: no back end gets them, and the
-// first copy is known not to have run. Open flows go on.
+// TestOpeningsOfEvacuatedServicesAreRefusedAtOnce checks that no back end of an evacuated service
+// receives openings, and that first copies are refused as not run. Open flows continue.
 func TestOpeningsOfEvacuatedServicesAreRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
@@ -139,14 +139,15 @@
 	is.Equal(refused.Action, ActionRefuse)
 	is.Equal(refused.Reason, ReasonEvacuated)
 	is.Equal(refused.Refusal.Verdict, lb.NotRun)
-	copied := core.send(time.Second, tokenOpening(1, 443)) // a copy would open a flow there, too
+	copied := core.send(time.Second, tokenOpening(1, 443)) // forwarding a copy would open a flow, too
 	is.Equal(copied.Action, ActionRefuse)
-	later := core.send(time.Second, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
-	is.Equal(later.Action, ActionForward)
-	is.Equal(later.Identity, uint64(1))
+	laterDecision := core.send(time.Second, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
+	is.Equal(laterDecision.Action, ActionForward)
+	is.Equal(laterDecision.Identity, uint64(1))
 }
 
-// coldListing has one service whose back ends bear a new flow a second while cold.
+// coldListing returns a listing with one service whose back ends accept one new flow per second
+// while they are cold.
 func coldListing(revision int64, cold ...time.Duration) *view.Listing {
 	listing := tokenListing(revision)
 	listing.Configuration.Configuration.ColdRates = []view.ColdRate{{Service: "web", PerSecond: 1}}
@@ -159,8 +160,9 @@
 	return listing
 }
 
-// TestColdBackendsGetFewFlows: none while others are ready; where none is, what this
-// node's part of the bound allows, and the rest is refused at once as not run.
+// TestColdBackendsGetFewFlows checks that cold back ends receive no flows while others are ready.
+// If none is ready, they receive this node's part of their limit, and other openings are refused at
+// once as not run.
 func TestColdBackendsGetFewFlows(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
@@ -175,7 +177,7 @@
 	now := 1800 * time.Millisecond
 	core.list(0, coldListing(10, time.Hour))
 	core.list(now/2, coldListing(10, time.Hour))
-	core.list(now, coldListing(11, time.Hour)) // the other one is no last resort any more
+	core.list(now, coldListing(11, time.Hour)) // the other back end no longer serves as a last resort
 	forwarded := 0
 	for number := range uint16(100) {
 		decision := core.send(now, tokenOpening(number+200, 443))
@@ -191,10 +193,10 @@
 	is.Equal(core.send(now+time.Second, tokenOpening(400, 443)).Action, ActionForward)
 }
 
-// TestTokenKeepsFlowsWhileViewsChange: any node that knows the flow's back end
-// sends its packets there, whatever else its view says, and no packet goes to
-// a service that its front end did not name when the flow was opened.
-func TestTokenKeepsFlowsWhileViewsChange(t *testing.T) {
+// TestFlowsKeepBackendWhileViewsChange checks that every node that knows a flow's back end sends
+// the flow's packets there, whatever else its view contains. No packet may go to a service to which
+// its front end was not routed when the flow was opened.
+func TestFlowsKeepBackendWhileViewsChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []*tokenCore{newTokenCore(), newTokenCore(), newTokenCore()}
 		var history []*view.Listing
@@ -271,7 +273,7 @@
 	})
 }
 
-// BenchmarkTokenFollow is the decision on a later packet.
+// BenchmarkTokenFollow measures the decision on a later packet.
 func BenchmarkTokenFollow(b *testing.B) {
 	core := newTokenCore()
 	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive)))
@@ -287,53 +289,54 @@
 	}
 }
 
-// TestRestartedBackendIsAStranger: the load is that of back ends that crash and start again
-// under their names. What was learned of the old run, and is told of it late, does not
-// hold the new one back. Packets of the old run's flows go to it, which resets them at
-// once: their callers learn that they are gone without waiting.
-func TestRestartedBackendIsAStranger(t *testing.T) {
+// TestRestartedBackendHasNoStateOfPreviousInstance covers back ends that crash and restart under
+// their names. Outcomes and late ejections of the previous instance must not reduce the traffic of
+// the new one. Packets of the previous instance's flows go to the new one, which resets them, so
+// that clients learn at once that these flows are lost.
+func TestRestartedBackendHasNoStateOfPreviousInstance(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
-	core.settings.PauseLimit = time.Hour // the test passes over minutes
+	core.settings.PauseLimit = time.Hour // the test skips minutes
 	observer := core.affinity.(*tokenAffinity).observer
 	old := tokenBackend("i-1", "web", 1, lb.BackendActive)
 	old.Backend.Born = 1000
 	core.list(0, tokenListing(9, old))
-	run := passivehealth.Identity(old.Backend.Run())
+	oldInstance := passivehealth.Identity(old.Backend.Run())
 	opened := core.send(0, tokenOpening(1, 443))
 	is.Equal(opened.Action, ActionForward)
-	is.Equal(opened.Identity, uint64(1)) // what packets say does not change with the run
+	is.Equal(opened.Identity, uint64(1)) // the identity in packets does not change with the instance
 	core.Step(200*time.Millisecond, &Event{Tick: true}, &core.effects)
-	is.Equal(observer.Factor(200*time.Millisecond, "web", run), 0.0) // it has left the opening unanswered
-	is.Equal(observer.Busy(run), 1)
+	is.Equal(observer.Factor(200*time.Millisecond, "web", oldInstance), 0.0) // the back end has left the opening unanswered
+	is.Equal(observer.Busy(oldInstance), 1)
 
 	restarted := old
 	restarted.Revision = 10
 	restarted.Backend.Born = 2000
 	core.list(200*time.Millisecond, tokenListing(10, restarted))
-	core.Step(200*time.Millisecond, &Event{Ejected: []passivehealth.Identity{run}}, &core.effects) // a late verdict
-	started := passivehealth.Identity(restarted.Backend.Run())
-	is.Equal(observer.Factor(200*time.Millisecond, "web", started), 1.0)
-	is.Equal(observer.Busy(started), 0)
-	is.Equal(observer.Busy(run), 0)
+	core.Step(200*time.Millisecond, &Event{Ejected: []passivehealth.Identity{oldInstance}}, &core.effects) // a late ejection
+	newInstance := passivehealth.Identity(restarted.Backend.Run())
+	is.Equal(observer.Factor(200*time.Millisecond, "web", newInstance), 1.0)
+	is.Equal(observer.Busy(newInstance), 0)
+	is.Equal(observer.Busy(oldInstance), 0)
 	is.Equal(core.send(200*time.Millisecond, tokenOpening(2, 443)).Action, ActionForward)
 
-	busy := observer.Busy(started)
-	later := core.send(200*time.Millisecond, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token, HasData: true})
-	is.Equal(later.Action, ActionForward)
-	is.Equal(later.Identity, uint64(1))
-	is.Equal(later.Token, opened.Token)
-	is.Equal(observer.Busy(started), busy) // it will reset the flow, not answer
+	busy := observer.Busy(newInstance)
+	laterDecision := core.send(200*time.Millisecond, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token, HasData: true})
+	is.Equal(laterDecision.Action, ActionForward)
+	is.Equal(laterDecision.Identity, uint64(1))
+	is.Equal(laterDecision.Token, opened.Token)
+	is.Equal(observer.Busy(newInstance), busy) // the back end resets the flow, so no reply is outstanding
 	is.Equal(len(core.effects.Outcomes), 0)
 
-	core.replica.Prune(time.Second + view.GoneRetention) // callers have given up by then
+	core.replica.Prune(time.Second + view.GoneRetention) // clients have given up by then
 	core.Step(2*view.GoneRetention, &Event{Table: steering.Compile(core.replica, "za", 2*view.GoneRetention)}, &core.effects)
 	forgotten := core.send(2*view.GoneRetention, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
 	is.Equal(forgotten.Reason, ReasonUnknownToken)
 }
 
-// TestRestartUnderAnotherServiceGetsNoPacketOfTheOld: its name and number are the same.
-func TestRestartUnderAnotherServiceGetsNoPacketOfTheOld(t *testing.T) {
+// TestRestartUnderOtherServiceGetsNoOldPackets covers a back end that restarts for another service
+// under the same name and identity.
+func TestRestartUnderOtherServiceGetsNoOldPackets(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
 	old := tokenBackend("i-1", "web", 1, lb.BackendActive)
@@ -344,14 +347,14 @@
 	restarted.Revision = 10
 	restarted.Backend.Born, restarted.Backend.Service = 2000, "docs"
 	core.list(time.Second, tokenListing(10, restarted))
-	later := core.send(time.Second, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
-	is.Equal(later.Action, ActionDrop)
-	is.Equal(later.Reason, ReasonUnknownToken)
+	laterDecision := core.send(time.Second, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
+	is.Equal(laterDecision.Action, ActionDrop)
+	is.Equal(laterDecision.Reason, ReasonUnknownToken)
 }
 
-// lateAnswerCore has three back ends, and a flow whose first copy one of them has left
-// unanswered until a copy was placed at another. It gives the decisions on both.
-func lateAnswerCore(is *is.I) (core *tokenCore, first, second Decision) {
+// lateReplyCore returns a core with three back ends and a flow whose first copy was left unanswered
+// until a second copy was placed at another back end. It also returns the decisions on both copies.
+func lateReplyCore(is *is.I) (core *tokenCore, first, second Decision) {
 	core = newTokenCore()
 	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive),
 		tokenBackend("i-2", "web", 2, lb.BackendActive), tokenBackend("i-3", "web", 3, lb.BackendActive)))
@@ -363,16 +366,16 @@
 	return core, first, second
 }
 
-// laterPacket is a packet of the flow of lateAnswerCore.
+// laterPacket returns a later packet of the flow of lateReplyCore.
 func laterPacket(token steering.Token, acknowledged uint32) Packet {
 	return Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: token, Acknowledged: acknowledged, HasData: true}
 }
 
-// TestLateAnswerMovesNoFlow guards against resets of open flows: a back end that answers an earlier
-// copy late has the caller repeat its token.
-func TestLateAnswerMovesNoFlow(t *testing.T) {
+// TestLateReplyDoesNotMoveFlow guards against resets of open flows: a back end replies late to an
+// earlier copy, and the client then repeats that back end's token.
+func TestLateReplyDoesNotMoveFlow(t *testing.T) {
 	is := is.New(t)
-	core, first, second := lateAnswerCore(is)
+	core, first, second := lateReplyCore(is)
 	decision := core.send(202*time.Millisecond, laterPacket(second.Token, 5001))
 	is.Equal(decision.Corrected, false)
 	decision = core.send(300*time.Millisecond, laterPacket(first.Token, 5001))
@@ -382,16 +385,18 @@
 	is.Equal(core.Tracked().Corrected, uint64(1))
 }
 
-// TestSlowAnswerOpensTheFlow: the caller may accept the answer to the first copy.
-func TestSlowAnswerOpensTheFlow(t *testing.T) {
+// TestSlowReplyToFirstCopyOpensFlow covers a client that accepts the reply to the first copy
+// although a second copy was placed.
+func TestSlowReplyToFirstCopyOpensFlow(t *testing.T) {
 	is := is.New(t)
-	core, first, second := lateAnswerCore(is)
+	core, first, second := lateReplyCore(is)
 	is.Equal(core.send(202*time.Millisecond, laterPacket(first.Token, 5001)).Identity, first.Identity)
 	is.Equal(core.send(203*time.Millisecond, laterPacket(second.Token, 5001)).Identity, first.Identity)
 }
 
-// secondBalancerCore has two back ends, and has placed the first copy of the flow of lateAnswerCore at one of
-// them. It gives that decision, and the one by which another balancer would place a copy at the other.
+// secondBalancerCore returns a core with two back ends that has placed the first copy of the flow
+// of lateReplyCore at one of them. It also returns that decision and the decision with which
+// another balancer would place a copy at the other back end.
 func secondBalancerCore() (core *tokenCore, first, other Decision) {
 	core = newTokenCore()
 	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive)))
@@ -402,30 +407,31 @@
 	return core, first, Decision{Identity: host.Identity, Token: host.Token(&frontend)}
 }
 
-// TestLateAnswerMovesNoFlowOpenedElsewhere: the copy that opened the flow was placed by
-// another balancer, and the flow's packets come to this one later.
-func TestLateAnswerMovesNoFlowOpenedElsewhere(t *testing.T) {
+// TestLateReplyDoesNotMoveFlowOpenedByOtherBalancer covers a flow whose opening copy was placed by
+// another balancer and whose later packets arrive here.
+func TestLateReplyDoesNotMoveFlowOpenedByOtherBalancer(t *testing.T) {
 	is := is.New(t)
 	core, first, other := secondBalancerCore()
 	is.Equal(core.send(300*time.Millisecond, laterPacket(other.Token, 5001)).Identity, other.Identity)
 	is.Equal(core.send(400*time.Millisecond, laterPacket(first.Token, 5001)).Identity, other.Identity)
 }
 
-// TestLateAnswerOfAnotherBalancersHostMovesNoFlow: the first copy opened the flow here, and a second one
-// was placed elsewhere by another balancer.
-func TestLateAnswerOfAnotherBalancersHostMovesNoFlow(t *testing.T) {
+// TestLateReplyToCopyOfOtherBalancerDoesNotMoveFlow covers a flow that the first copy opened here
+// while another balancer placed a second copy at another back end.
+func TestLateReplyToCopyOfOtherBalancerDoesNotMoveFlow(t *testing.T) {
 	is := is.New(t)
 	core, first, other := secondBalancerCore()
 	is.Equal(core.send(220*time.Millisecond, laterPacket(first.Token, 5001)).Identity, first.Identity)
 	moved := core.send(300*time.Millisecond, laterPacket(other.Token, 5400))
 	is.Equal(moved.Identity, first.Identity)
 	is.True(moved.Corrected)
-	// A new flow of the same ports has other acknowledgements, or begins here.
+	// A new flow with the same ports has distant acknowledgement numbers, or its opening arrives here.
 	is.Equal(core.send(400*time.Millisecond, laterPacket(other.Token, 1<<31)).Identity, other.Identity)
 }
 
-// TestReopenedPortsGoByTheNewToken: what was known of the flow before does not count.
-func TestReopenedPortsGoByTheNewToken(t *testing.T) {
+// TestReusedPortsUseNewToken checks that the state of an earlier flow with the same ports has no
+// effect.
+func TestReusedPortsUseNewToken(t *testing.T) {
 	is := is.New(t)
 	core, first, _ := secondBalancerCore()
 	core.send(10*time.Millisecond, laterPacket(first.Token, 5001))
@@ -438,10 +444,10 @@
 	}
 }
 
-// TestNewFlowOfTheSamePortsGoesByItsToken: also one that another balancer has placed.
-func TestNewFlowOfTheSamePortsGoesByItsToken(t *testing.T) {
+// TestNewFlowWithSamePortsUsesItsToken also covers a new flow that another balancer has placed.
+func TestNewFlowWithSamePortsUsesItsToken(t *testing.T) {
 	is := is.New(t)
-	core, first, second := lateAnswerCore(is)
+	core, first, second := lateReplyCore(is)
 	core.send(202*time.Millisecond, laterPacket(second.Token, 5001))
 	is.Equal(core.send(time.Second, laterPacket(first.Token, 1<<31)).Identity, first.Identity)
 	core.send(2*time.Second, laterPacket(second.Token, 5001))
@@ -451,9 +457,10 @@
 	is.Equal(core.send(4*time.Second, laterPacket(first.Token, 5001)).Identity, first.Identity)
 }
 
-// TestCopiesAreNoProbes guards against openings that go unanswered while back ends answer: a copy does not go to
-// a back end that left openings unanswered and has not answered since, though new openings try it again.
-func TestCopiesAreNoProbes(t *testing.T) {
+// TestCopiesDoNotProbeUnresponsiveBackends guards against openings that remain unanswered although
+// other back ends reply. New openings probe a back end that has left openings unanswered and has
+// not replied since, but copies must not.
+func TestCopiesDoNotProbeUnresponsiveBackends(t *testing.T) {
 	is := is.New(t)
 	for steps := range 60 {
 		s := &coreWithSilentBackends{tokenCore: newTokenCore()}
@@ -476,16 +483,16 @@
 	}
 }
 
-// lastSilentIdentity is the identity of the last back end that leaves everything unanswered.
+// lastSilentIdentity is the highest identity of the back ends that never reply.
 const lastSilentIdentity = 2
 
-// coreWithSilentBackends is a core two of whose four back ends are silent.
+// coreWithSilentBackends is a core with four back ends, two of which never reply.
 type coreWithSilentBackends struct {
 	*tokenCore
 	number uint16 // of the last flow
 }
 
-// open opens a flow, if its back end answers.
+// open opens a flow and, if its back end replies, sends the next packet.
 func (s *coreWithSilentBackends) open(now time.Duration) Decision {
 	s.number++
 	decision := s.send(now, tokenOpening(s.number, 443))
