--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -28,7 +28,7 @@
 const (
 	// PacketOpening opens a flow: TCP SYN without ACK.
 	PacketOpening PacketKind = iota + 1
-	// PacketMiddle belongs to a TCP flow opened before.
+	// PacketMiddle is a packet of a TCP flow that neither opens nor ends the flow.
 	PacketMiddle
 	// PacketClosing is a TCP FIN or RST sent by the client.
 	PacketClosing
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -7,8 +7,8 @@
 
 // Sizes of encoded messages, estimated from the codec of package message.
 const (
-	messageBytes = 120 // of a message without flows
-	flowBytes    = 25  // of one FlowRecord with its idle time
+	messageBytes = 120 // size of a message without flows
+	flowBytes    = 25  // size of one FlowRecord with its idle time
 )
 
 // hintsPerMessage limits the flows in one message of hints.
--- a/internal/core/network_test.go
+++ b/internal/core/network_test.go
@@ -77,7 +77,7 @@
 	clients             map[lb.FlowKey]*clientFlow
 	openings            map[openingKey]*opening
 	violations          []violation
-	membershipChangedAt time.Duration // when the membership last changed
+	membershipChangedAt time.Duration
 	// interrupted is set once a node has died or paused.
 	interrupted bool
 	// dieAfterStop makes a node die as soon as the present planned stop ends.
@@ -125,11 +125,11 @@
 	return time.Duration(low+network.random.IntN(high-low+1)) * time.Millisecond
 }
 
-func (network *network) chance(chance int) bool { return network.random.IntN(100) < chance }
+func (network *network) chance(percent int) bool { return network.random.IntN(100) < percent }
 
-func (network *network) violate(broken property, format string, arguments ...any) {
+func (network *network) violate(violated property, format string, arguments ...any) {
 	detail := fmt.Sprintf("%v: ", network.now) + fmt.Sprintf(format, arguments...)
-	network.violations = append(network.violations, violation{broken, detail})
+	network.violations = append(network.violations, violation{violated, detail})
 }
 
 // send delivers over the unreliable network, which loses, delays and duplicates messages.
--- a/internal/core/packet.go
+++ b/internal/core/packet.go
@@ -18,7 +18,7 @@
 	service  *service
 	group    *group
 	bucket   *bucket // nil if this node has no state of the bucket
-	index    uint16  // of the bucket
+	index    uint16  // index of bucket in the service
 	flow     lb.FlowID
 	key      lb.FrontendKey
 }
--- a/internal/core/property_test.go
+++ b/internal/core/property_test.go
@@ -47,7 +47,7 @@
 type change struct {
 	At     time.Duration
 	Action action
-	Hosts  string // of a move
+	Hosts  string // back ends of a move
 }
 
 // plan is one schedule. Seed determines how the network treats each packet.
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -90,14 +90,14 @@
 	Records       int            `json:"records"`
 	Pins          int            `json:"pins"`
 	KnownUDP      int            `json:"known_udp"`
-	Bytes         int            `json:"bytes"` // of records, pins and known flows
+	Bytes         int            `json:"bytes"` // memory for records, pins and known UDP flows
 }
 
 // HandoverState is the progress of a handover to one node.
 type HandoverState struct {
 	Node           lb.NodeID `json:"node"`
-	Buckets        int       `json:"buckets"` // to be read
-	Flows          int       `json:"flows"`   // to be sent
+	Buckets        int       `json:"buckets"` // buckets still to be read
+	Flows          int       `json:"flows"`   // flows still to be sent
 	Unacknowledged int       `json:"unacknowledged"`
 }
 
--- a/internal/core/sweeper.go
+++ b/internal/core/sweeper.go
@@ -10,8 +10,8 @@
 
 // sweeper removes expired records from a few buckets per tick.
 type sweeper struct {
-	service int      // index in Core.ordered
-	indexes []uint16 // of its buckets that are still to be looked at
+	service int      // index in Core.servicesByName
+	indexes []uint16 // buckets of the service that are still to be swept
 	sweptAt time.Duration
 }
 
