--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -67,7 +67,7 @@
 }
 
 // claimFreeSlot claims a slot at a back end that has just freed one. It returns nil if there is
-// none, or if the back end is a suspect, unresponsive or unreachable.
+// none, or if the back end is ejected, a suspect, unknown or unreachable.
 func (a *tokenAffinity) claimFreeSlot(service *steering.Service, frontend *lb.FrontendKey) *steering.Host {
 	objective, _ := a.table.Objective(frontend)
 	identity, found := a.freeSlots.Claim(a.core.now, service.Name, objective)
@@ -222,9 +222,9 @@
 	Time time.Duration
 }
 
-func (waits *Waits) add(waited time.Duration, went bool) {
+func (waits *Waits) add(waited time.Duration, forwarded bool) {
 	waits.Time += waited
-	if went {
+	if forwarded {
 		waits.Went++
 	}
 }
