--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -27,7 +27,7 @@
 	return targets
 }
 
-// testPlacements gives the documents of a move from the back ends before to those after.
+// testPlacements returns the documents of a move from the back ends in before to those in after.
 func testPlacements(tb testing.TB, before, after string) (calm, prepared, committed, settled *lb.Placement) {
 	tb.Helper()
 	must := func(document *lb.Placement, err error) *lb.Placement {
@@ -55,17 +55,17 @@
 
 func benchCore(b *testing.B, documents ...*lb.Placement) *Core {
 	b.Helper()
-	core := New(unhurried("a", "1"))
+	core := New(settingsWithoutPauses("a", "1"))
 	var effects Effects
 	core.Step(0, &Event{Members: testMembers}, &effects)
 	for _, document := range documents {
 		core.Step(0, &Event{Placement: document}, &effects)
 	}
-	core.joinedAt = -joinHold // long since a member
+	core.joinedAt = -joinGracePeriod // the grace period after joining is over
 	return core
 }
 
-// benchPackets runs the packets in turn and checks that all get the action.
+// benchPackets decides the packets in turn and checks that every decision has the wanted action.
 func benchPackets(b *testing.B, core *Core, packets []Packet, want Action) {
 	b.Helper()
 	var effects Effects
@@ -82,7 +82,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "decisions/s")
 }
 
-// flowsWhere gives packets of count flows whose bucket has the property.
+// flowsWhere returns one packet for each of count flows whose buckets satisfy chosen.
 func flowsWhere(count int, kind PacketKind, chosen func(index uint16) bool) []Packet {
 	var packets []Packet
 	for number := 0; len(packets) < count; number++ {
@@ -106,7 +106,7 @@
 	calm, _, _, _ := testPlacements(b, "ABCDEF", "ABCDE")
 	core := benchCore(b, calm)
 	service := core.services[testService]
-	packets := flowsWhere(benchFlows, PacketOpening, func(index uint16) bool { return core.heads(core.groupOf(service, index)) })
+	packets := flowsWhere(benchFlows, PacketOpening, func(index uint16) bool { return core.isHead(core.groupOf(service, index)) })
 	benchPackets(b, core, packets, ActionRelay)
 }
 
@@ -114,7 +114,7 @@
 	calm, _, _, _ := testPlacements(b, "ABCDEF", "ABCDE")
 	core := benchCore(b, calm)
 	service := core.services[testService]
-	packets := flowsWhere(benchFlows, PacketOpening, func(index uint16) bool { return !core.heads(core.groupOf(service, index)) })
+	packets := flowsWhere(benchFlows, PacketOpening, func(index uint16) bool { return !core.isHead(core.groupOf(service, index)) })
 	benchPackets(b, core, packets, ActionRelay)
 }
 
@@ -134,7 +134,7 @@
 	core := benchCore(b, calm, prepared, committed)
 	service := core.services[testService]
 	packets := flowsWhere(benchFlows, PacketMiddle, func(index uint16) bool {
-		return service.table.InMotion(index) && !core.heads(core.groupOf(service, index))
+		return service.table.InMotion(index) && !core.isHead(core.groupOf(service, index))
 	})
 	pins := message.Pins{Service: testService}
 	for index := range packets {
@@ -147,9 +147,9 @@
 	benchPackets(b, core, packets, ActionForward)
 }
 
-// BenchmarkStatePerFlow opens flows through head and tail and reports the bytes
-// of state, and the control bytes, for each, after the openings have been
-// forgotten as retransmissions: in buckets that moved and in others.
+// BenchmarkStatePerFlow opens flows through head and tail. It reports the bytes of state and the
+// bytes of control messages per flow, in buckets that moved and in others. The state is measured
+// again after OpeningHold, when the openings can no longer be retransmitted.
 func BenchmarkStatePerFlow(b *testing.B) {
 	for _, moved := range []bool{false, true} {
 		name := "unmoved"
@@ -167,7 +167,7 @@
 func benchState(b *testing.B, moved bool) {
 	calm, prepared, committed, _ := testPlacements(b, "ABCDEF", "ABCDE")
 	pair := []*Core{benchCore(b, calm, prepared, committed), nil}
-	pair[1] = New(unhurried("b", "2"))
+	pair[1] = New(settingsWithoutPauses("b", "2"))
 	var effects Effects
 	now := time.Second
 	for _, member := range []Event{{Members: testMembers}, {Placement: committed}} {
--- a/internal/core/chain_test.go
+++ b/internal/core/chain_test.go
@@ -10,9 +10,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TestChainsAreThoseOfTheWholeMembership changes the membership at random and
-// compares every chain, however it was mended, with one ranked afresh.
-func TestChainsAreThoseOfTheWholeMembership(t *testing.T) {
+// TestIncrementalChainsEqualFullRanking changes the membership at random and compares every
+// incrementally updated chain with a ranking of all nodes.
+func TestIncrementalChainsEqualFullRanking(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	core := New(DefaultSettings("node-0", "zone-0"))
@@ -35,12 +35,12 @@
 		core.Step(0, &Event{Members: members}, &effects)
 		for index := range core.groups {
 			key := core.groupsKey.BucketKey(uint16(index))
-			is.Equal(core.groups[index].chain, rank(key, core.members.eligible, core.members.candidates))
+			is.Equal(core.groups[index].chain, rankChain(key, core.members.eligible, core.members.candidates))
 		}
 	}
 }
 
-// BenchmarkJoin840 adds one node to 839 and takes it away again.
+// BenchmarkJoin840 adds one node to 839 nodes and removes it again.
 func BenchmarkJoin840(b *testing.B) {
 	core := New(DefaultSettings("node-0", "zone-0"))
 	var effects Effects
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -10,9 +10,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// crowdedCore is a core whose web service is overloaded: its requests take 300 ms
-// in place of 20. It gives the time, and a flow that is open.
-func crowdedCore(t testing.TB, backends int) (core *tokenCore, now time.Duration, open Packet) {
+// overloadedCore returns a core whose web service is overloaded: its requests take 300 ms instead
+// of 20 ms. It also returns the time and a packet of an open flow.
+func overloadedCore(t testing.TB, backends int) (core *tokenCore, now time.Duration, open Packet) {
 	is := is.New(t)
 	core = newTokenCore()
 	listing := tokenListing(9)
@@ -48,7 +48,7 @@
 	return core, now, open
 }
 
-// refusals counts what becomes of openings at one moment.
+// refusals sends openings at one moment and counts the refused ones.
 func refusals(core *tokenCore, now time.Duration, openings int, copies uint32) (refused int, last Decision) {
 	for i := range openings {
 		packet := tokenOpening(uint16(40000+i), 443)
@@ -61,11 +61,12 @@
 	return refused, last
 }
 
-// TestOverloadRefusesFirstCopiesOnly: at once, as not run, with a time to come
-// back; a later copy may have been forwarded by another node before.
+// TestOverloadRefusesFirstCopiesOnly checks that first copies are refused at once as not run, with
+// a retry time. Later copies are not refused, because another node may have forwarded an earlier
+// copy.
 func TestOverloadRefusesFirstCopiesOnly(t *testing.T) {
 	is := is.New(t)
-	core, now, _ := crowdedCore(t, 4)
+	core, now, _ := overloadedCore(t, 4)
 	refused, decision := refusals(core, now, 200, 0)
 	is.True(refused > 150)
 	is.Equal(decision.Reason, ReasonOverload)
@@ -76,20 +77,21 @@
 	is.Equal(refused, 0)
 }
 
-// TestOverloadTouchesNoOpenFlow: later packets are forwarded as ever.
-func TestOverloadTouchesNoOpenFlow(t *testing.T) {
+// TestOverloadDoesNotAffectOpenFlows checks that all later packets of open flows are still
+// forwarded.
+func TestOverloadDoesNotAffectOpenFlows(t *testing.T) {
 	is := is.New(t)
-	core, now, open := crowdedCore(t, 4)
+	core, now, open := overloadedCore(t, 4)
 	for i := range 100 {
 		open.Acknowledged, open.HasData = uint32(10+i), i%2 == 0
 		is.Equal(core.send(now, open).Action, ActionForward)
 	}
 }
 
-// TestOverloadOfOneServiceIsNotThatOfAnother on the same node.
-func TestOverloadOfOneServiceIsNotThatOfAnother(t *testing.T) {
+// TestOverloadOfOneServiceDoesNotAffectAnother covers two services on the same node.
+func TestOverloadOfOneServiceDoesNotAffectAnother(t *testing.T) {
 	is := is.New(t)
-	core, now, _ := crowdedCore(t, 4)
+	core, now, _ := overloadedCore(t, 4)
 	listing := tokenListing(19, tokenBackend("i-docs", "docs", 90, lb.BackendActive))
 	for i := range 4 {
 		name := lb.BackendName(fmt.Sprintf("i-%d", i))
@@ -101,8 +103,8 @@
 	}
 }
 
-// BenchmarkTokenOpen is the decision on an opening among 18 back ends, in calm
-// and while the service is overloaded.
+// BenchmarkTokenOpen measures the decision on an opening among 18 back ends, while the service is
+// not overloaded and while it is.
 func BenchmarkTokenOpen(b *testing.B) {
 	bench := func(b *testing.B, core *tokenCore, now time.Duration) {
 		packet := tokenOpening(1, 443)
@@ -123,7 +125,7 @@
 		bench(b, core, 0)
 	})
 	b.Run("overloaded", func(b *testing.B) {
-		core, now, _ := crowdedCore(b, 18)
+		core, now, _ := overloadedCore(b, 18)
 		bench(b, core, now)
 	})
 }
