--- a/cmd/robinctl/load.go
+++ b/cmd/robinctl/load.go
@@ -34,8 +34,8 @@
 		for index := range load.Rows {
 			row := &load.Rows[index]
 			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%.1f\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", row.Service, row.Zone, row.Priority,
-				ofFleet(row, "%.1f", row.Asked), row.Capacity, ofFleet(row, "%.1f", row.Room), loadOf(row),
-				ofNodes(row, "%.2f", row.Home), ofNodes(row, "%.2f", row.Admitted), ofNodes(row, "%d", row.Waiting),
+				ofFleet(row, "%.1f", row.Demand), row.Capacity, ofFleet(row, "%.1f", row.SpareCapacity), loadOf(row),
+				ofNodes(row, "%.2f", row.LocalWeight), ofNodes(row, "%.2f", row.AdmissionRate), ofNodes(row, "%d", row.Queued),
 				ofFleet(row, "%.1f", row.Refused), ofFleet(row, "%d ms", row.AgeMillis))
 		}
 	})
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -99,7 +99,7 @@
 
 // publish appends the present sums; update reads them after the delay.
 func (p *simulation) publish() {
-	report := fleetload.Service{At: p.now, Zones: []fleetload.Zone{
+	report := fleetload.Service{SummedAt: p.now, Zones: []fleetload.Zone{
 		{Zone: "za", Levels: []fleetload.Level{p.level(0, 0.6), p.level(1, 0.6)}, Load: p.load, Answers: 2000},
 		{Zone: "zb", Levels: []fleetload.Level{p.level(0, 0.4), p.level(1, 0.4)}, Load: p.load, Answers: 2000},
 	}}
@@ -317,7 +317,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "pause"))
-			state := fleetload.Service{At: now, Zones: rapid.SliceOfN(zone, 0, 3).Draw(t, "zones")}
+			state := fleetload.Service{SummedAt: now, Zones: rapid.SliceOfN(zone, 0, 3).Draw(t, "zones")}
 			share := rapid.Float64Range(-1, 2).Draw(t, "open flow share")
 			service.Update(now, &state, amount.Draw(t, "slots"), func(uint16) float64 { return share }, &settings)
 			if ratio := service.capacityRatio; ratio < settings.MinWork || ratio > settings.MaxWork {
--- a/internal/admissionqueue/freeslots.go
+++ b/internal/admissionqueue/freeslots.go
@@ -61,8 +61,8 @@
 	return free
 }
 
-// Opened records that this node has placed a flow.
-func (f *FreeSlots) Opened(service lb.ServiceName, objective lb.Objective) {
+// RecordFlow records that this node has placed a flow.
+func (f *FreeSlots) RecordFlow(service lb.ServiceName, objective lb.Objective) {
 	if f.settings.Off {
 		return
 	}
@@ -73,9 +73,9 @@
 	}
 }
 
-// Answered records that a back end has answered a request and, if spare is true, that the back end
+// RecordAnswer records that a back end has answered a request and, if spare is true, that the back end
 // has spare capacity for another one.
-func (f *FreeSlots) Answered(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, spare bool) {
+func (f *FreeSlots) RecordAnswer(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, spare bool) {
 	if f.settings.Off {
 		return
 	}
--- a/internal/admissionqueue/queue.go
+++ b/internal/admissionqueue/queue.go
@@ -34,10 +34,10 @@
 	Capacity int
 	// Interval is the interval between retries of the queued openings.
 	Interval time.Duration
-	// Share is the maximum waiting time as a fraction of the opening's target, and MaxWait is the
+	// WaitShare is the maximum waiting time as a fraction of the opening's target, and MaxWait is the
 	// maximum whatever the target is.
-	Share   float64
-	MaxWait time.Duration
+	WaitShare float64
+	MaxWait   time.Duration
 	// Grace is how long after its deadline an opening may still be refused. Later it must be
 	// dropped without an answer.
 	Grace time.Duration
@@ -65,8 +65,8 @@
 		Interval: 10 * time.Millisecond,
 		// Callers try three times, and a try that is admitted takes up to two fifths of the target.
 		// Three waits of a fifth each fit in the rest.
-		Share:   0.2,
-		MaxWait: 120 * time.Millisecond,
+		WaitShare: 0.2,
+		MaxWait:   120 * time.Millisecond,
 		// MaxWait + Grace is 40 ms less than firstCopyDelay; these are left for the way to the
 		// node.
 		Grace:           40 * time.Millisecond,
@@ -83,51 +83,51 @@
 	Objective lb.Objective
 }
 
-// Waiter is a queued opening with the caller's data for it.
-type Waiter[K any] struct {
+// QueuedOpening is a queued opening with the caller's data for it.
+type QueuedOpening[K any] struct {
 	Opening
-	Kept K
+	Data K
 	// Arrived is the time of arrival, and Due is the deadline.
 	Arrived, Due time.Duration
-	// Looks is the number of retries so far.
-	Looks uint32
+	// Retries is the number of retries so far.
+	Retries uint32
 
 	sequence uint64 // number of openings queued before this one
 	used     bool
 }
 
-// Chance says which outcomes are possible for an opening at a retry.
-type Chance uint8
+// Phase says which outcomes are possible for an opening at a retry.
+type Phase uint8
 
 // These are the possible values.
 const (
-	// ChanceMore means that the opening may be released or stay queued.
-	ChanceMore Chance = iota + 1
-	// ChanceLast means that the opening must be released or refused: its deadline has passed, or it
+	// PhaseWaiting means that the opening may be released or stay queued.
+	PhaseWaiting Phase = iota + 1
+	// PhaseFinal means that the opening must be released or refused: its deadline has passed, or it
 	// can't be admitted before it.
-	ChanceLast
-	// ChanceGone means that the opening must be dropped, since its caller may have sent a copy to
+	PhaseFinal
+	// PhaseExpired means that the opening must be dropped, since its caller may have sent a copy to
 	// another node.
-	ChanceGone
+	PhaseExpired
 )
 
-// Fate is the decision on an opening at a retry.
-type Fate uint8
+// Outcome is the decision on an opening at a retry.
+type Outcome uint8
 
 // These are the possible decisions.
 const (
-	// FateWaits keeps the opening in the queue, since there is no spare capacity yet.
-	FateWaits Fate = iota + 1
-	// FateWent removes the opening because it was forwarded to a back end.
-	FateWent
-	// FateEnded removes the opening because it was refused or dropped.
-	FateEnded
+	// OutcomeQueued keeps the opening in the queue, since there is no spare capacity yet.
+	OutcomeQueued Outcome = iota + 1
+	// OutcomeReleased removes the opening because it was forwarded to a back end.
+	OutcomeReleased
+	// OutcomeRemoved removes the opening because it was refused or dropped.
+	OutcomeRemoved
 )
 
 // Queue holds the queued openings of one node. It is not safe for concurrent use.
 type Queue[K any] struct {
 	settings     Settings
-	entries      []Waiter[K]
+	entries      []QueuedOpening[K]
 	order        []int // indexes of the used entries, in the order of retries
 	scratch      []int
 	nextSequence uint64
@@ -147,7 +147,7 @@
 func New[K any](settings Settings) *Queue[K] {
 	q := &Queue[K]{settings: settings, services: make(map[lb.ServiceName]*serviceState)}
 	if !settings.Off {
-		q.entries = make([]Waiter[K], settings.Capacity)
+		q.entries = make([]QueuedOpening[K], settings.Capacity)
 		q.order = make([]int, 0, settings.Capacity)
 		q.scratch = make([]int, 0, settings.Capacity)
 	}
@@ -160,25 +160,25 @@
 // maxWait returns the maximum waiting time for an objective. It is 0 for an objective without a
 // target, since nothing limits then how long the caller can wait.
 func (q *Queue[K]) maxWait(objective lb.Objective) time.Duration {
-	return min(time.Duration(q.settings.Share*float64(objective.Target())), q.settings.MaxWait)
+	return min(time.Duration(q.settings.WaitShare*float64(objective.Target())), q.settings.MaxWait)
 }
 
-// Hold queues an opening for which there is no spare capacity at present, and returns its entry,
+// Enqueue queues an opening for which there is no spare capacity at present, and returns its entry,
 // in which the caller must store its own data. It returns nil if the opening must be refused
 // immediately, because the queue is full or the opening can't be admitted in time.
-func (q *Queue[K]) Hold(now time.Duration, opening Opening) *Waiter[K] {
+func (q *Queue[K]) Enqueue(now time.Duration, opening Opening) *QueuedOpening[K] {
 	limit := q.maxWait(opening.Objective)
 	if q.settings.Off || limit < q.settings.Interval || len(q.order) == len(q.entries) {
 		return nil
 	}
 	s := q.serviceState(now, opening.Service)
-	added := Waiter[K]{Opening: opening, Arrived: now, Due: now + limit, sequence: q.nextSequence, used: true}
+	added := QueuedOpening[K]{Opening: opening, Arrived: now, Due: now + limit, sequence: q.nextSequence, used: true}
 	if q.unservable(now, s, q.ahead(&added), limit) {
 		return nil
 	}
 	q.nextSequence++
 	s.waiting++
-	index := slices.IndexFunc(q.entries, func(w Waiter[K]) bool { return !w.used })
+	index := slices.IndexFunc(q.entries, func(w QueuedOpening[K]) bool { return !w.used })
 	q.entries[index] = added
 	at, _ := slices.BinarySearchFunc(q.order, index, func(a, b int) int { return q.compare(&q.entries[a], &q.entries[b]) })
 	q.order = slices.Insert(q.order, at, index)
@@ -186,7 +186,7 @@
 }
 
 // Find returns the queued opening of a flow, or nil.
-func (q *Queue[K]) Find(flow lb.FlowID) *Waiter[K] {
+func (q *Queue[K]) Find(flow lb.FlowID) *QueuedOpening[K] {
 	for _, index := range q.order {
 		if q.entries[index].Flow == flow {
 			return &q.entries[index]
@@ -196,33 +196,33 @@
 }
 
 // Remove removes an opening that Find returned.
-func (q *Queue[K]) Remove(w *Waiter[K]) {
+func (q *Queue[K]) Remove(w *QueuedOpening[K]) {
 	q.order = slices.DeleteFunc(q.order, func(index int) bool { return &q.entries[index] == w })
 	q.clear(w)
 }
 
-func (q *Queue[K]) clear(w *Waiter[K]) {
+func (q *Queue[K]) clear(w *QueuedOpening[K]) {
 	q.services[w.Service].waiting--
-	*w = Waiter[K]{}
+	*w = QueuedOpening[K]{}
 }
 
-// Look retries each queued opening, in order: decide returns the decision on it. If all is true,
+// Retry retries each queued opening, in order: decide returns the decision on it. If all is true,
 // none may stay queued.
-func (q *Queue[K]) Look(now time.Duration, all bool, decide func(*Waiter[K], Chance) Fate) {
+func (q *Queue[K]) Retry(now time.Duration, all bool, decide func(*QueuedOpening[K], Phase) Outcome) {
 	q.scratch = append(q.scratch[:0], q.order...)
 	q.order = q.order[:0]
 	for _, index := range q.scratch {
 		w := &q.entries[index]
-		w.Looks++
+		w.Retries++
 		phase := q.phase(now, w)
-		if all && phase == ChanceMore {
-			phase = ChanceLast
+		if all && phase == PhaseWaiting {
+			phase = PhaseFinal
 		}
 		switch decide(w, phase) {
-		case FateWaits:
+		case OutcomeQueued:
 			q.order = append(q.order, index)
 			continue
-		case FateWent:
+		case OutcomeReleased:
 			s := q.serviceState(now, w.Service)
 			s.released++
 		}
@@ -232,21 +232,21 @@
 
 // phase returns which outcomes are possible for an opening now. q.order holds the openings before
 // it that stay queued.
-func (q *Queue[K]) phase(now time.Duration, w *Waiter[K]) Chance {
+func (q *Queue[K]) phase(now time.Duration, w *QueuedOpening[K]) Phase {
 	switch {
 	case now > w.Due+q.settings.Grace && !q.settings.refusesLate:
-		return ChanceGone
+		return PhaseExpired
 	case now >= w.Due && !q.settings.keepsOverdue:
-		return ChanceLast
+		return PhaseFinal
 	case q.unservable(now, q.serviceState(now, w.Service), q.ahead(w), w.Due-now):
-		return ChanceLast
+		return PhaseFinal
 	}
-	return ChanceMore
+	return PhaseWaiting
 }
 
 // ahead returns the number of queued openings of the same service that are retried before the given
 // one.
-func (q *Queue[K]) ahead(w *Waiter[K]) int {
+func (q *Queue[K]) ahead(w *QueuedOpening[K]) int {
 	count := 0
 	for _, index := range q.order {
 		other := &q.entries[index]
@@ -257,7 +257,7 @@
 	return count
 }
 
-func (q *Queue[K]) compare(a, b *Waiter[K]) int {
+func (q *Queue[K]) compare(a, b *QueuedOpening[K]) int {
 	if q.settings.Order == ByArrival {
 		return cmp.Compare(a.sequence, b.sequence)
 	}
--- a/internal/admissionqueue/queue_test.go
+++ b/internal/admissionqueue/queue_test.go
@@ -20,15 +20,15 @@
 
 // retryAll retries the queued openings with decide, and returns their flows in the order of the
 // retries.
-func retryAll(q *Queue[int], now time.Duration, decide func(*Waiter[int], Chance) Fate) (retried []lb.FlowID) {
-	q.Look(now, false, func(w *Waiter[int], phase Chance) Fate {
+func retryAll(q *Queue[int], now time.Duration, decide func(*QueuedOpening[int], Phase) Outcome) (retried []lb.FlowID) {
+	q.Retry(now, false, func(w *QueuedOpening[int], phase Phase) Outcome {
 		retried = append(retried, w.Flow)
 		return decide(w, phase)
 	})
 	return retried
 }
 
-func keepWaiting(*Waiter[int], Chance) Fate { return FateWaits }
+func keepWaiting(*QueuedOpening[int], Phase) Outcome { return OutcomeQueued }
 
 // TestRetryOrder checks the order by priority and then by deadline, and the order by arrival where
 // the settings select it.
@@ -44,7 +44,7 @@
 			if i == 3 {
 				o.Objective.TargetMillis = 200
 			}
-			is.True(q.Hold(time.Duration(i)*ms, o) != nil)
+			is.True(q.Enqueue(time.Duration(i)*ms, o) != nil)
 		}
 		is.Equal(retryAll(q, 10*ms, keepWaiting), expected)
 		is.Equal(q.Len(), 4)
@@ -59,13 +59,13 @@
 	settings.Capacity = 3
 	q := New[int](settings)
 	for i := range 5 {
-		is.Equal(q.Hold(0, opening(lb.FlowID(i), 1)) != nil, i < 3)
+		is.Equal(q.Enqueue(0, opening(lb.FlowID(i), 1)) != nil, i < 3)
 	}
 	is.Equal(q.Len(), 3)
 	unknown := opening(9, 1)
 	unknown.Objective.TargetMillis = 0
-	is.True(New[int](DefaultSettings()).Hold(0, unknown) == nil)
-	is.True(New[int](Settings{Off: true}).Hold(0, opening(1, 1)) == nil)
+	is.True(New[int](DefaultSettings()).Enqueue(0, unknown) == nil)
+	is.True(New[int](Settings{Off: true}).Enqueue(0, opening(1, 1)) == nil)
 }
 
 // TestDecidedBeforeTheFirstCopy checks that a queued opening is refused before its caller can have
@@ -75,12 +75,12 @@
 	is := is.New(t)
 	settings := DefaultSettings()
 	is.True(settings.MaxWait+settings.Grace+40*ms <= firstCopyDelay)
-	is.True(3*settings.Share+0.4 <= 1)
+	is.True(3*settings.WaitShare+0.4 <= 1)
 	q := New[int](settings)
 	for _, target := range []uint32{400, 800, 10_000} {
 		o := opening(lb.FlowID(target), 1)
 		o.Objective.TargetMillis = target
-		w := q.Hold(0, o)
+		w := q.Enqueue(0, o)
 		is.True(w.Due <= settings.MaxWait && w.Due <= time.Duration(target)*ms/5)
 	}
 }
@@ -91,21 +91,21 @@
 	is := is.New(t)
 	for _, test := range []struct {
 		at    time.Duration
-		phase Chance
-	}{{10 * ms, ChanceMore}, {79 * ms, ChanceMore}, {80 * ms, ChanceLast}, {120 * ms, ChanceLast}, {121 * ms, ChanceGone}, {time.Hour, ChanceGone}} {
+		phase Phase
+	}{{10 * ms, PhaseWaiting}, {79 * ms, PhaseWaiting}, {80 * ms, PhaseFinal}, {120 * ms, PhaseFinal}, {121 * ms, PhaseExpired}, {time.Hour, PhaseExpired}} {
 		q := New[int](DefaultSettings())
-		q.Hold(0, opening(1, 1))
-		retryAll(q, test.at, func(_ *Waiter[int], phase Chance) Fate {
+		q.Enqueue(0, opening(1, 1))
+		retryAll(q, test.at, func(_ *QueuedOpening[int], phase Phase) Outcome {
 			is.Equal(phase, test.phase)
-			return FateEnded
+			return OutcomeRemoved
 		})
 		is.Equal(q.Len(), 0)
 	}
 	q := New[int](DefaultSettings())
-	q.Hold(0, opening(1, 1))
-	q.Look(ms, true, func(_ *Waiter[int], phase Chance) Fate {
-		is.Equal(phase, ChanceLast)
-		return FateEnded
+	q.Enqueue(0, opening(1, 1))
+	q.Retry(ms, true, func(_ *QueuedOpening[int], phase Phase) Outcome {
+		is.Equal(phase, PhaseFinal)
+		return OutcomeRemoved
 	})
 }
 
@@ -115,18 +115,18 @@
 	q = New[int](settings)
 	for i := range 100 {
 		now += settings.Interval
-		q.Hold(now, opening(lb.FlowID(1000+i), 1))
-		q.Hold(now, opening(lb.FlowID(2000+i), 1))
+		q.Enqueue(now, opening(lb.FlowID(1000+i), 1))
+		q.Enqueue(now, opening(lb.FlowID(2000+i), 1))
 		released := false
-		retryAll(q, now, func(_ *Waiter[int], phase Chance) Fate {
+		retryAll(q, now, func(_ *QueuedOpening[int], phase Phase) Outcome {
 			if !released {
 				released = true
-				return FateWent
+				return OutcomeReleased
 			}
-			if phase == ChanceMore {
-				return FateWaits
+			if phase == PhaseWaiting {
+				return OutcomeQueued
 			}
-			return FateEnded
+			return OutcomeRemoved
 		})
 	}
 	return q, now
@@ -139,18 +139,18 @@
 	settings := DefaultSettings()
 	q, now := busyQueue(settings)
 	for i := range 50 {
-		q.Hold(now, opening(lb.FlowID(5000+i), 1))
+		q.Enqueue(now, opening(lb.FlowID(5000+i), 1))
 	}
 	is.True(q.Len() >= 6 && q.Len() <= 10)
-	is.True(q.Hold(now, opening(1, 0)) != nil) // no opening is ahead of a more important one
+	is.True(q.Enqueue(now, opening(1, 0)) != nil) // no opening is ahead of a more important one
 	other := opening(2, 1)
 	other.Service = "docs"
-	is.True(q.Hold(now, other) != nil) // nor of one of another service
+	is.True(q.Enqueue(now, other) != nil) // nor of one of another service
 
 	settings.keepsUnservable = true
 	q, now = busyQueue(settings)
 	for i := range 50 {
-		q.Hold(now, opening(lb.FlowID(5000+i), 1))
+		q.Enqueue(now, opening(lb.FlowID(5000+i), 1))
 	}
 	is.True(q.Len() > 50)
 }
@@ -161,13 +161,13 @@
 	q := New[int](DefaultSettings())
 	for now := time.Duration(0); now < 5*time.Second; now += 10 * ms {
 		if q.Len() == 0 {
-			is.True(q.Hold(now, opening(lb.FlowID(now), 1)) != nil)
+			is.True(q.Enqueue(now, opening(lb.FlowID(now), 1)) != nil)
 		}
-		retryAll(q, now, func(_ *Waiter[int], phase Chance) Fate {
-			if phase == ChanceMore {
-				return FateWaits
+		retryAll(q, now, func(_ *QueuedOpening[int], phase Phase) Outcome {
+			if phase == PhaseWaiting {
+				return OutcomeQueued
 			}
-			return FateEnded
+			return OutcomeRemoved
 		})
 	}
 }
@@ -185,30 +185,30 @@
 		if rapid.Bool().Draw(t, "arrives") {
 			flow++
 			o := opening(flow, uint16(rapid.IntRange(0, 2).Draw(t, "priority")))
-			if q.Hold(now, o) != nil {
+			if q.Enqueue(now, o) != nil {
 				queued[flow] = now
 			}
 		} else {
-			retryAll(q, now, func(w *Waiter[int], phase Chance) Fate {
+			retryAll(q, now, func(w *QueuedOpening[int], phase Phase) Outcome {
 				arrived, found := queued[w.Flow]
 				switch {
 				case !found:
 					broken = "decided twice"
-				case phase != ChanceGone && now-arrived > settings.MaxWait+settings.Grace:
+				case phase != PhaseExpired && now-arrived > settings.MaxWait+settings.Grace:
 					broken = "refused although a copy may be elsewhere"
-				case phase == ChanceMore && now-arrived >= 80*ms:
+				case phase == PhaseWaiting && now-arrived >= 80*ms:
 					broken = "queued beyond its deadline"
 				}
 				capacity := rapid.IntRange(0, 3).Draw(t, "capacity") == 0
 				switch {
-				case phase == ChanceMore && !capacity:
-					return FateWaits
-				case capacity && phase != ChanceGone:
+				case phase == PhaseWaiting && !capacity:
+					return OutcomeQueued
+				case capacity && phase != PhaseExpired:
 					delete(queued, w.Flow)
-					return FateWent
+					return OutcomeReleased
 				}
 				delete(queued, w.Flow)
-				return FateEnded
+				return OutcomeRemoved
 			})
 		}
 		if broken == "" && (q.Len() != len(queued) || q.Len() > settings.Capacity) {
@@ -249,10 +249,10 @@
 func TestFindAndRemove(t *testing.T) {
 	is := is.New(t)
 	q := New[int](DefaultSettings())
-	q.Hold(0, opening(1, 1)).Kept = 7
-	q.Hold(0, opening(2, 1))
+	q.Enqueue(0, opening(1, 1)).Data = 7
+	q.Enqueue(0, opening(2, 1))
 	found := q.Find(1)
-	is.Equal(found.Kept, 7)
+	is.Equal(found.Data, 7)
 	q.Remove(found)
 	is.True(q.Find(1) == nil)
 	is.True(q.Find(2) != nil)
@@ -264,8 +264,8 @@
 func knownShortFlows(o Opening) *FreeSlots {
 	free := NewFreeSlots(DefaultSettings())
 	for range minFlows {
-		free.Opened(o.Service, o.Objective)
-		free.Answered(0, o.Service, o.Objective, 0, false)
+		free.RecordFlow(o.Service, o.Objective)
+		free.RecordAnswer(0, o.Service, o.Objective, 0, false)
 	}
 	return free
 }
@@ -277,7 +277,7 @@
 	o := opening(1, 1)
 	free := knownShortFlows(o)
 	for identity := range uint64(3) {
-		free.Answered(ms, o.Service, o.Objective, identity, true)
+		free.RecordAnswer(ms, o.Service, o.Objective, identity, true)
 	}
 	_, found := free.Claim(ms, "docs", o.Objective)
 	is.True(!found)
@@ -289,8 +289,8 @@
 	_, found = free.Claim(ms+DefaultSettings().FreeSlotTimeout+1, o.Service, o.Objective)
 	is.True(!found) // expired
 	for identity := range uint64(100) {
-		free.Opened(o.Service, o.Objective)
-		free.Answered(ms, o.Service, o.Objective, identity, true)
+		free.RecordFlow(o.Service, o.Objective)
+		free.RecordAnswer(ms, o.Service, o.Objective, identity, true)
 	}
 	claimed := 0
 	for found := true; found; {
@@ -307,13 +307,13 @@
 	is := is.New(t)
 	short, long := opening(1, 1), opening(2, 2)
 	free := knownShortFlows(short)
-	free.Answered(0, short.Service, short.Objective, 5, true)
+	free.RecordAnswer(0, short.Service, short.Objective, 5, true)
 	_, found := free.Claim(0, long.Service, long.Objective)
 	is.True(!found)
 	for range 2 * maxFlows {
-		free.Opened(long.Service, long.Objective)
+		free.RecordFlow(long.Service, long.Objective)
 		for range 3 {
-			free.Answered(0, long.Service, long.Objective, 0, false)
+			free.RecordAnswer(0, long.Service, long.Objective, 0, false)
 		}
 	}
 	_, found = free.Claim(0, long.Service, long.Objective)
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -20,21 +20,21 @@
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// Overage and Slack define the limit of new flows for a cold back end in any second, over all
+	// RateFactor and Slack define the limit of new flows for a cold back end in any second, over all
 	// nodes: its rate times Overage, plus Slack.
-	Overage, Slack float64
-	// Owners is the number of nodes that may consider themselves the owner of the same back end at
+	RateFactor, Burst float64
+	// MaxOwners is the number of nodes that may consider themselves the owner of the same back end at
 	// one time.
-	Owners int
+	MaxOwners int
 	// StartupDelay is how long a node that has started sends no flows to cold back ends, until it
 	// has discovered the other nodes.
 	StartupDelay time.Duration
 	// HistoryTime is how long a node remembers the number of nodes known in its zone. A node that
 	// now knows at most half of that number may be partitioned.
 	HistoryTime time.Duration
-	// Alone is set if no other node is configured. Otherwise a node that knows no other node in its
+	// SingleNode is set if no other node is configured. Otherwise a node that knows no other node in its
 	// zone may be partitioned, too.
-	Alone bool
+	SingleNode bool
 	// Window is the interval in which a node may use its part of the limit once: one second, plus
 	// the variation in the transit time of packets to a back end.
 	Window time.Duration
@@ -50,8 +50,8 @@
 	return Settings{
 		Self:         self,
 		Zone:         zone,
-		Overage:      1,
-		Owners:       3,
+		RateFactor:   1,
+		MaxOwners:    3,
 		StartupDelay: 30 * time.Second,
 		HistoryTime:  10 * time.Minute,
 		Window:       1100 * time.Millisecond,
@@ -149,8 +149,8 @@
 
 // nodeLimit returns the number of new flows that this node may send to a back end in one window.
 func (l *Limiter) nodeLimit(rate float64) int {
-	limit := math.Floor(rate*l.settings.Overage + l.settings.Slack)
-	return int(limit) / l.settings.Owners
+	limit := math.Floor(rate*l.settings.RateFactor + l.settings.Burst)
+	return int(limit) / l.settings.MaxOwners
 }
 
 // sentInWindow returns the number of flows sent within the window, and deletes older ones.
@@ -173,7 +173,7 @@
 		}
 	}
 	if highest == 1 {
-		return !l.settings.Alone
+		return !l.settings.SingleNode
 	}
 	return 2*len(l.zoneNodes) <= highest
 }
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -52,7 +52,7 @@
 
 func (z *unstableZone) start(node *simulatedNode, now time.Duration) {
 	settings := DefaultSettings(node.id, zone)
-	settings.Overage, settings.Slack = 1.5, 5
+	settings.RateFactor, settings.Burst = 1.5, 5
 	z.adjust(&settings)
 	node.limiter = New(settings)
 	node.limiter.SetMembers(now, []Member{{ID: node.id}})
@@ -211,7 +211,7 @@
 // seconds.
 func TestLimitNeedsEachRule(t *testing.T) {
 	for name, adjust := range map[string]func(*Settings){
-		"the whole limit for each owner": func(s *Settings) { s.Owners = 1 },
+		"the whole limit for each owner": func(s *Settings) { s.MaxOwners = 1 },
 		"no startup delay":               func(s *Settings) { s.StartupDelay = 0 },
 		"no history":                     func(s *Settings) { s.HistoryTime = 0 },
 		"a window of half a second":      func(s *Settings) { s.Window = 500 * ms },
@@ -227,7 +227,7 @@
 func TestOnlyNodesOfSameZoneSendFlows(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultSettings("n-1", zone))
-	l.settings.Slack, l.settings.Alone = 9, true
+	l.settings.Burst, l.settings.SingleNode = 9, true
 	l.SetMembers(0, []Member{{ID: "n-1"}})
 	now := l.settings.StartupDelay
 	is.Equal(l.Allows(now-ms, Backend{Identity: 1, Zone: zone, Rate: 1}), false) // within the startup delay
@@ -242,14 +242,14 @@
 func TestNodeWithoutPeersMayBePartitioned(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultSettings("n-1", zone))
-	l.settings.Slack = 9
+	l.settings.Burst = 9
 	backend := Backend{Identity: 1, Zone: zone, Rate: 1}
 	l.SetMembers(0, []Member{{ID: "n-1"}})
 	is.Equal(l.Allows(time.Hour, backend), false)
 	l.SetMembers(time.Hour, []Member{{ID: "n-1"}, {ID: "n-2"}, {ID: "n-3"}})
 	owner := l.Allows(time.Hour, backend)
 	other := New(DefaultSettings("n-2", zone))
-	other.settings.Slack = 9
+	other.settings.Burst = 9
 	other.SetMembers(0, []Member{{ID: "n-1"}, {ID: "n-2"}})
 	is.True(!owner || !other.Allows(time.Hour, backend)) // both nodes rank equally
 	l.SetMembers(2*time.Hour, []Member{{ID: "n-1"}})
@@ -275,14 +275,14 @@
 	is.Equal(len(l.nodeCounts), 2)
 	shrankAt := 101 * time.Second // when one node was left
 	is.True(l.mayBePartitioned(shrankAt + l.settings.HistoryTime))
-	l.settings.Alone = true
+	l.settings.SingleNode = true
 	is.Equal(l.mayBePartitioned(shrankAt+l.settings.HistoryTime+ms), false)
 }
 
 func TestLimitIsRestoredAfterWindow(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultSettings("n-1", zone))
-	l.settings.Alone = true
+	l.settings.SingleNode = true
 	l.SetMembers(0, []Member{{ID: "n-1"}})
 	backend := Backend{Identity: 1, Zone: zone, Rate: 6}
 	now := l.settings.StartupDelay
--- a/internal/committedload/committedload.go
+++ b/internal/committedload/committedload.go
@@ -22,9 +22,9 @@
 	GrowingLimit, SteadyLimit, GrowthThreshold float64
 	// MaxGrowth bounds the factor by which work is forecast to grow.
 	MaxGrowth float64
-	// LeastKept is the minimum fraction of work on flows opened earlier from which a priority's
+	// MinOpenFlowShare is the minimum fraction of work on flows opened earlier from which a priority's
 	// callers are treated as keeping their flows.
-	LeastKept float64
+	MinOpenFlowShare float64
 	// MinFlows is the minimum number of flows for a forecast.
 	MinFlows int
 	// FlowTimeout is how long a flow counts as open after its last request.
@@ -36,15 +36,15 @@
 // DefaultSettings returns the default parameters.
 func DefaultSettings() Settings {
 	return Settings{
-		Window:          300 * time.Millisecond,
-		GrowingLimit:    1,
-		SteadyLimit:     1.5,
-		GrowthThreshold: 1.1,
-		MaxGrowth:       3,
-		LeastKept:       0.1,
-		MinFlows:        4,
-		FlowTimeout:     5 * time.Second,
-		MaxFlows:        1 << 14,
+		Window:           300 * time.Millisecond,
+		GrowingLimit:     1,
+		SteadyLimit:      1.5,
+		GrowthThreshold:  1.1,
+		MaxGrowth:        3,
+		MinOpenFlowShare: 0.1,
+		MinFlows:         4,
+		FlowTimeout:      5 * time.Second,
+		MaxFlows:         1 << 14,
 	}
 }
 
@@ -158,7 +158,7 @@
 	}
 	l.decay(now, t.settings.Window)
 	active := float64(l.flows) - l.openings // flows with requests that the rate includes
-	if active < float64(t.settings.MinFlows) || l.openFlowWork < t.settings.LeastKept*l.work {
+	if active < float64(t.settings.MinFlows) || l.openFlowWork < t.settings.MinOpenFlowShare*l.work {
 		return false
 	}
 	growth := min(float64(l.flows)/active, t.settings.MaxGrowth)
--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -96,28 +96,28 @@
 	return &Table{settings: settings, entries: make(map[lb.FlowID]entry)}
 }
 
-// Opening removes the state of a flow if the given opening is a new one with the same addresses and
+// RecordOpening removes the state of a flow if the given opening is a new one with the same addresses and
 // ports.
-func (t *Table) Opening(id lb.FlowID, openingID uint32) {
+func (t *Table) RecordOpening(id lb.FlowID, openingID uint32) {
 	if e, found := t.entries[id]; found && e.flow.OpeningID != openingID {
 		delete(t.entries, id)
 	}
 }
 
-// Ambiguous tracks a flow whose opening may have been placed at another back end in an earlier
+// TrackAmbiguous tracks a flow whose opening may have been placed at another back end in an earlier
 // copy.
-func (t *Table) Ambiguous(now time.Duration, id lb.FlowID, openingID uint32) {
+func (t *Table) TrackAmbiguous(now time.Duration, id lb.FlowID, openingID uint32) {
 	e := t.entries[id]
 	e.flow.ID, e.flow.OpeningID = id, openingID
 	t.track(now, e)
 }
 
-// Knows returns true if the back end at which a flow is open is known.
-func (t *Table) Knows(id lb.FlowID) bool { return t.entries[id].open }
+// IsOpen returns true if the back end at which a flow is open is known.
+func (t *Table) IsOpen(id lb.FlowID) bool { return t.entries[id].open }
 
-// Open records a flow that is open at one back end while another one may still answer its opening,
+// RecordOpenFlow records a flow that is open at one back end while another one may still answer its opening,
 // and schedules its announcements.
-func (t *Table) Open(now time.Duration, flow Flow) {
+func (t *Table) RecordOpenFlow(now time.Duration, flow Flow) {
 	if t.track(now, entry{flow: flow, open: true}) {
 		t.announce(flow, now)
 		t.announce(flow, now+t.settings.RepeatTime)
@@ -172,8 +172,8 @@
 	return recent
 }
 
-// Learn adds flows that another balancer announced. It returns the flows that were new.
-func (t *Table) Learn(now time.Duration, flows []Flow) []Flow {
+// AddAnnounced adds flows that another balancer announced. It returns the flows that were new.
+func (t *Table) AddAnnounced(now time.Duration, flows []Flow) []Flow {
 	var added []Flow
 	for _, flow := range flows {
 		if t.entries[flow.ID].open {
@@ -200,7 +200,7 @@
 	if !e.open {
 		e.flow.Token = token
 		e.flow.Acknowledged = acknowledged
-		t.Open(now, e.flow)
+		t.RecordOpenFlow(now, e.flow)
 		return token
 	}
 	if e.flow.Token != token {
--- a/internal/conntrack/conntrack_test.go
+++ b/internal/conntrack/conntrack_test.go
@@ -19,7 +19,7 @@
 func TestLateAnswerDoesNotMoveAFlow(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
-	table.Ambiguous(0, 1, opening)
+	table.TrackAmbiguous(0, 1, opening)
 	is.Equal(table.Resolve(1, 1, accepted, 1000), accepted)
 	is.Equal(table.Resolve(2, 1, late, 1500), accepted)
 	is.Equal(table.Resolve(3, 1, late, 900), accepted) // a reordered packet
@@ -33,7 +33,7 @@
 	settings := DefaultSettings()
 	table := New(settings)
 	is.Equal(table.Resolve(0, 1, late, 5), late)
-	table.Ambiguous(0, 1, opening)
+	table.TrackAmbiguous(0, 1, opening)
 	is.Equal(table.Resolve(1, 1, accepted, 1000), accepted)
 	is.Equal(table.Resolve(2, 2, late, 1000), late)
 	is.Equal(table.Resolve(3, 1, late, 1001+settings.AckWindow), late)
@@ -44,11 +44,11 @@
 func TestNewOpeningUsesItsOwnToken(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
-	table.Ambiguous(0, 1, opening)
+	table.TrackAmbiguous(0, 1, opening)
 	table.Resolve(1, 1, accepted, 1000)
-	table.Opening(1, opening) // the first copy, delayed
+	table.RecordOpening(1, opening) // the first copy, delayed
 	is.Equal(table.Resolve(3, 1, late, 1000), accepted)
-	table.Opening(1, opening+1)
+	table.RecordOpening(1, opening+1)
 	is.Equal(table.Resolve(5, 1, late, 1000), late)
 }
 
@@ -57,14 +57,14 @@
 func TestFlowOpenedElsewhere(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
-	table.Open(0, Flow{ID: 1, Token: accepted, Acknowledged: 1000})
+	table.RecordOpenFlow(0, Flow{ID: 1, Token: accepted, Acknowledged: 1000})
 	is.Equal(table.Resolve(1, 1, late, 1000), accepted)
 }
 
 func TestAcknowledgementsWrapAround(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
-	table.Ambiguous(0, 1, opening)
+	table.TrackAmbiguous(0, 1, opening)
 	table.Resolve(1, 1, accepted, ^uint32(0)-10)
 	is.Equal(table.Resolve(2, 1, late, 50), accepted)
 	is.Equal(table.Resolve(3, 1, late, ^uint32(0)-5), accepted)
@@ -76,9 +76,9 @@
 	settings.MaxFlows = 10
 	table := New(settings)
 	for id := range lb.FlowID(15) {
-		table.Ambiguous(0, id, opening)
+		table.TrackAmbiguous(0, id, opening)
 	}
-	table.Ambiguous(0, 3, opening) // is tracked already
+	table.TrackAmbiguous(0, 3, opening) // is tracked already
 	is.Equal(table.Stats(), Stats{Untracked: 5, Flows: 10})
 	table.Resolve(settings.IdleTimeout, 3, accepted, 1)
 	table.Tick(settings.IdleTimeout + time.Second)
@@ -94,7 +94,7 @@
 	settings := DefaultSettings()
 	repeat := settings.RepeatTime
 	opener, other := New(settings), New(settings)
-	opener.Ambiguous(0, 1, opening)
+	opener.TrackAmbiguous(0, 1, opening)
 	is.Equal(len(opener.Announcements(0)), 0) // not open yet
 	opener.Resolve(1, 1, accepted, 1000)
 	announced := opener.Announcements(1)
@@ -104,12 +104,12 @@
 	is.Equal(opener.Announcements(1+repeat), announced)
 	is.Equal(len(opener.Announcements(time.Hour)), 0)
 
-	is.Equal(other.Learn(3, announced), announced)
-	is.Equal(len(other.Learn(4, announced)), 0) // the same announcement on another path
+	is.Equal(other.AddAnnounced(3, announced), announced)
+	is.Equal(len(other.AddAnnounced(4, announced)), 0) // the same announcement on another path
 	is.Equal(other.Resolve(5, 1, late, 1100), accepted)
 	is.Equal(len(other.Announcements(5)), 0)
 	is.Equal(other.Announcements(3+repeat), announced)
-	other.Opening(1, opening+1)
+	other.RecordOpening(1, opening+1)
 	is.Equal(other.Resolve(6, 1, late, 1100), late)
 }
 
@@ -118,9 +118,9 @@
 func TestAnnouncementDoesNotReplaceOwnObservation(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
-	table.Ambiguous(0, 1, opening)
+	table.TrackAmbiguous(0, 1, opening)
 	table.Resolve(1, 1, accepted, 1000)
-	is.Equal(len(table.Learn(2, []Flow{{ID: 1, OpeningID: opening, Token: late, Acknowledged: 1000}})), 0)
+	is.Equal(len(table.AddAnnounced(2, []Flow{{ID: 1, OpeningID: opening, Token: late, Acknowledged: 1000}})), 0)
 	is.Equal(table.Resolve(3, 1, accepted, 1000), accepted)
 }
 
@@ -130,7 +130,7 @@
 	settings.BatchSize, settings.MaxAnnouncements = 4, 12
 	table := New(settings)
 	for id := range lb.FlowID(8) {
-		table.Open(0, Flow{ID: id})
+		table.RecordOpenFlow(0, Flow{ID: id})
 	}
 	is.Equal(table.Stats().Unannounced, uint64(4))
 	is.Equal(table.Announcements(0), []Flow{{ID: 0}, {ID: 1}, {ID: 2}, {ID: 3}})
@@ -145,9 +145,9 @@
 	is := is.New(t)
 	settings := DefaultSettings()
 	table := New(settings)
-	table.Open(0, Flow{ID: 1, Token: accepted})
-	table.Open(settings.RecentTime, Flow{ID: 2, Token: accepted})
-	table.Ambiguous(settings.RecentTime, 3, opening)
+	table.RecordOpenFlow(0, Flow{ID: 1, Token: accepted})
+	table.RecordOpenFlow(settings.RecentTime, Flow{ID: 2, Token: accepted})
+	table.TrackAmbiguous(settings.RecentTime, 3, opening)
 	table.Resolve(settings.RecentTime+time.Second, 1, accepted, 0)
 	is.Equal(table.Recent(settings.RecentTime+time.Second), []Flow{{ID: 2, Token: accepted}})
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -23,7 +23,7 @@
 			backend = new(weight.Backend)
 			c.backends[reported.Backend] = backend
 		}
-		backend.Observe(c.now, load.Zone, reported, &c.settings.Weights)
+		backend.AddReport(c.now, load.Zone, reported, &c.settings.Weights)
 		failing := backend.Unanswered(c.now, &c.settings.Weights)
 		for s := range services {
 			if failing {
@@ -204,7 +204,7 @@
 // steppedTargets gives the current targets with the next weights.
 func (c *Controller) steppedTargets(s *service) []placement.Target {
 	targets := placement.Targets(s.stored, s.stored.Current)
-	shares := make([]weight.Share, len(targets))
+	shares := make([]weight.BackendState, len(targets))
 	operator := make([]uint16, len(targets))
 	for index, target := range targets {
 		operator[index] = s.operatorWeight(target)
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -99,7 +99,7 @@
 	ReasonNoView         Reason = "no-view"         // this node has received no configuration yet
 	ReasonOverload       Reason = "overload"        // the service cannot process its load within its latency objective
 	ReasonUnknownToken   Reason = "unknown-token"   // the token identifies no back end of the front end known to this node
-	ReasonCopied         Reason = "copied"          // replaced by another datagram of the same flow
+	ReasonDuplicate      Reason = "copied"          // replaced by another datagram of the same flow
 )
 
 // Decision is how the core handles the packet of an event.
@@ -121,8 +121,8 @@
 	Corrected bool
 	// Identity is the identity of the chosen back end, on paths whose packets carry it.
 	Identity uint64
-	// Waited is the time for which the packet was held before this decision.
-	Waited time.Duration
+	// HeldFor is the time for which the packet was held before this decision.
+	HeldFor time.Duration
 }
 
 func (decision *Decision) drop(reason Reason) {
@@ -158,14 +158,14 @@
 	// Overload lists the services that have become overloaded or are no longer overloaded. The
 	// slice is valid until the next step.
 	Overload []overload.Change
-	// Samples are this node's load measurements of services since the last samples, or nil while no
+	// LoadSamples are this node's load measurements of services since the last samples, or nil while no
 	// samples are due.
-	Samples []fleetload.Sample
+	LoadSamples []fleetload.Sample
 	// OpenFlows are the flows to announce to other balancers, for AffinityToken.
 	OpenFlows []conntrack.Flow
-	// Reach lists the zones that have become unreachable or reachable again. The slice is valid
+	// Reachability lists the zones that have become unreachable or reachable again. The slice is valid
 	// until the next step.
-	Reach []reachability.Change
+	Reachability []reachability.Change
 	// Released are the held openings that have been decided in this step. The slice is valid until
 	// the next step.
 	Released []Released
@@ -202,10 +202,10 @@
 	OpenFlows []conntrack.Flow
 	Peer      *PeerEvent
 	Tick      bool // sent at least every TickInterval
-	// Heard accompanies a tick. It lists when this node last received a message from balancers of
+	// ZoneContacts accompanies a tick. It lists when this node last received a message from balancers of
 	// other zones, for AffinityToken.
-	Heard []ZoneHeard
-	Leave bool // begins a planned stop
+	ZoneContacts []ZoneContact
+	Leave        bool // begins a planned stop
 	// RetryQueued decides the queued openings again. CloseQueue decides all of them finally and
 	// disables the admission queue; it is the last step of a planned stop.
 	RetryQueued, CloseQueue bool
@@ -215,8 +215,8 @@
 	Contact ContactChange
 }
 
-// ZoneHeard is the membership's contact with one zone.
-type ZoneHeard struct {
+// ZoneContact is the membership's contact with one zone.
+type ZoneContact struct {
 	Zone lb.Zone
 	// At is when this node last received a message directly from a node of the zone.
 	At time.Duration
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -74,7 +74,7 @@
 	overloadStatus() []overload.Status
 	setLoads(loads map[lb.ServiceName]fleetload.Service)
 	loadSamples() []fleetload.Sample
-	updateReachability(zones []ZoneHeard)
+	updateReachability(zones []ZoneContact)
 	reachabilityChanges() []reachability.Change
 	reachabilityStatus() []reachability.Status
 	retryQueued(all bool)
@@ -140,43 +140,43 @@
 	}
 	core.setContact(event.Contact)
 	if event.Tick {
-		core.affinity.updateReachability(event.Heard)
+		core.affinity.updateReachability(event.ZoneContacts)
 		core.affinity.tick()
 		core.tick(effects)
-		effects.Samples = core.affinity.loadSamples()
+		effects.LoadSamples = core.affinity.loadSamples()
 		effects.OpenFlows = core.affinity.openFlowAnnouncements()
 	}
 	effects.Backends = core.affinity.backendChanges()
 	effects.Outcomes = core.affinity.outcomes()
 	effects.Overload = core.affinity.overloadChanges()
-	effects.Reach = core.affinity.reachabilityChanges()
+	effects.Reachability = core.affinity.reachabilityChanges()
 	effects.Released = core.affinity.takeReleased()
 	effects.Unverified = !core.viewVerified
 	effects.HandoverDone = core.leaving && core.handover.idle()
 }
 
-// Zones returns the reachability of the zones with back ends, for AffinityToken.
-func (core *Core) Zones() []reachability.Status { return core.affinity.reachabilityStatus() }
+// ZoneReachability returns the reachability of the zones with back ends, for AffinityToken.
+func (core *Core) ZoneReachability() []reachability.Status { return core.affinity.reachabilityStatus() }
 
-// Waiting returns the number of held openings, for AffinityToken.
-func (core *Core) Waiting() int { return core.affinity.queuedOpenings() }
+// HeldOpenings returns the number of held openings, for AffinityToken.
+func (core *Core) HeldOpenings() int { return core.affinity.queuedOpenings() }
 
-// Tracked returns counters of the flows that must not move to another back end when a late reply to
+// TrackedFlowStats returns counters of the flows that must not move to another back end when a late reply to
 // their opening arrives, for AffinityToken.
-func (core *Core) Tracked() conntrack.Stats { return core.affinity.trackedStats() }
+func (core *Core) TrackedFlowStats() conntrack.Stats { return core.affinity.trackedStats() }
 
 // RecentFlows returns the flows counted by Tracked that were opened recently.
 func (core *Core) RecentFlows() []conntrack.Flow { return core.affinity.recentFlows() }
 
-// Pressures returns the load status of the services, for AffinityToken.
-func (core *Core) Pressures() []overload.Status { return core.affinity.overloadStatus() }
+// OverloadStatus returns the load status of the services, for AffinityToken.
+func (core *Core) OverloadStatus() []overload.Status { return core.affinity.overloadStatus() }
 
 func (effects *Effects) reset() {
 	effects.Decision = Decision{}
 	clear(effects.Messages)
 	effects.Messages = effects.Messages[:0]
 	effects.HandoverDone = false
-	effects.Samples = nil
+	effects.LoadSamples = nil
 	effects.OpenFlows = nil
 	effects.Unverified = false
 }
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -44,7 +44,7 @@
 	}
 	answer(200, 20*time.Millisecond)
 	answer(10*backends, 300*time.Millisecond)
-	is.True(core.Pressures()[0].Pressure > 1)
+	is.True(core.OverloadStatus()[0].Pressure > 1)
 	return core, now, open
 }
 
@@ -70,7 +70,7 @@
 	refused, decision := refusals(core, now, 200, 0)
 	is.True(refused > 150)
 	is.Equal(decision.Reason, ReasonOverload)
-	is.Equal(decision.Pressure, core.Pressures()[0].Pressure)
+	is.Equal(decision.Pressure, core.OverloadStatus()[0].Pressure)
 	is.Equal(decision.Refusal.Verdict, lb.NotRun)
 	is.True(decision.Refusal.RetryAfter > 0)
 	refused, _ = refusals(core, now, 200, 1)
--- a/internal/core/packet.go
+++ b/internal/core/packet.go
@@ -56,8 +56,8 @@
 // setLoads and loadSamples do nothing, because they serve overload control as well.
 func (chainAffinity) setLoads(map[lb.ServiceName]fleetload.Service) {}
 
-func (chainAffinity) loadSamples() []fleetload.Sample { return nil }
-func (chainAffinity) updateReachability([]ZoneHeard)  {}
+func (chainAffinity) loadSamples() []fleetload.Sample  { return nil }
+func (chainAffinity) updateReachability([]ZoneContact) {}
 
 func (chainAffinity) reachabilityChanges() []reachability.Change { return nil }
 
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -17,13 +17,13 @@
 type Released struct {
 	Packet   Packet
 	Decision Decision
-	// Kept is the datagram of the opening as it was received.
-	Kept HeldDatagram
+	// Held is the datagram of the opening as it was received.
+	Held HeldDatagram
 }
 
 // Datagram returns the datagram of the opening as it was received.
 func (released *Released) Datagram() []byte {
-	return released.Kept.bytes[:released.Kept.length]
+	return released.Held.bytes[:released.Held.length]
 }
 
 // HeldDatagram is a copy of a datagram. A copy is necessary because the packet reader reuses its
@@ -33,8 +33,8 @@
 	length uint8
 }
 
-// Keep copies at most MaxHeldBytes of a datagram.
-func (held *HeldDatagram) Keep(datagram []byte) {
+// Set copies at most MaxHeldBytes of a datagram.
+func (held *HeldDatagram) Set(datagram []byte) {
 	held.length = uint8(copy(held.bytes[:], datagram))
 }
 
@@ -49,13 +49,13 @@
 // precedence. Otherwise it is the given back end, if overload control admits the opening.
 func (a *tokenAffinity) admittedHost(packet *Packet, service *steering.Service, frontend *lb.FrontendKey, host *steering.Host) *steering.Host {
 	admitted := a.admit(packet, service, frontend, host)
-	if packet.Copies == 0 && !host.Cold && a.reachability.Reaches(host.Zone) && a.overload.Pressed(service.Name) {
+	if packet.Copies == 0 && !host.Cold && a.reachability.Reachable(host.Zone) && a.overload.NearLimit(service.Name) {
 		if freeHost := a.claimFreeSlot(service, frontend); freeHost != nil {
-			a.core.stats.Waited.Freed++
+			a.core.stats.HeldOpenings.ToFreedBackends++
 			if !admitted {
 				objective, _ := a.table.Objective(frontend)
-				a.overload.Held(a.core.now, service.Name, objective)
-				a.overload.Opened(a.core.now, service.Name, objective)
+				a.overload.CancelRefusal(a.core.now, service.Name, objective)
+				a.overload.RecordAdmission(a.core.now, service.Name, objective)
 			}
 			return freeHost
 		}
@@ -74,8 +74,8 @@
 	if !found || a.observer.Factor(a.core.now, service.Name, passivehealth.Identity(identity)) < 1 {
 		return nil
 	}
-	host := a.table.HostOfRun(identity)
-	if host == nil || !service.Takes(host) || !a.reachability.Reaches(host.Zone) {
+	host := a.table.HostOfInstance(identity)
+	if host == nil || !service.IsReady(host) || !a.reachability.Reachable(host.Zone) {
 		return nil
 	}
 	return host
@@ -84,7 +84,7 @@
 // countOpened counts a flow that is placed for the first time.
 func (a *tokenAffinity) countOpened(service *steering.Service, frontend *lb.FrontendKey) {
 	objective, _ := a.table.Objective(frontend)
-	a.freeSlots.Opened(service.Name, objective)
+	a.freeSlots.RecordFlow(service.Name, objective)
 }
 
 // holdOrRefuse holds an opening that overload control has not admitted, or refuses it at once.
@@ -104,16 +104,16 @@
 	}
 	frontend := packet.Key.Frontend()
 	objective, _ := a.table.Objective(&frontend)
-	held := a.admissionQueue.Hold(a.core.now, admissionqueue.Opening{
+	held := a.admissionQueue.Enqueue(a.core.now, admissionqueue.Opening{
 		Flow: packet.Key.ID(), OpeningID: packet.OpeningID, Service: service.Name, Objective: objective,
 	})
 	if held == nil {
 		return false
 	}
-	held.Kept.packet = *packet
-	held.Kept.packet.Datagram = nil
-	held.Kept.datagram.Keep(packet.Datagram)
-	a.overload.Held(a.core.now, service.Name, objective)
+	held.Data.packet = *packet
+	held.Data.packet.Datagram = nil
+	held.Data.datagram.Set(packet.Datagram)
+	a.overload.CancelRefusal(a.core.now, service.Name, objective)
 	decision.Action = ActionHold
 	return true
 }
@@ -128,11 +128,11 @@
 		return false
 	}
 	if packet.Copies == 0 && packet.OpeningID == held.OpeningID {
-		decision.drop(ReasonCopied)
+		decision.drop(ReasonDuplicate)
 		return true
 	}
-	replaced := Decision{Service: held.Service, Waited: a.core.now - held.Arrived}
-	replaced.drop(ReasonCopied)
+	replaced := Decision{Service: held.Service, HeldFor: a.core.now - held.Arrived}
+	replaced.drop(ReasonDuplicate)
 	a.release(held, &replaced)
 	a.admissionQueue.Remove(held)
 	return false
@@ -144,63 +144,63 @@
 	a.retryingQueue = true
 	defer func() { a.retryingQueue = false }()
 	a.queueClosed = a.queueClosed || all
-	a.admissionQueue.Look(a.core.now, all, a.retryHeld)
+	a.admissionQueue.Retry(a.core.now, all, a.retryHeld)
 }
 
 // retryHeld decides one held opening again.
-func (a *tokenAffinity) retryHeld(held *admissionqueue.Waiter[heldOpening], chance admissionqueue.Chance) admissionqueue.Fate {
-	decision := Decision{Service: held.Service, Waited: a.core.now - held.Arrived}
-	if chance == admissionqueue.ChanceGone || a.core.now < a.core.dropPacketsUntil {
+func (a *tokenAffinity) retryHeld(held *admissionqueue.QueuedOpening[heldOpening], chance admissionqueue.Phase) admissionqueue.Outcome {
+	decision := Decision{Service: held.Service, HeldFor: a.core.now - held.Arrived}
+	if chance == admissionqueue.PhaseExpired || a.core.now < a.core.dropPacketsUntil {
 		decision.drop(ReasonPaused)
 		a.release(held, &decision)
-		return admissionqueue.FateEnded
+		return admissionqueue.OutcomeRemoved
 	}
-	if !a.retryOpening(&held.Kept.packet, &decision, chance) {
-		return admissionqueue.FateWaits
+	if !a.retryOpening(&held.Data.packet, &decision, chance) {
+		return admissionqueue.OutcomeQueued
 	}
 	a.release(held, &decision)
 	if decision.Action == ActionForward {
-		return admissionqueue.FateWent
+		return admissionqueue.OutcomeReleased
 	}
-	return admissionqueue.FateEnded
+	return admissionqueue.OutcomeRemoved
 }
 
 // retryOpening decides a held opening again and returns false if it must wait longer. While the
 // service is under pressure, the opening goes only to a back end that has freed a slot. If
 // admission decided instead, all held openings would go out together as soon as the admission rate
 // rises.
-func (a *tokenAffinity) retryOpening(packet *Packet, decision *Decision, chance admissionqueue.Chance) bool {
+func (a *tokenAffinity) retryOpening(packet *Packet, decision *Decision, chance admissionqueue.Phase) bool {
 	service := a.table.Service(&packet.Key)
 	frontend := packet.Key.Frontend()
 	objective, _ := a.table.Objective(&frontend)
-	if service == nil || len(service.Ready) == 0 || a.allZonesUnreachable(service) || !a.overload.Pressed(service.Name) {
+	if service == nil || len(service.Ready) == 0 || a.allZonesUnreachable(service) || !a.overload.NearLimit(service.Name) {
 		a.decideOpening(packet, decision)
-		if decision.Reason == ReasonOverload && chance == admissionqueue.ChanceMore {
-			a.overload.Held(a.core.now, decision.Service, objective)
+		if decision.Reason == ReasonOverload && chance == admissionqueue.PhaseWaiting {
+			a.overload.CancelRefusal(a.core.now, decision.Service, objective)
 			return false
 		}
 		return true
 	}
 	if host := a.claimFreeSlot(service, &frontend); host != nil {
-		a.core.stats.Waited.Freed++
-		a.overload.Opened(a.core.now, service.Name, objective)
+		a.core.stats.HeldOpenings.ToFreedBackends++
+		a.overload.RecordAdmission(a.core.now, service.Name, objective)
 		a.countOpened(service, &frontend)
 		a.forwardOpening(packet, decision, &frontend, host)
 		return true
 	}
-	if chance == admissionqueue.ChanceMore {
+	if chance == admissionqueue.PhaseWaiting {
 		return false
 	}
 	decision.Service = service.Name
-	a.overload.Refused(a.core.now, service.Name, objective)
+	a.overload.RecordRefusal(a.core.now, service.Name, objective)
 	a.holdOrRefuse(packet, service, decision)
 	return true
 }
 
-func (a *tokenAffinity) release(held *admissionqueue.Waiter[heldOpening], decision *Decision) {
+func (a *tokenAffinity) release(held *admissionqueue.QueuedOpening[heldOpening], decision *Decision) {
 	a.core.count(decision)
-	a.core.stats.Waited.add(decision.Waited, decision.Action == ActionForward)
-	a.released = append(a.released, Released{Packet: held.Kept.packet, Decision: *decision, Kept: held.Kept.datagram})
+	a.core.stats.HeldOpenings.add(decision.HeldFor, decision.Action == ActionForward)
+	a.released = append(a.released, Released{Packet: held.Data.packet, Decision: *decision, Held: held.Data.datagram})
 }
 
 // takeReleased returns the openings decided since the last call. The slice is valid until the next
@@ -211,21 +211,21 @@
 	return released
 }
 
-// Waits counts held openings.
-type Waits struct {
+// HeldStats counts held openings.
+type HeldStats struct {
 	// Held counts the openings that were held, and Went those of them that were then forwarded. The
 	// others were refused or dropped.
-	Held, Went uint64
-	// Freed counts the openings, held or not, that went to a back end which had just freed a slot.
-	Freed uint64
-	// Time is the total time for which decided openings were held.
-	Time time.Duration
+	Held, Forwarded uint64
+	// ToFreedBackends counts the openings, held or not, that went to a back end which had just freed a slot.
+	ToFreedBackends uint64
+	// HeldTime is the total time for which decided openings were held.
+	HeldTime time.Duration
 }
 
-func (waits *Waits) add(waited time.Duration, forwarded bool) {
-	waits.Time += waited
+func (waits *HeldStats) add(waited time.Duration, forwarded bool) {
+	waits.HeldTime += waited
 	if forwarded {
-		waits.Went++
+		waits.Forwarded++
 	}
 }
 
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -26,9 +26,9 @@
 // number of openings.
 func coreWithHeldOpenings(t testing.TB, openings int) (core *tokenCore, now time.Duration) {
 	core, now, _ = overloadedCore(t, 4)
-	for number := uint16(40000); core.Waiting() < openings; number++ {
+	for number := uint16(40000); core.HeldOpenings() < openings; number++ {
 		if number > 60000 {
-			t.Fatalf("%d openings are held", core.Waiting())
+			t.Fatalf("%d openings are held", core.HeldOpenings())
 		}
 		core.send(now, holdableOpening(number))
 	}
@@ -52,12 +52,12 @@
 	is.Equal(released[0].Decision.Action, ActionRefuse)
 	is.Equal(released[0].Decision.Reason, ReasonOverload)
 	is.Equal(released[0].Decision.Refusal.Verdict, lb.NotRun)
-	is.Equal(released[0].Decision.Waited, 40*time.Millisecond)
+	is.Equal(released[0].Decision.HeldFor, 40*time.Millisecond)
 	is.Equal(len(released[0].Datagram()), 34)
 	is.Equal(released[0].Datagram()[0], byte(released[0].Packet.Key.SourcePort))
-	is.Equal(core.Waiting(), 0)
-	is.Equal(core.Stats().Waited.Time, 40*time.Millisecond)
-	is.Equal(core.Stats().Waited.Went, uint64(0))
+	is.Equal(core.HeldOpenings(), 0)
+	is.Equal(core.Stats().HeldOpenings.HeldTime, 40*time.Millisecond)
+	is.Equal(core.Stats().HeldOpenings.Forwarded, uint64(0))
 }
 
 // TestCopiesAndPacketsWithoutDatagramAreNotHeld covers later copies, which another node may have
@@ -71,7 +71,7 @@
 		is.Equal(core.send(now, packet).Action, ActionForward)
 		is.True(core.send(now, tokenOpening(42000+number, 443)).Action != ActionHold)
 	}
-	is.Equal(core.Waiting(), 0)
+	is.Equal(core.HeldOpenings(), 0)
 }
 
 // TestHeldOpeningsAreDroppedAfterPause checks that openings that were held during a pause are
@@ -87,7 +87,7 @@
 			is.Equal(opening.Decision.Action, ActionDrop)
 			is.Equal(opening.Decision.Reason, ReasonPaused)
 		}
-		is.Equal(core.Waiting(), 0)
+		is.Equal(core.HeldOpenings(), 0)
 	}
 }
 
@@ -108,7 +108,7 @@
 		is := is.New(t)
 		core, now := coreWithHeldOpenings(t, 3)
 		core.list(now+time.Millisecond, listing)
-		is.Equal(core.Waiting(), 3)
+		is.Equal(core.HeldOpenings(), 3)
 		released := core.retryQueued(now + 10*time.Millisecond)
 		is.Equal(len(released), 3)
 		for _, opening := range released {
@@ -120,10 +120,10 @@
 }
 
 // copyHeldPacket returns a function that copies a held packet.
-func copyHeldPacket(packet *Packet) func(*admissionqueue.Waiter[heldOpening], admissionqueue.Chance) admissionqueue.Fate {
-	return func(held *admissionqueue.Waiter[heldOpening], _ admissionqueue.Chance) admissionqueue.Fate {
-		*packet = held.Kept.packet
-		return admissionqueue.FateWaits
+func copyHeldPacket(packet *Packet) func(*admissionqueue.QueuedOpening[heldOpening], admissionqueue.Phase) admissionqueue.Outcome {
+	return func(held *admissionqueue.QueuedOpening[heldOpening], _ admissionqueue.Phase) admissionqueue.Outcome {
+		*packet = held.Data.packet
+		return admissionqueue.OutcomeQueued
 	}
 }
 
@@ -133,20 +133,20 @@
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 1)
 	var packet Packet
-	core.affinity.(*tokenAffinity).admissionQueue.Look(now, false, copyHeldPacket(&packet))
+	core.affinity.(*tokenAffinity).admissionQueue.Retry(now, false, copyHeldPacket(&packet))
 	packet.Datagram = make([]byte, 34)
 	repeated := core.send(now, packet)
 	is.Equal(repeated.Action, ActionDrop)
-	is.Equal(repeated.Reason, ReasonCopied)
-	is.Equal(core.Waiting(), 1)
+	is.Equal(repeated.Reason, ReasonDuplicate)
+	is.Equal(core.HeldOpenings(), 1)
 
 	copied := packet
 	copied.Copies = 1
 	is.Equal(core.send(now+time.Millisecond, copied).Action, ActionForward)
 	is.Equal(len(core.effects.Released), 1)
 	is.Equal(core.effects.Released[0].Decision.Action, ActionDrop)
-	is.Equal(core.effects.Released[0].Decision.Reason, ReasonCopied)
-	is.Equal(core.Waiting(), 0)
+	is.Equal(core.effects.Released[0].Decision.Reason, ReasonDuplicate)
+	is.Equal(core.HeldOpenings(), 0)
 	is.Equal(len(core.retryQueued(now+40*time.Millisecond)), 0)
 }
 
@@ -163,7 +163,7 @@
 	for number := range uint16(100) {
 		is.True(core.send(now, holdableOpening(45000+number)).Action != ActionHold)
 	}
-	is.Equal(core.Waiting(), 0)
+	is.Equal(core.HeldOpenings(), 0)
 }
 
 // TestHeldOpeningGoesToFreedBackend checks that a held opening goes to a back end that has just
@@ -174,14 +174,14 @@
 	key := tokenFlow(1, 443)
 	host := core.affinity.(*tokenAffinity).table.Service(&key).Ready[0]
 	objective := lb.Objective{Priority: 1, TargetMillis: 200}
-	core.affinity.(*tokenAffinity).freeSlots.Answered(now, "web", objective, host.Identity, true)
+	core.affinity.(*tokenAffinity).freeSlots.RecordAnswer(now, "web", objective, host.Identity, true)
 	released := core.retryQueued(now + 10*time.Millisecond)
 	is.Equal(len(released), 1)
 	is.Equal(released[0].Decision.Action, ActionForward)
 	is.Equal(released[0].Decision.Identity, host.Identity)
 	is.Equal(released[0].Decision.Token, host.Token(frontendOf(&released[0].Packet)))
-	is.Equal(core.Waiting(), 1)
-	is.Equal(core.Stats().Waited.Went, uint64(1))
+	is.Equal(core.HeldOpenings(), 1)
+	is.Equal(core.Stats().HeldOpenings.Forwarded, uint64(1))
 }
 
 // TestUnknownAndEjectedBackendsAreNotFree checks that freed slots of back ends that are unknown or
@@ -190,11 +190,11 @@
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 2)
 	affinity := core.affinity.(*tokenAffinity)
-	affinity.freeSlots.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 99, true)
-	affinity.freeSlots.Answered(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 1, true)
+	affinity.freeSlots.RecordAnswer(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 99, true)
+	affinity.freeSlots.RecordAnswer(now, "web", lb.Objective{Priority: 1, TargetMillis: 200}, 1, true)
 	core.Step(now, &Event{Ejected: []passivehealth.Identity{1}}, &core.effects)
 	is.Equal(len(core.retryQueued(now+10*time.Millisecond)), 0)
-	is.Equal(core.Waiting(), 2)
+	is.Equal(core.HeldOpenings(), 2)
 }
 
 func frontendOf(packet *Packet) *lb.FrontendKey {
@@ -209,7 +209,7 @@
 	for number := range uint16(50) {
 		is.True(core.send(now, holdableOpening(50000+number)).Action != ActionHold)
 	}
-	is.Equal(core.Waiting(), 128)
+	is.Equal(core.HeldOpenings(), 128)
 }
 
 // TestHeldOpeningsToUnreachableZonesAreRefused checks that the next retry refuses held openings,
@@ -224,7 +224,7 @@
 		tracker.Unanswered(sent+300*time.Millisecond, "", identity+1, sent+time.Duration(identity))
 	}
 	tracker.Tick(sent + 300*time.Millisecond)
-	is.True(!tracker.Reaches(""))
+	is.True(!tracker.Reachable(""))
 	released := core.retryQueued(now)
 	is.Equal(len(released), 3)
 	refused := 0
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -10,7 +10,7 @@
 // tracker of their zones.
 func (a *tokenAffinity) applyReachabilitySigns() {
 	for _, sign := range a.observer.Signs() {
-		host := a.table.HostOfRun(uint64(sign.Identity))
+		host := a.table.HostOfInstance(uint64(sign.Identity))
 		switch {
 		case host == nil: // removed in the meantime
 		case sign.Missing:
@@ -22,10 +22,10 @@
 }
 
 // updateReachability applies the membership's contact with zones that have back ends.
-func (a *tokenAffinity) updateReachability(zones []ZoneHeard) {
+func (a *tokenAffinity) updateReachability(zones []ZoneContact) {
 	a.reachability.Tick(a.core.now)
 	for _, zone := range zones {
-		a.reachability.Heard(a.core.now, zone.Zone, zone.At, zone.Lost)
+		a.reachability.MemberSeen(a.core.now, zone.Zone, zone.At, zone.Lost)
 	}
 }
 
@@ -36,11 +36,11 @@
 // probeHost returns the back end for an opening that serves as a probe of an unreachable zone, or
 // nil if no probe is due.
 func (a *tokenAffinity) probeHost(service *steering.Service, flow lb.FlowID) *steering.Host {
-	if a.reachability.All() {
+	if a.reachability.AllReachable() {
 		return nil
 	}
 	for _, host := range service.Ready {
-		if !a.reachability.Reaches(host.Zone) && a.reachability.Probe(a.core.now, host.Zone) {
+		if !a.reachability.Reachable(host.Zone) && a.reachability.Probe(a.core.now, host.Zone) {
 			return service.Pick(flow, nil, factorsOfZone(service, host.Zone))
 		}
 	}
@@ -51,7 +51,7 @@
 func factorsOfZone(service *steering.Service, zone lb.Zone) []float64 {
 	factors := make([]float64, len(service.Ready))
 	for index, host := range service.Ready {
-		factors[index] = steering.FactorUnreached
+		factors[index] = steering.FactorUnreachable
 		if host.Zone == zone {
 			factors[index] = 1
 		}
@@ -62,14 +62,14 @@
 // allZonesUnreachable reports whether a service has back ends but none of them is in a zone that
 // this node can reach.
 func (a *tokenAffinity) allZonesUnreachable(service *steering.Service) bool {
-	if a.reachability.All() {
+	if a.reachability.AllReachable() {
 		return false
 	}
 	hosts := 0
 	for _, group := range [][]*steering.Host{service.Ready, service.Cold, service.Lapsed} {
 		hosts += len(group)
 		for _, host := range group {
-			if a.reachability.Reaches(host.Zone) {
+			if a.reachability.Reachable(host.Zone) {
 				return false
 			}
 		}
--- a/internal/core/reachability_test.go
+++ b/internal/core/reachability_test.go
@@ -64,7 +64,7 @@
 	counts := make(map[Reason]int)
 	for end := core.now + lasting; core.now < end; core.now += 20 * time.Millisecond {
 		if core.now%(100*time.Millisecond) == 0 {
-			core.Step(core.now, &Event{Tick: true, Heard: core.zonesHeard()}, &core.effects)
+			core.Step(core.now, &Event{Tick: true, ZoneContacts: core.zonesHeard()}, &core.effects)
 		}
 		decision := core.open(0)
 		reason := decision.Reason
@@ -76,11 +76,11 @@
 	return counts
 }
 
-func (core *zonedCore) zonesHeard() []ZoneHeard {
-	var heard []ZoneHeard
+func (core *zonedCore) zonesHeard() []ZoneContact {
+	var heard []ZoneContact
 	for _, zone := range []lb.Zone{"za", "zb", "zc"} {
 		if !core.unreachable[zone] && !(zone == "za" && core.ownZoneUnreachable) {
-			heard = append(heard, ZoneHeard{Zone: zone, At: core.now})
+			heard = append(heard, ZoneContact{Zone: zone, At: core.now})
 		}
 	}
 	return heard
@@ -126,8 +126,8 @@
 	counts := core.run(5 * time.Second)
 	is.Equal(counts["zb"]+counts["zc"], 250)
 	is.True(counts["zb"] > 0 && counts["zb"] <= 20)
-	for _, zone := range core.Zones() {
-		is.Equal(zone.Reached, zone.Zone != "zb")
+	for _, zone := range core.ZoneReachability() {
+		is.Equal(zone.Reachable, zone.Zone != "zb")
 	}
 }
 
@@ -141,7 +141,7 @@
 		core.run(2 * time.Second)
 		affinity := core.affinity.(*tokenAffinity)
 		parts := zoneweight.Weights{"zb": 1}
-		affinity.serviceWeights["web"] = &serviceWeights{byZone: parts, byHost: affinity.table.ServiceNamed("web").Weights(parts)}
+		affinity.serviceWeights["web"] = &serviceWeights{byZone: parts, byHost: affinity.table.ServiceNamed("web").HostWeights(parts)}
 		is.Equal(core.run(time.Second)["zb"], 50)
 		core.unreachable = map[lb.Zone]bool{"zb": true}
 		core.run(time.Second)
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -10,9 +10,9 @@
 	Relayed   uint64
 	Dropped   uint64
 	Refused   uint64
-	// Waited counts the openings that were held. They also count in the fields above once they are
+	// HeldOpenings counts the openings that were held. They also count in the fields above once they are
 	// decided.
-	Waited Waits
+	HeldOpenings HeldStats
 	// ByReason counts dropped and refused packets, in the order of Reasons.
 	ByReason [reasonCount]uint64
 
@@ -39,7 +39,7 @@
 	ReasonUnknownService, ReasonNoBackend, ReasonBackendFailed, ReasonAdmission, ReasonTupleReuse,
 	ReasonUnknownPeer, ReasonWrongService, ReasonViewsDiffer, ReasonStray, ReasonPaused, ReasonDraining,
 	ReasonNoView, ReasonUnknownToken, ReasonOverload, ReasonEvacuated, ReasonCold,
-	ReasonUnreachable, ReasonCopied,
+	ReasonUnreachable, ReasonDuplicate,
 }
 
 // count adds a decision to the counters.
@@ -53,7 +53,7 @@
 		core.stats.Dropped++
 		core.countReason(decision.Reason)
 	case ActionHold:
-		core.stats.Waited.Held++
+		core.stats.HeldOpenings.Held++
 	case ActionRefuse:
 		core.stats.Refused++
 		core.countReason(decision.Reason)
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -88,7 +88,7 @@
 	backends := make([]subset.Backend, len(ring))
 	for index, host := range ring {
 		backends[index] = subset.Backend{
-			Identity: subset.Identity(host.Run), Zone: host.Zone, Size: host.Size(),
+			Identity: subset.Identity(host.InstanceID), Zone: host.Zone, Size: host.RelativeCapacity(),
 		}
 	}
 	return subset.NewRing(backends)
@@ -99,7 +99,7 @@
 	if weights := a.serviceWeights[service.Name]; weights != nil {
 		return weights.byZone
 	}
-	return service.Even()
+	return service.EvenZoneWeights()
 }
 
 // hostWeights returns the weights of the service's ready hosts that follow from the zone weights,
@@ -119,7 +119,7 @@
 		ring := service.Ring()
 		index := a.subsets.pickerFor(a.core, service).Pick(a.zoneWeights(service),
 			func(index int) float64 { return max(0, a.weightFactor(service, ring[index])) }, // hosts in unreachable zones get no flows
-			func(index int) int { return a.observer.Busy(passivehealth.Identity(ring[index].Run)) },
+			func(index int) int { return a.observer.Busy(passivehealth.Identity(ring[index].InstanceID)) },
 		)
 		if index >= 0 {
 			return ring[index]
@@ -134,7 +134,7 @@
 func (a *tokenAffinity) pickUnsuspectedByRank(service *steering.Service, flow lb.FlowID) *steering.Host {
 	a.updateWeightFactors(service)
 	for index, host := range service.Ready {
-		if a.weightFactors[index] > 0 && a.observer.Suspect(passivehealth.Identity(host.Run)) {
+		if a.weightFactors[index] > 0 && a.observer.Suspect(passivehealth.Identity(host.InstanceID)) {
 			a.weightFactors[index] = 0
 		}
 	}
--- a/internal/core/token.go
+++ b/internal/core/token.go
@@ -65,7 +65,7 @@
 	a.table = table
 	a.subsets.retain(table.HasService)
 	a.reachability.Forget(table.HasZone)
-	present := func(instance uint64) bool { return table.HostOfRun(instance) != nil }
+	present := func(instance uint64) bool { return table.HostOfInstance(instance) != nil }
 	a.coldStart.Forget(func(identity coldstart.Identity) bool { return present(uint64(identity)) })
 	a.observer.Forget(func(identity passivehealth.Identity) bool { return present(uint64(identity)) })
 	a.overload.Forget(a.core.now, func(identity overload.Identity) bool { return present(uint64(identity)) }, table.HasService)
@@ -107,7 +107,7 @@
 func (a *tokenAffinity) recentFlows() []conntrack.Flow { return a.trackedFlows.Recent(a.core.now) }
 
 func (a *tokenAffinity) applyOpenFlows(flows []conntrack.Flow) []conntrack.Flow {
-	return a.trackedFlows.Learn(a.core.now, flows)
+	return a.trackedFlows.AddAnnounced(a.core.now, flows)
 }
 
 func (a *tokenAffinity) tick() {
@@ -136,7 +136,7 @@
 // copy, unless that back end has become unresponsive.
 func (a *tokenAffinity) decideOpening(packet *Packet, decision *Decision) {
 	flow := packet.Key.ID()
-	a.trackedFlows.Opening(flow, packet.OpeningID)
+	a.trackedFlows.RecordOpening(flow, packet.OpeningID)
 	if packet.Copies == 0 {
 		a.observer.Reopened(flow)
 	}
@@ -159,7 +159,7 @@
 		}
 		a.countOpened(service, &frontend)
 		if packet.Copies > 0 {
-			a.trackedFlows.Ambiguous(a.core.now, flow, packet.OpeningID)
+			a.trackedFlows.TrackAmbiguous(a.core.now, flow, packet.OpeningID)
 		}
 	}
 	a.forwardOpening(packet, decision, &frontend, host)
@@ -169,9 +169,9 @@
 func (a *tokenAffinity) forwardOpening(packet *Packet, decision *Decision, frontend *lb.FrontendKey, host *steering.Host) {
 	setForward(decision, host)
 	decision.Token = host.Token(frontend)
-	a.observer.Opened(a.core.now, packet.Key.ID(), passivehealth.Identity(host.Run))
+	a.observer.Opened(a.core.now, packet.Key.ID(), passivehealth.Identity(host.InstanceID))
 	if host.Cold {
-		a.coldStart.Sent(a.core.now, coldstart.Identity(host.Run))
+		a.coldStart.Sent(a.core.now, coldstart.Identity(host.InstanceID))
 	}
 }
 
@@ -197,12 +197,12 @@
 // Copies go to no back end that leaves openings unanswered.
 func (a *tokenAffinity) chooseHost(service *steering.Service, flow lb.FlowID, copies uint32) (host *steering.Host, placed bool) {
 	if identity, found := a.observer.Placed(a.core.now, flow); found {
-		host := a.table.HostOfRun(uint64(identity))
-		if host != nil && (service.Takes(host) || host.Cold && host.Service == service.Name && a.coldStartAllows(service, host)) {
+		host := a.table.HostOfInstance(uint64(identity))
+		if host != nil && (service.IsReady(host) || host.Cold && host.Service == service.Name && a.coldStartAllows(service, host)) {
 			return host, true
 		}
 	}
-	if service.NeedsCold {
+	if service.ColdNeeded {
 		if host := service.PickCold(flow, func(host *steering.Host) bool { return a.coldStartAllows(service, host) }); host != nil {
 			return host, false
 		}
@@ -211,19 +211,19 @@
 		return host, false
 	}
 	first := a.pickHost(service, flow)
-	if copies > 0 && first != nil && a.observer.Suspect(passivehealth.Identity(first.Run)) {
+	if copies > 0 && first != nil && a.observer.Suspect(passivehealth.Identity(first.InstanceID)) {
 		if unsuspected := a.pickUnsuspectedByRank(service, flow); unsuspected != nil {
 			return unsuspected, false
 		}
 	}
-	if first != nil && !a.reachability.Reaches(first.Zone) {
+	if first != nil && !a.reachability.Reachable(first.Zone) {
 		return nil, false
 	}
-	if first == nil || !a.overload.Crowded(a.core.now, overload.Identity(first.Run)) {
+	if first == nil || !a.overload.BackendOverloaded(a.core.now, overload.Identity(first.InstanceID)) {
 		return first, false
 	}
-	second := service.PickOther(flow, nil)
-	if second != nil && a.weightFactor(service, second) > 0 && a.overload.Prefer(a.core.now, service.Name, overload.Identity(second.Run), overload.Identity(first.Run)) {
+	second := service.PickAlternative(flow, nil)
+	if second != nil && a.weightFactor(service, second) > 0 && a.overload.LessLoaded(a.core.now, service.Name, overload.Identity(second.InstanceID), overload.Identity(first.InstanceID)) {
 		return second, false
 	}
 	return first, false
@@ -231,10 +231,10 @@
 
 // coldStartAllows reports whether this node may send an opening to a cold back end now.
 func (a *tokenAffinity) coldStartAllows(service *steering.Service, host *steering.Host) bool {
-	if !a.reachability.Reaches(host.Zone) {
+	if !a.reachability.Reachable(host.Zone) {
 		return false
 	}
-	backend := coldstart.Backend{Identity: coldstart.Identity(host.Run), Zone: host.Zone, Rate: service.ColdRate}
+	backend := coldstart.Backend{Identity: coldstart.Identity(host.InstanceID), Zone: host.Zone, Rate: service.ColdRate}
 	return a.coldStart.Allows(a.core.now, backend)
 }
 
@@ -249,10 +249,10 @@
 
 // weightFactor returns the factor by which this node lowers the weight of a host.
 func (a *tokenAffinity) weightFactor(service *steering.Service, host *steering.Host) float64 {
-	if !a.reachability.All() && !a.reachability.Reaches(host.Zone) {
-		return steering.FactorUnreached
+	if !a.reachability.AllReachable() && !a.reachability.Reachable(host.Zone) {
+		return steering.FactorUnreachable
 	}
-	return a.observer.Factor(a.core.now, service.Name, passivehealth.Identity(host.Run))
+	return a.observer.Factor(a.core.now, service.Name, passivehealth.Identity(host.InstanceID))
 }
 
 // admit reports whether overload control admits an opening to a back end. Copies are always
@@ -264,7 +264,7 @@
 	objective, _ := a.table.Objective(frontend)
 	a.overload.SetSlots(a.core.now, service.Name, a.localSlots(service))
 	hash := rendezvous.Mix(uint64(packet.Key.ID()) ^ uint64(packet.OpeningID)<<32 ^ admissionHashKey)
-	return a.overload.Admit(a.core.now, service.Name, objective, overload.Identity(host.Run), hash)
+	return a.overload.Admit(a.core.now, service.Name, objective, overload.Identity(host.InstanceID), hash)
 }
 
 // localSlots returns this node's part of the slots of the service's ready back ends in the local
@@ -300,28 +300,28 @@
 	if host.Token(&frontend) != token {
 		return // the flow belongs to a previous instance; its reset says nothing about the health of the present one
 	}
-	if pending, found := a.observer.Pending(flow); found && pending != passivehealth.Identity(host.Run) {
-		a.trackedFlows.Open(a.core.now, conntrack.Flow{ID: flow, Token: conntrack.Token(token), Acknowledged: packet.Acknowledged})
+	if pending, found := a.observer.Pending(flow); found && pending != passivehealth.Identity(host.InstanceID) {
+		a.trackedFlows.RecordOpenFlow(a.core.now, conntrack.Flow{ID: flow, Token: conntrack.Token(token), Acknowledged: packet.Acknowledged})
 	}
 	if packet.Kind == PacketClosing {
-		a.overload.Closed(flow)
+		a.overload.CloseFlow(flow)
 	}
-	a.observer.Measure(a.core.now, flow, frontend, passivehealth.Identity(host.Run),
+	a.observer.Measure(a.core.now, flow, frontend, passivehealth.Identity(host.InstanceID),
 		packet.Acknowledged, packet.HasData, packet.Kind == PacketClosing)
 	latency, answered, requestBegan := a.observer.Later(a.core.now, flow, host.Service,
-		passivehealth.Identity(host.Run), packet.Acknowledged, packet.HasData)
+		passivehealth.Identity(host.InstanceID), packet.Acknowledged, packet.HasData)
 	a.applyReachabilitySigns()
 	if !answered && !requestBegan {
 		return
 	}
 	objective, _ := a.table.Objective(&frontend)
 	if answered {
-		a.overload.Answered(a.core.now, host.Service, objective, host.Zone, overload.Identity(host.Run), latency)
-		a.freeSlots.Answered(a.core.now, host.Service, objective, host.Run, a.overload.Quick(host.Service, objective, latency))
+		a.overload.RecordAnswer(a.core.now, host.Service, objective, host.Zone, overload.Identity(host.InstanceID), latency)
+		a.freeSlots.RecordAnswer(a.core.now, host.Service, objective, host.InstanceID, a.overload.HadSpareCapacity(host.Service, objective, latency))
 	}
 	if requestBegan {
-		a.overload.Begun(a.core.now, host.Service, objective)
-		a.overload.Carried(a.core.now, host.Service, objective, flow)
+		a.overload.RecordRequest(a.core.now, host.Service, objective)
+		a.overload.RecordRequestFlow(a.core.now, host.Service, objective, flow)
 	}
 }
 
@@ -330,14 +330,14 @@
 // arrived after the flow was opened.
 func (a *tokenAffinity) trackOpenFlow(flow lb.FlowID, frontend *lb.FrontendKey, token steering.Token) {
 	identity, acknowledged, found := a.observer.Exchanging(flow)
-	if !found || a.trackedFlows.Knows(flow) {
+	if !found || a.trackedFlows.IsOpen(flow) {
 		return
 	}
-	host := a.table.HostOfRun(uint64(identity))
+	host := a.table.HostOfInstance(uint64(identity))
 	if host == nil || host.Token(frontend) == token {
 		return
 	}
-	a.trackedFlows.Open(a.core.now, conntrack.Flow{ID: flow, Token: conntrack.Token(host.Token(frontend)), Acknowledged: acknowledged})
+	a.trackedFlows.RecordOpenFlow(a.core.now, conntrack.Flow{ID: flow, Token: conntrack.Token(host.Token(frontend)), Acknowledged: acknowledged})
 }
 
 func setForward(decision *Decision, host *steering.Host) {
--- a/internal/core/token_test.go
+++ b/internal/core/token_test.go
@@ -167,7 +167,7 @@
 	is := is.New(t)
 	core := newTokenCore()
 	core.affinity.(*tokenAffinity).coldStart = coldstart.New(coldstart.Settings{
-		Zone: "za", Overage: 1, Slack: 5, Owners: 3, Window: time.Second, Alone: true,
+		Zone: "za", RateFactor: 1, Burst: 5, MaxOwners: 3, Window: time.Second, SingleNode: true,
 	})
 	core.Step(0, &Event{Members: []Member{{Zone: "za"}}}, &core.effects)
 	core.list(0, coldListing(9, time.Hour, 0))
@@ -299,9 +299,9 @@
 	core.settings.PauseLimit = time.Hour // the test skips minutes
 	observer := core.affinity.(*tokenAffinity).observer
 	old := tokenBackend("i-1", "web", 1, lb.BackendActive)
-	old.Backend.Born = 1000
+	old.Backend.StartUnixMillis = 1000
 	core.list(0, tokenListing(9, old))
-	oldInstance := passivehealth.Identity(old.Backend.Run())
+	oldInstance := passivehealth.Identity(old.Backend.InstanceID())
 	opened := core.send(0, tokenOpening(1, 443))
 	is.Equal(opened.Action, ActionForward)
 	is.Equal(opened.Identity, uint64(1)) // the identity in packets does not change with the instance
@@ -311,10 +311,10 @@
 
 	restarted := old
 	restarted.Revision = 10
-	restarted.Backend.Born = 2000
+	restarted.Backend.StartUnixMillis = 2000
 	core.list(200*time.Millisecond, tokenListing(10, restarted))
 	core.Step(200*time.Millisecond, &Event{Ejected: []passivehealth.Identity{oldInstance}}, &core.effects) // a late ejection
-	newInstance := passivehealth.Identity(restarted.Backend.Run())
+	newInstance := passivehealth.Identity(restarted.Backend.InstanceID())
 	is.Equal(observer.Factor(200*time.Millisecond, "web", newInstance), 1.0)
 	is.Equal(observer.Busy(newInstance), 0)
 	is.Equal(observer.Busy(oldInstance), 0)
@@ -328,9 +328,9 @@
 	is.Equal(observer.Busy(newInstance), busy) // the back end resets the flow, so no reply is outstanding
 	is.Equal(len(core.effects.Outcomes), 0)
 
-	core.replica.Prune(time.Second + view.GoneRetention) // clients have given up by then
-	core.Step(2*view.GoneRetention, &Event{Table: steering.Compile(core.replica, "za", 2*view.GoneRetention)}, &core.effects)
-	forgotten := core.send(2*view.GoneRetention, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
+	core.replica.Prune(time.Second + view.TombstoneRetention) // clients have given up by then
+	core.Step(2*view.TombstoneRetention, &Event{Table: steering.Compile(core.replica, "za", 2*view.TombstoneRetention)}, &core.effects)
+	forgotten := core.send(2*view.TombstoneRetention, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
 	is.Equal(forgotten.Reason, ReasonUnknownToken)
 }
 
@@ -340,12 +340,12 @@
 	is := is.New(t)
 	core := newTokenCore()
 	old := tokenBackend("i-1", "web", 1, lb.BackendActive)
-	old.Backend.Born = 1000
+	old.Backend.StartUnixMillis = 1000
 	core.list(0, tokenListing(9, old))
 	opened := core.send(0, tokenOpening(1, 443))
 	restarted := old
 	restarted.Revision = 10
-	restarted.Backend.Born, restarted.Backend.Service = 2000, "docs"
+	restarted.Backend.StartUnixMillis, restarted.Backend.Service = 2000, "docs"
 	core.list(time.Second, tokenListing(10, restarted))
 	laterDecision := core.send(time.Second, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
 	is.Equal(laterDecision.Action, ActionDrop)
@@ -382,7 +382,7 @@
 	is.Equal(decision.Identity, second.Identity)
 	is.Equal(decision.Token, second.Token)
 	is.True(decision.Corrected)
-	is.Equal(core.Tracked().Corrected, uint64(1))
+	is.Equal(core.TrackedFlowStats().Corrected, uint64(1))
 }
 
 // TestSlowReplyToFirstCopyOpensFlow covers a client that accepts the reply to the first copy
@@ -401,7 +401,7 @@
 	core = newTokenCore()
 	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive)))
 	first = core.send(time.Millisecond, tokenOpening(1, 443))
-	host := core.affinity.(*tokenAffinity).table.HostOfRun(3 - first.Identity)
+	host := core.affinity.(*tokenAffinity).table.HostOfInstance(3 - first.Identity)
 	key := tokenFlow(1, 443)
 	frontend := key.Frontend()
 	return core, first, Decision{Identity: host.Identity, Token: host.Token(&frontend)}
--- a/internal/core/zoneweights.go
+++ b/internal/core/zoneweights.go
@@ -10,16 +10,16 @@
 	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
-// Shares returns the zone weights of this node's new flows of each service, for AffinityToken. They
+// ZoneWeights returns the zone weights of this node's new flows of each service, for AffinityToken. They
 // follow the fleet-wide load if it is known, and the steering table otherwise.
-func (core *Core) Shares() map[lb.ServiceName]zoneweight.Weights {
+func (core *Core) ZoneWeights() map[lb.ServiceName]zoneweight.Weights {
 	affinity, ok := core.affinity.(*tokenAffinity)
 	if !ok || affinity.table == nil {
 		return nil
 	}
 	weightsByService := make(map[lb.ServiceName]zoneweight.Weights)
 	for name, service := range affinity.table.Services() {
-		weightsByService[name] = service.Even()
+		weightsByService[name] = service.EvenZoneWeights()
 		if weights := affinity.serviceWeights[name]; weights != nil {
 			weightsByService[name] = weights.byZone
 		}
@@ -27,8 +27,8 @@
 	return weightsByService
 }
 
-// WaitingBy returns the number of held openings by service and priority, for AffinityToken.
-func (core *Core) WaitingBy() map[admissionqueue.Level]int {
+// HeldByLevel returns the number of held openings by service and priority, for AffinityToken.
+func (core *Core) HeldByLevel() map[admissionqueue.Level]int {
 	affinity, ok := core.affinity.(*tokenAffinity)
 	if !ok {
 		return nil
@@ -50,7 +50,7 @@
 // because only flows that are not placed by the subset picker need them.
 func (s *serviceWeights) hostWeights(service *steering.Service) []float64 {
 	if s.byHost == nil || s.computedFor != service {
-		s.byHost, s.computedFor = service.Weights(s.byZone), service
+		s.byHost, s.computedFor = service.HostWeights(s.byZone), service
 	}
 	return s.byHost
 }
@@ -65,10 +65,10 @@
 	}
 	for name, load := range loads {
 		if service := a.table.ServiceNamed(name); service != nil {
-			a.overload.Learn(a.core.now, name, &load, lb.TotalSlots(service.Capacity()))
+			a.overload.ApplyFleetLoad(a.core.now, name, &load, lb.TotalSlots(service.Capacity()))
 		}
 		if a.serviceWeights[name] == nil && a.table.HasService(name) {
-			a.serviceWeights[name] = &serviceWeights{byZone: a.table.ServiceNamed(name).Even()}
+			a.serviceWeights[name] = &serviceWeights{byZone: a.table.ServiceNamed(name).EvenZoneWeights()}
 		}
 	}
 	for name, weights := range a.serviceWeights {
@@ -78,7 +78,7 @@
 			delete(a.serviceWeights, name)
 			continue
 		}
-		weights.byZone = zoneweight.Approach(weights.byZone, target, zoneweight.MostStep)
+		weights.byZone = zoneweight.MoveTowards(weights.byZone, target, zoneweight.MaxStep)
 		weights.byHost = nil
 	}
 }
@@ -91,7 +91,7 @@
 		return nil
 	}
 	capacity := service.Capacity()
-	return zoneweight.Split(a.core.settings.Zone, zoneweight.Known(capacity, &load), zoneweight.Home)
+	return zoneweight.Split(a.core.settings.Zone, zoneweight.KnownZones(capacity, &load), zoneweight.LocalThreshold)
 }
 
 // sampleInterval is the time between load samples. It is short compared with the window of load
--- a/internal/dataplane/release_test.go
+++ b/internal/dataplane/release_test.go
@@ -52,7 +52,7 @@
 		if i%2 == 1 {
 			entry.Decision = core.Decision{Action: core.ActionRefuse, Reason: core.ReasonOverload, Refusal: lb.Refusal{Verdict: lb.NotRun}}
 		}
-		entry.Kept.Keep(datagram)
+		entry.Held.Set(datagram)
 		released = append(released, entry)
 	}
 	deadline := time.Now().Add(10 * time.Second)
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -54,8 +54,8 @@
 	return &Zone{settings: settings, others: make(map[lb.NodeID]*node)}
 }
 
-// Update sets the live nodes of the zone. The list may or may not include this node.
-func (z *Zone) Update(now time.Duration, members []Member) {
+// SetMembers sets the live nodes of the zone. The list may or may not include this node.
+func (z *Zone) SetMembers(now time.Duration, members []Member) {
 	for _, n := range z.others {
 		n.listed = false
 	}
@@ -113,10 +113,10 @@
 	}
 }
 
-// CanSpare reports whether at least half of the zone's nodes are available without this node and
+// MayStop reports whether at least half of the zone's nodes are available without this node and
 // the nodes that stopped before it. It also returns true if no node would be available, because
 // routers then use another zone.
-func (z *Zone) CanSpare(now time.Duration) bool {
+func (z *Zone) MayStop(now time.Duration) bool {
 	total, available := 1, 0
 	for id, n := range z.others {
 		unavailable := z.unavailable(now, n)
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -13,7 +13,7 @@
 // newZone returns a zone in which the named nodes are known to serve.
 func newZone(self lb.NodeID, ids ...lb.NodeID) *disruption.Zone {
 	zone := disruption.New(disruption.DefaultSettings(self))
-	zone.Update(0, serving(ids...))
+	zone.SetMembers(0, serving(ids...))
 	return zone
 }
 
@@ -38,7 +38,7 @@
 		is := is.New(t)
 		zone := newZone("a", others...)
 		zone.Stop(time.Second)
-		is.True(zone.CanSpare(time.Second))
+		is.True(zone.MayStop(time.Second))
 	}
 }
 
@@ -47,14 +47,14 @@
 func TestSecondStopOfThreeWaits(t *testing.T) {
 	is := is.New(t)
 	zone := newZone("b", "a", "c")
-	zone.Update(time.Second, append(serving("c"), leaving("a")...))
+	zone.SetMembers(time.Second, append(serving("c"), leaving("a")...))
 	zone.Stop(2 * time.Second)
-	is.True(!zone.CanSpare(2 * time.Second))
-	zone.Update(3*time.Second, serving("c")) // a has terminated
-	is.True(!zone.CanSpare(3 * time.Second))
-	zone.Update(4*time.Second, serving("a", "c"))
-	is.True(!zone.CanSpare(4 * time.Second)) // routers have not found it ready yet
-	is.True(zone.CanSpare(4600 * time.Millisecond))
+	is.True(!zone.MayStop(2 * time.Second))
+	zone.SetMembers(3*time.Second, serving("c")) // a has terminated
+	is.True(!zone.MayStop(3 * time.Second))
+	zone.SetMembers(4*time.Second, serving("a", "c"))
+	is.True(!zone.MayStop(4 * time.Second)) // routers have not found it ready yet
+	is.True(zone.MayStop(4600 * time.Millisecond))
 }
 
 // TestFirstStopDoesNotWaitForLaterOnes guards against two nodes that wait for each other.
@@ -62,21 +62,21 @@
 	is := is.New(t)
 	zone := newZone("a", "b", "c")
 	zone.Stop(time.Second)
-	zone.Update(1100*time.Millisecond, leaving("b", "c"))
-	is.True(zone.CanSpare(1200 * time.Millisecond))
+	zone.SetMembers(1100*time.Millisecond, leaving("b", "c"))
+	is.True(zone.MayStop(1200 * time.Millisecond))
 }
 
 // TestLargeZoneSparesSeveral checks that half of the nodes may be unavailable.
 func TestLargeZoneSparesSeveral(t *testing.T) {
 	is := is.New(t)
 	zone := newZone("a", "b", "c", "d", "e", "f")
-	zone.Update(time.Second, append(serving("d", "e", "f"), leaving("b", "c")...))
+	zone.SetMembers(time.Second, append(serving("d", "e", "f"), leaving("b", "c")...))
 	zone.Stop(2 * time.Second)
-	is.True(zone.CanSpare(2 * time.Second)) // 3 of 6 remain
+	is.True(zone.MayStop(2 * time.Second)) // 3 of 6 remain
 	zone = newZone("a", "b", "c", "d", "e")
-	zone.Update(time.Second, append(serving("d", "e"), leaving("b", "c")...))
+	zone.SetMembers(time.Second, append(serving("d", "e"), leaving("b", "c")...))
 	zone.Stop(2 * time.Second)
-	is.True(!zone.CanSpare(2 * time.Second)) // 2 of 5 would remain
+	is.True(!zone.MayStop(2 * time.Second)) // 2 of 5 would remain
 }
 
 // TestNodeThatNeverReturnsIsForgotten checks that a removed machine counts as absent only for a
@@ -84,10 +84,10 @@
 func TestNodeThatNeverReturnsIsForgotten(t *testing.T) {
 	is := is.New(t)
 	zone := newZone("b", "a", "c")
-	zone.Update(time.Second, serving("c"))
+	zone.SetMembers(time.Second, serving("c"))
 	zone.Stop(2 * time.Second)
-	is.True(!zone.CanSpare(2 * time.Second))
-	is.True(zone.CanSpare(9100 * time.Millisecond))
+	is.True(!zone.MayStop(2 * time.Second))
+	is.True(zone.MayStop(9100 * time.Millisecond))
 }
 
 // TestLastNodesOfAZoneDoNotWait checks that a node stops without waiting if none would be
@@ -95,7 +95,7 @@
 func TestLastNodesOfAZoneDoNotWait(t *testing.T) {
 	is := is.New(t)
 	zone := newZone("b", "a")
-	zone.Update(time.Second, leaving("a"))
+	zone.SetMembers(time.Second, leaving("a"))
 	zone.Stop(2 * time.Second)
-	is.True(zone.CanSpare(2 * time.Second))
+	is.True(zone.MayStop(2 * time.Second))
 }
--- a/internal/fleetload/core.go
+++ b/internal/fleetload/core.go
@@ -304,7 +304,7 @@
 		for name, work := range state.work {
 			service := c.services[name]
 			service.Zones = append(service.Zones, decodeZone(zone, &work))
-			service.At = max(service.At, state.summedAt)
+			service.SummedAt = max(service.SummedAt, state.summedAt)
 			c.services[name] = service
 		}
 	}
--- a/internal/fleetload/fleet_test.go
+++ b/internal/fleetload/fleet_test.go
@@ -188,7 +188,7 @@
 	return []Sample{{
 		Service: "web",
 		Levels:  []Level{{Priority: 1, Begun: float64(begun) * requestWork, Refused: float64(refused) * requestWork}},
-		Answers: []Answers{{Zone: zoneName(zone), Count: float64(begun), Logs: float64(begun) * math.Log(0.8)}},
+		Answers: []Answers{{Zone: zoneName(zone), Count: float64(begun), LogSum: float64(begun) * math.Log(0.8)}},
 	}}
 }
 
--- a/internal/fleetload/load.go
+++ b/internal/fleetload/load.go
@@ -18,8 +18,8 @@
 type Service struct {
 	// Zones is sorted by name.
 	Zones []Zone
-	// At is when the newest part of the data was summed, by this node's clock.
-	At time.Duration
+	// SummedAt is when the newest part of the data was summed, by this node's clock.
+	SummedAt time.Duration
 }
 
 // Zone is the known state of the callers and the back ends of one zone.
@@ -67,7 +67,7 @@
 type Answers struct {
 	Zone lb.Zone
 	// Count is the number of answers, and Logs the sum of the natural logarithms of their loads.
-	Count, Logs float64
+	Count, LogSum float64
 	// Rejected is the number of further answers that came too quickly for a processed request,
 	// which is how full back ends reject one.
 	Rejected float64
--- a/internal/fleetload/meter.go
+++ b/internal/fleetload/meter.go
@@ -23,27 +23,27 @@
 // NewMeter returns an empty meter.
 func NewMeter() *Meter { return &Meter{services: make(map[lb.ServiceName]*serviceMeter)} }
 
-// Begun records a request sent on to a back end. The work is the duration of such a request at an
+// RecordBegun records a request sent on to a back end. The work is the duration of such a request at an
 // idle back end, in seconds.
-func (m *Meter) Begun(service lb.ServiceName, priority uint16, work float64) {
+func (m *Meter) RecordBegun(service lb.ServiceName, priority uint16, work float64) {
 	m.level(service, priority).Begun += work
 }
 
-// Refused records an opening refused for lack of spare capacity; for work see Begun.
-func (m *Meter) Refused(service lb.ServiceName, priority uint16, work float64) {
+// RecordRefused records an opening refused for lack of spare capacity; for work see Begun.
+func (m *Meter) RecordRefused(service lb.ServiceName, priority uint16, work float64) {
 	m.level(service, priority).Refused += work
 }
 
-// Answered records an answer of a back end in a zone, with the natural logarithm of its load.
-func (m *Meter) Answered(service lb.ServiceName, zone lb.Zone, log float64) {
+// RecordAnswer records an answer of a back end in a zone, with the natural logarithm of its load.
+func (m *Meter) RecordAnswer(service lb.ServiceName, zone lb.Zone, log float64) {
 	answers := m.zoneAnswers(service, zone)
 	answers.Count++
-	answers.Logs += log
+	answers.LogSum += log
 }
 
-// Rejected records an answer that came too quickly for a processed request, which is how full back
+// RecordRejection records an answer that came too quickly for a processed request, which is how full back
 // ends reject one.
-func (m *Meter) Rejected(service lb.ServiceName, zone lb.Zone) {
+func (m *Meter) RecordRejection(service lb.ServiceName, zone lb.Zone) {
 	m.zoneAnswers(service, zone).Rejected++
 }
 
--- a/internal/fleetload/sums.go
+++ b/internal/fleetload/sums.go
@@ -60,7 +60,7 @@
 	}
 	for _, answers := range reported.Answers {
 		s.addAnswers(Answers{
-			Zone: answers.Zone, Count: float64(answers.Count), Logs: fromThousandths(answers.Logs),
+			Zone: answers.Zone, Count: float64(answers.Count), LogSum: fromThousandths(answers.Logs),
 			Rejected: float64(answers.Rejected),
 		})
 	}
@@ -78,7 +78,7 @@
 	known := s.answers[answers.Zone]
 	known.Zone = answers.Zone
 	known.Count += answers.Count
-	known.Logs += answers.Logs
+	known.LogSum += answers.LogSum
 	known.Rejected += answers.Rejected
 	s.answers[answers.Zone] = known
 }
@@ -95,7 +95,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(s.answers)) {
 		answers := s.answers[zone]
 		work.Answers = append(work.Answers, message.ZoneAnswers{
-			Zone: zone, Count: int(answers.Count), Logs: toThousandths(answers.Logs), Rejected: int(answers.Rejected),
+			Zone: zone, Count: int(answers.Count), Logs: toThousandths(answers.LogSum), Rejected: int(answers.Rejected),
 		})
 	}
 	return work
@@ -149,7 +149,7 @@
 	for zone, answers := range r.answers {
 		observed := seen.answers[zone]
 		answers.Count += (observed.Count/seconds - answers.Count) * weight
-		answers.Logs += (observed.Logs/seconds - answers.Logs) * weight
+		answers.LogSum += (observed.LogSum/seconds - answers.LogSum) * weight
 		answers.Rejected += (observed.Rejected/seconds - answers.Rejected) * weight
 		r.answers[zone] = answers
 	}
--- a/internal/follower/api.go
+++ b/internal/follower/api.go
@@ -57,11 +57,11 @@
 const (
 	ReasonStart       Reason = "start"        // the node has no view yet
 	ReasonCompacted   Reason = "history_gone" // a watch cannot continue, because the store has compacted the history
-	ReasonReader      Reason = "reader"       // the node is the designated watcher
+	ReasonWatcher     Reason = "reader"       // the node is the designated watcher
 	ReasonWatcherLost Reason = "reader_gone"  // the designated watcher is leaving or has failed
 	ReasonUnverified  Reason = "unconfirmed"  // the node does not know yet whether its view is current
-	ReasonPatience    Reason = "patience"     // nobody has verified the node's view in time
-	ReasonSilence     Reason = "silence"      // no peer sends messages about the view
+	ReasonViewAge     Reason = "patience"     // nobody has verified the node's view in time
+	ReasonNoUpdates   Reason = "silence"      // no peer sends messages about the view
 )
 
 // Read describes a read of the store, which may take several requests.
--- a/internal/follower/fleet_dissemination_test.go
+++ b/internal/follower/fleet_dissemination_test.go
@@ -120,5 +120,5 @@
 	fleet.announce()
 	fleet.run(inForceLimit)
 	is.Equal(outdated.core.Replica().Revision(), fleet.store.Revision())
-	is.True(outdated.core.Replica().Backends()[0].Gone)
+	is.True(outdated.core.Replica().Backends()[0].Deleted)
 }
--- a/internal/follower/fleet_store_test.go
+++ b/internal/follower/fleet_store_test.go
@@ -80,7 +80,7 @@
 	fleet.run(3 * time.Second)
 	is.Equal(fleet.behind(), 0)
 	for _, node := range fleet.nodes {
-		is.True(node.core.Replica().Backends()[0].Gone)
+		is.True(node.core.Replica().Backends()[0].Deleted)
 	}
 }
 
--- a/internal/follower/fleet_test.go
+++ b/internal/follower/fleet_test.go
@@ -302,7 +302,7 @@
 func (fleet *fleet) watchers() []*fleetNode {
 	var watchers []*fleetNode
 	for _, node := range fleet.nodes {
-		if node.core.Reads() {
+		if node.core.IsWatcher() {
 			watchers = append(watchers, node)
 		}
 	}
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -113,8 +113,8 @@
 // Rank returns this node's position among the nodes of its zone in the takeover order.
 func (core *Core) Rank() int { return core.rank }
 
-// Reads returns whether this node is the designated watcher.
-func (core *Core) Reads() bool { return core.active }
+// IsWatcher returns whether this node is the designated watcher.
+func (core *Core) IsWatcher() bool { return core.active }
 
 // Step processes one event and fills effects. If the time is earlier than in the previous step, the
 // core keeps the previous time.
@@ -179,7 +179,7 @@
 // setReplicaAge passes the view's age to the replica before an update is applied.
 func (core *Core) setReplicaAge() {
 	if core.verified {
-		core.replica.NoteAge(core.age())
+		core.replica.SetAge(core.age())
 	}
 }
 
--- a/internal/follower/parts_test.go
+++ b/internal/follower/parts_test.go
@@ -122,7 +122,7 @@
 	is.Equal(p.requester.Replica().Revision(), store.Revision())
 	deleted := 0
 	for _, known := range p.requester.Replica().Backends() {
-		if known.Gone {
+		if known.Deleted {
 			deleted++
 		}
 	}
--- a/internal/follower/peers.go
+++ b/internal/follower/peers.go
@@ -36,12 +36,12 @@
 	core.checkWatcher()
 }
 
-// Zone returns the nodes of the local zone by rank, including this one. The result is valid until
+// ZoneNodes returns the nodes of the local zone by rank, including this one. The result is valid until
 // the next step.
-func (core *Core) Zone() []Peer { return core.zoneNodes }
+func (core *Core) ZoneNodes() []Peer { return core.zoneNodes }
 
-// Heads returns the first nodes of the other zones. The result is valid until the next step.
-func (core *Core) Heads() []Peer { return core.relays }
+// ZoneRelays returns the first nodes of the other zones. The result is valid until the next step.
+func (core *Core) ZoneRelays() []Peer { return core.relays }
 
 // position returns the index of a node of the local zone by rank, or -1 if it is not in the zone.
 func (core *Core) position(id lb.NodeID) int {
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -37,7 +37,7 @@
 		return nil
 	}
 	wait := minWatchWait
-	if reason == ReasonReader {
+	if reason == ReasonWatcher {
 		wait = core.watchWait()
 	}
 	return &Read{
--- a/internal/follower/watcher.go
+++ b/internal/follower/watcher.go
@@ -19,17 +19,17 @@
 	delay := time.Duration(position) * core.settings.TakeoverStep
 	switch {
 	case core.active:
-		return ReasonReader, true
+		return ReasonWatcher, true
 	case !core.verified:
 		return ReasonUnverified, core.now-core.startAt >= core.verifyDelay
 	case core.watcherLost && core.now-core.watcherLostAt >= time.Duration(position)*core.settings.SlowTakeoverStep:
 		return ReasonWatcherLost, true
 	case core.age() >= core.takeoverAge(position):
-		return ReasonPatience, true
+		return ReasonViewAge, true
 	}
 	silenceLimit := core.settings.SilenceTimeout + delay
 	lastUpdate := max(core.lastUpdateAt, core.startAt+warmUpTime)
-	return ReasonSilence, core.now-lastUpdate >= silenceLimit && core.age() >= silenceLimit
+	return ReasonNoUpdates, core.now-lastUpdate >= silenceLimit && core.age() >= silenceLimit
 }
 
 // seedVerifyDelay is how long after its start a seed waits for others to verify its first view. It
--- a/internal/follower/watcher_test.go
+++ b/internal/follower/watcher_test.go
@@ -352,7 +352,7 @@
 	is := is.New(t)
 	fleet := largeFleet(t)
 	fleet.requestsOnly = fleet.nodes[70]
-	is.True(!fleet.requestsOnly.core.Reads())
+	is.True(!fleet.requestsOnly.core.IsWatcher())
 	before := fleet.requestsOnly.calls
 	for version := range uint64(15) {
 		fleet.store.Configure(version+2, 81)
--- a/internal/lab/surge/crowd.go
+++ b/internal/lab/surge/crowd.go
@@ -137,7 +137,7 @@
 	// Times are how long answered requests took, from their first attempt.
 	Times []time.Duration
 	// Waits are those of all nodes.
-	Waits core.Waits
+	Waits core.HeldStats
 }
 
 // Percentile gives the time that a part of the answered requests took at the most.
--- a/internal/lab/surge/crowd_test.go
+++ b/internal/lab/surge/crowd_test.go
@@ -98,7 +98,7 @@
 			is := is.New(t)
 			scenario := Default(seed, Adaptive, load)
 			with := Run(scenario)
-			scenario.Adjust = func(settings *core.Settings) { settings.Overload.CommittedLoad.LeastKept = 2 } // never reached
+			scenario.Adjust = func(settings *core.Settings) { settings.Overload.CommittedLoad.MinOpenFlowShare = 2 } // never reached
 			without := Run(scenario)
 			is.True(goodput(with) > goodput(without))
 			is.True(with.Class(Important, 0, 20).Share() > without.Class(Important, 0, 20).Share())
--- a/internal/lab/surge/fleet.go
+++ b/internal/lab/surge/fleet.go
@@ -49,7 +49,7 @@
 		for _, answers := range sample.Answers {
 			sum := f.answers[answers.Zone]
 			sum.Count += answers.Count
-			sum.Logs += answers.Logs
+			sum.LogSum += answers.LogSum
 			sum.Rejected += answers.Rejected
 			f.answers[answers.Zone] = sum
 			if _, known := f.loads[answers.Zone]; !known {
@@ -65,7 +65,7 @@
 	f.at = now
 	part := 1 - math.Exp(-elapsed/sumTime.Seconds())
 	follow := func(rate *float64, seen float64) { *rate += (seen/elapsed - *rate) * part }
-	known := fleetload.Service{At: now}
+	known := fleetload.Service{SummedAt: now}
 	for _, name := range slices.Sorted(maps.Keys(f.rates)) {
 		zone := fleetload.Zone{Zone: name}
 		for priority, rate := range f.rates[name] {
@@ -79,12 +79,12 @@
 		slices.SortFunc(zone.Levels, func(a, b fleetload.Level) int { return cmp.Compare(a.Priority, b.Priority) })
 		load := f.loads[name]
 		follow(&load.Count, f.answers[name].Count)
-		follow(&load.Logs, f.answers[name].Logs)
+		follow(&load.LogSum, f.answers[name].LogSum)
 		follow(&load.Rejected, f.answers[name].Rejected)
 		f.loads[name] = load
 		zone.Answers, zone.Rejected = load.Count, load.Rejected
 		if load.Count > 0 {
-			zone.Load = math.Exp(load.Logs / load.Count)
+			zone.Load = math.Exp(load.LogSum / load.Count)
 		}
 		known.Zones = append(known.Zones, zone)
 		clear(f.seen[name])
@@ -99,7 +99,7 @@
 	w.after(w.scenario.News, func() {
 		for index := range w.nodes {
 			known := known
-			known.At = w.now
+			known.SummedAt = w.now
 			w.step(index, &core.Event{Loads: map[lb.ServiceName]fleetload.Service{"web": known}})
 		}
 	})
@@ -110,7 +110,7 @@
 	parts := make([]float64, len(w.nodes))
 	for index := range w.nodes {
 		parts[index] = 1
-		for _, status := range w.nodes[index].core.Pressures() {
+		for _, status := range w.nodes[index].core.OverloadStatus() {
 			for _, level := range status.Levels {
 				parts[index] = min(parts[index], level.Admitted)
 			}
--- a/internal/lab/surge/run.go
+++ b/internal/lab/surge/run.go
@@ -85,7 +85,7 @@
 	w.every(tickInterval, func() {
 		for i := range w.nodes {
 			w.step(i, &core.Event{Tick: true})
-			w.fleet.note(w.nodes[i].effects.Samples, w.zoneOf(i))
+			w.fleet.note(w.nodes[i].effects.LoadSamples, w.zoneOf(i))
 		}
 		w.noteParts()
 	})
@@ -111,11 +111,11 @@
 // finish adds what the nodes have counted.
 func (w *world) finish() *Result {
 	for i := range w.nodes {
-		waits := w.nodes[i].core.Stats().Waited
+		waits := w.nodes[i].core.Stats().HeldOpenings
 		w.result.Waits.Held += waits.Held
-		w.result.Waits.Went += waits.Went
-		w.result.Waits.Freed += waits.Freed
-		w.result.Waits.Time += waits.Time
+		w.result.Waits.Forwarded += waits.Forwarded
+		w.result.Waits.ToFreedBackends += waits.ToFreedBackends
+		w.result.Waits.HeldTime += waits.HeldTime
 	}
 	return w.result
 }
@@ -268,7 +268,7 @@
 func (w *world) look(index int) {
 	n := &w.nodes[index]
 	w.step(index, &core.Event{RetryQueued: true})
-	if n.looks = n.core.Waiting() > 0; n.looks {
+	if n.looks = n.core.HeldOpenings() > 0; n.looks {
 		w.after(w.scenario.Waiting.Interval, func() { w.look(index) })
 	}
 }
--- a/internal/lab/surge/waiting_test.go
+++ b/internal/lab/surge/waiting_test.go
@@ -12,7 +12,7 @@
 // waits has openings wait for room.
 func waits(scenario Scenario, share float64) Scenario {
 	scenario.Waiting = admissionqueue.DefaultSettings()
-	scenario.Waiting.Share = share
+	scenario.Waiting.WaitShare = share
 	return scenario
 }
 
@@ -27,9 +27,9 @@
 		is.True(goodput(held) > goodput(refused)+0.01)
 		is.True(held.Shed < refused.Shed)
 		is.Equal(refused.Waits.Held, uint64(0))
-		is.True(held.Waits.Held > 1000 && 4*held.Waits.Went > held.Waits.Held)
-		is.True(held.Waits.Freed > held.Waits.Went)
-		is.True(held.Waits.Time <= time.Duration(held.Waits.Held)*90*time.Millisecond)
+		is.True(held.Waits.Held > 1000 && 4*held.Waits.Forwarded > held.Waits.Held)
+		is.True(held.Waits.ToFreedBackends > held.Waits.Forwarded)
+		is.True(held.Waits.HeldTime <= time.Duration(held.Waits.Held)*90*time.Millisecond)
 		important := held.Class(Important, 0, 8).Share()
 		is.True(important > refused.Class(Important, 0, 8).Share()-0.01)
 	}
@@ -51,5 +51,5 @@
 	is := is.New(t)
 	result := Run(waits(many(1, Adaptive, 1, nil), 0.2))
 	is.Equal(result.Waits.Held, uint64(0))
-	is.Equal(result.Waits.Freed, uint64(0))
+	is.Equal(result.Waits.ToFreedBackends, uint64(0))
 }
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -42,8 +42,8 @@
 	Zone lb.Zone `json:"zone"`
 	// Capacity is the number of requests that the zone's ready back ends process concurrently.
 	Capacity float64 `json:"capacity"`
-	// Part is the part of this balancer's new flows that goes to the zone's back ends.
-	Part float64 `json:"part"`
+	// Weight is the part of this balancer's new flows that goes to the zone's back ends.
+	Weight float64 `json:"part"`
 	// Demand is the work that callers in the zone request, by priority. It is empty unless Known is
 	// set.
 	Demand []Demand `json:"demand,omitempty"`
@@ -65,10 +65,10 @@
 // Admission states how this balancer handles openings of one priority.
 type Admission struct {
 	Priority uint16 `json:"priority"`
-	// Admitted is the admission rate, from 0 to 1.
-	Admitted float64 `json:"admitted"`
-	// Waiting is the number of openings in the admission queue.
-	Waiting int `json:"waiting"`
+	// Rate is the admission rate, from 0 to 1.
+	Rate float64 `json:"admitted"`
+	// Queued is the number of openings in the admission queue.
+	Queued int `json:"waiting"`
 }
 
 // Limits of a decoded report, far above the values of the largest fleet that the design targets.
@@ -118,20 +118,20 @@
 	// Capacity, Room and Load belong to the zone and are the same for all its priorities. Room is
 	// the spare capacity after the demand of the zone's own callers; it is negative if this demand
 	// exceeds the capacity of the back ends.
-	Capacity float64 `json:"capacity"`
-	Room     float64 `json:"room"`
-	Load     float64 `json:"load"`
-	// Asked is the demand of callers of this priority, and Refused the part of it that is refused,
+	Capacity      float64 `json:"capacity"`
+	SpareCapacity float64 `json:"room"`
+	Load          float64 `json:"load"`
+	// Demand is the demand of callers of this priority, and Refused the part of it that is refused,
 	// in slots.
-	Asked   float64 `json:"asked"`
+	Demand  float64 `json:"asked"`
 	Refused float64 `json:"refused"`
-	// Home is the part of the new flows of the zone's callers that goes to its own back ends,
+	// LocalWeight is the part of the new flows of the zone's callers that goes to its own back ends,
 	// Admitted the mean admission rate, and Waiting the number of queued openings, at the Nodes
 	// balancers of the zone that have reported.
-	Home     float64 `json:"home"`
-	Admitted float64 `json:"admitted"`
-	Waiting  int     `json:"waiting"`
-	Nodes    int     `json:"nodes"`
+	LocalWeight   float64 `json:"home"`
+	AdmissionRate float64 `json:"admitted"`
+	Queued        int     `json:"waiting"`
+	Nodes         int     `json:"nodes"`
 }
 
 // rowID identifies a row.
@@ -221,10 +221,10 @@
 		}
 		for _, row := range t.zoneRows(service.Service, zone.Zone) {
 			row.Known, row.AgeMillis = service.Known, service.AgeMillis
-			row.Capacity, row.Room, row.Load = zone.Capacity, spare, zone.Load
+			row.Capacity, row.SpareCapacity, row.Load = zone.Capacity, spare, zone.Load
 			for _, demand := range zone.Demand {
 				if demand.Priority == row.Priority {
-					row.Asked, row.Refused = demand.Begun+demand.Refused, demand.Refused
+					row.Demand, row.Refused = demand.Begun+demand.Refused, demand.Refused
 				}
 			}
 		}
@@ -236,20 +236,20 @@
 	local := 0.0
 	for index := range service.Zones {
 		if service.Zones[index].Zone == zone {
-			local = service.Zones[index].Part
+			local = service.Zones[index].Weight
 		}
 	}
 	for _, row := range t.zoneRows(service.Service, zone) {
 		row.Nodes++
-		row.Home += local
+		row.LocalWeight += local
 		admitted := 1.0 // without recent openings of this priority, the balancer would admit all
 		for _, level := range service.Levels {
 			if level.Priority == row.Priority {
-				admitted = level.Admitted
-				row.Waiting += level.Waiting
+				admitted = level.Rate
+				row.Queued += level.Queued
 			}
 		}
-		row.Admitted += admitted
+		row.AdmissionRate += admitted
 	}
 }
 
@@ -258,8 +258,8 @@
 	rows := make([]Row, 0, len(t.rows))
 	for _, row := range t.rows {
 		if row.Nodes > 0 {
-			row.Admitted /= float64(row.Nodes)
-			row.Home /= float64(row.Nodes)
+			row.AdmissionRate /= float64(row.Nodes)
+			row.LocalWeight /= float64(row.Nodes)
 		}
 		rows = append(rows, *row)
 	}
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -14,12 +14,12 @@
 	return Report{Node: lb.NodeID(node), Zone: "za", Services: []Service{{
 		Service: "web", Known: true, AgeMillis: age, Pressure: 1.1, Refused: 7,
 		Zones: []Zone{
-			{Zone: "za", Capacity: 10, Part: 0.6, Load: 1.4, Answers: 90, Demand: []Demand{
+			{Zone: "za", Capacity: 10, Weight: 0.6, Load: 1.4, Answers: 90, Demand: []Demand{
 				{Priority: 0, Begun: 8, Refused: 2}, {Priority: 1, Begun: 3, Refused: 1},
 			}},
-			{Zone: "zb", Capacity: 10, Part: 0.4, Demand: []Demand{{Priority: 0, Begun: 4}}},
+			{Zone: "zb", Capacity: 10, Weight: 0.4, Demand: []Demand{{Priority: 0, Begun: 4}}},
 		},
-		Levels: []Admission{{Priority: 0, Admitted: 1, Waiting: 2}, {Priority: 1, Admitted: 0.5, Waiting: 3}},
+		Levels: []Admission{{Priority: 0, Rate: 1, Queued: 2}, {Priority: 1, Rate: 0.5, Queued: 3}},
 	}}}
 }
 
@@ -27,29 +27,29 @@
 	is := is.New(t)
 	old := overloadedReport("n-2", 900)
 	old.Services[0].Zones[0].Capacity = 99 // an outdated value
-	old.Services[0].Levels = []Admission{{Priority: 0, Admitted: 0.5, Waiting: 1}}
+	old.Services[0].Levels = []Admission{{Priority: 0, Rate: 0.5, Queued: 1}}
 	rows := Rows([]Report{old, overloadedReport("n-1", 100)})
 	is.Equal(len(rows), 4)
 	is.Equal(rows[0], Row{
-		Service: "web", Zone: "za", Priority: 0, Known: true, AgeMillis: 100, Capacity: 10, Room: -4, Load: 1.4,
-		Asked: 10, Refused: 2, Home: 0.6, Admitted: 0.75, Waiting: 3, Nodes: 2,
+		Service: "web", Zone: "za", Priority: 0, Known: true, AgeMillis: 100, Capacity: 10, SpareCapacity: -4, Load: 1.4,
+		Demand: 10, Refused: 2, LocalWeight: 0.6, AdmissionRate: 0.75, Queued: 3, Nodes: 2,
 	})
-	is.Equal(rows[1].Admitted, 0.75) // one admits half, the other has no openings of this priority
-	is.Equal(rows[1].Asked, 4.0)
-	is.Equal(rows[2], Row{Service: "web", Zone: "zb", Known: true, AgeMillis: 100, Capacity: 10, Room: 6, Asked: 4})
+	is.Equal(rows[1].AdmissionRate, 0.75) // one admits half, the other has no openings of this priority
+	is.Equal(rows[1].Demand, 4.0)
+	is.Equal(rows[2], Row{Service: "web", Zone: "zb", Known: true, AgeMillis: 100, Capacity: 10, SpareCapacity: 6, Demand: 4})
 	is.Equal(rows[3].Priority, uint16(1))
 }
 
 func TestServicesFarFromLimitHaveNoDemand(t *testing.T) {
 	is := is.New(t)
 	rows := Rows([]Report{{Node: "n", Zone: "za", Services: []Service{
-		{Service: "web", Zones: []Zone{{Zone: "za", Capacity: 8, Part: 0.98}, {Zone: "zb", Capacity: 4, Part: 0.02}}},
+		{Service: "web", Zones: []Zone{{Zone: "za", Capacity: 8, Weight: 0.98}, {Zone: "zb", Capacity: 4, Weight: 0.02}}},
 		{Service: "empty"},
 	}}})
 	is.Equal(len(rows), 3)
-	is.Equal(rows[0], Row{Service: "empty", Zone: "za", Admitted: 1, Nodes: 1}) // no back end anywhere
-	is.Equal(rows[1], Row{Service: "web", Zone: "za", Capacity: 8, Room: 8, Home: 0.98, Admitted: 1, Nodes: 1})
-	is.Equal(rows[2], Row{Service: "web", Zone: "zb", Capacity: 4, Room: 4})
+	is.Equal(rows[0], Row{Service: "empty", Zone: "za", AdmissionRate: 1, Nodes: 1}) // no back end anywhere
+	is.Equal(rows[1], Row{Service: "web", Zone: "za", Capacity: 8, SpareCapacity: 8, LocalWeight: 0.98, AdmissionRate: 1, Nodes: 1})
+	is.Equal(rows[2], Row{Service: "web", Zone: "zb", Capacity: 4, SpareCapacity: 4})
 }
 
 func TestValidateNamesInvalidField(t *testing.T) {
--- a/internal/overload/fleet_test.go
+++ b/internal/overload/fleet_test.go
@@ -15,7 +15,7 @@
 // overloadedState returns the fleet's state of a service whose callers request a quarter more than
 // its capacity.
 func overloadedState(at time.Duration) *fleetload.Service {
-	return &fleetload.Service{At: at, Zones: []fleetload.Zone{{Zone: "za", Load: 1, Answers: 2000, Levels: []fleetload.Level{
+	return &fleetload.Service{SummedAt: at, Zones: []fleetload.Zone{{Zone: "za", Load: 1, Answers: 2000, Levels: []fleetload.Level{
 		{Priority: tap.Priority, Begun: 30}, {Priority: feed.Priority, Begun: 70, Refused: 60},
 	}}}}
 }
@@ -32,10 +32,10 @@
 	h.pass(web, 2*time.Second, h.beyondLimit)
 	is.True(h.admitRate(web, feed) < 0.3) // without reports
 	for range 20 {
-		h.Learn(h.now, web, overloadedState(h.now), slots)
+		h.ApplyFleetLoad(h.now, web, overloadedState(h.now), slots)
 		h.pass(web, 200*ms, h.beyondLimit)
 	}
-	h.Learn(h.now, web, overloadedState(h.now), slots)
+	h.ApplyFleetLoad(h.now, web, overloadedState(h.now), slots)
 	want := h.services[web].fleet.RateOf(feed.Priority)
 	is.True(want > 0.3 && want < 0.9)
 	feedRate := h.admitRate(web, feed)
@@ -49,12 +49,12 @@
 	is := is.New(t)
 	h := newHistory(1, DefaultSettings())
 	h.pass(web, 2*time.Second, h.calm)
-	h.Learn(h.now, web, overloadedState(h.now), slots)
+	h.ApplyFleetLoad(h.now, web, overloadedState(h.now), slots)
 	h.pass(web, 1100*ms, h.overloaded)
 	is.True(h.admitRate(web, feed) < 0.1)
 	h.pass(web, 4*time.Second, h.calm)
 	is.Equal(h.admitRate(web, feed), 1.0)
-	h.Learn(h.now, web, overloadedState(h.now-2*time.Second), slots) // outdated
+	h.ApplyFleetLoad(h.now, web, overloadedState(h.now-2*time.Second), slots) // outdated
 	is.Equal(h.admitRateAtNew(web, feed), 1.0)
 }
 
@@ -66,7 +66,7 @@
 	for range 20 {
 		wrong := overloadedState(h.now)
 		wrong.Zones[0].Load, wrong.Zones[0].Levels[1].Refused = 4, 1e6
-		h.Learn(h.now, web, wrong, slots)
+		h.ApplyFleetLoad(h.now, web, wrong, slots)
 		h.pass(web, 200*ms, h.calm)
 	}
 	is.Equal(h.admitRate(web, feed), 1.0)
@@ -81,7 +81,7 @@
 	for range 5 {
 		wrong := overloadedState(h.now) // claims hardly any refusals
 		wrong.Zones[0].Load, wrong.Zones[0].Levels[1].Refused = 0.5, 1
-		h.Learn(h.now, web, wrong, slots)
+		h.ApplyFleetLoad(h.now, web, wrong, slots)
 		h.pass(web, 200*ms, h.overloaded)
 	}
 	is.True(h.admitRate(web, feed) < 0.2)
@@ -93,8 +93,8 @@
 	h := newHistory(1, DefaultSettings())
 	for range 100 {
 		h.admits(web, tap)
-		h.Begun(h.now, web, tap) // one request per flow
-		h.Begun(h.now, web, feed)
+		h.RecordRequest(h.now, web, tap) // one request per flow
+		h.RecordRequest(h.now, web, feed)
 	}
 	is.Equal(h.services[web].openFlowShare(tap.Priority), 0.0)
 	is.Equal(h.services[web].openFlowShare(feed.Priority), 1.0)
--- a/internal/overload/noanswers_test.go
+++ b/internal/overload/noanswers_test.go
@@ -11,7 +11,7 @@
 
 // spareState returns the fleet's state of a service whose callers request a third of its capacity.
 func spareState(at time.Duration) *fleetload.Service {
-	return &fleetload.Service{At: at, Zones: []fleetload.Zone{{Zone: "za", Load: 0.4, Answers: 500, Levels: []fleetload.Level{
+	return &fleetload.Service{SummedAt: at, Zones: []fleetload.Zone{{Zone: "za", Load: 0.4, Answers: 500, Levels: []fleetload.Level{
 		{Priority: tap.Priority, Begun: 10}, {Priority: feed.Priority, Begun: 20, Refused: 1},
 	}}}}
 }
@@ -26,13 +26,13 @@
 	h.pass(web, 3*time.Second, h.overloaded)
 	is.True(h.admitRate(web, feed) < 0.02)
 	for range 5 { // no answers arrive
-		h.Learn(h.now, web, spareState(h.now), slots)
+		h.ApplyFleetLoad(h.now, web, spareState(h.now), slots)
 		h.now += 100 * ms
 		h.Tick(h.now)
 	}
 	is.Equal(h.admitRate(web, feed), 1.0)
 	is.Equal(h.admitRate(web, tap), 1.0)
-	h.Learn(h.now, web, spareState(h.now), slots)
+	h.ApplyFleetLoad(h.now, web, spareState(h.now), slots)
 	h.pass(web, time.Second, h.overloaded) // its own measurements count again
 	is.True(h.admitRate(web, feed) < 0.2)
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -157,20 +157,20 @@
 // Samples returns the measurements since the last call, to be reported to the fleet.
 func (c *Controller) Samples() []fleetload.Sample { return c.meter.Samples() }
 
-// Begun records that a request was forwarded.
-func (c *Controller) Begun(now time.Duration, name lb.ServiceName, objective lb.Objective) {
+// RecordRequest records that a request was forwarded.
+func (c *Controller) RecordRequest(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	s := c.service(now, name)
 	s.level(objective.Priority, &c.settings).begun++
-	c.meter.Begun(name, objective.Priority, s.class(objective).idle.value)
+	c.meter.RecordBegun(name, objective.Priority, s.class(objective).idle.value)
 }
 
-// Carried records on which flow the most recently recorded request arrived.
-func (c *Controller) Carried(now time.Duration, name lb.ServiceName, objective lb.Objective, flow lb.FlowID) {
+// RecordRequestFlow records on which flow the most recently recorded request arrived.
+func (c *Controller) RecordRequestFlow(now time.Duration, name lb.ServiceName, objective lb.Objective, flow lb.FlowID) {
 	c.committed.RecordRequest(now, name, objective.Priority, flow, c.service(now, name).class(objective).idle.value)
 }
 
-// Closed records that a flow has ended.
-func (c *Controller) Closed(flow lb.FlowID) { c.committed.CloseFlow(flow) }
+// CloseFlow records that a flow has ended.
+func (c *Controller) CloseFlow(flow lb.FlowID) { c.committed.CloseFlow(flow) }
 
 // SetSlots sets this balancer's share of the slots of a service's ready back ends; 0 means unknown.
 func (c *Controller) SetSlots(now time.Duration, name lb.ServiceName, slots float64) {
@@ -185,8 +185,8 @@
 	return !c.settings.Off && !s.fleetRatesFresh(now, &c.settings) && c.committed.ExceedsSlots(now, name, objective.Priority, s.slots)
 }
 
-// Answered records that a back end in the given zone answered a request after the time took.
-func (c *Controller) Answered(now time.Duration, name lb.ServiceName, objective lb.Objective, zone lb.Zone, identity Identity, took time.Duration) {
+// RecordAnswer records that a back end in the given zone answered a request after the time took.
+func (c *Controller) RecordAnswer(now time.Duration, name lb.ServiceName, objective lb.Objective, zone lb.Zone, identity Identity, took time.Duration) {
 	if c.settings.Off || took > c.settings.MaxAnswerTime {
 		return
 	}
@@ -201,12 +201,12 @@
 	}
 	times := s.class(objective)
 	if !times.idle.add(now, took.Seconds(), &c.settings) {
-		c.meter.Rejected(name, zone)
+		c.meter.RecordRejection(name, zone)
 		return
 	}
 	load := times.load(took, &c.settings)
 	b.answered(now, load)
-	c.meter.Answered(name, zone, math.Log(times.fleetLoad(took, &c.settings)))
+	c.meter.RecordAnswer(name, zone, math.Log(times.fleetLoad(took, &c.settings)))
 }
 
 // Load returns the load of a back end, estimated from the response times of its requests: at 1 it
@@ -219,16 +219,16 @@
 	return b.load(now)
 }
 
-// Crowded returns true if a back end is known to have no spare capacity at present.
-func (c *Controller) Crowded(now time.Duration, identity Identity) bool {
+// BackendOverloaded returns true if a back end is known to have no spare capacity at present.
+func (c *Controller) BackendOverloaded(now time.Duration, identity Identity) bool {
 	load, known := c.Load(now, identity)
 	return known && load > c.settings.FreeLoad
 }
 
-// Prefer returns true if a back end should receive an opening of a service in place of an
+// LessLoaded returns true if a back end should receive an opening of a service in place of an
 // overloaded one. A back end without measurements is assumed to have the typical load of the
 // service.
-func (c *Controller) Prefer(now time.Duration, name lb.ServiceName, identity, overloaded Identity) bool {
+func (c *Controller) LessLoaded(now time.Duration, name lb.ServiceName, identity, overloaded Identity) bool {
 	load, known := c.Load(now, identity)
 	if !known {
 		load = c.service(now, name).pressure
@@ -237,15 +237,15 @@
 	return load < other
 }
 
-// Learn applies the fleet's load report about a service. slots is the number of slots of its ready
+// ApplyFleetLoad applies the fleet's load report about a service. slots is the number of slots of its ready
 // back ends; 0 means unknown.
-func (c *Controller) Learn(now time.Duration, name lb.ServiceName, report *fleetload.Service, slots float64) {
+func (c *Controller) ApplyFleetLoad(now time.Duration, name lb.ServiceName, report *fleetload.Service, slots float64) {
 	if c.settings.Off {
 		return
 	}
 	s := c.service(now, name)
 	s.fleet.Update(now, report, slots, s.openFlowShare, &c.settings.Fleet)
-	s.fleetAt = report.At
+	s.fleetAt = report.SummedAt
 }
 
 // Admit returns true if the first copy of an opening may be forwarded to a back end. draw is a hash
@@ -259,10 +259,10 @@
 	l := s.level(objective.Priority, &c.settings)
 	l.lastOpening = now
 	if !c.ExceedsSlots(now, name, objective) && c.admits(now, s, l, identity, draw) {
-		c.Opened(now, name, objective)
+		c.RecordAdmission(now, name, objective)
 		return true
 	}
-	c.Refused(now, name, objective)
+	c.RecordRefusal(now, name, objective)
 	return false
 }
 
@@ -282,10 +282,10 @@
 	return rate >= 1 || float64(draw>>11)/(1<<53) < rate
 }
 
-// Quick returns true if the response time of a request shows that its back end has spare capacity,
+// HadSpareCapacity returns true if the response time of a request shows that its back end has spare capacity,
 // so that the slot that the request leaves can be reused. A response time far below the idle
 // response time does not: it is a rejection by a full back end.
-func (c *Controller) Quick(name lb.ServiceName, objective lb.Objective, took time.Duration) bool {
+func (c *Controller) HadSpareCapacity(name lb.ServiceName, objective lb.Objective, took time.Duration) bool {
 	s := c.services[name]
 	if c.settings.Off || s == nil {
 		return false
@@ -300,30 +300,30 @@
 // maxUnqueuedLoad is the maximum load computed from a request that hardly queued at its back end.
 const maxUnqueuedLoad = 0.78
 
-// Pressed returns true if a service is near its limit.
-func (c *Controller) Pressed(name lb.ServiceName) bool {
+// NearLimit returns true if a service is near its limit.
+func (c *Controller) NearLimit(name lb.ServiceName) bool {
 	return !c.settings.Off && c.Pressure(name) > calmPressure
 }
 
-// Held cancels the refusal that Admit has just recorded for an opening: the opening was queued, or
+// CancelRefusal cancels the refusal that Admit has just recorded for an opening: the opening was queued, or
 // a free slot was found for it.
-func (c *Controller) Held(now time.Duration, name lb.ServiceName, objective lb.Objective) {
+func (c *Controller) CancelRefusal(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	s := c.service(now, name)
 	s.refused--
 	s.refusedTotal--
-	c.meter.Refused(name, objective.Priority, -s.class(objective).idle.value)
+	c.meter.RecordRefused(name, objective.Priority, -s.class(objective).idle.value)
 }
 
-// Refused records that an opening is refused for lack of capacity, by Admit or after it was queued.
-func (c *Controller) Refused(now time.Duration, name lb.ServiceName, objective lb.Objective) {
+// RecordRefusal records that an opening is refused for lack of capacity, by Admit or after it was queued.
+func (c *Controller) RecordRefusal(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	s := c.service(now, name)
 	s.refused++
 	s.refusedTotal++
-	c.meter.Refused(name, objective.Priority, s.class(objective).idle.value)
+	c.meter.RecordRefused(name, objective.Priority, s.class(objective).idle.value)
 }
 
-// Opened records that an opening is admitted, by Admit or because a slot became free for it.
-func (c *Controller) Opened(now time.Duration, name lb.ServiceName, objective lb.Objective) {
+// RecordAdmission records that an opening is admitted, by Admit or because a slot became free for it.
+func (c *Controller) RecordAdmission(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	c.service(now, name).level(objective.Priority, &c.settings).opened++
 	c.committed.RecordOpening(now, name, objective.Priority)
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -75,7 +75,7 @@
 	h := newHistory(1, settings)
 	h.pass(web, 5*time.Second, h.overloaded)
 	is.Equal(h.admitRate(web, feed), 1.0)
-	is.True(!h.Crowded(h.now, 1))
+	is.True(!h.BackendOverloaded(h.now, 1))
 }
 
 // TestChangesReportBeginningAndEnd checks that each of the two is reported exactly once per
@@ -121,7 +121,7 @@
 	for i := range 4800 {
 		name := lb.ServiceName(fmt.Sprintf("service-%d", i%275))
 		for range 8 {
-			c.Answered(0, name, feed, "za", Identity(i), idleWork)
+			c.RecordAnswer(0, name, feed, "za", Identity(i), idleWork)
 		}
 	}
 	now := time.Duration(0)
@@ -156,7 +156,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				took := rapid.SampledFrom([]time.Duration{0, 1, ms, 40 * ms, time.Second, time.Hour}).Draw(t, "took")
-				c.Answered(now, web, objective, "za", identity, took)
+				c.RecordAnswer(now, web, objective, "za", identity, took)
 			case 1:
 				c.Admit(now, web, objective, identity, rapid.Uint64().Draw(t, "draw"))
 			case 2:
@@ -164,7 +164,7 @@
 			case 3:
 				known := overloadedState(now)
 				known.Zones[0].Levels[0].Begun = rapid.Float64Range(0, 300).Draw(t, "begun")
-				c.Learn(now, web, known, rapid.Float64Range(0, 200).Draw(t, "slots"))
+				c.ApplyFleetLoad(now, web, known, rapid.Float64Range(0, 200).Draw(t, "slots"))
 			}
 			if s := c.services[web]; s != nil && s.fleetRatesFresh(now, &settings) {
 				minRate = 0 // MinAdmitRate does not apply while the fleet reports answers
@@ -196,7 +196,7 @@
 			now += time.Duration(step) * ms
 			objective := lb.Objective{Priority: uint16(step & 3), TargetMillis: uint32(step) << 2}
 			identity := Identity(step >> 5)
-			c.Answered(now, web, objective, "za", identity, time.Duration(i)*time.Duration(step)*ms)
+			c.RecordAnswer(now, web, objective, "za", identity, time.Duration(i)*time.Duration(step)*ms)
 			c.Admit(now, web, objective, identity, uint64(step)<<56)
 			c.Tick(now)
 			if load, known := c.Load(now, identity); known && !(load >= 0 && load <= maxLoad) {
--- a/internal/overload/property_test.go
+++ b/internal/overload/property_test.go
@@ -53,7 +53,7 @@
 		if h.random.IntN(4) == 0 {
 			objective = tap
 		}
-		h.Answered(h.now, service, objective, "za", Identity(1+h.random.IntN(backends)), took())
+		h.RecordAnswer(h.now, service, objective, "za", Identity(1+h.random.IntN(backends)), took())
 		h.admits(service, objective)
 		if h.now%(100*ms) == 0 {
 			h.Tick(h.now)
@@ -225,7 +225,7 @@
 			const free = Identity(99)
 			for range 400 {
 				h.pass(web, 5*ms, h.overloaded)
-				h.Answered(h.now, web, feed, "za", free, idleWork*9/10) // geometric mean of calm times
+				h.RecordAnswer(h.now, web, feed, "za", free, idleWork*9/10) // geometric mean of calm times
 			}
 			for range 100 {
 				if !h.Admit(h.now, web, feed, free, h.random.Uint64()) {
@@ -243,7 +243,7 @@
 			for range 600 {
 				h.pass(web, 5*ms, h.calm)
 				if h.random.IntN(2) == 0 {
-					h.Answered(h.now, web, feed, "za", Identity(90+h.random.IntN(2)), 10*idleWork)
+					h.RecordAnswer(h.now, web, feed, "za", Identity(90+h.random.IntN(2)), 10*idleWork)
 				}
 			}
 			return expectAll(h.admitRateAtNew(web, feed))
@@ -289,7 +289,7 @@
 			for range 400 {
 				h.pass(web, 5*ms, h.overloaded)
 				if h.random.IntN(4) == 0 {
-					h.Answered(h.now, docs, feed, "za", Identity(50+h.random.IntN(backends)), h.calm())
+					h.RecordAnswer(h.now, docs, feed, "za", Identity(50+h.random.IntN(backends)), h.calm())
 				}
 			}
 			return expectAll(h.admitRateAtNew(docs, feed))
--- a/internal/overload/queueing_test.go
+++ b/internal/overload/queueing_test.go
@@ -16,17 +16,17 @@
 	is := is.New(t)
 	c := New(DefaultSettings())
 	objective := lb.Objective{Priority: 1, TargetMillis: 400}
-	is.True(!c.Quick("web", objective, 50*time.Millisecond)) // no measurements yet
+	is.True(!c.HadSpareCapacity("web", objective, 50*time.Millisecond)) // no measurements yet
 	for i := range 100 {
-		c.Answered(time.Duration(i)*10*time.Millisecond, "web", objective, "za", 1, 50*time.Millisecond)
+		c.RecordAnswer(time.Duration(i)*10*time.Millisecond, "web", objective, "za", 1, 50*time.Millisecond)
 	}
-	is.True(c.Quick("web", objective, 50*time.Millisecond))
-	is.True(!c.Quick("web", objective, 100*time.Millisecond))
-	is.True(!c.Quick("web", objective, 2*time.Millisecond))
-	is.True(!c.Quick("docs", objective, 50*time.Millisecond))
+	is.True(c.HadSpareCapacity("web", objective, 50*time.Millisecond))
+	is.True(!c.HadSpareCapacity("web", objective, 100*time.Millisecond))
+	is.True(!c.HadSpareCapacity("web", objective, 2*time.Millisecond))
+	is.True(!c.HadSpareCapacity("docs", objective, 50*time.Millisecond))
 	off := DefaultSettings()
 	off.Off = true
-	is.True(!New(off).Quick("web", objective, 50*time.Millisecond))
+	is.True(!New(off).HadSpareCapacity("web", objective, 50*time.Millisecond))
 }
 
 // TestQueuedOpeningIsNotRefused checks that a queued opening is not counted as refused until it is
@@ -42,20 +42,20 @@
 		if i > 500 {
 			took = 350 * time.Millisecond
 		}
-		c.Answered(now, "web", objective, "za", Identity(i%10), took)
+		c.RecordAnswer(now, "web", objective, "za", Identity(i%10), took)
 		c.Tick(now)
 	}
-	is.True(c.Pressed("web"))
-	is.True(!c.Pressed("docs"))
+	is.True(c.NearLimit("web"))
+	is.True(!c.NearLimit("docs"))
 	c.Samples()
 	is.True(!c.Admit(now, "web", objective, 1, ^uint64(0)))
-	c.Held(now, "web", objective)
+	c.CancelRefusal(now, "web", objective)
 	is.Equal(c.Status(now)[0].Refused, uint64(0))
 	is.Equal(refusedWork(c), 0.0)
 	is.True(!c.Admit(now, "web", objective, 1, ^uint64(0)))
 	is.Equal(c.Status(now)[0].Refused, uint64(1))
 	is.True(refusedWork(c) > 0)
-	c.Refused(now, "web", objective) // after it was queued
+	c.RecordRefusal(now, "web", objective) // after it was queued
 	is.Equal(c.Status(now)[0].Refused, uint64(2))
 	is.True(refusedWork(c) > 0)
 }
@@ -78,12 +78,12 @@
 	c := New(DefaultSettings())
 	objective := lb.Objective{Priority: 1, TargetMillis: 400}
 	for range 100 {
-		c.Opened(0, "web", objective)
-		c.Begun(0, "web", objective)
+		c.RecordAdmission(0, "web", objective)
+		c.RecordRequest(0, "web", objective)
 	}
 	is.Equal(c.services["web"].openFlowShare(1), 0.0)
 	for range 100 {
-		c.Begun(0, "web", objective)
+		c.RecordRequest(0, "web", objective)
 	}
 	is.True(c.services["web"].openFlowShare(1) > 0.4)
 }
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -64,19 +64,19 @@
 // Change reports that a zone has become unreachable or reachable, with the observations behind the
 // decision. Ages are relative to the time of the change; a negative age means never.
 type Change struct {
-	Zone    lb.Zone
-	Reached bool
-	// Silent is the number of back ends that have left openings unanswered since the time Silence
+	Zone      lb.Zone
+	Reachable bool
+	// Unresponsive is the number of back ends that have left openings unanswered since the time Silence
 	// ago, and Probes the number of probes sent while the zone was unreachable.
-	Silent, Probes int
-	Silence        time.Duration
-	// Answered and Heard are the times since the last answer of a back end of the zone and since
+	Unresponsive, Probes int
+	UnresponsiveFor      time.Duration
+	// SinceAnswer and Heard are the times since the last answer of a back end of the zone and since
 	// the last message from a balancer in it. Lost is set if the membership also considers the zone
 	// lost.
-	Answered, Heard time.Duration
-	Lost            bool
-	// By is the sign of life that made the zone reachable again; otherwise it is empty.
-	By LifeSign
+	SinceAnswer, SinceMemberSeen time.Duration
+	MembershipLost               bool
+	// LifeSign is the sign of life that made the zone reachable again; otherwise it is empty.
+	LifeSign LifeSign
 }
 
 // LifeSign is the kind of a sign of life.
@@ -163,9 +163,9 @@
 	t.restore(now, name, z, LifeSignAnswer)
 }
 
-// Heard records when the last message from a balancer in the zone was received, and whether the
+// MemberSeen records when the last message from a balancer in the zone was received, and whether the
 // membership considers the zone lost.
-func (t *Tracker) Heard(now time.Duration, name lb.Zone, at time.Duration, lost bool) {
+func (t *Tracker) MemberSeen(now time.Duration, name lb.Zone, at time.Duration, lost bool) {
 	z := t.zone(name)
 	z.membershipLost = lost
 	if at <= z.memberSeen {
@@ -227,9 +227,9 @@
 
 func (t *Tracker) recordChange(now time.Duration, name lb.Zone, z *zone, sign LifeSign) {
 	t.changes = append(t.changes, Change{
-		Zone: name, Reached: !z.unreachable, Silent: len(z.unresponsive), Probes: z.probes,
-		Silence: now - z.firstUnanswered, Answered: ageOf(now, z.lastAnswer), Heard: ageOf(now, z.memberSeen),
-		Lost: z.membershipLost, By: sign,
+		Zone: name, Reachable: !z.unreachable, Unresponsive: len(z.unresponsive), Probes: z.probes,
+		UnresponsiveFor: now - z.firstUnanswered, SinceAnswer: ageOf(now, z.lastAnswer), SinceMemberSeen: ageOf(now, z.memberSeen),
+		MembershipLost: z.membershipLost, LifeSign: sign,
 	})
 }
 
@@ -240,11 +240,11 @@
 	return now - at
 }
 
-// All reports whether all zones are considered reachable.
-func (t *Tracker) All() bool { return t.unreachable == 0 }
+// AllReachable reports whether all zones are considered reachable.
+func (t *Tracker) AllReachable() bool { return t.unreachable == 0 }
 
-// Reaches reports whether the back ends of a zone are considered reachable.
-func (t *Tracker) Reaches(name lb.Zone) bool {
+// Reachable reports whether the back ends of a zone are considered reachable.
+func (t *Tracker) Reachable(name lb.Zone) bool {
 	z := t.zones[name]
 	return z == nil || !z.unreachable
 }
@@ -277,15 +277,15 @@
 
 // Status is the reachability of one zone.
 type Status struct {
-	Zone    lb.Zone
-	Reached bool
+	Zone      lb.Zone
+	Reachable bool
 }
 
 // Status returns the state of all zones with recorded observations, in no particular order.
 func (t *Tracker) Status() []Status {
 	statuses := make([]Status, 0, len(t.zones))
 	for name, z := range t.zones {
-		statuses = append(statuses, Status{Zone: name, Reached: !z.unreachable})
+		statuses = append(statuses, Status{Zone: name, Reachable: !z.unreachable})
 	}
 	return statuses
 }
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -69,7 +69,7 @@
 func (w *world) reportMembers() {
 	for _, zone := range []lb.Zone{zoneA, zoneB} {
 		if !w.balancersDown[zone] {
-			w.Heard(w.now, zone, w.now, false)
+			w.MemberSeen(w.now, zone, w.now, false)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 		zones = []lb.Zone{zoneB, zoneA}
 	}
 	for _, zone := range zones {
-		if !w.Reaches(zone) && !w.Probe(w.now, zone) {
+		if !w.Reachable(zone) && !w.Probe(w.now, zone) {
 			continue
 		}
 		w.sent++
@@ -112,25 +112,25 @@
 	w := newWorld()
 	w.SetNodes(24)
 	w.run(2 * time.Second)
-	is.True(w.All())
+	is.True(w.AllReachable())
 	w.partition(zoneA, zoneB)
 	w.run(500 * time.Millisecond)
-	is.True(!w.Reaches(zoneA) && !w.Reaches(zoneB))
+	is.True(!w.Reachable(zoneA) && !w.Reachable(zoneB))
 	w.sent, w.refused = 0, 0
 	w.run(6 * time.Second)
 	is.True(w.sent >= 16 && w.sent <= 21) // one in 600 ms to each zone
 	is.Equal(w.sent+w.refused, int(6*time.Second/openingInterval))
 	w.heal()
 	w.run(700 * time.Millisecond)
-	is.True(w.All())
+	is.True(w.AllReachable())
 	w.refused = 0
 	w.run(2 * time.Second)
 	is.Equal(w.refused, 0)
 	is.Equal(len(w.changes), 4)
-	is.Equal(w.changes[0].Reached, false)
-	is.Equal(w.changes[0].Silent, 4)
-	is.True(w.changes[0].Answered > 0 && w.changes[0].Heard > 0 && w.changes[0].Silence >= 200*time.Millisecond)
-	is.True(w.changes[2].Reached && w.changes[2].By != "" && w.changes[2].Probes > 0)
+	is.Equal(w.changes[0].Reachable, false)
+	is.Equal(w.changes[0].Unresponsive, 4)
+	is.True(w.changes[0].SinceAnswer > 0 && w.changes[0].SinceMemberSeen > 0 && w.changes[0].UnresponsiveFor >= 200*time.Millisecond)
+	is.True(w.changes[2].Reachable && w.changes[2].LifeSign != "" && w.changes[2].Probes > 0)
 }
 
 // TestPartitionDuringOverflow checks that if one of two zones that accept flows becomes
@@ -141,12 +141,12 @@
 	w.run(2 * time.Second)
 	w.partition(zoneB)
 	w.run(5 * time.Second)
-	is.True(w.Reaches(zoneA))
-	is.True(!w.Reaches(zoneB))
+	is.True(w.Reachable(zoneA))
+	is.True(!w.Reachable(zoneB))
 	is.Equal(w.refused, 0)
 	w.heal()
 	w.run(time.Second)
-	is.True(w.All())
+	is.True(w.AllReachable())
 }
 
 // TestSingleNodeIsPartitioned checks that a partitioned node refuses openings, so that its callers
@@ -163,7 +163,7 @@
 	}
 	is.True(partitioned.refused > 0)
 	is.Equal(other.refused, 0)
-	is.True(other.All())
+	is.True(other.AllReachable())
 }
 
 // TestZoneWithoutBalancersIsReachable checks that a zone whose balancers are dead stays reachable
@@ -174,9 +174,9 @@
 	w.run(2 * time.Second)
 	w.balancersDown[zoneB] = true
 	for range 50 {
-		w.Heard(w.now, zoneB, time.Second, true)
+		w.MemberSeen(w.now, zoneB, time.Second, true)
 		w.run(200 * time.Millisecond)
-		is.True(w.All())
+		is.True(w.AllReachable())
 		// One opening in five is lost, in either direction.
 		w.Unanswered(w.now, zoneB, Identity(w.opened), w.now-answerTimeout)
 	}
@@ -202,7 +202,7 @@
 	w.run(time.Second)
 	w.partition(zoneA, zoneB)
 	w.run(time.Second)
-	is.True(!w.Reaches(zoneA) && !w.Reaches(zoneB)) // the zones can become unreachable again
+	is.True(!w.Reachable(zoneA) && !w.Reachable(zoneB)) // the zones can become unreachable again
 }
 
 // TestZonesWithoutAnyAnswerStayReachable checks that openings are not refused before any back end
@@ -213,7 +213,7 @@
 	w.partition(zoneA, zoneB)
 	w.run(10 * time.Second)
 	is.Equal(w.refused, 0)
-	is.True(w.All())
+	is.True(w.AllReachable())
 }
 
 // TestOpeningsBeforePauseAreIgnored checks that a pause of the process makes no zone unreachable:
@@ -238,16 +238,16 @@
 	is := is.New(t)
 	tracker := New(DefaultSettings("zone-own"))
 	tracker.Answered(time.Second, zoneA)
-	tracker.Heard(time.Second, zoneA, time.Second, true)
+	tracker.MemberSeen(time.Second, zoneA, time.Second, true)
 	tracker.Unanswered(2*time.Second, zoneA, 1, 1900*time.Millisecond)
 	tracker.Unanswered(3*time.Second, zoneA, 1, 2900*time.Millisecond)
-	is.True(tracker.All())
+	is.True(tracker.AllReachable())
 	tracker.Unanswered(4*time.Second, zoneA, 2, 3900*time.Millisecond)
-	is.True(!tracker.Reaches(zoneA))
-	tracker.Heard(5*time.Second, zoneA, 3*time.Second, true) // an outdated time
-	is.True(!tracker.Reaches(zoneA))
+	is.True(!tracker.Reachable(zoneA))
+	tracker.MemberSeen(5*time.Second, zoneA, 3*time.Second, true) // an outdated time
+	is.True(!tracker.Reachable(zoneA))
 	tracker.Forget(func(lb.Zone) bool { return false })
-	is.True(tracker.All())
+	is.True(tracker.AllReachable())
 }
 
 // TestOneUnresponsiveBackEndIsNotEnough checks that openings unanswered by a single back end,
@@ -259,7 +259,7 @@
 	for now := time.Second; now < 10*time.Second; now += openingInterval {
 		tracker.Unanswered(now, zoneA, 7, now-answerTimeout)
 	}
-	is.True(tracker.All())
+	is.True(tracker.AllReachable())
 }
 
 // TestRandomSchedules checks with random events that a zone is reachable after each sign of life
@@ -282,9 +282,9 @@
 				switch event := random.IntN(100); {
 				case event < 60:
 					sent := now - answerTimeout - time.Duration(random.IntN(50))*time.Millisecond
-					before := tracker.Reaches(zone)
+					before := tracker.Reachable(zone)
 					tracker.Unanswered(now, zone, Identity(random.IntN(10)), sent)
-					if before && !tracker.Reaches(zone) {
+					if before && !tracker.Reachable(zone) {
 						unreachable[zone]++
 						is.True(answered[zone])
 						is.True(now-signs[zone] >= 200*time.Millisecond)
@@ -292,14 +292,14 @@
 				case event < 61:
 					tracker.Answered(now, zone)
 					answered[zone], signs[zone] = true, now
-					is.True(tracker.Reaches(zone))
+					is.True(tracker.Reachable(zone))
 				case event < 62:
-					tracker.Heard(now, zone, now, false)
+					tracker.MemberSeen(now, zone, now, false)
 					signs[zone] = now
-					is.True(tracker.Reaches(zone))
+					is.True(tracker.Reachable(zone))
 				case event < 80:
 					if tracker.Probe(now, zone) {
-						is.True(!tracker.Reaches(zone))
+						is.True(!tracker.Reachable(zone))
 						probes[zone] = append(probes[zone], now)
 					}
 				default:
@@ -307,11 +307,11 @@
 				}
 				lost := 0
 				for _, zone := range zones {
-					if !tracker.Reaches(zone) {
+					if !tracker.Reachable(zone) {
 						lost++
 					}
 				}
-				is.Equal(tracker.All(), lost == 0)
+				is.Equal(tracker.AllReachable(), lost == 0)
 			}
 			is.True(unreachable[zoneA]+unreachable[zoneB] > 0) // zones became unreachable at least once
 			for _, times := range probes {
--- a/internal/steering/compiler.go
+++ b/internal/steering/compiler.go
@@ -62,7 +62,7 @@
 // Compile builds the table for the state of the replica at the time now. Every call must pass the
 // same replica.
 func (c *Compiler) Compile(replica *view.Replica, now time.Duration) *Table {
-	names, all := replica.Touched()
+	names, all := replica.ChangedBackends()
 	collides := func(name lb.BackendName) bool { return c.collisions[name] }
 	if all || c.table == nil || slices.ContainsFunc(names, collides) || c.policyChanged(replica) {
 		return c.compileFull(replica, now)
@@ -124,7 +124,7 @@
 }
 
 // addAll adds all known back ends to an empty table.
-func (c *Compiler) addAll(table *Table, known []view.Known, now time.Duration) {
+func (c *Compiler) addAll(table *Table, known []view.KnownBackend, now time.Duration) {
 	hosts := make([]*Host, len(known))
 	for index := range known {
 		hosts[index] = c.newHost(&known[index], now)
@@ -143,8 +143,8 @@
 // by an earlier host gets no flows, because the tokens of the two could not be told apart.
 func (c *Compiler) appendHost(table *Table, host *Host) {
 	c.zones[host.Zone]++
-	c.recordCollision(host, table.byInstance.get(host.Run))
-	table.byInstance.set(host.Run, host)
+	c.recordCollision(host, table.byInstance.get(host.InstanceID))
+	table.byInstance.set(host.InstanceID, host)
 	if first := table.byHash.get(host.tokenHash); first != nil {
 		c.recordCollision(host, first)
 		return
@@ -206,7 +206,7 @@
 	if c.zones[host.Zone]--; c.zones[host.Zone] == 0 {
 		delete(c.zones, host.Zone)
 	}
-	table.byInstance.remove(host.Run, host)
+	table.byInstance.remove(host.InstanceID, host)
 	table.byHash.remove(host.tokenHash, host)
 	if host.restarted {
 		table.byHash.remove(host.previousHash, host)
@@ -220,11 +220,11 @@
 
 func (c *Compiler) insertHost(table *Table, host *Host) {
 	c.zones[host.Zone]++
-	if table.byInstance.get(host.Run) != nil || table.byHash.get(host.tokenHash) != nil {
+	if table.byInstance.get(host.InstanceID) != nil || table.byHash.get(host.tokenHash) != nil {
 		c.newCollision = true
 		return
 	}
-	table.byInstance.set(host.Run, host)
+	table.byInstance.set(host.InstanceID, host)
 	c.indexHost(table, host)
 	m := c.staleMembers(host.Service)
 	m.byCreation = insertSorted(m.byCreation, host, compareCreation)
@@ -250,7 +250,7 @@
 }
 
 func compareRingOrder(a, b *Host) int {
-	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ringKey, b.ringKey), cmp.Compare(a.Run, b.Run), cmp.Compare(a.Name, b.Name))
+	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ringKey, b.ringKey), cmp.Compare(a.InstanceID, b.InstanceID), cmp.Compare(a.Name, b.Name))
 }
 
 func (c *Compiler) markAllStale() {
@@ -321,7 +321,7 @@
 	service.useLapsed()
 	service.ring = make([]*Host, 0, len(service.Ready))
 	for _, host := range m.byRing {
-		if service.Takes(host) {
+		if service.IsReady(host) {
 			service.ring = append(service.ring, host)
 		}
 	}
@@ -330,38 +330,38 @@
 		zones++ // the balancer's own zone has callers even if it has no hosts
 	}
 	service.setEvenWeights(c.zone, zones)
-	service.NeedsCold = lb.TotalSlots(service.zoneCapacity) < lb.TotalSlots(capacityByZone(service.Cold))
+	service.ColdNeeded = lb.TotalSlots(service.zoneCapacity) < lb.TotalSlots(capacityByZone(service.Cold))
 	return service
 }
 
 // newHost returns the host for a back end as of the time now.
-func (c *Compiler) newHost(known *view.Known, now time.Duration) *Host {
+func (c *Compiler) newHost(known *view.KnownBackend, now time.Duration) *Host {
 	backend := &known.Backend
 	host := &Host{
-		Backend: *backend, Run: backend.Run(), tokenHash: tokenHash(backend.Name, backend.Born),
-		rendezvousKey: xxhash.Sum64String(string(backend.Name)), goneInOutage: known.Away,
+		Backend: *backend, InstanceID: backend.InstanceID(), tokenHash: tokenHash(backend.Name, backend.StartUnixMillis),
+		rendezvousKey: xxhash.Sum64String(string(backend.Name)), goneInOutage: known.DeletedDuringOutage,
 	}
-	host.ringKey = rendezvous.Mix(host.Run)
-	if known.Earlier != nil {
-		host.restarted, host.previousHash = true, tokenHash(host.Name, known.Earlier.Born)
+	host.ringKey = rendezvous.Mix(host.InstanceID)
+	if known.Previous != nil {
+		host.restarted, host.previousHash = true, tokenHash(host.Name, known.Previous.StartUnixMillis)
 	}
 	c.setRole(host, known, now)
 	return host
 }
 
 // setRole sets the role of a host for new flows, and until when that role holds.
-func (c *Compiler) setRole(host *Host, known *view.Known, now time.Duration) {
+func (c *Compiler) setRole(host *Host, known *view.KnownBackend, now time.Duration) {
 	starting := known.ColdUntil > now
 	cold := starting && c.coldRates[host.Service] > 0
-	lapsed := known.GoneAt + lapsedTimeout
+	lapsed := known.DeletedAt + lapsedTimeout
 	switch {
 	case host.State != lb.BackendActive:
 	case c.evacuated[host.Zone]:
 		host.role = roleEvacuated
-	case known.Gone && lapsed <= now:
-	case known.Gone && cold: // not a last resort: a cold host accepts few flows, if it is alive at all
+	case known.Deleted && lapsed <= now:
+	case known.Deleted && cold: // not a last resort: a cold host accepts few flows, if it is alive at all
 		host.roleUntil = min(known.ColdUntil, lapsed)
-	case known.Gone:
+	case known.Deleted:
 		host.role, host.roleUntil = roleLapsed, lapsed
 	case cold:
 		host.Cold, host.role, host.roleUntil = true, roleCold, known.ColdUntil
--- a/internal/steering/compiler_test.go
+++ b/internal/steering/compiler_test.go
@@ -22,7 +22,7 @@
 	for name, service := range table.Services() {
 		services = append(services, fmt.Sprintf("\n%s: ready %s, ring %s, lapsed %s, cold %s at %g, needed %t, evacuated %d, gone in outage %d, zones %v, even %v, sums %v %v",
 			name, describeHosts(service.Ready), describeHosts(service.Ring()), describeHosts(service.Lapsed), describeHosts(service.Cold), service.ColdRate,
-			service.NeedsCold, service.evacuated, service.goneInOutage, service.zoneCapacity, service.even, service.evenWeights(), service.runningCapacities()))
+			service.ColdNeeded, service.evacuated, service.goneInOutage, service.zoneCapacity, service.even, service.evenWeights(), service.runningCapacities()))
 	}
 	for key, built := range table.frontends {
 		services = append(services, fmt.Sprintf("\nfront end %v: %v %v", key, built.services, built.sums))
@@ -30,9 +30,9 @@
 	slices.Sort(services)
 	text += fmt.Sprint(services)
 	for _, known := range replica.Backends() {
-		host := table.HostOfRun(known.Backend.Run())
+		host := table.HostOfInstance(known.Backend.InstanceID())
 		text += fmt.Sprintf("\n%s: %t, zone %t", known.Backend.Name, host != nil, table.HasZone(known.Backend.Zone))
-		for _, hash := range []uint32{tokenHash(known.Backend.Name, known.Backend.Born), tokenHash(known.Backend.Name, 1)} {
+		for _, hash := range []uint32{tokenHash(known.Backend.Name, known.Backend.StartUnixMillis), tokenHash(known.Backend.Name, 1)} {
 			if host := table.byHash.get(hash); host != nil {
 				text += fmt.Sprintf(" %s in %s", host.Name, host.State)
 			}
@@ -59,14 +59,14 @@
 	}
 	return view.Backend{
 		Name: lb.BackendName(fmt.Sprintf("i-%d", number)), Identity: identity,
-		Service:    rapid.SampledFrom([]lb.ServiceName{"web", "docs", "none"}).Draw(t, "service"),
-		Zone:       rapid.SampledFrom([]lb.Zone{zoneA, zoneB, "zone-c"}).Draw(t, "zone"),
-		State:      rapid.SampledFrom([]lb.BackendState{lb.BackendActive, lb.BackendActive, lb.BackendDraining}).Draw(t, "state"),
-		Address:    netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+number)),
-		Created:    rapid.Int64Range(1, revision).Draw(t, "created"),
-		Slots:      rapid.IntRange(0, 4).Draw(t, "slots"),
-		ColdMillis: rapid.SampledFrom([]int64{0, 0, 500, 2000}).Draw(t, "cold"),
-		Born:       rapid.Int64Range(0, 2).Draw(t, "born"),
+		Service:         rapid.SampledFrom([]lb.ServiceName{"web", "docs", "none"}).Draw(t, "service"),
+		Zone:            rapid.SampledFrom([]lb.Zone{zoneA, zoneB, "zone-c"}).Draw(t, "zone"),
+		State:           rapid.SampledFrom([]lb.BackendState{lb.BackendActive, lb.BackendActive, lb.BackendDraining}).Draw(t, "state"),
+		Address:         netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+number)),
+		Created:         rapid.Int64Range(1, revision).Draw(t, "created"),
+		Slots:           rapid.IntRange(0, 4).Draw(t, "slots"),
+		ColdMillis:      rapid.SampledFrom([]int64{0, 0, 500, 2000}).Draw(t, "cold"),
+		StartUnixMillis: rapid.Int64Range(0, 2).Draw(t, "born"),
 	}
 }
 
@@ -90,13 +90,13 @@
 	case 0:
 		change.Configuration = drawConfiguration(t, uint64(revision))
 	case 1:
-		change.Withdrawn = name
+		change.Unreadable = name
 	case 2:
 		change.Evacuated = zoneB
 	case 3:
 		change.Restored = zoneB
 	case 4, 5:
-		change.Gone = name
+		change.Deleted = name
 	default:
 		backend := drawBackend(t, revision)
 		change.Backend = &backend
@@ -115,7 +115,7 @@
 		var beforeText string
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1200).Draw(t, "ms")) * time.Millisecond
-			replica.NoteAge(time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second)
+			replica.SetAge(time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second)
 			changes := &view.Changes{}
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
 				revision++
@@ -124,7 +124,7 @@
 			changes.Revision = revision
 			replica.ApplyChanges(now, changes)
 			if rapid.IntRange(0, 9).Draw(t, "late") == 0 {
-				now += view.GoneRetention
+				now += view.TombstoneRetention
 				replica.Prune(now)
 			}
 			table := compiler.Compile(replica, now)
@@ -186,8 +186,8 @@
 	}
 	replica.ApplyChanges(0, &view.Changes{Revision: 20, Changes: []view.Change{{Revision: 20, Backend: &other}}})
 	is.Equal(len(compiler.Compile(replica, 0).services["web"].Ready), 2)
-	replica.ApplyChanges(0, &view.Changes{Revision: 21, Changes: []view.Change{{Revision: 21, Gone: first}}})
-	later := view.GoneRetention + time.Second
+	replica.ApplyChanges(0, &view.Changes{Revision: 21, Changes: []view.Change{{Revision: 21, Deleted: first}}})
+	later := view.TombstoneRetention + time.Second
 	replica.Prune(later)
 	ready := compiler.Compile(replica, later).services["web"].Ready
 	is.Equal(len(ready), 2)
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -25,9 +25,9 @@
 // fields changes.
 type Host struct {
 	view.Backend
-	// Run identifies one instance of the back end, from one start to the next (see view.Backend).
+	// InstanceID identifies one instance of the back end, from one start to the next (see view.Backend).
 	// Statistics about a back end are keyed by it.
-	Run uint64
+	InstanceID uint64
 	// Cold is set if the host has just started and may receive only few new flows; see
 	// Service.Cold.
 	Cold bool
@@ -71,10 +71,10 @@
 	// second. Package coldstart decides which balancer may send them a flow.
 	Cold     []*Host
 	ColdRate float64
-	// NeedsCold is set if the ready hosts have less capacity than the cold hosts. Otherwise cold
+	// ColdNeeded is set if the ready hosts have less capacity than the cold hosts. Otherwise cold
 	// hosts get no new flows until they are warm, because the ready hosts can absorb their share:
 	// at most twice the usual load, for seconds.
-	NeedsCold bool
+	ColdNeeded bool
 	// evacuated counts the hosts that would accept new flows if their zone were not evacuated.
 	evacuated int
 	// goneInOutage counts the lapsed hosts whose entries were deleted while the store was
@@ -147,8 +147,8 @@
 // Services iterates over all services that a route or a back end names, in no particular order.
 func (t *Table) Services() iter.Seq2[lb.ServiceName, *Service] { return maps.All(t.services) }
 
-// HostOfRun returns the host with the given instance, or nil if none is known.
-func (t *Table) HostOfRun(run uint64) *Host { return t.byInstance.get(run) }
+// HostOfInstance returns the host with the given instance, or nil if none is known.
+func (t *Table) HostOfInstance(run uint64) *Host { return t.byInstance.get(run) }
 
 // HasZone reports whether the zone contains a known back end.
 func (t *Table) HasZone(zone lb.Zone) bool { return t.zones[zone] > 0 }
@@ -174,8 +174,8 @@
 	s.Lapsed, s.lapsedInUse = nil, true
 }
 
-// Takes reports whether a host of the table is one of the ready hosts of the service.
-func (s *Service) Takes(host *Host) bool {
+// IsReady reports whether a host of the table is one of the ready hosts of the service.
+func (s *Service) IsReady(host *Host) bool {
 	return host.Service == s.Name && (host.role == roleReady || host.role == roleLapsed && s.lapsedInUse)
 }
 
@@ -252,12 +252,12 @@
 	return highestRanked(s.Lapsed, flow, nil, nil, false)
 }
 
-// FactorUnreached is the factor of a ready host in a zone that this balancer cannot reach.
-const FactorUnreached = -1.0
+// FactorUnreachable is the factor of a ready host in a zone that this balancer cannot reach.
+const FactorUnreachable = -1.0
 
-// PickOther returns an alternative choice, independent of the choice of Pick: a ready host of any
+// PickAlternative returns an alternative choice, independent of the choice of Pick: a ready host of any
 // zone, in proportion to capacity. It returns nil if the factor of that host is 0 or below.
-func (s *Service) PickOther(flow lb.FlowID, factors []float64) *Host {
+func (s *Service) PickAlternative(flow lb.FlowID, factors []float64) *Host {
 	if len(s.Ready) == 0 {
 		return nil
 	}
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -134,7 +134,7 @@
 		flow := flowTo(443, number)
 		frontend := flow.Frontend()
 		is.Equal(table.Service(&flow).Pick(flow.ID(), nil, nil).Name, lb.BackendName("i-2"))
-		draining := table.HostOfRun(1)
+		draining := table.HostOfInstance(1)
 		is.Equal(table.Resolve(&frontend, draining.Token(&frontend)).Name, lb.BackendName("i-1"))
 	}
 }
@@ -154,12 +154,12 @@
 		flow := flowTo(443, number)
 		frontend := flow.Frontend()
 		is.Equal(table.Service(&flow).Pick(flow.ID(), nil, nil).Name, lb.BackendName("i-2"))
-		evacuatedHost := table.HostOfRun(1)
+		evacuatedHost := table.HostOfInstance(1)
 		is.Equal(table.Resolve(&frontend, evacuatedHost.Token(&frontend)).Name, lb.BackendName("i-1"))
 	}
 
 	replica.ApplyChanges(time.Second, &view.Changes{Revision: 12, Changes: []view.Change{
-		{Revision: 11, Gone: "i-1"}, {Revision: 12, Gone: "i-2"},
+		{Revision: 11, Deleted: "i-1"}, {Revision: 12, Deleted: "i-2"},
 	}})
 	flow := flowTo(443, 1)
 	lapsed := Compile(replica, zoneA, time.Second)
@@ -197,7 +197,7 @@
 	is.Equal(service.Cold[0].Name, lb.BackendName("i-2"))
 	is.True(service.Cold[0].Cold)
 	is.Equal(service.ColdRate, 10.0)
-	is.Equal(service.NeedsCold, false)
+	is.Equal(service.ColdNeeded, false)
 	is.Equal(table.Expires(), 2*time.Second)
 	frontend := flow.Frontend()
 	is.Equal(table.Resolve(&frontend, service.Cold[0].Token(&frontend)), service.Cold[0]) // its existing flows continue
@@ -205,7 +205,7 @@
 	is.Equal(len(warm.Service(&flow).Ready), 2)
 
 	replica.ApplyChanges(time.Second, &view.Changes{Revision: 12, Changes: []view.Change{
-		{Revision: 11, Gone: "i-1"}, {Revision: 12, Gone: "i-2"},
+		{Revision: 11, Deleted: "i-1"}, {Revision: 12, Deleted: "i-2"},
 	}})
 	gone := Compile(replica, zoneA, time.Second).Service(&flow)
 	is.Equal(len(gone.Lapsed), 1) // a cold host is not a last resort
@@ -226,7 +226,7 @@
 	world.listing.Configuration.Configuration.ColdRates = []view.ColdRate{{Service: "web", PerSecond: 10}}
 	flow := flowTo(443, 1)
 	service := world.table(zoneA).Service(&flow)
-	is.True(service.NeedsCold) // 4 slots ready, 5 cold
+	is.True(service.ColdNeeded) // 4 slots ready, 5 cold
 	is.Equal(service.PickCold(flow.ID(), func(*Host) bool { return false }), nil)
 	is.Equal(service.PickCold(flow.ID(), func(host *Host) bool { return host.Name == "i-2" }).Name, lb.BackendName("i-2"))
 }
@@ -237,7 +237,7 @@
 	world.host("i-1", "web", zoneA, lb.BackendActive)
 	world.route(443, view.Target{Service: "web", Weight: 1})
 	replica := world.replica()
-	replica.ApplyChanges(time.Second, &view.Changes{Revision: 11, Changes: []view.Change{{Revision: 11, Gone: "i-1"}}})
+	replica.ApplyChanges(time.Second, &view.Changes{Revision: 11, Changes: []view.Change{{Revision: 11, Deleted: "i-1"}}})
 
 	soon := Compile(replica, zoneA, time.Second)
 	flow := flowTo(443, 1)
@@ -247,7 +247,7 @@
 
 	later := Compile(replica, zoneA, soon.Expires())
 	is.Equal(later.Service(&flow).Pick(flow.ID(), nil, nil), nil)
-	is.True(later.Resolve(&frontend, later.HostOfRun(1).Token(&frontend)) != nil)
+	is.True(later.Resolve(&frontend, later.HostOfInstance(1).Token(&frontend)) != nil)
 	is.Equal(later.Expires(), time.Duration(0))
 }
 
@@ -271,14 +271,14 @@
 	duplicate := known[0]
 	duplicate.Backend.Identity = 99
 	duplicate.Backend.Created = known[0].Backend.Created + 1
-	for _, order := range [][]view.Known{{known[0], duplicate}, {duplicate, known[0]}} {
+	for _, order := range [][]view.KnownBackend{{known[0], duplicate}, {duplicate, known[0]}} {
 		table, compiler := newTable(), NewCompiler(zoneA)
 		compiler.clear()
 		compiler.addAll(table, order, 0)
 		compiler.finish(table, view.NewReplica())
 		is.Equal(len(table.services["web"].Ready), 1)
 		is.Equal(table.services["web"].Ready[0].Identity, uint64(1))
-		is.True(table.HostOfRun(1) != nil && table.HostOfRun(99) != nil)
+		is.True(table.HostOfInstance(1) != nil && table.HostOfInstance(99) != nil)
 	}
 }
 
--- a/internal/steering/weights.go
+++ b/internal/steering/weights.go
@@ -11,7 +11,7 @@
 // unknown: it assumes the same demand in each of the zones. See package zoneweight.
 func (s *Service) setEvenWeights(zone lb.Zone, zones int) {
 	s.zoneCapacity = capacityByZone(s.ring)
-	s.even = zoneweight.Split(zone, zoneweight.Even(s.zoneCapacity, zone, zones), 0)
+	s.even = zoneweight.Split(zone, zoneweight.EvenZones(s.zoneCapacity, zone, zones), 0)
 }
 
 // serviceSums holds sums over all ready hosts of a service.
@@ -27,7 +27,7 @@
 // second, with thousands of back ends, usually places no flow by these sums between two changes.
 func (s *Service) lazySums() *serviceSums {
 	s.sums.once.Do(func() {
-		s.sums.weights = s.Weights(s.even)
+		s.sums.weights = s.HostWeights(s.even)
 		s.sums.capacities = sumCapacities(s.Ready)
 	})
 	return &s.sums
@@ -41,12 +41,12 @@
 // modify it.
 func (s *Service) Capacity() map[lb.Zone]float64 { return s.zoneCapacity }
 
-// Even returns the zone weights used while the load of the zones is unknown. The caller must not
+// EvenZoneWeights returns the zone weights used while the load of the zones is unknown. The caller must not
 // modify them.
-func (s *Service) Even() zoneweight.Weights { return s.even }
+func (s *Service) EvenZoneWeights() zoneweight.Weights { return s.even }
 
-// Weights returns the weight of each ready host under the given zone weights for new flows.
-func (s *Service) Weights(zones zoneweight.Weights) []float64 {
+// HostWeights returns the weight of each ready host under the given zone weights for new flows.
+func (s *Service) HostWeights(zones zoneweight.Weights) []float64 {
 	weights := make([]float64, len(s.Ready))
 	for index, host := range s.Ready {
 		weights[index] = zones[host.Zone] * host.capacity() / s.zoneCapacity[host.Zone]
@@ -89,9 +89,9 @@
 // then reduces its share of new flows.
 const warmingFactor = 0.5
 
-// Size returns the capacity of the host relative to other hosts of its service, as stated by the
+// RelativeCapacity returns the capacity of the host relative to other hosts of its service, as stated by the
 // back end.
-func (h *Host) Size() float64 {
+func (h *Host) RelativeCapacity() float64 {
 	if h.Warming {
 		return warmingFactor * h.capacity()
 	}
--- a/internal/steering/weights_test.go
+++ b/internal/steering/weights_test.go
@@ -55,7 +55,7 @@
 				}
 			}
 			for _, share := range load {
-				is.True(math.Abs(share*float64(total)-1) < 3*zoneweight.Remote)
+				is.True(math.Abs(share*float64(total)-1) < 3*zoneweight.MinRemoteWeight)
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 			local += service.evenWeights()[index]
 		}
 	}
-	is.True(local >= 1-2*zoneweight.Remote && local <= 1)
+	is.True(local >= 1-2*zoneweight.MinRemoteWeight && local <= 1)
 }
 
 // TestFlowsFollowWeights checks that each host gets flows in proportion to its weight.
@@ -117,7 +117,7 @@
 	factors := []float64{1, 0, 1, 1}
 	for number := range 200 {
 		is.True(service.Pick(lb.FlowID(number), nil, factors) != excluded)
-		is.True(service.PickOther(lb.FlowID(number), factors) != excluded)
+		is.True(service.PickAlternative(lb.FlowID(number), factors) != excluded)
 	}
 }
 
@@ -147,7 +147,7 @@
 	const flows = 20000
 	counts := map[lb.BackendName]int{}
 	for number := range flows {
-		counts[service.PickOther(lb.FlowID(number), nil).Name]++
+		counts[service.PickAlternative(lb.FlowID(number), nil).Name]++
 	}
 	total := 0.0
 	for _, host := range service.Ready {
@@ -158,7 +158,7 @@
 		is.True(math.Abs(float64(counts[host.Name])-expected) < 5*math.Sqrt(expected))
 	}
 	empty := &Service{}
-	is.Equal(empty.PickOther(1, nil), nil)
+	is.Equal(empty.PickAlternative(1, nil), nil)
 }
 
 // TestLapsedHalfOfServiceStaysInUse checks that lapsed hosts stay in use if at least half of the
@@ -191,10 +191,10 @@
 			changes := &view.Changes{Revision: 20}
 			for index := range test.lapsed {
 				changes.Changes = append(changes.Changes, view.Change{
-					Revision: int64(11 + index), Gone: world.listing.Backends[index].Backend.Name,
+					Revision: int64(11 + index), Deleted: world.listing.Backends[index].Backend.Name,
 				})
 			}
-			replica.NoteAge(test.age)
+			replica.SetAge(test.age)
 			replica.ApplyChanges(time.Second, changes)
 			table := Compile(replica, zoneA, time.Second)
 			is.Equal(len(table.services["web"].Ready), test.ready)
@@ -214,14 +214,14 @@
 	world := newWorld()
 	fill(world, 6)
 	service := world.table(zoneA).services["web"]
-	unreached := FactorUnreached
+	unreached := FactorUnreachable
 	for number := range 200 {
 		flow := lb.FlowID(number)
 		is.Equal(service.Pick(flow, nil, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
 		is.Equal(service.Pick(flow, nil, []float64{unreached, unreached, unreached, 0, 1, 0.5}) == service.Ready[3], false)
 		chosen := service.Pick(flow, nil, []float64{unreached, unreached, unreached, 0, 0, 1}) // most reachable hosts are unresponsive
 		is.True(chosen == service.Ready[3] || chosen == service.Ready[4] || chosen == service.Ready[5])
-		is.Equal(service.PickOther(flow, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
+		is.Equal(service.PickAlternative(flow, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
 	}
 }
 
@@ -239,10 +239,10 @@
 	table := Compile(replica, zoneA, time.Second)
 	ready := table.services["web"].Ready
 	is.Equal(len(ready), 2) // no limit on its new flows is configured
-	is.Equal(ready[0].Size(), 4*warmingFactor)
-	is.Equal(ready[1].Size(), 4.0)
+	is.Equal(ready[0].RelativeCapacity(), 4*warmingFactor)
+	is.Equal(ready[1].RelativeCapacity(), 4.0)
 	is.Equal(table.Expires(), 2*time.Second)
 	warm := Compile(replica, zoneA, table.Expires())
-	is.Equal(warm.services["web"].Ready[0].Size(), 4.0)
+	is.Equal(warm.services["web"].Ready[0].RelativeCapacity(), 4.0)
 	is.Equal(warm.Expires(), time.Duration(0))
 }
--- a/internal/tokennode/decisions.go
+++ b/internal/tokennode/decisions.go
@@ -130,8 +130,8 @@
 	if decision.Reason == core.ReasonOverload {
 		event = event.Float64(logging.FieldPressure, decision.Pressure)
 	}
-	if decision.Waited > 0 {
-		event = event.Int64(logging.FieldWaited, decision.Waited.Milliseconds())
+	if decision.HeldFor > 0 {
+		event = event.Int64(logging.FieldWaited, decision.HeldFor.Milliseconds())
 	}
 	if note.omitted > 0 {
 		event = event.Uint64(logging.FieldOmitted, note.omitted)
--- a/internal/tokennode/engine.go
+++ b/internal/tokennode/engine.go
@@ -93,8 +93,8 @@
 	deciding.RetryAfter = settings.Timings.RetryAfter
 	deciding.Overload.Off = settings.Admission == config.AdmissionOff
 	deciding.AdmissionQueue.Off = deciding.Overload.Off || settings.Waiting == config.WaitingOff
-	deciding.ColdStart.Overage = settings.Limits.ColdOverage
-	deciding.ColdStart.Slack = settings.Limits.ColdSlack
+	deciding.ColdStart.RateFactor = settings.Limits.ColdOverage
+	deciding.ColdStart.Burst = settings.Limits.ColdSlack
 	following := follower.DefaultSettings(settings.Node, settings.Zone, incarnation).
 		ScaledTo(min(settings.Timings.ChangeLimit, settings.Timings.LeaveLimit, settings.Timings.EvacuationLimit))
 	for _, seed := range settings.Seeds {
@@ -104,7 +104,7 @@
 		}
 		following.Seeds = append(following.Seeds, seed)
 	}
-	deciding.ColdStart.Alone = len(following.Seeds) == 0
+	deciding.ColdStart.SingleNode = len(following.Seeds) == 0
 	return &engine{
 		settings:     settings,
 		logger:       logger,
@@ -188,7 +188,7 @@
 	engine.input(func() {
 		engine.memberStep(&member.Event{})
 		engine.followerStep(&follower.Event{})
-		engine.core.Step(engine.now(), &core.Event{Tick: true, Heard: engine.zonesHeard()}, &engine.coreEffects)
+		engine.core.Step(engine.now(), &core.Event{Tick: true, ZoneContacts: engine.zonesHeard()}, &engine.coreEffects)
 		engine.announceFlows(engine.coreEffects.OpenFlows, engine.place.Neighbours(netip.AddrPort{}))
 		engine.noteSamples() // before others step the core, which resets its effects
 		engine.logChanges()
@@ -259,7 +259,7 @@
 func (engine *engine) canSpare() bool {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.zone.CanSpare(engine.now())
+	return engine.zone.MayStop(engine.now())
 }
 
 func (engine *engine) end() {
@@ -301,7 +301,7 @@
 		}
 		peers = append(peers, follower.Peer{ID: entry.ID, Zone: entry.Zone, Control: entry.Control, Leaving: entry.Leaving})
 	}
-	engine.zone.Update(engine.last, zone)
+	engine.zone.SetMembers(engine.last, zone)
 	engine.core.Step(engine.last, &core.Event{Members: known}, &engine.coreEffects)
 	engine.logChanges()
 	engine.others = len(members) - 1
--- a/internal/tokennode/enginelog.go
+++ b/internal/tokennode/enginelog.go
@@ -78,7 +78,7 @@
 // where no back end of the table has it any more.
 func (engine *engine) backendText(run uint64) string {
 	if engine.table != nil {
-		if host := engine.table.HostOfRun(run); host != nil {
+		if host := engine.table.HostOfInstance(run); host != nil {
 			return strconv.FormatUint(host.Identity, 16)
 		}
 	}
--- a/internal/tokennode/evidence.go
+++ b/internal/tokennode/evidence.go
@@ -46,7 +46,7 @@
 	services := make(map[lb.ServiceName][]outlier.Identity)
 	for name, service := range engine.table.Services() {
 		for _, host := range service.Ready {
-			services[name] = append(services[name], outlier.Identity(host.Run))
+			services[name] = append(services[name], outlier.Identity(host.InstanceID))
 		}
 	}
 	engine.evidenceStep(&outlier.Event{Services: services})
--- a/internal/tokennode/load.go
+++ b/internal/tokennode/load.go
@@ -27,8 +27,8 @@
 
 // noteSamples tells the fleet's load what the core has seen.
 func (engine *engine) noteSamples() {
-	if engine.coreEffects.Samples != nil {
-		engine.loadStep(&fleetload.Event{Samples: engine.coreEffects.Samples})
+	if engine.coreEffects.LoadSamples != nil {
+		engine.loadStep(&fleetload.Event{Samples: engine.coreEffects.LoadSamples})
 	}
 }
 
@@ -43,7 +43,7 @@
 
 // placeInTree tells what goes by the tree over the zone where this node is in it.
 func (engine *engine) placeInTree() {
-	place := placeOf(engine.settings.Node, engine.follower.Zone(), engine.follower.Heads(), engine.others+1)
+	place := placeOf(engine.settings.Node, engine.follower.ZoneNodes(), engine.follower.ZoneRelays(), engine.others+1)
 	engine.place = place
 	engine.askForFlows()
 	begins := place.First && !engine.judges
--- a/internal/tokennode/load_test.go
+++ b/internal/tokennode/load_test.go
@@ -37,7 +37,7 @@
 	is.Equal(web.Known, false)
 	is.Equal(len(web.Zones), 1)
 	is.Equal(web.Zones[0].Capacity, 8.0) // four hosts of two slots
-	is.True(web.Zones[0].Part > 0.9)
+	is.True(web.Zones[0].Weight > 0.9)
 	is.True(site.shows(0, `robinpulley_home_ratio{service="web"}`))
 	is.True(!site.shows(0, "robinpulley_fleet_asked_slots"))
 
@@ -54,7 +54,7 @@
 	})
 	site.until("somebody asks for more than nothing", func() bool {
 		return slices.ContainsFunc(loadreport.Rows([]loadreport.Report{site.report(0), site.report(1)}), func(row loadreport.Row) bool {
-			return row.Service == "web" && row.Known && row.Asked > 0
+			return row.Service == "web" && row.Known && row.Demand > 0
 		})
 	})
 	close(stop)
--- a/internal/tokennode/loadlog.go
+++ b/internal/tokennode/loadlog.go
@@ -51,7 +51,7 @@
 		return inputs
 	}
 	inputs.known = true
-	inputs.age = max(0, now-known.At)
+	inputs.age = max(0, now-known.SummedAt)
 	for index := range known.Zones {
 		from := &known.Zones[index]
 		if from.Zone == zone {
@@ -87,7 +87,7 @@
 
 func (engine *engine) logShares() {
 	homes := make(map[lb.ServiceName]float64)
-	for service, parts := range engine.core.Shares() {
+	for service, parts := range engine.core.ZoneWeights() {
 		homes[service] = parts[engine.settings.Zone]
 	}
 	engine.loadLog.shares.forget(engine.table.HasService)
@@ -105,7 +105,7 @@
 func (engine *engine) logAdmitted() {
 	parts := make(map[levelKey]float64)
 	pressures := make(map[lb.ServiceName]float64)
-	for _, status := range engine.core.Pressures() {
+	for _, status := range engine.core.OverloadStatus() {
 		pressures[status.Service] = status.Pressure
 		for _, level := range status.Levels {
 			parts[levelKey{status.Service, level.Priority}] = level.Admitted
--- a/internal/tokennode/loadreport.go
+++ b/internal/tokennode/loadreport.go
@@ -33,17 +33,17 @@
 	if engine.table == nil {
 		return report
 	}
-	shares := engine.core.Shares()
-	held := engine.core.WaitingBy()
+	shares := engine.core.ZoneWeights()
+	held := engine.core.HeldByLevel()
 	pressures := make(map[lb.ServiceName]overload.Status)
-	for _, status := range engine.core.Pressures() {
+	for _, status := range engine.core.OverloadStatus() {
 		pressures[status.Service] = status
 	}
 	for name, service := range engine.table.Services() {
 		told := loadreport.Service{Service: name, Zones: zonesOf(service, shares[name])}
 		if known, found := engine.load.Services()[name]; found {
 			told.Known = true
-			told.AgeMillis = max(0, engine.now()-known.At).Milliseconds()
+			told.AgeMillis = max(0, engine.now()-known.SummedAt).Milliseconds()
 			addKnown(&told, &known)
 		}
 		addPressure(&told, pressures[name])
@@ -58,7 +58,7 @@
 func zonesOf(service *steering.Service, parts zoneweight.Weights) []loadreport.Zone {
 	var zones []loadreport.Zone
 	for _, zone := range slices.Sorted(maps.Keys(service.Capacity())) {
-		zones = append(zones, loadreport.Zone{Zone: zone, Capacity: service.Capacity()[zone], Part: parts[zone]})
+		zones = append(zones, loadreport.Zone{Zone: zone, Capacity: service.Capacity()[zone], Weight: parts[zone]})
 	}
 	return zones
 }
@@ -84,7 +84,7 @@
 func addPressure(told *loadreport.Service, status overload.Status) {
 	told.Pressure, told.Refused = status.Pressure, status.Refused
 	for _, level := range status.Levels {
-		told.Levels = append(told.Levels, loadreport.Admission{Priority: level.Priority, Admitted: level.Admitted})
+		told.Levels = append(told.Levels, loadreport.Admission{Priority: level.Priority, Rate: level.Admitted})
 	}
 }
 
@@ -97,8 +97,8 @@
 		at := slices.IndexFunc(told.Levels, func(known loadreport.Admission) bool { return known.Priority == level.Priority })
 		if at < 0 {
 			at = len(told.Levels)
-			told.Levels = append(told.Levels, loadreport.Admission{Priority: level.Priority, Admitted: 1})
+			told.Levels = append(told.Levels, loadreport.Admission{Priority: level.Priority, Rate: 1})
 		}
-		told.Levels[at].Waiting = count
+		told.Levels[at].Queued = count
 	}
 }
--- a/internal/tokennode/metrics.go
+++ b/internal/tokennode/metrics.go
@@ -211,7 +211,7 @@
 	}
 	for _, zone := range state.reached {
 		reached := 0.0
-		if zone.Reached {
+		if zone.Reachable {
 			reached = 1
 		}
 		output.Add(metricReached, reached, string(zone.Zone))
@@ -250,7 +250,7 @@
 		for part := range service.Zones {
 			zone := &service.Zones[part]
 			if zone.Zone == report.Zone {
-				output.Add(metricHome, zone.Part, name)
+				output.Add(metricHome, zone.Weight, name)
 			}
 			if service.Known {
 				output.knownZone(name, zone)
@@ -332,18 +332,18 @@
 		version:   engine.follower.Replica().Version(),
 		evacuated: engine.follower.Replica().Evacuated(),
 		avoided:   engine.evidence.EjectedCount(),
-		reached:   engine.core.Zones(),
+		reached:   engine.core.ZoneReachability(),
 		rank:      engine.follower.Rank(),
 		members:   engine.others + 1,
 		leaving:   engine.leaving,
 
-		waiting:      engine.core.Waiting(),
-		tracked:      engine.core.Tracked(),
-		pressures:    engine.core.Pressures(),
+		waiting:      engine.core.HeldOpenings(),
+		tracked:      engine.core.TrackedFlowStats(),
+		pressures:    engine.core.OverloadStatus(),
 		decisionTime: engine.decisionTime,
 		callTime:     engine.callTime,
 	}
-	if engine.follower.Reads() {
+	if engine.follower.IsWatcher() {
 		state.reads = 1
 	}
 	if age, known := engine.follower.Age(engine.now()); known {
--- a/internal/tokennode/steplog_test.go
+++ b/internal/tokennode/steplog_test.go
@@ -64,7 +64,7 @@
 // TestInputsAreOfTheOwnZoneAndOfTheOthers.
 func TestInputsAreOfTheOwnZoneAndOfTheOthers(t *testing.T) {
 	is := is.New(t)
-	known := fleetload.Service{At: 900 * time.Millisecond, Zones: []fleetload.Zone{
+	known := fleetload.Service{SummedAt: 900 * time.Millisecond, Zones: []fleetload.Zone{
 		{Zone: "za", Levels: []fleetload.Level{{Begun: 15, Refused: 5}, {Priority: 1, Begun: 1}}},
 		{Zone: "zb", Levels: []fleetload.Level{{Begun: 4, Refused: 1}}},
 		{Zone: "zc", Levels: []fleetload.Level{{Begun: 2}}},
--- a/internal/tokennode/waiting.go
+++ b/internal/tokennode/waiting.go
@@ -27,7 +27,7 @@
 	for index := range engine.released {
 		engine.notes = append(engine.notes, engine.note(&engine.released[index].Packet, &engine.released[index].Decision))
 	}
-	more = engine.core.Waiting() > 0
+	more = engine.core.HeldOpenings() > 0
 	engine.mutex.Unlock()
 	for index := range engine.released {
 		engine.decisions.write(&engine.notes[index], &engine.released[index].Packet, &engine.released[index].Decision)
@@ -68,10 +68,10 @@
 }
 
 func (output sampler) waits(state *engineState) {
-	waited := &state.stats.Waited
+	waited := &state.stats.HeldOpenings
 	output.Add(metricWaiting, float64(state.waiting))
 	output.Count(metricHeld, waited.Held)
-	output.Count(metricWent, waited.Went)
-	output.Count(metricFreed, waited.Freed)
-	output.Add(metricWaitTime, waited.Time.Seconds())
+	output.Count(metricWent, waited.Forwarded)
+	output.Count(metricFreed, waited.ToFreedBackends)
+	output.Add(metricWaitTime, waited.HeldTime.Seconds())
 }
--- a/internal/tokennode/waiting_test.go
+++ b/internal/tokennode/waiting_test.go
@@ -66,11 +66,11 @@
 		packet := opening(100_000+number, floodFront)
 		packet.Datagram = make([]byte, 34)
 		e.decide(packet)
-		if e.core.Waiting() == count {
+		if e.core.HeldOpenings() == count {
 			return
 		}
 	}
-	t.Fatalf("%d openings wait", e.core.Waiting())
+	t.Fatalf("%d openings wait", e.core.HeldOpenings())
 }
 
 // TestHeldOpeningsAreLookedAt: the first one wakes who looks, what is decided at a
@@ -97,8 +97,8 @@
 	is.Equal(len(released), 0)
 	state := e.state()
 	is.Equal(state.waiting, 0)
-	is.Equal(state.stats.Waited.Held, uint64(3))
-	is.Equal(state.stats.Waited.Time, 255*time.Millisecond)
+	is.Equal(state.stats.HeldOpenings.Held, uint64(3))
+	is.Equal(state.stats.HeldOpenings.HeldTime, 255*time.Millisecond)
 }
 
 // TestPlannedStopDecidesAllThatWaits at once, and holds nothing after it.
--- a/internal/transport/size_test.go
+++ b/internal/transport/size_test.go
@@ -26,7 +26,7 @@
 			Name: lb.BackendName(fmt.Sprintf("i-%08x", number)), Identity: number, Service: "wallet-core",
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(number), byte(index)}), uint16(1024+number%60000)),
 			Zone:    lb.Zone(fmt.Sprintf("zone-%d", index%5)), State: lb.BackendActive, Created: int64(11900 + index),
-			Slots: 2, Born: 1796270000000 + int64(number%5000), ColdMillis: 2000,
+			Slots: 2, StartUnixMillis: 1796270000000 + int64(number%5000), ColdMillis: 2000,
 		}})
 	}
 	line, err := message.Encode(nil, "front-a-5", sent)
--- a/internal/view/columns.go
+++ b/internal/view/columns.go
@@ -91,8 +91,8 @@
 	each(func(e *BackendEntry) { columns.signed(e.Revision - e.Backend.Created) })
 	previousStart := int64(0)
 	each(func(e *BackendEntry) {
-		columns.signed(e.Backend.Born - previousStart)
-		previousStart = e.Backend.Born
+		columns.signed(e.Backend.StartUnixMillis - previousStart)
+		previousStart = e.Backend.StartUnixMillis
 	})
 	each(func(e *BackendEntry) { columns.signed(int64(e.Backend.Slots)) })
 	each(func(e *BackendEntry) { columns.signed(e.Backend.ColdMillis) })
@@ -254,7 +254,7 @@
 	start := int64(0)
 	each(func(e *BackendEntry) {
 		start += columns.signed()
-		e.Backend.Born = start
+		e.Backend.StartUnixMillis = start
 	})
 	each(func(e *BackendEntry) { e.Backend.Slots = int(columns.signed()) })
 	each(func(e *BackendEntry) { e.Backend.ColdMillis = columns.signed() })
--- a/internal/view/delta.go
+++ b/internal/view/delta.go
@@ -175,8 +175,8 @@
 	if !b.Address.IsValid() || address.IsUnspecified() || address.IsMulticast() || b.Address.Port() == 0 {
 		return errors.Newf("address %q is not the address of a single host", b.Address)
 	}
-	if b.Born < 0 {
-		return errors.Newf("born %d is below 0", b.Born)
+	if b.StartUnixMillis < 0 {
+		return errors.Newf("born %d is below 0", b.StartUnixMillis)
 	}
 	if b.ColdMillis < 0 || b.ColdMillis > maxColdMillis {
 		return errors.Newf("cold_ms %d is not between 0 and %d", b.ColdMillis, int64(maxColdMillis))
--- a/internal/view/prune.go
+++ b/internal/view/prune.go
@@ -27,11 +27,11 @@
 func (r *Replica) pruneBackend(now time.Duration, name lb.BackendName) bool {
 	entry := r.backends[name]
 	switch {
-	case entry.Deleted && now-entry.deletedAt > GoneRetention:
+	case entry.Deleted && now-entry.deletedAt > TombstoneRetention:
 		r.history.compactedRevision = max(r.history.compactedRevision, entry.Revision)
 		delete(r.backends, name)
 		delete(r.expiring, name)
-	case entry.previous != nil && now-entry.previous.EndedAt > GoneRetention:
+	case entry.previous != nil && now-entry.previous.EndedAt > TombstoneRetention:
 		entry.previous = nil
 		if !entry.Deleted {
 			delete(r.expiring, name)
--- a/internal/view/replica.go
+++ b/internal/view/replica.go
@@ -9,9 +9,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// GoneRetention is how long a replica remembers a back end whose entry was deleted: some back ends
+// TombstoneRetention is how long a replica remembers a back end whose entry was deleted: some back ends
 // continue to serve their flows without an entry.
-const GoneRetention = 75 * time.Second
+const TombstoneRetention = 75 * time.Second
 
 // Replica is a balancer's copy of the store's state. It is not safe for concurrent use.
 type Replica struct {
@@ -54,8 +54,8 @@
 // PreviousInstance is the instance of a back end that ended when the present one started. Clients
 // may still send packets on its flows.
 type PreviousInstance struct {
-	Born    int64 // as in Backend
-	EndedAt time.Duration
+	StartUnixMillis int64 // as in Backend
+	EndedAt         time.Duration
 }
 
 // previousInstance returns the instance before next, based on the present entry e of the same name.
@@ -65,10 +65,10 @@
 	switch {
 	case e == nil || e.Backend.Service != next.Service:
 		return nil
-	case e.Backend.Run() == next.Run():
+	case e.Backend.InstanceID() == next.InstanceID():
 		return e.previous
 	}
-	return &PreviousInstance{Born: e.Backend.Born, EndedAt: now}
+	return &PreviousInstance{StartUnixMillis: e.Backend.StartUnixMillis, EndedAt: now}
 }
 
 // NewReplica returns an empty replica.
@@ -101,9 +101,9 @@
 // none.
 func (r *Replica) ConfigurationRevision() int64 { return r.configurationRevision }
 
-// Touched returns the back ends that have changed since the last call, in no particular order. On
+// ChangedBackends returns the back ends that have changed since the last call, in no particular order. On
 // the first call, all is true, and any back end may have changed.
-func (r *Replica) Touched() (names []lb.BackendName, all bool) {
+func (r *Replica) ChangedBackends() (names []lb.BackendName, all bool) {
 	all = r.changedBackends == nil
 	names = slices.Collect(maps.Keys(r.changedBackends))
 	r.changedBackends = make(map[lb.BackendName]bool)
@@ -130,10 +130,10 @@
 }
 
 // Backend returns the back end with a name; found is false if there is none.
-func (r *Replica) Backend(name lb.BackendName) (known Known, found bool) {
+func (r *Replica) Backend(name lb.BackendName) (known KnownBackend, found bool) {
 	entry := r.backends[name]
 	if entry == nil {
-		return Known{}, false
+		return KnownBackend{}, false
 	}
 	return entry.knownBackend(), true
 }
@@ -146,8 +146,8 @@
 // take over earlier.
 const outageAge = 2500 * time.Millisecond
 
-// NoteAge sets the age of the view. Callers call it before they apply an update.
-func (r *Replica) NoteAge(age time.Duration) { r.afterOutage = age >= outageAge }
+// SetAge sets the age of the view. Callers call it before they apply an update.
+func (r *Replica) SetAge(age time.Duration) { r.afterOutage = age >= outageAge }
 
 // Advance records that nothing has changed up to a revision.
 func (r *Replica) Advance(revision int64) {
@@ -196,14 +196,14 @@
 			r.setConfiguration(change.Revision, change.Configuration)
 		case change.Backend != nil:
 			r.setBackend(now, change.Revision, change.Backend)
-		case change.Withdrawn != "":
-			r.drainUnreadable(change.Revision, change.Withdrawn)
+		case change.Unreadable != "":
+			r.drainUnreadable(change.Revision, change.Unreadable)
 		case change.Evacuated != "":
 			r.setEvacuation(EvacuationEntry{Revision: change.Revision, Zone: change.Evacuated})
 		case change.Restored != "":
 			r.restore(change.Revision, change.Restored)
 		default:
-			r.removeBackend(now, change.Revision, change.Gone)
+			r.removeBackend(now, change.Revision, change.Deleted)
 		}
 	}
 	r.Advance(changes.Revision)
@@ -308,37 +308,37 @@
 	return routes
 }
 
-// Known is a back end with the state that the replica tracks for it.
-type Known struct {
+// KnownBackend is a back end with the state that the replica tracks for it.
+type KnownBackend struct {
 	Backend Backend
-	// Gone is set if the entry was deleted. GoneAt is the time at which the replica learned of the
+	// Deleted is set if the entry was deleted. GoneAt is the time at which the replica learned of the
 	// deletion.
-	Gone   bool
-	GoneAt time.Duration
-	// Away is set if the entry was deleted while the balancer had no contact to the store. During
+	Deleted   bool
+	DeletedAt time.Duration
+	// DeletedDuringOutage is set if the entry was deleted while the balancer had no contact to the store. During
 	// an outage, the store drops the entries of back ends that cannot reach it.
-	Away bool
+	DeletedDuringOutage bool
 	// ColdUntil is the latest time at which the back end has warmed up.
 	ColdUntil time.Duration
-	// Earlier is the previous instance if it ended a short time ago, else nil.
-	Earlier *PreviousInstance
+	// Previous is the previous instance if it ended a short time ago, else nil.
+	Previous *PreviousInstance
 }
 
 // Backends returns all back ends, including deleted ones that are still remembered, sorted by name.
-func (r *Replica) Backends() []Known {
-	known := make([]Known, 0, len(r.backends))
+func (r *Replica) Backends() []KnownBackend {
+	known := make([]KnownBackend, 0, len(r.backends))
 	for _, entry := range r.backends {
 		known = append(known, entry.knownBackend())
 	}
-	slices.SortFunc(known, func(left, right Known) int {
+	slices.SortFunc(known, func(left, right KnownBackend) int {
 		return strings.Compare(string(left.Backend.Name), string(right.Backend.Name))
 	})
 	return known
 }
 
 // knownBackend returns the exported form of the entry.
-func (e *backendEntry) knownBackend() Known {
-	return Known{
-		Backend: e.Backend, Gone: e.Deleted, GoneAt: e.deletedAt, Away: e.deletedDuringOutage, ColdUntil: e.coldUntil, Earlier: e.previous,
+func (e *backendEntry) knownBackend() KnownBackend {
+	return KnownBackend{
+		Backend: e.Backend, Deleted: e.Deleted, DeletedAt: e.deletedAt, DeletedDuringOutage: e.deletedDuringOutage, ColdUntil: e.coldUntil, Previous: e.previous,
 	}
 }
--- a/internal/view/replica_test.go
+++ b/internal/view/replica_test.go
@@ -21,7 +21,7 @@
 		text += fmt.Sprintf(" %s", route.Frontend)
 	}
 	for _, known := range replica.Backends() {
-		if !known.Gone {
+		if !known.Deleted {
 			text += fmt.Sprintf(" %s=%s", known.Backend.Name, known.Backend.State)
 		}
 	}
@@ -102,10 +102,10 @@
 	store.Remove("a")
 	replica.ApplyChanges(time.Second, store.Changes(before))
 	is.Equal(len(replica.Backends()), 1)
-	is.True(replica.Backends()[0].Gone)
+	is.True(replica.Backends()[0].Deleted)
 
-	is.Equal(replica.Prune(time.Second+view.GoneRetention), false)
-	is.True(replica.Prune(time.Second + view.GoneRetention + 1))
+	is.Equal(replica.Prune(time.Second+view.TombstoneRetention), false)
+	is.True(replica.Prune(time.Second + view.TombstoneRetention + 1))
 	is.Equal(len(replica.Backends()), 0)
 	is.Equal(replica.Delta(0, before).After, int64(0)) // the whole view, because the tombstone is dropped
 }
--- a/internal/view/restart_test.go
+++ b/internal/view/restart_test.go
@@ -52,14 +52,14 @@
 
 func TestInstancesOfABackendHaveDifferentIDs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first := view.Backend{Identity: rapid.Uint64().Draw(t, "identity"), Born: rapid.Int64Range(0, 1<<52).Draw(t, "born")}
+		first := view.Backend{Identity: rapid.Uint64().Draw(t, "identity"), StartUnixMillis: rapid.Int64Range(0, 1<<52).Draw(t, "born")}
 		second := first
-		if second.Run() != first.Run() {
+		if second.InstanceID() != first.InstanceID() {
 			t.Fatal("one instance has two IDs")
 		}
-		second.Born = rapid.Int64Range(0, 1<<52).Filter(func(startMillis int64) bool { return startMillis != first.Born }).Draw(t, "other")
-		if second.Run() == first.Run() {
-			t.Fatalf("two instances, started at %d and %d, have one ID", first.Born, second.Born)
+		second.StartUnixMillis = rapid.Int64Range(0, 1<<52).Filter(func(startMillis int64) bool { return startMillis != first.StartUnixMillis }).Draw(t, "other")
+		if second.InstanceID() == first.InstanceID() {
+			t.Fatalf("two instances, started at %d and %d, have one ID", first.StartUnixMillis, second.StartUnixMillis)
 		}
 	})
 }
@@ -75,15 +75,15 @@
 			store.PutInstance("a", 1000, 0)
 			replica := view.NewReplica()
 			replica.ApplyListing(0, store.List())
-			oldInstance := replica.Backends()[0].Backend.Run()
+			oldInstance := replica.Backends()[0].Backend.InstanceID()
 			delayed := store.Changes(0)
 			store.PutInstance("a", 2000, 3*time.Second)
 			update(t, replica, time.Second, store)
 			check := func() {
 				known := replica.Backends()
 				is.Equal(len(known), 1)
-				is.Equal(known[0].Backend.Born, int64(2000))
-				is.True(known[0].Backend.Run() != oldInstance)
+				is.Equal(known[0].Backend.StartUnixMillis, int64(2000))
+				is.True(known[0].Backend.InstanceID() != oldInstance)
 				is.Equal(known[0].ColdUntil, 4*time.Second)
 			}
 			check()
@@ -158,13 +158,13 @@
 func checkInstances(t *rapid.T, store *viewtest.Store, replica *view.Replica) {
 	active := map[lb.BackendName]bool{}
 	for _, known := range replica.Backends() {
-		if known.Gone || known.Backend.State != lb.BackendActive {
+		if known.Deleted || known.Backend.State != lb.BackendActive {
 			continue
 		}
 		active[known.Backend.Name] = true
 		entry, found := store.Entry(known.Backend.Name)
-		if !found || entry.Run() != known.Backend.Run() {
-			t.Fatalf("%s started at %d receives new flows; store entry found: %t, started at %d", known.Backend.Name, known.Backend.Born, found, entry.Born)
+		if !found || entry.InstanceID() != known.Backend.InstanceID() {
+			t.Fatalf("%s started at %d receives new flows; store entry found: %t, started at %d", known.Backend.Name, known.Backend.StartUnixMillis, found, entry.StartUnixMillis)
 		}
 	}
 	for _, name := range []lb.BackendName{"a", "b", "c"} {
--- a/internal/view/snapshot_test.go
+++ b/internal/view/snapshot_test.go
@@ -79,7 +79,7 @@
 			Name: lb.BackendName(fmt.Sprintf("i-%08x", number)), Identity: number, State: lb.BackendActive, Slots: 2,
 			Service: lb.ServiceName(fmt.Sprintf("service-%d", index%2)), Zone: lb.Zone(fmt.Sprintf("zone-%d", index%5)),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(index >> 8), byte(index)}), uint16(1024+number%60000)),
-			Created: int64(2 + index), Born: 1796270000000 + int64(number%5000),
+			Created: int64(2 + index), StartUnixMillis: 1796270000000 + int64(number%5000),
 		}
 		delta.Backends = append(delta.Backends, view.BackendEntry{Revision: backend.Created, Backend: backend})
 	}
@@ -116,13 +116,13 @@
 		DeletedMillis: rapid.Int64Range(-5, 1<<40).Draw(t, "gone_ms"),
 		Backend: view.Backend{
 			Name: lb.BackendName("n" + name), Identity: rapid.Uint64().Draw(t, "identity"), Service: "web",
-			Address:    netip.AddrPortFrom(netip.MustParseAddr(rapid.SampledFrom([]string{"10.0.0.1", "2001:db8::1"}).Draw(t, "address")), 80),
-			Zone:       lb.Zone(rapid.String().Draw(t, "zone")),
-			State:      rapid.SampledFrom([]lb.BackendState{lb.BackendActive, lb.BackendDraining}).Draw(t, "state"),
-			Created:    rapid.Int64Range(0, 1<<60).Draw(t, "created"),
-			Slots:      rapid.IntRange(-1, 1000).Draw(t, "slots"),
-			ColdMillis: rapid.Int64Range(0, 1000).Draw(t, "cold"),
-			Born:       rapid.Int64Range(0, 1<<50).Draw(t, "born"),
+			Address:         netip.AddrPortFrom(netip.MustParseAddr(rapid.SampledFrom([]string{"10.0.0.1", "2001:db8::1"}).Draw(t, "address")), 80),
+			Zone:            lb.Zone(rapid.String().Draw(t, "zone")),
+			State:           rapid.SampledFrom([]lb.BackendState{lb.BackendActive, lb.BackendDraining}).Draw(t, "state"),
+			Created:         rapid.Int64Range(0, 1<<60).Draw(t, "created"),
+			Slots:           rapid.IntRange(-1, 1000).Draw(t, "slots"),
+			ColdMillis:      rapid.Int64Range(0, 1000).Draw(t, "cold"),
+			StartUnixMillis: rapid.Int64Range(0, 1<<50).Draw(t, "born"),
 		},
 	}
 }
--- a/internal/view/unknown_removal.go
+++ b/internal/view/unknown_removal.go
@@ -48,7 +48,7 @@
 // pruneUnknownRemovals drops unknown removals that are older than GoneRetention.
 func (r *Replica) pruneUnknownRemovals(now time.Duration) {
 	for name, removal := range r.unknownRemovals {
-		if now-removal.at > GoneRetention {
+		if now-removal.at > TombstoneRetention {
 			r.history.compactedRevision = max(r.history.compactedRevision, removal.revision)
 			delete(r.unknownRemovals, name)
 		}
--- a/internal/view/unknown_removal_test.go
+++ b/internal/view/unknown_removal_test.go
@@ -32,7 +32,7 @@
 	receiver.ApplyDelta(0, delta)
 	is.Equal(describe(receiver), expected(store))
 
-	sender.Prune(view.GoneRetention + 1)
+	sender.Prune(view.TombstoneRetention + 1)
 	is.Equal(sender.Delta(0, delta.After).After, int64(0)) // the whole view, because the removal is no longer remembered
 }
 
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -31,19 +31,19 @@
 	// ColdMillis is how much longer the back end stays cold, counted from the moment at which a
 	// node reads or receives this value. Delays in transit therefore only lengthen the cold period.
 	ColdMillis int64 `json:"cold_ms,omitempty"`
-	// Born is the start time of the back end in milliseconds since 1970, by its own clock. It is 0
+	// StartUnixMillis is the start time of the back end in milliseconds since 1970, by its own clock. It is 0
 	// if the back end does not state it; such a back end has a different Identity after each start.
-	Born int64 `json:"born,omitempty"`
+	StartUnixMillis int64 `json:"born,omitempty"`
 }
 
-// Run returns a number for this instance of the back end, that is, for the time between one start
+// InstanceID returns a number for this instance of the back end, that is, for the time between one start
 // and the next. Everything that a node learns about a back end belongs to one instance and does not
 // apply to a later one under the same name. All nodes compute the same number for an instance.
-func (b *Backend) Run() uint64 {
-	if b.Born == 0 {
+func (b *Backend) InstanceID() uint64 {
+	if b.StartUnixMillis == 0 {
 		return b.Identity
 	}
-	return rendezvous.Mix(b.Identity ^ rendezvous.Mix(uint64(b.Born)))
+	return rendezvous.Mix(b.Identity ^ rendezvous.Mix(uint64(b.StartUnixMillis)))
 }
 
 // Target is one share of a traffic split: a service and its weight relative to the sum of all
@@ -110,8 +110,8 @@
 	Revision      int64
 	Configuration *Configuration
 	Backend       *Backend
-	Gone          lb.BackendName // the entry of this back end was deleted
-	Withdrawn     lb.BackendName // its entry has become unreadable; see Replica.drainUnreadable
+	Deleted       lb.BackendName // the entry of this back end was deleted
+	Unreadable    lb.BackendName // its entry has become unreadable; see Replica.drainUnreadable
 	Evacuated     lb.Zone        // back ends of this zone receive no new flows from now on
 	Restored      lb.Zone        // back ends of this zone receive new flows again
 }
--- a/internal/view/viewtest/store.go
+++ b/internal/view/viewtest/store.go
@@ -57,7 +57,7 @@
 // PutInstance writes the entry of a back end with its start time.
 func (store *Store) PutInstance(name lb.BackendName, startMillis int64, cold time.Duration) {
 	backend := Backend(name, lb.BackendActive)
-	backend.Born = startMillis
+	backend.StartUnixMillis = startMillis
 	backend.ColdMillis = cold.Milliseconds()
 	store.put(backend)
 }
@@ -67,7 +67,7 @@
 	store.revision++
 	delete(store.backends, name)
 	store.unreadable[name] = store.revision
-	store.history = append(store.history, view.Change{Revision: store.revision, Withdrawn: name})
+	store.history = append(store.history, view.Change{Revision: store.revision, Unreadable: name})
 }
 
 // Entry returns the entry of a back end; the second result is false if there is no readable one.
@@ -98,7 +98,7 @@
 	store.revision++
 	delete(store.backends, name)
 	delete(store.unreadable, name)
-	store.history = append(store.history, view.Change{Revision: store.revision, Gone: name})
+	store.history = append(store.history, view.Change{Revision: store.revision, Deleted: name})
 }
 
 // Evacuate writes the entry that evacuates a zone.
--- a/internal/weight/backend.go
+++ b/internal/weight/backend.go
@@ -86,9 +86,9 @@
 	Load uint32
 }
 
-// Observe adds one report. If the zone has sent a newer report, only the counts of openings are
+// AddReport adds one report. If the zone has sent a newer report, only the counts of openings are
 // used.
-func (backend *Backend) Observe(now time.Duration, zone lb.Zone, load message.BackendLoad, settings *Settings) {
+func (backend *Backend) AddReport(now time.Duration, zone lb.Zone, load message.BackendLoad, settings *Settings) {
 	backend.decay(now, settings)
 	backend.openings += load.Openings
 	backend.unanswered += min(load.UnansweredOpenings, load.Openings)
@@ -160,5 +160,5 @@
 	return uint64(backend.unanswered)*FullFactor >= uint64(backend.openings)*uint64(settings.UnansweredPerMille)
 }
 
-// Forgive resets the counts of openings. It is called when the back end is tried again.
-func (backend *Backend) Forgive() { backend.openings, backend.unanswered = 0, 0 }
+// ResetOpenings resets the counts of openings. It is called when the back end is tried again.
+func (backend *Backend) ResetOpenings() { backend.openings, backend.unanswered = 0, 0 }
