--- a/internal/weight/step.go
+++ b/internal/weight/step.go
@@ -1,7 +1,7 @@
 package weight
 
-// Share is the state of one back end of a service in a step.
-type Share struct {
+// BackendState is the state of one back end of a service in a step.
+type BackendState struct {
 	Factor uint16 // present factor, in thousandths of the weight set by the operator
 	View   View
 }
@@ -10,7 +10,7 @@
 // MaxStep, and not at all if the change would be below MinStep. If load can be balanced by raising
 // some factors, no other factor is lowered because of load, unless its back end has more than twice
 // the mean load: only the ratio of factors matters, and otherwise all of them would decrease.
-func Step(shares []Share, settings *Settings) []uint16 {
+func Step(shares []BackendState, settings *Settings) []uint16 {
 	panicMode := inPanicMode(shares, settings)
 	mean, known := meanLoad(shares)
 	next := make([]uint16, len(shares))
@@ -37,7 +37,7 @@
 
 // inPanicMode reports whether so many back ends are reported unhealthy that the reports are more
 // likely wrong than right, or that the remaining back ends could not handle the load.
-func inPanicMode(shares []Share, settings *Settings) bool {
+func inPanicMode(shares []BackendState, settings *Settings) bool {
 	unhealthy := 0
 	for _, share := range shares {
 		if share.View.Unhealthy {
@@ -48,7 +48,7 @@
 }
 
 // meanLoad returns the mean of the known loads.
-func meanLoad(shares []Share) (mean uint32, known bool) {
+func meanLoad(shares []BackendState) (mean uint32, known bool) {
 	var sum, count uint64
 	for _, share := range shares {
 		if share.View.Freshness > 0 {
@@ -65,7 +65,7 @@
 // loadTarget returns the present factor scaled so that the load would become the mean. Near the
 // mean the factor stays as it is, but at least at LoadFloor, so that a back end that starts or was
 // unhealthy continues to rise.
-func loadTarget(share Share, mean uint32, settings *Settings) int {
+func loadTarget(share BackendState, mean uint32, settings *Settings) int {
 	load := share.View.Load
 	tolerance := mean * settings.Deadband / FullFactor
 	if load <= mean+tolerance && load+tolerance >= mean {
@@ -81,7 +81,7 @@
 
 // boundedStep moves the factor towards the target by a bounded step. Old reports move it less.
 // Without any report it recovers by full steps.
-func boundedStep(share Share, target int, settings *Settings) uint16 {
+func boundedStep(share BackendState, target int, settings *Settings) uint16 {
 	limit := int(settings.MaxStep)
 	if share.View.Freshness > 0 {
 		limit = max(limit*int(share.View.Freshness)/FullFactor, int(settings.MinStep))
--- a/internal/weight/weight_test.go
+++ b/internal/weight/weight_test.go
@@ -17,7 +17,7 @@
 
 func unhealthy() weight.View { return weight.View{Freshness: fresh, Unhealthy: true, Load: 100} }
 
-func repeat(shares []weight.Share, times int, settings *weight.Settings) []weight.Share {
+func repeat(shares []weight.BackendState, times int, settings *weight.Settings) []weight.BackendState {
 	for range times {
 		for index, factor := range weight.Step(shares, settings) {
 			shares[index].Factor = factor
@@ -29,7 +29,7 @@
 func TestUnhealthyFactorFallsToFloorInBoundedSteps(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := []weight.Share{{1000, healthy(100)}, {1000, healthy(100)}, {1000, unhealthy()}}
+	shares := []weight.BackendState{{1000, healthy(100)}, {1000, healthy(100)}, {1000, unhealthy()}}
 	is.Equal(weight.Step(shares, &settings), []uint16{1000, 1000, 900})
 	shares = repeat(shares, 50, &settings)
 	is.Equal(shares[2].Factor, settings.UnhealthyFloor)
@@ -38,7 +38,7 @@
 func TestPanicModeKeepsAllFactors(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := []weight.Share{{1000, healthy(100)}, {1000, unhealthy()}, {1000, unhealthy()}}
+	shares := []weight.BackendState{{1000, healthy(100)}, {1000, unhealthy()}, {1000, unhealthy()}}
 	shares = repeat(shares, 50, &settings)
 	for _, share := range shares {
 		is.Equal(share.Factor, uint16(1000))
@@ -48,16 +48,16 @@
 func TestSlowStartReachesFullFactor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := []weight.Share{{1000, healthy(500)}, {settings.SlowStart, healthy(50)}}
+	shares := []weight.BackendState{{1000, healthy(500)}, {settings.SlowStart, healthy(50)}}
 	is.Equal(weight.Step(shares, &settings)[1], settings.SlowStart+settings.MaxStep)
-	unreported := repeat([]weight.Share{{1000, weight.View{}}, {settings.SlowStart, weight.View{}}}, 9, &settings)
+	unreported := repeat([]weight.BackendState{{1000, weight.View{}}, {settings.SlowStart, weight.View{}}}, 9, &settings)
 	is.Equal(unreported[1].Factor, uint16(1000))
 }
 
 func TestOverloadedBackEndFallsToLoadFloor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := []weight.Share{{1000, healthy(100)}, {1000, healthy(105)}, {1000, healthy(900)}}
+	shares := []weight.BackendState{{1000, healthy(100)}, {1000, healthy(105)}, {1000, healthy(900)}}
 	next := weight.Step(shares, &settings)
 	is.Equal(next[2], uint16(900))
 	shares = repeat(shares, 50, &settings)
@@ -67,7 +67,7 @@
 func TestSlowStartRisesToLoadFloor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := repeat([]weight.Share{{1000, healthy(300)}, {settings.SlowStart, healthy(300)}}, 9, &settings)
+	shares := repeat([]weight.BackendState{{1000, healthy(300)}, {settings.SlowStart, healthy(300)}}, 9, &settings)
 	is.Equal(shares[1].Factor, settings.LoadFloor)
 }
 
@@ -75,12 +75,12 @@
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	var backend weight.Backend
-	backend.Observe(0, "a", message.BackendLoad{Healthy: false, Load: 900}, &settings)
-	backend.Observe(settings.MaxAge/2, "b", message.BackendLoad{Healthy: true, Load: 100}, &settings)
+	backend.AddReport(0, "a", message.BackendLoad{Healthy: false, Load: 900}, &settings)
+	backend.AddReport(settings.MaxAge/2, "b", message.BackendLoad{Healthy: true, Load: 100}, &settings)
 	view := backend.View(settings.MaxAge/2, &settings)
 	is.True(!view.Unhealthy) // the fresher report has more weight
 	is.True(view.Load < 500)
-	backend.Observe(settings.MaxAge/2, "b", message.BackendLoad{Healthy: false, AgeMillis: 60000}, &settings)
+	backend.AddReport(settings.MaxAge/2, "b", message.BackendLoad{Healthy: false, AgeMillis: 60000}, &settings)
 	is.True(!backend.View(settings.MaxAge/2, &settings).Unhealthy) // older than the zone's last report
 	is.Equal(backend.View(settings.MaxAge*2, &settings), weight.View{})
 }
@@ -93,22 +93,22 @@
 	var unresponsive, misreporting weight.Backend
 	for second := range 5 {
 		now := time.Duration(second) * time.Second
-		unresponsive.Observe(now, "a", message.BackendLoad{Healthy: true, Openings: 4, UnansweredOpenings: 4}, &settings)
-		misreporting.Observe(now, "a", message.BackendLoad{Healthy: false, Openings: 40, UnansweredOpenings: 1}, &settings)
+		unresponsive.AddReport(now, "a", message.BackendLoad{Healthy: true, Openings: 4, UnansweredOpenings: 4}, &settings)
+		misreporting.AddReport(now, "a", message.BackendLoad{Healthy: false, Openings: 40, UnansweredOpenings: 1}, &settings)
 	}
 	is.True(unresponsive.Unanswered(5*time.Second, &settings))
 	is.True(!misreporting.Unanswered(5*time.Second, &settings))
 	is.True(!unresponsive.Unanswered(5*time.Minute, &settings)) // the counts decay
-	unresponsive.Forgive()
+	unresponsive.ResetOpenings()
 	is.True(!unresponsive.Unanswered(5*time.Second, &settings))
 }
 
 func TestStepsAreBounded(t *testing.T) {
 	settings := weight.DefaultSettings()
 	rapid.Check(t, func(t *rapid.T) {
-		shares := make([]weight.Share, rapid.IntRange(1, 14).Draw(t, "count"))
+		shares := make([]weight.BackendState, rapid.IntRange(1, 14).Draw(t, "count"))
 		for index := range shares {
-			shares[index] = weight.Share{
+			shares[index] = weight.BackendState{
 				Factor: uint16(rapid.IntRange(1, 1000).Draw(t, "factor")),
 				View: weight.View{
 					Freshness: uint32(rapid.IntRange(0, 1000).Draw(t, "freshness")),
--- a/internal/zoneweight/zoneweight.go
+++ b/internal/zoneweight/zoneweight.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// Home is the utilization of a zone up to which it keeps its flows. Where each of many nodes
+	// LocalThreshold is the utilization of a zone up to which it keeps its flows. Where each of many nodes
 	// picks at random among back ends of two slots, the mean queueing delay is a third of the
 	// service time at a utilization of 0.5, and equals it at 0.7 (M/M/2 with exponential service
 	// times; half of that with the small variance of typical work), so callers notice nothing below
 	// 0.5. The known demand is half a second old, and the remaining capacity absorbs a surge during
 	// that time: if one zone's callers triple their demand, 0.1% of their requests, weighted by
 	// importance, are not served in time, against 0.8% with a threshold of 0.7 and 2.5% with 0.85.
-	Home = 0.5
-	// Remote is the minimum part of a zone's new flows that goes to other zones, so that their back
+	LocalThreshold = 0.5
+	// MinRemoteWeight is the minimum part of a zone's new flows that goes to other zones, so that their back
 	// ends are known to respond before they are needed.
-	Remote = 0.02
-	// MostStep is the maximum change of a weight per reporting window of the fleet. It bounds the
+	MinRemoteWeight = 0.02
+	// MaxStep is the maximum change of a weight per reporting window of the fleet. It bounds the
 	// effect of one wrong sum, and still moves all flows of a zone within three windows.
-	MostStep = 0.34
+	MaxStep = 0.34
 )
 
 // Zone is the state of one zone for one service.
@@ -47,10 +47,10 @@
 // Weights maps the zone of the back ends to its part of one zone's new flows. The parts sum to 1.
 type Weights map[lb.Zone]float64
 
-// Even returns zones with equal demand that together use the capacity of all back ends. It is the
+// EvenZones returns zones with equal demand that together use the capacity of all back ends. It is the
 // assumption while demand is unknown, and gives all back ends the same load whatever the actual
 // demand.
-func Even(capacity map[lb.Zone]float64, own lb.Zone, count int) []Zone {
+func EvenZones(capacity map[lb.Zone]float64, own lb.Zone, count int) []Zone {
 	demand := lb.TotalSlots(capacity) / float64(max(count, 1))
 	zones := []Zone{{Zone: own, Capacity: capacity[own], Demand: demand, Known: true}}
 	for zone, slots := range capacity {
@@ -61,8 +61,8 @@
 	return sortByName(zones)
 }
 
-// Known returns the zones with the demand that the fleet has published for a service.
-func Known(capacity map[lb.Zone]float64, service *fleetload.Service) []Zone {
+// KnownZones returns the zones with the demand that the fleet has published for a service.
+func KnownZones(capacity map[lb.Zone]float64, service *fleetload.Service) []Zone {
 	demand := make(map[lb.Zone]float64, len(service.Zones))
 	var zones []Zone
 	for index := range service.Zones {
@@ -99,10 +99,10 @@
 	}
 	elsewhere := total - zones[self].Capacity
 	if elsewhere > 0 {
-		local = min(local, 1-Remote)
+		local = min(local, 1-MinRemoteWeight)
 	}
 	weights := Weights{own: local}
-	probing := min(Remote, 1-local)
+	probing := min(MinRemoteWeight, 1-local)
 	for index := range zones {
 		zone := &zones[index]
 		if index == self || zone.Capacity == 0 {
@@ -159,9 +159,9 @@
 	return spare, total
 }
 
-// Approach returns weights moved from before towards wanted, with a change of at most step in any
+// MoveTowards returns weights moved from before towards wanted, with a change of at most step in any
 // of them.
-func Approach(before, wanted Weights, step float64) Weights {
+func MoveTowards(before, wanted Weights, step float64) Weights {
 	largest := 0.0
 	for zone := range before {
 		largest = max(largest, math.Abs(wanted[zone]-before[zone]))
--- a/internal/zoneweight/zoneweight_test.go
+++ b/internal/zoneweight/zoneweight_test.go
@@ -45,24 +45,24 @@
 func TestOverloadedZoneUsesSpareCapacityOfOthers(t *testing.T) {
 	is := is.New(t)
 	overloaded := makeZones(96, 80, 26, 80, 32, 80)
-	for _, part := range utilization(overloaded, Home) {
-		is.True(part <= 154.0/240+2*Remote) // total demand is above Home, so all zones are filled equally
+	for _, part := range utilization(overloaded, LocalThreshold) {
+		is.True(part <= 154.0/240+2*MinRemoteWeight) // total demand is above Home, so all zones are filled equally
 	}
 	relieved := makeZones(60, 80, 20, 80, 25, 80)
-	for _, part := range utilization(relieved, Home) {
-		is.True(part <= Home+2*Remote) // there is spare capacity below Home, so no zone is above it
+	for _, part := range utilization(relieved, LocalThreshold) {
+		is.True(part <= LocalThreshold+2*MinRemoteWeight) // there is spare capacity below Home, so no zone is above it
 	}
-	is.Equal(Split("z1", overloaded, Home)["z1"], 1-Remote) // zones with spare capacity keep their flows
-	is.Equal(Split("z2", overloaded, Home)["z2"], 1-Remote)
+	is.Equal(Split("z1", overloaded, LocalThreshold)["z1"], 1-MinRemoteWeight) // zones with spare capacity keep their flows
+	is.Equal(Split("z2", overloaded, LocalThreshold)["z2"], 1-MinRemoteWeight)
 }
 
 // TestFlowsStayLocalBelowThreshold checks that no flow crosses zones unnecessarily, however uneven
 // the demand is.
 func TestFlowsStayLocalBelowThreshold(t *testing.T) {
 	is := is.New(t)
-	for _, all := range [][]Zone{makeZones(Home*80, 80, 5, 80, 0, 80), makeZones(20, 80, 35, 80, Home*80, 80)} {
+	for _, all := range [][]Zone{makeZones(LocalThreshold*80, 80, 5, 80, 0, 80), makeZones(20, 80, 35, 80, LocalThreshold*80, 80)} {
 		for _, zone := range all {
-			is.Equal(Split(zone.Zone, all, Home)[zone.Zone], 1-Remote)
+			is.Equal(Split(zone.Zone, all, LocalThreshold)[zone.Zone], 1-MinRemoteWeight)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 			demand += zone.Demand
 			capacity += zone.Capacity
 		}
-		for _, part := range utilization(all, Home) {
+		for _, part := range utilization(all, LocalThreshold) {
 			is.True(math.Abs(part/(demand/capacity)-1) < 0.05)
 		}
 	}
@@ -87,10 +87,10 @@
 // capacity.
 func TestZoneWithoutBackEnds(t *testing.T) {
 	is := is.New(t)
-	parts := Split("z0", makeZones(30, 0, 70, 80, 10, 80), Home)
+	parts := Split("z0", makeZones(30, 0, 70, 80, 10, 80), LocalThreshold)
 	is.Equal(parts["z0"], 0.0)
 	is.True(parts["z2"] > 0.9) // the other zone is full
-	is.Equal(Split("z0", makeZones(30, 0, 0, 0), Home), nil)
+	is.Equal(Split("z0", makeZones(30, 0, 0, 0), LocalThreshold), nil)
 }
 
 // TestUnknownZoneGetsNoOverflow checks that a zone with unknown demand, because it is partitioned
@@ -100,14 +100,14 @@
 	is := is.New(t)
 	all := makeZones(96, 80, 20, 80, 20, 80)
 	all[2].Known = false
-	parts := Split("z0", all, Home)
-	is.True(parts["z2"] <= Remote)
+	parts := Split("z0", all, LocalThreshold)
+	is.True(parts["z2"] <= MinRemoteWeight)
 	is.True(parts["z1"] > 0.2)
 	all[1].Known = false
-	parts = Split("z0", all, Home)
-	is.True(parts["z0"] >= 1-Remote) // no zone is known to have spare capacity
+	parts = Split("z0", all, LocalThreshold)
+	is.True(parts["z0"] >= 1-MinRemoteWeight) // no zone is known to have spare capacity
 	all[0].Known = false
-	is.Equal(Split("z0", all, Home), nil)
+	is.Equal(Split("z0", all, LocalThreshold), nil)
 }
 
 // TestWeightsAlwaysSumToOne checks random demand and capacity, including implausible values that a
@@ -127,7 +127,7 @@
 			all = append(all, zone)
 		}
 		own := all[random.IntN(len(all))].Zone
-		parts := Split(own, all, Home)
+		parts := Split(own, all, LocalThreshold)
 		if parts == nil {
 			continue
 		}
@@ -154,15 +154,15 @@
 	is := is.New(t)
 	before := Weights{"z0": 0.98, "z1": 0.01, "z2": 0.01}
 	wanted := Weights{"z0": 0.02, "z1": 0.97, "z2": 0.01}
-	moved := Approach(before, wanted, MostStep)
-	is.True(math.Abs(before["z0"]-moved["z0"]) <= MostStep+1e-9)
+	moved := MoveTowards(before, wanted, MaxStep)
+	is.True(math.Abs(before["z0"]-moved["z0"]) <= MaxStep+1e-9)
 	sum := 0.0
 	for _, part := range moved {
 		sum += part
 	}
 	is.True(math.Abs(sum-1) < 1e-9)
 	for range 3 {
-		moved = Approach(moved, wanted, MostStep)
+		moved = MoveTowards(moved, wanted, MaxStep)
 	}
 	is.Equal(moved, wanted)
 }
@@ -173,7 +173,7 @@
 	service := fleetload.Service{Zones: []fleetload.Zone{
 		{Zone: "za", Levels: []fleetload.Level{{Begun: 2, Refused: 1}, {Priority: 2, Begun: 4}}}, {Zone: "zb"},
 	}}
-	is.Equal(Known(capacity, &service), []Zone{
+	is.Equal(KnownZones(capacity, &service), []Zone{
 		{Zone: "za", Capacity: 10, Demand: 7, Known: true}, {Zone: "zb", Known: true}, {Zone: "zc", Capacity: 20},
 	})
 }
