--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -11,18 +11,18 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// MaxLineBytes is the size of the longest line, its newline included.
+// MaxLineBytes is the maximum size of an encoded message, including its newline.
 const MaxLineBytes = 1 << 20
 
-// FieldError says which field of a message cannot be accepted, and why.
+// FieldError reports which field of a message is invalid, and why.
 type FieldError struct {
-	Message Type   // empty when the type itself is unknown
-	Field   string // JSON path below the message body, or "type", "from", "line"
-	Value   string // as received, cut to a bounded length
+	Message Type   // empty if the type itself is unknown
+	Field   string // JSON path within the message body, or "type", "from" or "line"
+	Value   string // as received, truncated to clipLength
 	Reason  string
 }
 
-// Error names the message, the field, the value and the reason.
+// Error returns a text with the message type, the field, the value and the reason.
 func (err *FieldError) Error() string {
 	return fmt.Sprintf("message %q: field %s: value %q: %s", string(err.Message), err.Field, err.Value, err.Reason)
 }
@@ -36,16 +36,16 @@
 	}
 }
 
-// envelope is the form of every line. Body is the message as a JSON object.
+// envelope is the JSON object that every line consists of. Body is the message as a JSON object.
 type envelope struct {
 	Type Type            `json:"type"`
 	From lb.NodeID       `json:"from"`
 	Body json.RawMessage `json:"body"`
 }
 
-// Encode appends one line, newline included, to dst: the message in an
-// envelope that names its type and its sender. Messages are passed by value; a
-// pointer to a message is refused, as is a message that Decode would refuse.
+// Encode appends one line, including its newline, to dst: the message in an envelope with its type
+// and its sender. Messages are passed by value; Encode returns an error for a pointer to a message,
+// and for a message that Decode would reject.
 func Encode(dst []byte, from lb.NodeID, message Message) ([]byte, error) {
 	kind, err := validate(message)
 	if err != nil {
@@ -61,29 +61,29 @@
 	start := len(dst)
 	dst = append(dst, `{"type":"`...)
 	dst = append(dst, kind...)
-	dst = append(dst, `","from":"`...) // checkName leaves nothing to escape
+	dst = append(dst, `","from":"`...) // checkName rejects all characters that JSON would escape
 	dst = append(dst, from...)
 	dst = append(dst, `","body":`...)
 	dst = append(dst, body...)
 	dst = append(dst, "}\n"...)
 	if size := len(dst) - start; size > MaxLineBytes {
-		return dst[:start], fieldError(kind, "line", size, "longer than the limit of a line")
+		return dst[:start], fieldError(kind, "line", size, "longer than the maximum line length")
 	}
 	return dst, nil
 }
 
-// Decode reads one line, with or without its newline, and gives the sender and
-// the message, by value. Whatever it refuses is a *FieldError.
+// Decode parses one line, with or without its newline, and returns the sender and the message, by
+// value. Every error that it returns is a *FieldError.
 func Decode(line []byte) (lb.NodeID, Message, error) {
 	if len(line) > MaxLineBytes {
-		return "", nil, fieldError("", "line", len(line), "longer than the limit of a line")
+		return "", nil, fieldError("", "line", len(line), "longer than the maximum line length")
 	}
 	var outer envelope
 	if err := decodeStrict("", line, &outer); err != nil {
 		return "", nil, err
 	}
-	decodeBody, known := decoders[outer.Type]
-	if !known {
+	decodeBody, found := decoders[outer.Type]
+	if !found {
 		return "", nil, fieldError("", "type", outer.Type, "unknown message type")
 	}
 	if err := checkName(outer.Type, "from", string(outer.From)); err != nil {
@@ -96,7 +96,7 @@
 	return outer.From, decoded, nil
 }
 
-// decoders gives the decoder of each type of message.
+// decoders maps each message type to the function that decodes its body.
 var decoders = map[Type]func(body []byte) (Message, error){
 	TypePins:           decodeAs[Pins],
 	TypeRecords:        decodeAs[Records],
@@ -133,7 +133,7 @@
 	return decoded, nil
 }
 
-// decodeStrict reads exactly one JSON object without unknown fields.
+// decodeStrict parses exactly one JSON object and rejects unknown fields.
 func decodeStrict(kind Type, data []byte, target any) error {
 	if trimmed := bytes.TrimLeft(data, " \t\r\n"); len(trimmed) == 0 || trimmed[0] != '{' {
 		return fieldError(kind, "line", string(clip(data)), "not a JSON object")
--- a/internal/message/codec_test.go
+++ b/internal/message/codec_test.go
@@ -12,7 +12,7 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// samples holds one message of each type.
+// samples returns at least one message of each type in message.go and openflow.go.
 func samples() []message.Message {
 	updates := []message.MemberUpdate{
 		{Node: "a-1", Zone: "a", Control: "127.0.0.1:4000", Data: "127.0.0.1:4001", State: message.MemberAlive, Incarnation: 1 << 62},
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestDecodeReturnsTheEncodedMessage(t *testing.T) {
 	for _, sent := range samples() {
 		t.Run(string(sent.MessageType()), func(t *testing.T) {
 			is := is.New(t)
@@ -62,15 +62,15 @@
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalidLines(t *testing.T) {
 	update := func(fields string) string {
 		return `{"type":"ping","from":"a","body":{"q":1,"u":[{` + fields + `}]}}`
 	}
 	cases := []struct{ name, line, field string }{
 		{"empty", ``, "line"},
 		{"not an object", `[1]`, "line"},
-		{"broken JSON", `{"type":`, "line"},
-		{"two values", `{"type":"records_ack","from":"a","body":{"sequence":1}} {}`, "line"},
+		{"truncated JSON", `{"type":`, "line"},
+		{"two JSON values", `{"type":"records_ack","from":"a","body":{"sequence":1}} {}`, "line"},
 		{"unknown type", `{"type":"vote","from":"a","body":{}}`, "type"},
 		{"unknown envelope field", `{"type":"ping","from":"a","to":"b","body":{}}`, "line"},
 		{"unknown field", `{"type":"ping","from":"a","body":{"term":1}}`, "line"},
@@ -84,10 +84,10 @@
 		{"host name as address", update(`"n":"b","z":"z","c":"host:1","d":"127.0.0.1:1","s":"alive"`), "u[0].c"},
 		{"port zero", update(`"n":"b","z":"z","c":"127.0.0.1:1","d":"127.0.0.1:0","s":"alive"`), "u[0].d"},
 		{"bucket out of range", `{"type":"clean","from":"a","body":{"service":"s","version":1,"buckets":[1021]}}`, "buckets[0]"},
-		{"back end out of range", `{"type":"load","from":"a","body":{"zone":"z","backends":[{"b":"w","l":65536}]}}`, "backends.l"},
+		{"load out of range", `{"type":"load","from":"a","body":{"zone":"z","backends":[{"b":"w","l":65536}]}}`, "backends.l"},
 		{"flow record too short", `{"type":"pins","from":"a","body":{"service":"s","flows":["AAAA"]}}`, "line"},
 		{"flow record not base64", `{"type":"pins","from":"a","body":{"service":"s","flows":["!!!!!!!!!!!!!!"]}}`, "line"},
-		{"group hashes cut", `{"type":"digest","from":"a","body":{"groups":"AAAA","all":1}}`, "line"},
+		{"group hashes truncated", `{"type":"digest","from":"a","body":{"groups":"AAAA","all":1}}`, "line"},
 		{"more behind than nodes", `{"type":"in_force","from":"a","body":{"zone":"z","nodes":1,"behind":2}}`, "behind"},
 		{"group out of range", `{"type":"want","from":"a","body":{"groups":[256]}}`, "groups[0]"},
 		{"service without name", `{"type":"placements","from":"a","body":{"placements":[{}]}}`, "placements[0].service"},
@@ -99,17 +99,17 @@
 			is := is.New(t)
 			_, _, err := message.Decode([]byte(testCase.line))
 			var fieldError *message.FieldError
-			is.True(errors.As(err, &fieldError)) // every refusal is a *FieldError
+			is.True(errors.As(err, &fieldError)) // every error is a *FieldError
 			is.Equal(fieldError.Field, testCase.field)
 			is.True(len(fieldError.Value) <= 64)
 		})
 	}
 }
 
-func TestEncodeRefuses(t *testing.T) {
+func TestEncodeRejectsInvalidMessages(t *testing.T) {
 	is := is.New(t)
 	_, err := message.Encode(nil, "a", &message.Ping{})
-	is.True(err != nil) // by pointer
+	is.True(err != nil) // a pointer to a message
 	_, err = message.Encode(nil, "a", nil)
 	is.True(err != nil)
 	_, err = message.Encode(nil, `a"`, message.Ping{})
@@ -120,7 +120,8 @@
 	is.Equal(string(dst), "kept")
 }
 
-// FuzzDecode checks that whatever Decode accepts is encoded and decoded again to the same line.
+// FuzzDecode checks that every message that Decode accepts can be encoded, and that decoding and
+// encoding it again produces the same line.
 func FuzzDecode(f *testing.F) {
 	for _, sample := range samples() {
 		line, err := message.Encode(nil, "a-1", sample)
@@ -136,20 +137,20 @@
 		}
 		first, err := message.Encode(nil, from, decoded)
 		if err != nil {
-			t.Fatalf("accepted %q, cannot encode it: %v", line, err)
+			t.Fatalf("Decode accepted %q, but Encode returned %v", line, err)
 		}
 		from, decoded, err = message.Decode(first)
 		if err != nil {
-			t.Fatalf("cannot decode own line %q: %v", first, err)
+			t.Fatalf("Decode rejected the encoded line %q: %v", first, err)
 		}
 		second, err := message.Encode(nil, from, decoded)
 		if err != nil || string(first) != string(second) {
-			t.Fatalf("line %q became %q (%v)", first, second, err)
+			t.Fatalf("encoded line %q became %q after a second round trip (%v)", first, second, err)
 		}
 	})
 }
 
-// BenchmarkRecords reports the bytes on the wire per flow record.
+// BenchmarkRecords reports the number of bytes on the wire per flow record.
 func BenchmarkRecords(b *testing.B) {
 	flows := make([]message.FlowRecord, 48)
 	for i := range flows {
--- a/internal/message/load.go
+++ b/internal/message/load.go
@@ -7,72 +7,78 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// The types of messages about the load of services (docs/design/hard-load.md).
+// These are the types of messages about the load of services (docs/design/hard-load.md).
 const (
 	TypeLoadReport Type = "load_report"
 	TypeLoadState  Type = "load_state"
 )
 
-// LevelWork is the work of one priority: in a report milliseconds, in a state thousandths of a slot.
+// LevelWork is the work of one priority level of a service: in a LoadReport in milliseconds, in a
+// LoadState in thousandths of a slot.
 type LevelWork struct {
 	Priority uint16 `json:"p"`
 	Begun    int    `json:"b,omitempty"`
 	Refused  int    `json:"r,omitempty"`
 }
 
-// ZoneAnswers sums up answers of the back ends of one zone: in a report a
-// number, in a state thousandths of a number a second.
+// ZoneAnswers aggregates the answers of the back ends of one zone: in a LoadReport their number, in
+// a LoadState thousandths of their number per second.
 type ZoneAnswers struct {
 	Zone  lb.Zone `json:"z"`
 	Count int     `json:"n"`
-	// Logs is the sum of the natural logarithms of their loads, in thousandths.
+	// Logs is the sum of the natural logarithms of the loads that the answers reported, in
+	// thousandths.
 	Logs int `json:"l"`
-	// Rejected is how many came too quickly to be answers, in the unit of Count.
+	// Rejected is the number of answers that arrived too quickly to be real answers and therefore
+	// count as rejections, in the unit of Count.
 	Rejected int `json:"q,omitempty"`
 }
 
-// ServiceWork is what nodes have seen of one service.
+// ServiceWork is the work and the answers that nodes observed for one service.
 type ServiceWork struct {
 	Service lb.ServiceName `json:"s"`
 	Levels  []LevelWork    `json:"w,omitempty"`
 	Answers []ZoneAnswers  `json:"a,omitempty"`
-	// Echo: it is told only since others are near their limit with this service.
+	// Echo is set if the sender reports this service only because other nodes are near their limit
+	// with it.
 	Echo bool `json:"e,omitempty"`
 }
 
-// LoadReport goes up the tree over a zone: what was seen since the report before.
+// LoadReport is sent up the tree over a zone. It carries the observations since the previous
+// report.
 type LoadReport struct {
 	Services []ServiceWork `json:"v"`
 }
 
-// ZoneWork is what the nodes of one zone see, a second.
+// ZoneWork is the work that the nodes of one zone observe per second.
 type ZoneWork struct {
 	Zone lb.Zone `json:"z"`
-	// AgeMillis is how long ago the zone's first node has summed it up.
+	// AgeMillis is the time since the first node of the zone computed the sums.
 	AgeMillis int           `json:"t,omitempty"`
 	Services  []ServiceWork `json:"v"`
 }
 
-// LoadState goes between the first nodes of zones, each with its own zone, and
-// down the tree over a zone, with all of them.
+// LoadState is sent between the first nodes of zones, each with its own zone only, and down the
+// tree over a zone, with all zones.
 type LoadState struct {
-	// Sender is the first node of a zone, and Number counts its states.
+	// Sender is the first node of a zone, and Number is the sequence number of the state among its
+	// states.
 	Sender lb.NodeID  `json:"sender"`
 	Number uint64     `json:"number"`
 	Zones  []ZoneWork `json:"zones"`
 }
 
-// MessageType implements Message.
+// MessageType returns the type of the message.
 func (LoadReport) MessageType() Type { return TypeLoadReport }
 
-// MessageType implements Message.
+// MessageType returns the type of the message.
 func (LoadState) MessageType() Type { return TypeLoadState }
 
-// Limits of loads in a message. They are far above what a fleet of the size that
-// decides the design reports, and keep sums from overflowing.
+// These are limits for load messages. They are far above the values that the largest fleet of the
+// design reports, and prevent sums from overflowing.
 const (
 	maxLoadServices = 1 << 12
-	maxLoadParts    = 1 << 10
+	maxLoadEntries  = 1 << 10
 	maxLoadSum      = 1 << 40
 	maxLoadAge      = 1 << 20
 )
@@ -85,7 +91,7 @@
 	if err := checkName(TypeLoadState, "sender", string(message.Sender)); err != nil {
 		return err
 	}
-	if err := checkCount(TypeLoadState, "zones", len(message.Zones), maxLoadParts); err != nil {
+	if err := checkCount(TypeLoadState, "zones", len(message.Zones), maxLoadEntries); err != nil {
 		return err
 	}
 	for _, zone := range message.Zones {
@@ -110,16 +116,16 @@
 		if err := checkName(kind, "v.s", string(service.Service)); err != nil {
 			return err
 		}
-		if err := checkCount(kind, "v.w", len(service.Levels), maxLoadParts); err != nil {
+		if err := checkCount(kind, "v.w", len(service.Levels), maxLoadEntries); err != nil {
 			return err
 		}
-		if err := checkCount(kind, "v.a", len(service.Answers), maxLoadParts); err != nil {
+		if err := checkCount(kind, "v.a", len(service.Answers), maxLoadEntries); err != nil {
 			return err
 		}
 		for _, level := range service.Levels {
 			for _, work := range []int{level.Begun, level.Refused} {
 				if work < 0 || work > maxLoadSum {
-					return fieldError(kind, "v.w", work, "no amount of work")
+					return fieldError(kind, "v.w", work, "not an amount of work")
 				}
 			}
 		}
@@ -137,10 +143,10 @@
 		return err
 	}
 	if answers.Count < 0 || answers.Count > maxLoadSum {
-		return fieldError(kind, "v.a.n", answers.Count, "no number of answers")
+		return fieldError(kind, "v.a.n", answers.Count, "not a number of answers")
 	}
 	if answers.Rejected < 0 || answers.Rejected > maxLoadSum {
-		return fieldError(kind, "v.a.q", answers.Rejected, "no number of rejections")
+		return fieldError(kind, "v.a.q", answers.Rejected, "not a number of rejections")
 	}
 	if math.Abs(float64(answers.Logs)) > maxLoadSum {
 		return fieldError(kind, "v.a.l", answers.Logs, "out of range")
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,17 +1,17 @@
-// Package message defines the messages between balancers and their codec:
-// one JSON object a line, {"type":T,"from":NODE,"body":MESSAGE}. An unknown
-// type, field or value is a clear error, never a panic. Messages are passed by
-// value, and their slices are not changed once sent or received.
+// Package message defines the messages between load balancer nodes and their codec. Each message is
+// one line with one JSON object, {"type":T,"from":NODE,"body":MESSAGE}. An unknown type, an unknown
+// field or an invalid value results in an error, never in a panic. Messages are passed by value,
+// and their slices must not be changed after a message was sent or received.
 package message
 
 import (
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Type names a message on the wire.
+// Type is the name of a message type on the wire.
 type Type string
 
-// The types of messages.
+// These are the types of messages about flows, members, placements and back ends.
 const (
 	TypePins       Type = "pins"
 	TypeRecords    Type = "records"
@@ -28,59 +28,61 @@
 	TypeLoad       Type = "load"
 )
 
-// Message is any message between balancers.
+// Message is implemented by all messages between nodes.
 type Message interface{ MessageType() Type }
 
-// FlowRecord places one flow on one back end. On the wire it is a text of 14
-// or 19 characters (see MarshalText).
+// FlowRecord assigns one flow to one back end. On the wire it is a string of 14 or 19 characters
+// (see MarshalText).
 type FlowRecord struct {
 	Flow      lb.FlowID
-	Backend   lb.BackendID // NoBackend: the opening was refused
-	OpeningID uint32       // zero: not known or not needed
+	Backend   lb.BackendID // NoBackend if the opening was refused
+	OpeningID uint32       // zero if unknown or not needed
 }
 
-// Pins tells a node the back ends of flows, as decided by the tail of their
-// chain: from tail to head as confirmation, from head to ingress as pin.
+// Pins sends the back ends that the tail of a chain has decided on for flows: from the tail to the
+// head as confirmation, and from the head to the ingress node as pins.
 type Pins struct {
 	Service lb.ServiceName `json:"service"`
-	// Confirm: sent by a tail to the head; otherwise a pin for an ingress node.
+	// Confirm is set if the tail sends the message to the head. Otherwise the flows are pins for an
+	// ingress node.
 	Confirm bool         `json:"confirm,omitempty"`
 	Flows   []FlowRecord `json:"flows"`
 }
 
-// Records hands records over to a node that is or will be in the chain. It is
-// repeated until acknowledged.
+// Records hands records over to a node that is, or will be, in the chain. The sender repeats it
+// until the receiver acknowledges it.
 type Records struct {
 	Service  lb.ServiceName `json:"service"`
 	Sequence uint64         `json:"sequence"`
-	// Unconfirmed: the sender knows of no tail that answered with these records.
+	// Unconfirmed is set if the sender knows of no tail that answered with these records.
 	Unconfirmed bool `json:"unconfirmed,omitempty"`
-	// Established: these are UDP flows that the sender saw, as ingress, on the
+	// Established is set if these are UDP flows that the sender, as their ingress node, saw on the
 	// base back end before their bucket was in motion.
 	Established bool `json:"established,omitempty"`
-	// IdleSeconds is, for each of Flows, the time since the sender last heard
-	// of it. Missing ones are zero.
+	// IdleSeconds contains, for each of Flows, the time since the sender last received a packet of
+	// the flow. Missing entries count as zero.
 	IdleSeconds []uint32     `json:"idle,omitempty"`
 	Flows       []FlowRecord `json:"flows"`
 }
 
-// RecordsAck acknowledges one Records.
+// RecordsAck acknowledges the Records message with the same sequence number.
 type RecordsAck struct {
 	Sequence uint64 `json:"sequence"`
 }
 
-// Clean reports to the service's publisher that this head knows of no flow
-// away from the base back end in these buckets.
+// Clean reports to the publisher of the service that the sender, as the head of the chain, knows of
+// no flow in these buckets that is on another back end than the base back end.
 type Clean struct {
 	Service lb.ServiceName `json:"service"`
 	Version lb.Version     `json:"version"`
 	Buckets []uint16       `json:"buckets"`
 }
 
-// MemberState is the state of a member in gossip.
+// MemberState is the state of a member.
 type MemberState string
 
-// States of members (SWIM, DSN 2002, section 4), plus planned leaving.
+// These are the states of a member: those of SWIM (DSN 2002, section 4), and leaving, for a planned
+// shutdown.
 const (
 	MemberAlive   MemberState = "alive"
 	MemberSuspect MemberState = "suspect"
@@ -88,8 +90,8 @@
 	MemberDead    MemberState = "dead"
 )
 
-// MemberUpdate is one piece of membership gossip. Suspect and dead updates may
-// leave out zone and addresses.
+// MemberUpdate announces the state of one member. Suspect and dead updates may omit zone and
+// addresses.
 type MemberUpdate struct {
 	Node        lb.NodeID   `json:"n"`
 	Zone        lb.Zone     `json:"z,omitempty"`
@@ -99,147 +101,148 @@
 	Incarnation uint64      `json:"i"`
 }
 
-// Ping probes a member; PingAck answers it; PingReq asks a third node to
-// probe. A Ping of sequence zero only carries updates and is not answered.
+// Ping probes a member, PingAck answers it, and PingReq requests that a third node probe a member.
+// A Ping with sequence number zero only carries updates and is not answered.
 type Ping struct {
 	Sequence    uint64         `json:"q"`
-	Incarnation uint64         `json:"i"` // the sender's own
+	Incarnation uint64         `json:"i"` // of the sender
 	Updates     []MemberUpdate `json:"u,omitempty"`
-	// Digest of the sender's placements, so that each probe is also anti-entropy.
+	// Digest is the hash of the sender's placement versions. Since every probe carries it, probes
+	// also detect differences for anti-entropy.
 	Digest uint64 `json:"g,omitempty"`
-	// View is a hash of the members that the sender takes as alive.
+	// View is a hash of the members that the sender considers alive.
 	View uint64 `json:"m,omitempty"`
-	// Full asks for all that the receiver knows of members, as Members.
+	// Full requests all members that the receiver knows, in a Members message.
 	Full bool `json:"f,omitempty"`
 }
 
 // PingAck answers a Ping.
 type PingAck struct {
 	Sequence    uint64         `json:"q"`
-	Incarnation uint64         `json:"i"` // the sender's own
+	Incarnation uint64         `json:"i"` // of the sender
 	Updates     []MemberUpdate `json:"u,omitempty"`
 	Digest      uint64         `json:"g,omitempty"`
 	View        uint64         `json:"m,omitempty"`
 }
 
-// Members is the sender's whole membership, for a node that joins or has
-// missed updates.
+// Members carries the sender's whole member list, for a node that joins or has missed updates.
 type Members struct {
-	// Partial: only some members, from whom the receiver is to ask for all. The
-	// sender has too many to answer at once.
+	// Partial is set if the message lists only some members, from which the receiver is to request
+	// the full list: the sender has too many requests to answer at once.
 	Partial bool           `json:"p,omitempty"`
 	Updates []MemberUpdate `json:"u"`
 }
 
-// PingReq asks the receiver to probe Target on behalf of the sender.
+// PingReq requests that the receiver probe Target on behalf of the sender.
 type PingReq struct {
 	Sequence uint64         `json:"q"`
 	Target   lb.NodeID      `json:"t"`
 	Updates  []MemberUpdate `json:"u,omitempty"`
 }
 
-// Digest carries one hash per group of services; a receiver that differs answers Want.
+// Digest carries one hash per group of services. A receiver with other hashes answers with a Want.
 type Digest struct {
 	Groups GroupHashes `json:"groups"`
 	// All is the hash over all groups.
 	All uint64 `json:"all"`
 }
 
-// ServiceVersion is the version of one service's placement at the sender.
+// ServiceVersion is the version of the sender's placement of one service.
 type ServiceVersion struct {
 	Service lb.ServiceName `json:"s"`
 	Version lb.Version     `json:"v"`
 }
 
-// Want lists the sender's versions: of every service in Groups, and of single
-// services besides. The receiver answers with its placements that are newer,
-// and with its own Want when some of its own are older. A service of one of
-// the Groups that is not listed is not known to the sender. With no Groups it
-// announces new placements.
+// Want lists versions of the sender: those of every service in Groups, and those of single
+// services. The receiver answers with its placements that are newer, and with a Want of its own if
+// some of its placements are older. If a service in one of Groups is not listed, the sender does
+// not know it. A Want without Groups announces new placements.
 type Want struct {
 	Groups   []uint16         `json:"groups,omitempty"`
 	Versions []ServiceVersion `json:"versions,omitempty"`
-	// Reply marks a Want sent in answer to a Want, which is not answered by another.
+	// Reply is set in a Want that answers a Want. It is not answered by another Want.
 	Reply bool `json:"reply,omitempty"`
 }
 
-// Placements carries placement documents (push of a new one, or answer to Want).
+// Placements carries placement documents, either new ones or the answer to a Want.
 type Placements struct {
 	Placements []lb.Placement `json:"placements"`
 }
 
-// InForce reports to its zone's reporters, and reporters to all publishers, what is in force.
+// InForce reports which placement versions are in force. A node sends it to the reporters of its
+// zone, and a reporter to all publishers.
 type InForce struct {
 	Zone lb.Zone `json:"zone"`
-	// Aggregated marks a reporter's statement on all live nodes of the zone.
+	// Aggregated is set in a reporter's report on all live nodes of its zone.
 	Aggregated bool `json:"aggregated,omitempty"`
-	// Digest of the sender's placements.
+	// Digest is the hash of the sender's placement versions.
 	Digest uint64 `json:"digest"`
-	// Nodes counts the nodes the report speaks of (1 from a single node).
+	// Nodes is the number of nodes that the report covers (1 from a single node).
 	Nodes int `json:"nodes"`
-	// Behind counts those known not to have the placements of Digest.
+	// Behind is the number of these nodes that are not known to have the placements of Digest.
 	Behind int `json:"behind"`
-	// ConfigRevision: every configuration change up to this store revision is in force.
+	// ConfigRevision is a store revision: every configuration change up to it is in force.
 	ConfigRevision int64 `json:"config_revision"`
-	// Versions of placements: adopted lately by the sender, or, when
-	// aggregated, in force at all live nodes of the zone.
+	// Versions lists placement versions: the ones that the sender adopted recently or, if
+	// Aggregated, the ones that are in force at all live nodes of the zone.
 	Versions []ServiceVersion `json:"versions,omitempty"`
 }
 
-// BackendLoad is one back end's health and load, as probed.
+// BackendLoad is the health and the load of one back end, as probed.
 type BackendLoad struct {
 	Backend lb.BackendName `json:"b"`
 	Healthy bool           `json:"h"`
-	// Load is in thousandths of capacity, as the host reports it.
+	// Load is the load that the host reports, in thousandths of its capacity.
 	Load uint16 `json:"l"`
-	// AgeMillis is how old the report is, in milliseconds.
+	// AgeMillis is the age of the load report, in milliseconds.
 	AgeMillis uint32 `json:"a"`
-	// UnansweredOpenings and Openings are evidence from the data path since the last report.
+	// Openings and UnansweredOpenings count openings in the data path since the last report, as
+	// evidence for passive health checks.
 	Openings           uint32 `json:"o,omitempty"`
 	UnansweredOpenings uint32 `json:"x,omitempty"`
 }
 
-// Load reports probed back ends to the publishers.
+// Load reports the health and load of probed back ends to the publishers.
 type Load struct {
 	Zone     lb.Zone       `json:"zone"`
 	Backends []BackendLoad `json:"backends"`
 }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Pins) MessageType() Type { return TypePins }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Records) MessageType() Type { return TypeRecords }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (RecordsAck) MessageType() Type { return TypeRecordsAck }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Clean) MessageType() Type { return TypeClean }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Ping) MessageType() Type { return TypePing }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (PingAck) MessageType() Type { return TypePingAck }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (PingReq) MessageType() Type { return TypePingReq }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Members) MessageType() Type { return TypeMembers }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Digest) MessageType() Type { return TypeDigest }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Want) MessageType() Type { return TypeWant }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Placements) MessageType() Type { return TypePlacements }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (InForce) MessageType() Type { return TypeInForce }
 
-// MessageType names the message on the wire.
+// MessageType returns the type of the message.
 func (Load) MessageType() Type { return TypeLoad }
--- a/internal/message/openflow.go
+++ b/internal/message/openflow.go
@@ -4,11 +4,11 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TypeOpenFlows is the type of messages about flows that a late answer to their opening must
-// not move (package conntrack).
+// TypeOpenFlows is the type of messages about flows that a late answer to their opening must not
+// move to another back end (package conntrack).
 const TypeOpenFlows Type = "open_flows"
 
-// OpenFlow is a flow and the token of the back end at which it is open.
+// OpenFlow is an open flow and the token of its back end.
 type OpenFlow struct {
 	Flow         lb.FlowID `json:"f"`
 	OpeningID    uint32    `json:"o,omitempty"`
@@ -16,15 +16,15 @@
 	Acknowledged uint32    `json:"a"`
 }
 
-// OpenFlows announces flows along the trees over the zones and between their first nodes, to
-// all nodes that did not know them.
+// OpenFlows announces flows along the trees over the zones and between the first nodes of the
+// zones, until all nodes know them.
 type OpenFlows struct {
 	Flows []OpenFlow `json:"flows,omitempty"`
-	// Ask: the sender has just started, and asks for the flows of the last seconds.
+	// Ask is set by a sender that has just started. It requests the flows of the last seconds.
 	Ask bool `json:"ask,omitempty"`
 }
 
-// MessageType implements Message.
+// MessageType returns the type of the message.
 func (OpenFlows) MessageType() Type { return TypeOpenFlows }
 
 func validateOpenFlows(message OpenFlows) error {
--- a/internal/message/outcome.go
+++ b/internal/message/outcome.go
@@ -4,46 +4,48 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// The types of messages about how requests at back ends went (docs/design/shifted-work.md).
+// These are the types of messages about the outcomes of requests at back ends
+// (docs/design/shifted-work.md).
 const (
 	TypeOutcomeReport  Type = "outcome_report"
 	TypeOutcomeVerdict Type = "outcome_verdict"
 )
 
-// BackendOutcomes is what nodes have seen of one back end lately.
+// BackendOutcomes counts the recent outcomes of requests that nodes observed at one back end.
 type BackendOutcomes struct {
 	Identity uint64 `json:"i"`
 	Bad      int    `json:"b"`
 	Good     int    `json:"g,omitempty"`
-	// Reporters is how many nodes have seen bad outcomes that had not said so before.
+	// Reporters is the number of nodes that observed bad outcomes and had not reported any before.
 	Reporters int `json:"n,omitempty"`
 }
 
-// OutcomeReport goes up the tree over a zone, and between the first nodes of zones.
+// OutcomeReport is sent up the tree over a zone, and between the first nodes of zones.
 type OutcomeReport struct {
-	// Zone: the sum of a whole zone, from its first node.
+	// Zone is set if the report is the sum of a whole zone, sent by its first node.
 	Zone     bool              `json:"zone,omitempty"`
 	Backends []BackendOutcomes `json:"backends"`
 }
 
-// OutcomeVerdict goes down the tree over a zone.
+// OutcomeVerdict is sent down the tree over a zone.
 type OutcomeVerdict struct {
-	// Sender is the first node of the zone, and Number counts its verdicts.
+	// Sender is the first node of the zone, and Number is the sequence number of the verdict among
+	// its verdicts.
 	Sender lb.NodeID `json:"sender"`
 	Number uint64    `json:"number"`
-	// Watched are back ends whose good outcomes are to be reported, too.
+	// Watched lists the back ends whose good outcomes nodes report as well.
 	Watched []uint64 `json:"watched,omitempty"`
-	// Avoided are back ends that get a trickle of new flows only.
+	// Avoided lists the ejected back ends, which receive only a few trial flows.
 	Avoided []uint64 `json:"avoided,omitempty"`
 }
 
-// MessageType implements Message.
+// MessageType returns the type of the message.
 func (OutcomeReport) MessageType() Type { return TypeOutcomeReport }
 
-// MessageType implements Message.
+// MessageType returns the type of the message.
 func (OutcomeVerdict) MessageType() Type { return TypeOutcomeVerdict }
 
-// Limits of outcomes in a message.
+// These are limits for messages about outcomes.
 const (
 	maxOutcomeBackends = 1 << 12
 	maxOutcomeCount    = 1 << 20
@@ -56,7 +58,7 @@
 	for _, entry := range message.Backends {
 		for _, count := range []int{entry.Bad, entry.Good, entry.Reporters} {
 			if count < 0 || count > maxOutcomeCount {
-				return fieldError(TypeOutcomeReport, "backends", count, "no number of outcomes")
+				return fieldError(TypeOutcomeReport, "backends", count, "not a number of outcomes")
 			}
 		}
 	}
--- a/internal/message/outcome_test.go
+++ b/internal/message/outcome_test.go
@@ -6,23 +6,23 @@
 	"github.com/matryer/is"
 )
 
-func TestOutcomesAreChecked(t *testing.T) {
+func TestInvalidOutcomeMessagesAreRejected(t *testing.T) {
 	is := is.New(t)
-	for _, good := range []Message{
+	for _, valid := range []Message{
 		OutcomeReport{Backends: []BackendOutcomes{{Identity: 1, Bad: 2, Good: 3, Reporters: 1}}},
 		OutcomeVerdict{Sender: "n", Number: 1, Watched: []uint64{1}, Avoided: []uint64{2}},
 	} {
-		_, err := Encode(nil, "n", good)
+		_, err := Encode(nil, "n", valid)
 		is.NoErr(err)
 	}
-	for want, bad := range map[string]Message{
+	for field, invalid := range map[string]Message{
 		"backends": OutcomeReport{Backends: []BackendOutcomes{{Identity: 1, Bad: -1}}},
 		"sender":   OutcomeVerdict{Number: 1},
 		"watched":  OutcomeVerdict{Sender: "n", Watched: make([]uint64, maxOutcomeBackends+1)},
 	} {
-		_, err := Encode(nil, "n", bad)
+		_, err := Encode(nil, "n", invalid)
 		if err == nil {
-			t.Errorf("%s: no error", want)
+			t.Errorf("%s: Encode returned no error", field)
 		}
 	}
 }
--- a/internal/message/text.go
+++ b/internal/message/text.go
@@ -9,23 +9,24 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Sizes of the byte forms under the base64 texts.
+// These are the sizes of the binary forms that the base64 texts encode.
 const (
 	flowBytes    = 8
 	backendBytes = 2
 	openingBytes = 4
-	// shortRecordBytes is a record without an opening id; longRecordBytes has one.
+	// shortRecordBytes is the size of a record without an opening ID, longRecordBytes that of a
+	// record with one.
 	shortRecordBytes = flowBytes + backendBytes
 	longRecordBytes  = shortRecordBytes + openingBytes
 	groupHashBytes   = 8
 )
 
-// wireText is the alphabet of all packed numbers (RFC 4648, section 5, no padding).
+// wireText is the base64 encoding of all packed numbers (RFC 4648, section 5, without padding).
 var wireText = base64.RawURLEncoding.Strict()
 
-// MarshalText packs the record into 14 characters, or 19 with an opening id:
-// the big-endian flow, back end and opening id in base64. As a JSON object of
-// decimal numbers the same record needs up to 47.
+// MarshalText returns the record as 14 characters, or as 19 with an opening ID: flow, back end and
+// opening ID in big-endian order, encoded in base64. As a JSON object with decimal numbers, the
+// same record needs up to 47 characters.
 func (record FlowRecord) MarshalText() ([]byte, error) {
 	var buffer [longRecordBytes]byte
 	packed := binary.BigEndian.AppendUint64(buffer[:0], uint64(record.Flow))
@@ -36,7 +37,7 @@
 	return wireText.AppendEncode(nil, packed), nil
 }
 
-// UnmarshalText unpacks the form written by MarshalText.
+// UnmarshalText parses a text that MarshalText has returned.
 func (record *FlowRecord) UnmarshalText(text []byte) error {
 	var buffer [longRecordBytes]byte
 	if wireText.DecodedLen(len(text)) > len(buffer) {
@@ -59,11 +60,11 @@
 	return nil
 }
 
-// GroupHashes holds one hash per group of services.
+// GroupHashes contains one hash per group of services.
 type GroupHashes []uint64
 
-// MarshalText packs the hashes, big-endian, into base64: 64 of them take 683
-// characters, which keeps a Digest within one datagram.
+// MarshalText returns the hashes in big-endian order, encoded in base64. 64 hashes take 683
+// characters, so that a Digest fits into one datagram.
 func (hashes GroupHashes) MarshalText() ([]byte, error) {
 	packed := make([]byte, 0, len(hashes)*groupHashBytes)
 	for _, hash := range hashes {
@@ -72,7 +73,7 @@
 	return wireText.AppendEncode(nil, packed), nil
 }
 
-// UnmarshalText unpacks the form written by MarshalText.
+// UnmarshalText parses a text that MarshalText has returned.
 func (hashes *GroupHashes) UnmarshalText(text []byte) error {
 	packed, err := wireText.AppendDecode(nil, text)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// clipLength bounds the outside text quoted in errors.
+// clipLength limits the length of received text that errors quote.
 const clipLength = 64
 
 func clip(text []byte) []byte { return text[:min(len(text), clipLength)] }
--- a/internal/message/validate.go
+++ b/internal/message/validate.go
@@ -7,10 +7,10 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Limits of what one message may carry. They bound the memory that a peer can
-// make a node use; senders split what is larger.
+// These are the limits of the contents of one message. They bound the memory that a peer can make a
+// node use. Senders split larger contents into several messages.
 const (
-	MaxNameBytes  = 253 // as placement.MaxNameLength
+	MaxNameBytes  = 253 // equals placement.MaxNameLength
 	MaxUpdates    = 64
 	MaxMembers    = 8192
 	MaxFlows      = 4096
@@ -18,12 +18,11 @@
 	MaxVersions   = 8192
 	MaxPlacements = 4096
 	MaxBackends   = 8192
-	// MaxNodes is the largest number of nodes that a report may speak of.
+	// MaxNodes is the maximum number of nodes that a report may cover.
 	MaxNodes = 1 << 16
 )
 
-// validate checks the values of a message and gives its type. It is called on
-// the way out and on the way in.
+// validate checks the values of a message and returns its type. Both Encode and Decode call it.
 func validate(message Message) (Type, error) {
 	switch message := message.(type) {
 	case Pins:
@@ -123,8 +122,8 @@
 	return nil
 }
 
-// validateUpdate checks one update. Only a node that can be spoken to needs
-// its zone and addresses: suspect and dead updates may leave them out.
+// validateUpdate checks one update. Zone and addresses are required only for a node that accepts
+// messages: suspect and dead updates may omit them.
 func validateUpdate(kind Type, index int, update *MemberUpdate) error {
 	field := func(name string) string { return fmt.Sprintf("u[%d].%s", index, name) }
 	if err := checkName(kind, field("n"), string(update.Node)); err != nil {
@@ -172,8 +171,9 @@
 	return nil
 }
 
-// validatePlacements checks what the codec can: whether a document makes sense
-// is for the placement package, so that one bad document does not spoil others.
+// validatePlacements checks only the names and protocols. The placement package checks whether a
+// document is consistent, so that one invalid document does not invalidate the others in the
+// message.
 func validatePlacements(message Placements) error {
 	if err := checkCount(TypePlacements, "placements", len(message.Placements), MaxPlacements); err != nil {
 		return err
@@ -231,8 +231,8 @@
 	return fieldError(kind, field, count, fmt.Sprintf("more than %d entries", limit))
 }
 
-// checkName accepts 1 to MaxNameBytes visible ASCII characters without quote
-// and backslash, so that names need no escaping in JSON and logs.
+// checkName accepts 1 to MaxNameBytes visible ASCII characters except quotes and backslashes, so
+// that names need no escaping in JSON and in logs.
 func checkName(kind Type, field, name string) error {
 	if name == "" {
 		return fieldError(kind, field, name, "empty")
--- a/internal/message/view.go
+++ b/internal/message/view.go
@@ -5,72 +5,74 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// The types of messages about the view (docs/design-platform.md, "Reading the store").
+// These are the types of messages about the view (docs/design-platform.md, "Reading the store").
 const (
 	TypeViewDigest Type = "view_digest"
 	TypeViewWant   Type = "view_want"
 	TypeViewDelta  Type = "view_delta"
 )
 
-// ViewDigest says how new the sender's view is. It is sent by the node that
-// reads the store for the others, and passed on.
+// ViewDigest announces how current the sender's view is. The designated watcher of the store sends
+// it, and receivers pass it on.
 type ViewDigest struct {
 	Revision int64 `json:"revision"`
-	// LastNews is the revision from which on a view lacks nothing that the
-	// sender knows (view.Replica).
+	// LastNews is the lowest revision at which another view is as current as the sender's (see
+	// view.Replica).
 	LastNews int64 `json:"changed"`
-	// AgeMillis is the time since the store confirmed the view as the newest.
+	// AgeMillis is the time since the store confirmed that the view is the newest.
 	AgeMillis int64 `json:"age_ms"`
 	Reading
 	Route
 }
 
-// Reading says who reads the store for the others, as far as the sender knows.
+// Reading identifies the designated watcher of the store, as far as the sender knows.
 type Reading struct {
-	// Reader is empty if the sender knows of none.
+	// Reader is the designated watcher. It is empty if the sender knows of none.
 	Reader lb.NodeID `json:"reader,omitempty"`
-	// ReaderAgeMillis is the time since the reader itself said so.
+	// ReaderAgeMillis is the time since the designated watcher announced itself.
 	ReaderAgeMillis int64 `json:"reader_age_ms,omitempty"`
-	// Listing: the reader lists all entries, which takes seconds where they are many.
+	// Listing is set if the designated watcher is listing all entries of the store, which takes
+	// seconds if there are many.
 	Listing bool `json:"listing,omitempty"`
 }
 
-// Route says to whom the receiver passes a message on.
+// Route determines to which nodes the receiver forwards a message.
 type Route struct {
-	// Origin is the node whose zone is told, through the other nodes of the
-	// zone; empty: the message is not passed on in a zone.
+	// Origin is the node that started to distribute the message in a zone; the other nodes of the
+	// zone forward it. If Origin is empty, the message is not forwarded within a zone.
 	Origin lb.NodeID `json:"origin,omitempty"`
-	// ForZone: the receiver tells its own zone, as its origin.
+	// ForZone is set if the receiver is to distribute the message in its own zone, as its origin.
 	ForZone bool `json:"for_zone,omitempty"`
 }
 
-// ViewWant asks for all that changed after a revision; 0: the whole view.
+// ViewWant requests all changes after a revision, or the whole view if the revision is 0.
 type ViewWant struct {
 	After int64 `json:"after"`
-	// From is where the wanted part of that begins; see view.Part.
+	// From is the start of the requested part of the changes; see view.Part.
 	From int `json:"from,omitempty"`
 }
 
-// ViewDelta answers ViewWant, and is sent unasked when the view changes.
+// ViewDelta answers a ViewWant. It is also sent unrequested when the view changes.
 type ViewDelta struct {
 	AgeMillis int64 `json:"age_ms"`
-	// Unconfirmed: the sender does not know how old its view is; AgeMillis says nothing.
+	// Unconfirmed is set if the sender does not know the age of its view. AgeMillis is meaningless
+	// then.
 	Unconfirmed bool `json:"unconfirmed,omitempty"`
 	Reading
 	Route
 	Delta view.Delta `json:"delta"`
 }
 
-// Whole tells whether the delta is a whole view.
+// Whole reports whether the delta contains a whole view.
 func (delta ViewDelta) Whole() bool { return delta.Delta.After == 0 }
 
-// MessageType implements Message.
+// MessageType returns the type of the message.
 func (ViewDigest) MessageType() Type { return TypeViewDigest }
 
-// MessageType implements Message.
+// MessageType returns the type of the message.
 func (ViewWant) MessageType() Type { return TypeViewWant }
 
-// MessageType implements Message.
+// MessageType returns the type of the message.
 func (ViewDelta) MessageType() Type { return TypeViewDelta }
 
 func validateViewDigest(message ViewDigest) error {
