--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -8,9 +8,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// BenchmarkChange measures in virtual time, at each size: how long a change
-// takes to be adopted by every node, and what the reports and changes of a day
-// of 3,400 changes, in four versions each, cost a node.
+// BenchmarkChange measures, in virtual time and per fleet size, how long it takes until every node
+// has adopted a change, and the traffic per node of a day with 3,400 changes of four versions each,
+// including reports.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{12, 48, 192, 840} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -21,23 +21,23 @@
 				document := newDocument(b, 0)
 				const interval = 86400 * time.Second / (3400 * 4)
 				fleet.resetBytes()
-				begun, wall := fleet.queue.Now(), time.Now()
+				startedAt, wall := fleet.queue.Now(), time.Now()
 				var sum, longest time.Duration
 				for change := range changes {
 					fleet.publish(fleet.nodes[(change*5)%size], document)
 					took, ok := fleet.runUntil(30*time.Second, func() bool { return fleet.everywhere(document) })
 					if !ok {
-						b.Fatalf("change %d is not everywhere after 30 s", change)
+						b.Fatalf("change %d has not reached all nodes after 30 s", change)
 					}
 					sum += took
 					longest = max(longest, took)
 					fleet.runFor(interval - took)
 					document = nextDocument(b, document)
 				}
-				mean, highest := fleet.bytesPerSecond(fleet.queue.Now() - begun)
-				spanned := (fleet.queue.Now() - begun).Seconds()
+				mean, highest := fleet.bytesPerSecond(fleet.queue.Now() - startedAt)
+				spanned := (fleet.queue.Now() - startedAt).Seconds()
 				perNode := time.Since(wall).Seconds() / spanned / float64(size)
-				b.ReportMetric(perNode*1e6, "us/node-s") // simulation included
+				b.ReportMetric(perNode*1e6, "us/node-s") // includes the simulation
 				b.ReportMetric((sum / changes).Seconds(), "change-mean-s")
 				b.ReportMetric(longest.Seconds(), "change-max-s")
 				b.ReportMetric(mean, "day-B/s")
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkBurst measures how long changes of many services at once take.
+// BenchmarkBurst measures how long simultaneous changes of many services take to reach all nodes.
 func BenchmarkBurst(b *testing.B) {
 	for _, size := range []int{12, 192} {
 		for _, services := range []int{10, 100} {
@@ -63,7 +63,7 @@
 					fleet.publish(fleet.nodes[0], documents...)
 					took, ok := fleet.runUntil(300*time.Second, func() bool { return fleet.everywhere(documents...) })
 					if !ok {
-						b.Fatal("the burst is not everywhere after 300 s")
+						b.Fatal("the burst has not reached all nodes after 300 s")
 					}
 					mean, highest := fleet.bytesPerSecond(took)
 					b.ReportMetric(took.Seconds(), "burst-s")
@@ -75,8 +75,8 @@
 	}
 }
 
-// BenchmarkFirstLoad measures how long a starting node takes to load the
-// placements of 3,300 services from its peers, without the store.
+// BenchmarkFirstLoad measures how long a starting node takes to load the placements of 3,300
+// services from its peers, without the store.
 func BenchmarkFirstLoad(b *testing.B) {
 	for b.Loop() {
 		const services = 3300
@@ -90,11 +90,11 @@
 		}
 		fleet.runFor(10 * time.Second)
 		fleet.resetBytes()
-		fresh := fleet.nodes[4]
-		fleet.start(fresh)
-		took, ok := fleet.runUntil(300*time.Second, func() bool { return fresh.synced })
+		starting := fleet.nodes[4]
+		fleet.start(starting)
+		took, ok := fleet.runUntil(300*time.Second, func() bool { return starting.synced })
 		if !ok {
-			b.Fatal("the node has not loaded after 300 s")
+			b.Fatal("the node has not loaded all placements after 300 s")
 		}
 		sum := 0
 		for _, node := range fleet.nodes {
--- a/internal/gossip/contact.go
+++ b/internal/gossip/contact.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// memberMemory is how long a node that was alone only lately counts as cut off.
-const memberMemory = 5 * time.Second
+// recentMembersWindow is the maximum time since a node last saw other members for a loss of contact
+// to count as a partition. Afterwards the node counts as alone.
+const recentMembersWindow = 5 * time.Second
 
-// contact tells a node that is cut off from one that is well connected. It
-// starts without contact.
+// contact tracks whether this node is in contact with its peers or cut off from them. A node starts
+// without contact.
 type contact struct {
-	held       bool
-	since      time.Duration // of the present state
-	heard      time.Duration // last message from any peer
-	lastOthers time.Duration // when other members were last believed alive
-	hadOthers  bool
+	connected     bool
+	stateSince    time.Duration // start of the current state
+	lastMessage   time.Duration // time of the last message from any peer
+	lastSawOthers time.Duration // when other members were last considered alive
+	everSawOthers bool
 }
 
 func (contact *contact) start(now time.Duration) {
-	contact.since, contact.heard, contact.lastOthers = now, now, now
+	contact.stateSince, contact.lastMessage, contact.lastSawOthers = now, now, now
 }
 
-// touch notes a message from a peer.
-func (core *Core) touch(effects *Effects) {
-	core.contact.heard = core.now
-	core.contact.hadOthers = true
-	if core.contact.held {
+// recordContact records that a peer has sent a message.
+func (core *Core) recordContact(effects *Effects) {
+	core.contact.lastMessage = core.now
+	core.contact.everSawOthers = true
+	if core.contact.connected {
 		return
 	}
-	core.contact.held = true
-	core.contact.since = core.now
+	core.contact.connected = true
+	core.contact.stateSince = core.now
 	effects.Contact = ContactRegained
 }
 
-// checkContact finds that contact was lost. A node that has never heard of
-// another is taken as the only one after ContactTimeout; one that has lost all
-// others, after AloneTimeout.
+// checkContact detects the loss of contact. A node without other members counts as the only node of
+// the fleet, and thereby as in contact: after ContactTimeout if it has never received a message
+// from a peer, after AloneTimeout if it has lost all others.
 func (core *Core) checkContact(effects *Effects) {
 	contact := &core.contact
 	alone := len(core.members) <= 1
 	if !alone {
-		contact.lastOthers = core.now
-		contact.hadOthers = true
+		contact.lastSawOthers = core.now
+		contact.everSawOthers = true
 	}
-	silent := core.now-contact.heard >= core.settings.ContactTimeout
+	noMessages := core.now-contact.lastMessage >= core.settings.ContactTimeout
 	switch {
-	case contact.held && contact.hadOthers && silent && core.now-contact.lastOthers < memberMemory:
-		contact.held = false
-		contact.since = core.now
+	case contact.connected && contact.everSawOthers && noMessages && core.now-contact.lastSawOthers < recentMembersWindow:
+		contact.connected = false
+		contact.stateSince = core.now
 		effects.Contact = ContactLost
-	case !contact.held && alone && core.aloneLongEnough():
-		contact.held = true
-		contact.since = core.now
+	case !contact.connected && alone && core.aloneTimeoutPassed():
+		contact.connected = true
+		contact.stateSince = core.now
 		effects.Contact = ContactRegained
 	}
 }
 
-func (core *Core) aloneLongEnough() bool {
+func (core *Core) aloneTimeoutPassed() bool {
 	limit := core.settings.ContactTimeout
-	if core.contact.hadOthers {
+	if core.contact.everSawOthers {
 		limit = core.settings.AloneTimeout
 	}
-	return core.now-core.contact.since >= limit
+	return core.now-core.contact.stateSince >= limit
 }
--- a/internal/gossip/core.go
+++ b/internal/gossip/core.go
@@ -14,74 +14,75 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// Core is the gossip of one node. It is not safe for concurrent use.
+// Core is the gossip state machine of one node. It is not safe for concurrent use.
 type Core struct {
-	settings Settings
-	random   *rand.Rand
-	now      time.Duration
-	started  bool
-	began    time.Duration
-	counters Counters
+	settings  Settings
+	random    *rand.Rand
+	now       time.Duration
+	started   bool
+	startedAt time.Duration
+	counters  Counters
 
 	documents   map[lb.ServiceName]*lb.Placement
-	groups      [Groups]uint64 // exclusive or of the hashes of versions
-	digest      uint64         // exclusive or of groups
+	groups      [Groups]uint64 // per group, the XOR of the hashes of all versions
+	digest      uint64         // XOR of groups
 	lastAdopted time.Duration
 
-	members   map[lb.NodeID]lb.Zone
-	near, far []lb.NodeID // of the own zone and of others, self not included
-	reporters []lb.NodeID // of all zones, self included when it is one
-	nearby    []lb.NodeID // reporters of the own zone
+	members                 map[lb.NodeID]lb.Zone
+	localPeers, remotePeers []lb.NodeID // members of the local zone and of other zones, without this node
+	reporters               []lb.NodeID // reporters of all zones, including this node if it is one
+	zoneReporters           []lb.NodeID // reporters of the local zone
 
-	hot     []hotVersion
-	fresh   int // hot versions at the front not announced yet
-	asked   map[lb.ServiceName]question
-	entropy entropy
-	contact contact
+	announcements []announcement
+	unannounced   int // number of announcements at the front that have not been sent yet
+	requests      map[lb.ServiceName]documentRequest
+	antiEntropy   antiEntropy
+	contact       contact
 
-	recent     []adopted // for this node's reports
-	reportDue  bool
-	nextRound  time.Duration
-	nextReport time.Duration
-	reporter   *reporter // nil unless this node is one
+	recentAdoptions []adoption // adoptions to include in this node's reports
+	reportDue       bool
+	nextRound       time.Duration
+	nextReport      time.Duration
+	reporter        *reporter // nil unless this node is a reporter
 
 	handoverBusy bool
 	revision     int64
 
-	// Rules switched off by tests, to show that the tests need them.
-	acceptLower bool // a lower version is adopted
-	trustMost   bool // a reporter takes a version as in force when most nodes have it
+	// Tests disable these rules to verify that they detect a violation.
+	acceptLower    bool // adopt lower versions
+	acceptMajority bool // a reporter considers a version in force as soon as most nodes have it
 }
 
-// New gives the core of a node that has no placements yet.
+// New returns the core of a node that has no placements yet.
 func New(settings Settings) (*Core, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
 	}
 	return &Core{
-		settings:  settings,
-		random:    rand.New(rand.NewPCG(settings.Seed, xxhash.Sum64String(string(settings.Self)))),
-		documents: make(map[lb.ServiceName]*lb.Placement),
-		members:   make(map[lb.NodeID]lb.Zone),
-		asked:     make(map[lb.ServiceName]question),
-		entropy:   entropy{differs: make(map[lb.NodeID]time.Duration)},
+		settings:    settings,
+		random:      rand.New(rand.NewPCG(settings.Seed, xxhash.Sum64String(string(settings.Self)))),
+		documents:   make(map[lb.ServiceName]*lb.Placement),
+		members:     make(map[lb.NodeID]lb.Zone),
+		requests:    make(map[lb.ServiceName]documentRequest),
+		antiEntropy: antiEntropy{differsSince: make(map[lb.NodeID]time.Duration)},
 	}, nil
 }
 
-// Digest is the hash of all versions, for the pings of the membership. It is
-// zero without placements.
+// Digest returns the hash of all versions, for the pings of the membership protocol. It is zero if
+// there are no placements.
 func (core *Core) Digest() uint64 { return core.digest }
 
-// Counters gives the counters so far.
+// Counters returns the current counters.
 func (core *Core) Counters() Counters { return core.counters }
 
-// Placement gives the document of a service, or nil.
+// Placement returns the document of a service, or nil if there is none.
 func (core *Core) Placement(service lb.ServiceName) *lb.Placement { return core.documents[service] }
 
-// Len is the number of services known, deleted ones included.
+// Len returns the number of known services, including deleted ones.
 func (core *Core) Len() int { return len(core.documents) }
 
-// Step takes one event at a time that never goes back and fills effects.
+// Step applies one event and fills effects. now must not decrease between calls; lower values count
+// as the highest one so far.
 func (core *Core) Step(now time.Duration, event *Event, effects *Effects) {
 	*effects = Effects{Messages: effects.Messages[:0], Adopted: effects.Adopted[:0], InForce: effects.InForce[:0]}
 	core.now = max(now, core.now)
@@ -90,7 +91,7 @@
 	case event.Peer != nil:
 		core.receive(event.Peer, effects)
 	case event.Placements != nil:
-		core.takePlacements(event.Placements, effects)
+		core.adoptPlacements(event.Placements, effects)
 	case event.Members != nil:
 		core.setMembers(event.Members)
 	case event.ConfigRevision != 0:
@@ -98,7 +99,7 @@
 	default:
 		core.tick(effects)
 	}
-	core.announceFresh(effects)
+	core.announceNew(effects)
 }
 
 func (core *Core) start() {
@@ -106,7 +107,7 @@
 		return
 	}
 	core.started = true
-	core.began = core.now
+	core.startedAt = core.now
 	core.contact.start(core.now)
 	core.nextRound = core.now + core.jitter(core.settings.RoundInterval)
 	core.nextReport = core.now + core.jitter(core.settings.ReportInterval)
@@ -118,11 +119,11 @@
 
 func (core *Core) tick(effects *Effects) {
 	core.checkContact(effects)
-	core.askAgain(effects)
+	core.retryRequests(effects)
 	core.advanceSnapshot(effects)
 	if core.now >= core.nextRound {
 		core.nextRound = core.now + core.settings.RoundInterval
-		core.announceHot(effects)
+		core.announceRound(effects)
 	}
 	if core.reportDue || core.now >= core.nextReport {
 		core.report(effects)
@@ -134,7 +135,7 @@
 	if event.From == core.settings.Self {
 		return
 	}
-	core.touch(effects)
+	core.recordContact(effects)
 	switch received := event.Message.(type) {
 	case message.Ping:
 		core.compareDigest(event.From, received.Digest, effects)
@@ -143,18 +144,18 @@
 	case message.Digest:
 		core.compareGroups(event.From, &received, effects)
 	case message.Want:
-		core.takeWant(event.From, &received, effects)
+		core.handleWant(event.From, &received, effects)
 	case message.Placements:
-		core.takeDocuments(&received, effects)
+		core.handlePlacements(&received, effects)
 	case message.InForce:
-		core.takeInForce(event.From, &received, effects)
+		core.handleInForce(event.From, &received, effects)
 	}
 }
 
-// setMembers takes a new view.
+// setMembers replaces the member list.
 func (core *Core) setMembers(members []Member) {
 	clear(core.members)
-	core.near, core.far = core.near[:0], core.far[:0]
+	core.localPeers, core.remotePeers = core.localPeers[:0], core.remotePeers[:0]
 	candidates := make([]rendezvous.Candidate, 0, len(members))
 	for _, member := range members {
 		core.members[member.ID] = member.Zone
@@ -164,14 +165,14 @@
 		switch {
 		case member.ID == core.settings.Self:
 		case member.Zone == core.settings.Zone:
-			core.near = append(core.near, member.ID)
+			core.localPeers = append(core.localPeers, member.ID)
 		default:
-			core.far = append(core.far, member.ID)
+			core.remotePeers = append(core.remotePeers, member.ID)
 		}
 	}
-	slices.Sort(core.near)
-	slices.Sort(core.far)
-	maps.DeleteFunc(core.entropy.differs, func(id lb.NodeID, _ time.Duration) bool {
+	slices.Sort(core.localPeers)
+	slices.Sort(core.remotePeers)
+	maps.DeleteFunc(core.antiEntropy.differsSince, func(id lb.NodeID, _ time.Duration) bool {
 		_, present := core.members[id]
 		return !present
 	})
@@ -185,7 +186,7 @@
 	core.setReporters(reporters, nearby)
 }
 
-// version gives the version known of a service, zero when there is none.
+// version returns the known version of a service, or zero if there is none.
 func (core *Core) version(service lb.ServiceName) lb.Version {
 	if known := core.documents[service]; known != nil {
 		return known.Version
@@ -193,7 +194,8 @@
 	return 0
 }
 
-// adopt takes a document with a higher version than the known one.
+// adopt stores a valid document if its version is higher than the known one, and reports whether it
+// did.
 func (core *Core) adopt(document *lb.Placement, effects *Effects) bool {
 	known := core.version(document.Service)
 	if document.Version <= known && !(core.acceptLower && document.Version < known) {
@@ -201,7 +203,7 @@
 		return false
 	}
 	if err := core.settings.Validate(document); err != nil {
-		core.counters.Refused++
+		core.counters.Invalid++
 		return false
 	}
 	group, serviceHash := groupOf(document.Service)
@@ -213,36 +215,36 @@
 	core.digest ^= delta
 	core.documents[document.Service] = document
 	core.lastAdopted = core.now
-	delete(core.asked, document.Service)
+	delete(core.requests, document.Service)
 	effects.Adopted = append(effects.Adopted, document)
-	core.noteChange(document)
+	core.recordChange(document)
 	return true
 }
 
-// takePlacements adopts documents and makes them news, unless they are part of
-// a first load, which others get by anti-entropy.
-func (core *Core) takePlacements(documents []*lb.Placement, effects *Effects) {
-	news := core.entropy.synced && len(documents) <= maxNews
+// adoptPlacements adopts documents and announces them, unless they are part of an initial load,
+// which other nodes receive through anti-entropy.
+func (core *Core) adoptPlacements(documents []*lb.Placement, effects *Effects) {
+	announced := core.antiEntropy.synced && len(documents) <= maxAnnouncedDocuments
 	for _, document := range documents {
 		if !core.adopt(document, effects) {
 			continue
 		}
-		if news {
+		if announced {
 			core.announce(document)
 		}
-		if news || isPrepared(document) {
-			core.noteAdopted(document)
+		if announced || isPrepared(document) {
+			core.queueAdoption(document)
 		}
 	}
 }
 
-// groupOf gives the group of a service and the hash of its name.
+// groupOf returns the group of a service and the hash of its name.
 func groupOf(service lb.ServiceName) (group int, hash uint64) {
 	hash = xxhash.Sum64String(string(service))
 	return int(hash % Groups), hash
 }
 
-// versionHash mixes a version into the hash of a service's name.
+// versionHash combines a version with the hash of the service's name.
 func versionHash(serviceHash uint64, version lb.Version) uint64 {
 	high, low := bits.Mul64(serviceHash^uint64(version)*0x9e3779b97f4a7c15, 0xd6e8feb86659fd93)
 	return high ^ low
--- a/internal/gossip/export_test.go
+++ b/internal/gossip/export_test.go
@@ -1,13 +1,13 @@
 package gossip
 
-// AcceptLower switches off the rule that a lower version is never adopted.
+// AcceptLower disables the rule that a lower version is never adopted.
 func (core *Core) AcceptLower() { core.acceptLower = true }
 
-// TrustMost switches off the rule that a version is in force in a zone only
-// when all its live nodes have it.
-func (core *Core) TrustMost() {
-	core.trustMost = true
+// AcceptMajority disables the rule that a version is in force in a zone only when all live nodes of
+// the zone have it.
+func (core *Core) AcceptMajority() {
+	core.acceptMajority = true
 	if core.reporter != nil {
-		core.reporter.trustMost = true
+		core.reporter.acceptMajority = true
 	}
 }
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -15,35 +15,35 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// fleet runs the gossip of many nodes in virtual time, each behind the real
-// byte budget. Probes with digests stand in for the membership.
+// fleet simulates the gossip of many nodes in virtual time, each node with the byte budget of
+// package transport. Simulated probes with digests replace the membership protocol.
 type fleet struct {
-	t       testing.TB
-	queue   sim.Queue[event]
-	network sim.Network
-	random  *rand.Rand
-	nodes   []*node
-	byID    map[lb.NodeID]*node
-	delays  []time.Duration
-	carried map[*byte]message.Message // by their packed lines, to spare decoding
-	change  func(*gossip.Settings)
+	t          testing.TB
+	queue      sim.Queue[event]
+	network    sim.Network
+	random     *rand.Rand
+	nodes      []*node
+	byID       map[lb.NodeID]*node
+	delays     []time.Duration
+	sentByLine map[*byte]message.Message // messages in transit by their packed lines, which saves decoding
+	change     func(*gossip.Settings)
 }
 
 type node struct {
-	id       lb.NodeID
-	zone     lb.Zone
-	core     *gossip.Core
-	effects  gossip.Effects
-	out      *transport.Queue
-	waking   bool
-	down     bool
-	run      int
-	bytes    int // without probes
-	inForce  map[lb.Zone]message.InForce
-	lowered  int // adoptions of a version below one adopted before
-	highest  map[lb.ServiceName]lb.Version
-	contacts []gossip.ContactChange
-	synced   bool
+	id             lb.NodeID
+	zone           lb.Zone
+	core           *gossip.Core
+	effects        gossip.Effects
+	out            *transport.Queue
+	flushScheduled bool
+	down           bool
+	instance       int
+	bytes          int // sent bytes, without probes
+	inForce        map[lb.Zone]message.InForce
+	downgrades     int // number of adoptions of a version lower than an earlier one
+	highest        map[lb.ServiceName]lb.Version
+	contacts       []gossip.ContactChange
+	synced         bool
 }
 
 type eventKind uint8
@@ -51,22 +51,22 @@
 const (
 	eventTick eventKind = iota
 	eventProbe
-	eventWake
+	eventFlush
 	eventMessage
 )
 
 type event struct {
-	kind    eventKind
-	to      *node
-	from    *node
-	message message.Message
-	run     int
+	kind     eventKind
+	to       *node
+	from     *node
+	message  message.Message
+	instance int
 }
 
 func newFleet(t testing.TB, size, zones int, change func(*gossip.Settings)) *fleet {
 	fleet := &fleet{
 		t: t, byID: make(map[lb.NodeID]*node), random: sim.NewRandom(5),
-		carried: make(map[*byte]message.Message), change: change,
+		sentByLine: make(map[*byte]message.Message), change: change,
 	}
 	fleet.network = sim.Network{Within: 250 * time.Microsecond, Between: 1500 * time.Microsecond, Jitter: 200 * time.Microsecond, Loss: 0.01}
 	fleet.network.Start(sim.NewRandom(11))
@@ -82,9 +82,9 @@
 	return fleet
 }
 
-// start begins a run of a node, without placements.
+// start starts a new instance of a node, without placements.
 func (fleet *fleet) start(node *node) {
-	settings := gossip.DefaultSettings(node.id, node.zone, uint64(node.run))
+	settings := gossip.DefaultSettings(node.id, node.zone, uint64(node.instance))
 	if fleet.change != nil {
 		fleet.change(&settings)
 	}
@@ -92,14 +92,14 @@
 	if err != nil {
 		fleet.t.Fatal(err)
 	}
-	node.run++
-	node.core, node.down, node.waking, node.synced = core, false, false, false
+	node.instance++
+	node.core, node.down, node.flushScheduled, node.synced = core, false, false, false
 	node.out = transport.NewQueue(transport.DefaultBudget())
 	node.inForce = make(map[lb.Zone]message.InForce)
 	node.highest = make(map[lb.ServiceName]lb.Version)
 	fleet.step(node, &gossip.Event{Members: fleet.members()})
-	fleet.queue.After(time.Duration(fleet.random.Int64N(int64(gossip.TickInterval))), event{kind: eventTick, to: node, run: node.run})
-	fleet.queue.After(time.Duration(fleet.random.Int64N(int64(time.Second))), event{kind: eventProbe, to: node, run: node.run})
+	fleet.queue.After(time.Duration(fleet.random.Int64N(int64(gossip.TickInterval))), event{kind: eventTick, to: node, instance: node.instance})
+	fleet.queue.After(time.Duration(fleet.random.Int64N(int64(time.Second))), event{kind: eventProbe, to: node, instance: node.instance})
 }
 
 func (fleet *fleet) members() []gossip.Member {
@@ -112,13 +112,13 @@
 	return members
 }
 
-// kill ends a node; the others know at once.
+// kill stops a node and immediately updates the member lists of the others.
 func (fleet *fleet) kill(node *node) {
 	node.down = true
-	fleet.tellMembers()
+	fleet.updateMembers()
 }
 
-func (fleet *fleet) tellMembers() {
+func (fleet *fleet) updateMembers() {
 	members := fleet.members()
 	for _, node := range fleet.nodes {
 		if !node.down {
@@ -131,7 +131,7 @@
 	at.core.Step(fleet.queue.Now(), input, &at.effects)
 	for _, document := range at.effects.Adopted {
 		if document.Version < at.highest[document.Service] {
-			at.lowered++
+			at.downgrades++
 		}
 		at.highest[document.Service] = max(at.highest[document.Service], document.Version)
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-// push encodes a message and leaves it to the sender's budget.
+// push encodes a message and queues it in the sender's budget queue.
 func (fleet *fleet) push(from *node, to lb.NodeID, sent message.Message) {
 	line, err := message.Encode(nil, from.id, sent)
 	if err != nil {
@@ -156,14 +156,14 @@
 	address := netip.AddrPortFrom(netip.IPv4Unspecified(), fleet.index(to))
 	kind := sent.MessageType()
 	packed := transport.Pack(kind, line)
-	fleet.carried[&packed[0]] = sent
+	fleet.sentByLine[&packed[0]] = sent
 	if !from.out.Push(transport.Queued{To: address, Type: kind, Class: transport.ClassOf(sent, len(line)), Line: packed}) {
-		delete(fleet.carried, &packed[0])
+		delete(fleet.sentByLine, &packed[0])
 	}
 	fleet.flush(from)
 }
 
-// index gives a node's number, used as its port.
+// index returns the number of a node, which also serves as its port.
 func (fleet *fleet) index(id lb.NodeID) uint16 {
 	var number uint16
 	if _, err := fmt.Sscanf(string(id), "node-%d", &number); err != nil {
@@ -172,30 +172,31 @@
 	return number
 }
 
-// flush sends what the budget lets go.
+// flush sends the queued messages that the budget permits.
 func (fleet *fleet) flush(from *node) {
 	for {
 		item, ready, wait := from.out.Pop(time.Unix(0, int64(fleet.queue.Now())))
 		if !ready {
-			if wait > 0 && !from.waking {
-				from.waking = true
-				fleet.queue.After(wait, event{kind: eventWake, to: from, run: from.run})
+			if wait > 0 && !from.flushScheduled {
+				from.flushScheduled = true
+				fleet.queue.After(wait, event{kind: eventFlush, to: from, instance: from.instance})
 			}
 			return
 		}
 		if item.Class != transport.ClassMember {
 			from.bytes += transport.Cost(len(item.Line))
 		}
-		fleet.carry(from, fleet.nodes[item.To.Port()], item.Line)
+		fleet.transmit(from, fleet.nodes[item.To.Port()], item.Line)
 	}
 }
 
-// carry takes one line over the network: long ones by TCP, which loses nothing.
-func (fleet *fleet) carry(from, to *node, line []byte) {
-	arrival := event{kind: eventMessage, to: to, from: from, message: fleet.carried[&line[0]]}
-	delete(fleet.carried, &line[0])
+// transmit sends one line over the simulated network. Long lines travel over TCP and are never
+// lost.
+func (fleet *fleet) transmit(from, to *node, line []byte) {
+	arrival := event{kind: eventMessage, to: to, from: from, message: fleet.sentByLine[&line[0]]}
+	delete(fleet.sentByLine, &line[0])
 	fleet.delays = fleet.network.Delays(from.zone, to.zone, fleet.delays)
-	for len(line) > transport.MaxDatagramBytes && len(fleet.delays) == 0 && !fleet.cut(from, to) {
+	for len(line) > transport.MaxDatagramBytes && len(fleet.delays) == 0 && !fleet.partitioned(from, to) {
 		fleet.delays = fleet.network.Delays(from.zone, to.zone, fleet.delays)
 	}
 	for _, delay := range fleet.delays {
@@ -206,8 +207,9 @@
 	}
 }
 
-// cut tells whether two zones are cut from each other: no loss explains ten misses.
-func (fleet *fleet) cut(from, to *node) bool {
+// partitioned reports whether two zones are cut off from each other: ten lost messages in a row are
+// no random loss.
+func (fleet *fleet) partitioned(from, to *node) bool {
 	for range 10 {
 		if len(fleet.network.Delays(from.zone, to.zone, nil)) > 0 {
 			return false
@@ -218,7 +220,7 @@
 
 func (fleet *fleet) deliver(next event) {
 	at := next.to
-	if at.down || (next.kind != eventMessage && next.run != at.run) {
+	if at.down || (next.kind != eventMessage && next.instance != at.instance) {
 		return
 	}
 	switch next.kind {
@@ -232,8 +234,8 @@
 			}
 		}
 		fleet.queue.After(time.Second, next)
-	case eventWake:
-		at.waking = false
+	case eventFlush:
+		at.flushScheduled = false
 		fleet.flush(at)
 	case eventMessage:
 		fleet.step(at, &gossip.Event{Peer: &gossip.PeerEvent{From: next.from.id, Message: next.message}})
@@ -247,18 +249,18 @@
 	fleet.runUntil(duration, func() bool { return false })
 }
 
-// runUntil goes on until the condition holds, looked at every 10 ms, and gives
-// the time it took; false when it took longer than limit.
+// runUntil runs the simulation until the condition holds, which it checks every 10 ms. It returns
+// the elapsed time, and false if the time exceeded the limit.
 func (fleet *fleet) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	return fleet.queue.RunUntil(limit, fleet.deliver, condition)
 }
 
-// publish gives a document to one node, as its watch of the store would.
+// publish passes documents to one node, as its watch of the store would.
 func (fleet *fleet) publish(at *node, documents ...*lb.Placement) {
 	fleet.step(at, &gossip.Event{Placements: documents})
 }
 
-// everywhere tells whether all running nodes have at least these versions.
+// everywhere reports whether all running nodes have at least these versions.
 func (fleet *fleet) everywhere(documents ...*lb.Placement) bool {
 	for _, node := range fleet.nodes {
 		if node.down {
@@ -288,7 +290,7 @@
 	return mean, highest
 }
 
-// target gives a back end by its number.
+// target returns the back end with a number.
 func target(number int) placement.Target {
 	return placement.Target{
 		Name:   lb.BackendName(fmt.Sprintf("host-%d", number)),
@@ -309,7 +311,7 @@
 	return placement.Stamp{WriteID: fmt.Sprintf("node-0000/1/%d", version), ConfigRevision: int64(version)}
 }
 
-// newDocument gives version 1 of a service with 14 back ends.
+// newDocument returns version 1 of a service with 14 back ends.
 func newDocument(t testing.TB, service int) *lb.Placement {
 	document, err := placement.New(lb.ServiceName(fmt.Sprintf("service-%04d", service)), stamp(1),
 		placement.SetFrontends([]lb.Frontend{{
@@ -323,7 +325,8 @@
 	return document
 }
 
-// nextDocument prepares a generation in which one back end is replaced.
+// nextDocument returns the next version of a document, with a committed generation in which one
+// back end is replaced.
 func nextDocument(t testing.TB, previous *lb.Placement) *lb.Placement {
 	document, err := placement.Next(previous, stamp(int(previous.Version)+1),
 		placement.Prepare(targets(int(previous.Version), 14)), placement.Commit())
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,16 +1,15 @@
-// Package gossip spreads placements between balancers and reports what is in
-// force. It is a deterministic core without I/O, clock or global randomness.
+// Package gossip disseminates placements between load balancer nodes and reports which versions are
+// in force. It is a deterministic core without I/O, clock or global randomness.
 //
-// A new placement is announced by its version to a few random nodes for a few
-// rounds (rumour mongering with feedback; Demers et al., PODC 1987); who lacks
-// it asks for the document, so that each node gets it about once. Probes carry
-// a digest of all versions: where it differs for long, two nodes compare
-// hashes of groups of services and exchange what differs (anti-entropy). A
-// starting node asks several peers for the groups at once. All of it works
-// without the store.
+// A node announces the version of a new placement to a few random nodes for a few rounds (rumour
+// mongering with feedback; Demers et al., PODC 1987). A node that lacks the version requests the
+// document, so that each node receives it about once. Probes carry a digest of all versions: if the
+// digests of two nodes differ for some time, the nodes compare the hashes of groups of services and
+// exchange the placements that differ (anti-entropy). A starting node requests the groups from
+// several peers at once. None of this needs the store.
 //
-// Each node tells the reporters of its zone what it has adopted; they tell the
-// reporters of all zones, which publish, what is in force at all live nodes.
+// Each node reports its adoptions to the reporters of its zone. These report the versions that are
+// in force at all live nodes of the zone to the reporters of all zones, which are the publishers.
 package gossip
 
 import (
@@ -29,62 +28,64 @@
 // TickInterval is the time between two ticks.
 const TickInterval = 100 * time.Millisecond
 
-// Settings of the gossip. Zero values are not valid; see DefaultSettings.
+// Settings configures the gossip of a node. Zero values are not valid; see DefaultSettings.
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// Seed of the node's random choices.
+	// Seed determines the node's random choices.
 	Seed uint64
-	// Validate refuses documents that do not make sense.
+	// Validate returns an error for an inconsistent document.
 	Validate func(*lb.Placement) error
-	// Fanout is the number of nodes told of news at once: one of another
-	// zone, the others of the own.
+	// Fanout is the number of nodes that receive each announcement: one of another zone, the others
+	// of the local zone.
 	Fanout int
 	// RoundInterval is the time between rounds of announcements.
 	RoundInterval time.Duration
-	// AskTimeout is how long an answer may take before another node is asked.
-	AskTimeout time.Duration
-	// CalmInterval is how long digests must differ without change before
-	// anti-entropy begins; it is also its pace.
-	CalmInterval time.Duration
-	// SnapshotPeers is the number of peers that a starting node asks at once.
+	// RequestTimeout is how long the answer to a request may take before the node requests the
+	// document from another node.
+	RequestTimeout time.Duration
+	// StableInterval is how long digests must differ, without changes, before an anti-entropy
+	// exchange starts. It is also the minimum interval between exchanges.
+	StableInterval time.Duration
+	// SnapshotPeers is the number of peers from which a starting node requests placements at once.
 	SnapshotPeers int
-	// ReportInterval is the longest time between two reports of a node.
+	// ReportInterval is the maximum time between two reports of a node.
 	ReportInterval time.Duration
-	// ReportRepeat is the time after which news is reported again.
-	ReportRepeat time.Duration
-	// ContactTimeout without any message from a peer means lost contact.
+	// ReportRepeatInterval is the time after which a node repeats a report of a new adoption.
+	ReportRepeatInterval time.Duration
+	// ContactTimeout is the time without any message from a peer after which contact is lost.
 	ContactTimeout time.Duration
-	// AloneTimeout is how long a node that sees no other distrusts its view.
+	// AloneTimeout is how long a node that has lost all other members remains without contact
+	// before it counts as the only node.
 	AloneTimeout time.Duration
 }
 
-// DefaultSettings gives the defaults for a node.
+// DefaultSettings returns the default settings of a node.
 func DefaultSettings(self lb.NodeID, zone lb.Zone, seed uint64) Settings {
 	return Settings{
-		Self:           self,
-		Zone:           zone,
-		Seed:           seed,
-		Validate:       placement.Validate,
-		Fanout:         3,
-		RoundInterval:  200 * time.Millisecond,
-		AskTimeout:     400 * time.Millisecond,
-		CalmInterval:   time.Second,
-		SnapshotPeers:  4,
-		ReportInterval: 2 * time.Second,
-		ReportRepeat:   400 * time.Millisecond,
-		ContactTimeout: 3 * time.Second,
-		AloneTimeout:   60 * time.Second,
+		Self:                 self,
+		Zone:                 zone,
+		Seed:                 seed,
+		Validate:             placement.Validate,
+		Fanout:               3,
+		RoundInterval:        200 * time.Millisecond,
+		RequestTimeout:       400 * time.Millisecond,
+		StableInterval:       time.Second,
+		SnapshotPeers:        4,
+		ReportInterval:       2 * time.Second,
+		ReportRepeatInterval: 400 * time.Millisecond,
+		ContactTimeout:       3 * time.Second,
+		AloneTimeout:         60 * time.Second,
 	}
 }
 
-// check names the first value that cannot be used.
+// check returns an error for the first invalid value.
 func (settings *Settings) check() error {
 	if settings.Self == "" || settings.Zone == "" {
 		return errors.Newf("gossip: self %q or zone %q is empty", settings.Self, settings.Zone)
 	}
 	if settings.Validate == nil {
-		return errors.New("gossip: Validate is not set")
+		return errors.New("gossip: Validate is nil")
 	}
 	if settings.Fanout <= 0 || settings.SnapshotPeers <= 0 || settings.SnapshotPeers > Groups {
 		return errors.Newf("gossip: fanout %d or snapshot peers %d out of range", settings.Fanout, settings.SnapshotPeers)
@@ -94,10 +95,10 @@
 		value time.Duration
 	}{
 		{"round interval", settings.RoundInterval},
-		{"ask timeout", settings.AskTimeout},
-		{"calm interval", settings.CalmInterval},
+		{"request timeout", settings.RequestTimeout},
+		{"stable interval", settings.StableInterval},
 		{"report interval", settings.ReportInterval},
-		{"report repeat", settings.ReportRepeat},
+		{"report repeat interval", settings.ReportRepeatInterval},
 		{"contact timeout", settings.ContactTimeout},
 		{"alone timeout", settings.AloneTimeout},
 	}
@@ -109,26 +110,26 @@
 	return nil
 }
 
-// Member is a node that the membership takes as alive.
+// Member is a node that the membership protocol considers alive.
 type Member struct {
 	ID      lb.NodeID
 	Zone    lb.Zone
 	Leaving bool
 }
 
-// Event is one input. At most one of its fields is set; none makes a tick,
-// which is due every TickInterval.
+// Event is one input of the core. At most one of its fields is set. An event without fields is a
+// tick, which is due every TickInterval.
 type Event struct {
-	// Placements from the store, or published by this node. They must not be
-	// changed afterwards.
+	// Placements are documents from the store, or published by this node. They must not be changed
+	// afterwards.
 	Placements []*lb.Placement
-	// Peer is a Ping, PingAck, Digest, Want, Placements or InForce. Any other
-	// message counts as contact only.
+	// Peer is a message from another node: a Ping, PingAck, Digest, Want, Placements or InForce.
+	// Any other message only counts as contact.
 	Peer *PeerEvent
-	// Members are all nodes taken as alive, self included.
+	// Members lists all nodes that are considered alive, including this node.
 	Members []Member
-	// ConfigRevision tells that every configuration change up to this store
-	// revision is reflected by the placements given so far.
+	// ConfigRevision is a store revision: the placements passed so far reflect every configuration
+	// change up to it.
 	ConfigRevision int64
 }
 
@@ -144,34 +145,33 @@
 	Message message.Message
 }
 
-// ContactChange tells of lost or regained contact with peers.
+// ContactChange reports that contact with peers was lost or regained.
 type ContactChange uint8
 
-// Changes of contact. A node starts without contact.
+// These are the changes of contact. A node starts without contact.
 const (
 	ContactUnchanged ContactChange = iota
 	ContactLost
 	ContactRegained
 )
 
-// Effects is filled by one Step. The caller reuses it; Step resets it first.
+// Effects receives the results of one Step. The caller reuses it; Step resets it first.
 type Effects struct {
 	Messages []Outgoing
-	// Adopted are placements with a higher version than before. They are
-	// shared with the gossip and must not be changed.
+	// Adopted lists placements that replace an older version or are new. The core shares them, so
+	// they must not be changed.
 	Adopted []*lb.Placement
-	// InForce are statements on whole zones for the publisher: this node's on
-	// its own, as a reporter, and those of other reporters.
+	// InForce lists statements on whole zones for the publisher: this node's statement on its own
+	// zone, if it is a reporter, and statements of other reporters.
 	InForce []message.InForce
 	Contact ContactChange
-	// Synced: for the first time this node has all placements of a peer, or
-	// is alone.
+	// Synced is set when this node for the first time has all placements of a peer, or is alone.
 	Synced bool
 }
 
-// Counters count what was not taken.
+// Counters counts rejected input.
 type Counters struct {
-	Stale   uint64 // placements of a version that is not higher
-	Refused uint64 // placements that do not make sense
-	Unknown uint64 // aggregated reports from nodes that are not members of the zone
+	Stale   uint64 // placements whose version was not higher
+	Invalid uint64 // inconsistent placements
+	Unknown uint64 // reports from nodes that are not members of the reported zone
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -14,8 +14,8 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// settled gives a fleet in which the documents are everywhere.
-func settled(t testing.TB, size, zones int, documents ...*lb.Placement) *fleet {
+// convergedFleet returns a fleet in which all nodes have the documents.
+func convergedFleet(t testing.TB, size, zones int, documents ...*lb.Placement) *fleet {
 	fleet := newFleet(t, size, zones, nil)
 	fleet.publish(fleet.nodes[0], documents...)
 	_, ok := fleet.runUntil(60*time.Second, func() bool {
@@ -27,13 +27,13 @@
 		return fleet.everywhere(documents...)
 	})
 	if !ok {
-		t.Fatal("the documents are not everywhere")
+		t.Fatal("the documents have not reached all nodes")
 	}
 	fleet.runFor(10 * time.Second)
 	return fleet
 }
 
-// reporters gives the reporters of all zones, running ones only.
+// reporters returns the running reporters of all zones.
 func (fleet *fleet) reporters() []*node {
 	var candidates []rendezvous.Candidate
 	for _, member := range fleet.members() {
@@ -46,31 +46,33 @@
 	return reporters
 }
 
-// acknowledged tells whether every reporter knows that every zone has the document in force.
+// acknowledged reports whether every reporter has a statement from every zone that the document is
+// in force.
 func (fleet *fleet) acknowledged(document *lb.Placement, zones int) bool {
 	want := message.ServiceVersion{Service: document.Service, Version: document.Version}
 	for _, reporter := range fleet.reporters() {
-		named := 0
+		confirmations := 0
 		for _, statement := range reporter.inForce {
 			for _, version := range statement.Versions {
 				if version == want {
-					named++
+					confirmations++
 				}
 			}
 		}
-		if named < zones {
+		if confirmations < zones {
 			return false
 		}
 	}
 	return true
 }
 
-// countEarly publishes changes, waits until each is everywhere and known to be
-// so by all publishers, and counts those known before they were everywhere.
-func countEarly(t *testing.T, change func(*gossip.Core)) int {
+// countEarlyAcknowledgements publishes changes and waits until all nodes have each of them and all
+// publishers have learned so. It returns the number of changes that were acknowledged before all
+// nodes had them.
+func countEarlyAcknowledgements(t *testing.T, change func(*gossip.Core)) int {
 	is := is.New(t)
 	document := newDocument(t, 1)
-	fleet := settled(t, 24, 3, document)
+	fleet := convergedFleet(t, 24, 3, document)
 	for _, node := range fleet.nodes {
 		change(node.core)
 	}
@@ -86,7 +88,7 @@
 		is.True(ok)
 		more, ok := fleet.runUntil(5*time.Second, func() bool { return fleet.acknowledged(document, 3) })
 		is.True(ok)
-		t.Logf("everywhere after %s, acknowledged %s later", took, more)
+		t.Logf("on all nodes after %s, acknowledged %s later", took, more)
 		if before {
 			early++
 		}
@@ -94,18 +96,18 @@
 	return early
 }
 
-// TestChangeIsEverywhereBeforeAcknowledged: the mutant that trusts most nodes
-// acknowledges too early.
-func TestChangeIsEverywhereBeforeAcknowledged(t *testing.T) {
+// TestChangeIsOnAllNodesBeforeItIsAcknowledged also checks that a mutant that accepts a majority of
+// nodes acknowledges too early.
+func TestChangeIsOnAllNodesBeforeItIsAcknowledged(t *testing.T) {
 	is := is.New(t)
-	is.Equal(countEarly(t, func(*gossip.Core) {}), 0)
-	is.True(countEarly(t, (*gossip.Core).TrustMost) > 0) // rule off
+	is.Equal(countEarlyAcknowledgements(t, func(*gossip.Core) {}), 0)
+	is.True(countEarlyAcknowledgements(t, (*gossip.Core).AcceptMajority) > 0) // with the rule disabled
 }
 
-func TestAcknowledgedWithOneReporterKilled(t *testing.T) {
+func TestChangeIsAcknowledgedWithOneReporterDown(t *testing.T) {
 	is := is.New(t)
 	document := newDocument(t, 1)
-	fleet := settled(t, 24, 3, document)
+	fleet := convergedFleet(t, 24, 3, document)
 	fleet.kill(fleet.reporters()[0])
 	document = nextDocument(t, document)
 	fleet.publish(fleet.reporters()[1], document)
@@ -113,27 +115,27 @@
 	is.True(ok)
 }
 
-func TestSilentNodeHoldsTheAcknowledgement(t *testing.T) {
+func TestUnresponsiveNodeDelaysAcknowledgement(t *testing.T) {
 	is := is.New(t)
 	document := newDocument(t, 1)
-	fleet := settled(t, 24, 3, document)
-	silent := fleet.nodes[13]
-	silent.down = true // the members still take it as alive
+	fleet := convergedFleet(t, 24, 3, document)
+	unresponsive := fleet.nodes[13]
+	unresponsive.down = true // the other members still consider it alive
 	document = nextDocument(t, document)
 	fleet.publish(fleet.nodes[0], document)
 	_, ok := fleet.runUntil(20*time.Second, func() bool { return fleet.acknowledged(document, 3) })
 	is.True(!ok)
-	fleet.tellMembers()
+	fleet.updateMembers()
 	last := nextDocument(t, document)
 	fleet.publish(fleet.nodes[0], last)
 	_, ok = fleet.runUntil(10*time.Second, func() bool { return fleet.acknowledged(last, 3) })
 	is.True(ok)
 }
 
-func TestConfigRevisionIsInForceOnlyWhenAllHaveIt(t *testing.T) {
+func TestConfigRevisionIsInForceOnlyWhenAllNodesHaveIt(t *testing.T) {
 	is := is.New(t)
 	document := newDocument(t, 1)
-	fleet := settled(t, 24, 3, document)
+	fleet := convergedFleet(t, 24, 3, document)
 	inForce := func(revision int64) bool {
 		for _, reporter := range fleet.reporters() {
 			for _, statement := range reporter.inForce {
@@ -146,7 +148,7 @@
 	}
 	for revision := range int64(4) {
 		next := nextDocument(t, document)
-		for _, reporter := range fleet.reporters() { // each watches the store
+		for _, reporter := range fleet.reporters() { // each reporter watches the store
 			fleet.publish(reporter, next)
 			fleet.step(reporter, &gossip.Event{ConfigRevision: revision + 10})
 		}
@@ -161,7 +163,7 @@
 		is.True(ok)
 		document = next
 	}
-	fleet.runFor(3 * time.Second) // Behind goes to zero and stays
+	fleet.runFor(3 * time.Second) // until Behind is zero everywhere
 	for _, reporter := range fleet.reporters() {
 		for _, statement := range reporter.inForce {
 			is.Equal(statement.Behind, 0)
@@ -185,22 +187,22 @@
 	for service := range 80 {
 		documents = append(documents, newDocument(t, service))
 	}
-	fleet := settled(t, 12, 3, documents...)
-	fresh := fleet.nodes[4]
-	fleet.start(fresh)
-	took, ok := fleet.runUntil(60*time.Second, func() bool { return fresh.synced })
+	fleet := convergedFleet(t, 12, 3, documents...)
+	starting := fleet.nodes[4]
+	fleet.start(starting)
+	took, ok := fleet.runUntil(60*time.Second, func() bool { return starting.synced })
 	is.True(ok)
-	is.Equal(fresh.core.Len(), len(documents))
+	is.Equal(starting.core.Len(), len(documents))
 	t.Logf("%d placements loaded after %s", len(documents), took)
 }
 
-func TestCutZoneCatchesUp(t *testing.T) {
+func TestPartitionedZoneCatchesUp(t *testing.T) {
 	is := is.New(t)
 	first, second := newDocument(t, 1), newDocument(t, 2)
-	fleet := settled(t, 24, 3, first, second)
-	const cut = lb.Zone("zone-1")
+	fleet := convergedFleet(t, 24, 3, first, second)
+	const isolated = lb.Zone("zone-1")
 	for _, other := range []lb.Zone{"zone-0", "zone-2"} {
-		fleet.network.Cut(cut, other, true)
+		fleet.network.Cut(isolated, other, true)
 	}
 	first = nextDocument(t, first)
 	fleet.publish(fleet.nodes[0], first) // zone-0
@@ -210,33 +212,33 @@
 	is.True(!fleet.everywhere(first))
 	is.True(!fleet.everywhere(second))
 	for _, other := range []lb.Zone{"zone-0", "zone-2"} {
-		fleet.network.Cut(cut, other, false)
+		fleet.network.Cut(isolated, other, false)
 	}
 	took, ok := fleet.runUntil(20*time.Second, func() bool { return fleet.everywhere(first, second) })
 	is.True(ok)
-	t.Logf("both sides have both after %s", took)
+	t.Logf("both sides have both documents after %s", took)
 }
 
-func TestBurstArrivesWithinTheBudget(t *testing.T) {
+func TestBurstIsAdoptedWithinTheBudget(t *testing.T) {
 	is := is.New(t)
 	var documents []*lb.Placement
 	for service := range 30 {
 		documents = append(documents, newDocument(t, service))
 	}
-	fleet := settled(t, 12, 3, newDocument(t, 1000))
+	fleet := convergedFleet(t, 12, 3, newDocument(t, 1000))
 	fleet.publish(fleet.nodes[3], documents...)
 	took, ok := fleet.runUntil(120*time.Second, func() bool { return fleet.everywhere(documents...) })
 	is.True(ok)
-	t.Logf("%d changes at once are everywhere after %s", len(documents), took)
+	t.Logf("%d simultaneous changes are on all nodes after %s", len(documents), took)
 }
 
-// adoptsLower gives a node an old document from the store, from a peer and by
-// anti-entropy, and counts the adoptions that went back.
-func adoptsLower(t *testing.T, mutate func(*gossip.Core)) int {
+// countDowngrades passes an old document to each node from the store, from a peer and through
+// anti-entropy, and returns the number of adoptions of a lower version.
+func countDowngrades(t *testing.T, mutate func(*gossip.Core)) int {
 	first := newDocument(t, 1)
 	second := nextDocument(t, first)
-	fleet := settled(t, 12, 3, second)
-	lowered := 0
+	fleet := convergedFleet(t, 12, 3, second)
+	downgrades := 0
 	for _, node := range fleet.nodes {
 		mutate(node.core)
 		fleet.publish(node, first)
@@ -246,23 +248,23 @@
 	}
 	fleet.runFor(10 * time.Second)
 	for _, node := range fleet.nodes {
-		lowered += node.lowered
+		downgrades += node.downgrades
 	}
-	return lowered
+	return downgrades
 }
 
-// TestVersionsNeverGoBack: the mutant that takes lower versions goes back.
-func TestVersionsNeverGoBack(t *testing.T) {
+// TestVersionsNeverDecrease also checks that a mutant that accepts lower versions adopts them.
+func TestVersionsNeverDecrease(t *testing.T) {
 	is := is.New(t)
-	is.Equal(adoptsLower(t, func(*gossip.Core) {}), 0)
-	is.True(adoptsLower(t, (*gossip.Core).AcceptLower) > 0) // rule off
+	is.Equal(countDowngrades(t, func(*gossip.Core) {}), 0)
+	is.True(countDowngrades(t, (*gossip.Core).AcceptLower) > 0) // with the rule disabled
 }
 
-// TestRacingVersionsConverge publishes versions in any order at any node.
+// TestRacingVersionsConverge publishes versions in random order at random nodes.
 func TestRacingVersionsConverge(t *testing.T) {
 	is := is.New(t)
 	document := newDocument(t, 1)
-	fleet := settled(t, 24, 3, document)
+	fleet := convergedFleet(t, 24, 3, document)
 	versions := []*lb.Placement{document}
 	for range 60 {
 		versions = append(versions, nextDocument(t, versions[len(versions)-1]))
@@ -275,26 +277,26 @@
 	_, ok := fleet.runUntil(10*time.Second, func() bool { return fleet.everywhere(last) })
 	is.True(ok)
 	for _, node := range fleet.nodes {
-		is.Equal(node.lowered, 0)
+		is.Equal(node.downgrades, 0)
 	}
 }
 
-func TestInvalidDocumentIsRefused(t *testing.T) {
+func TestInvalidDocumentIsRejected(t *testing.T) {
 	is := is.New(t)
 	document := newDocument(t, 1)
-	fleet := settled(t, 6, 3, document)
-	broken := *nextDocument(t, document)
-	broken.Current = 99
+	fleet := convergedFleet(t, 6, 3, document)
+	invalid := *nextDocument(t, document)
+	invalid.Current = 99
 	fleet.step(fleet.nodes[0], &gossip.Event{Peer: &gossip.PeerEvent{
-		From: fleet.nodes[1].id, Message: message.Placements{Placements: []lb.Placement{broken}},
+		From: fleet.nodes[1].id, Message: message.Placements{Placements: []lb.Placement{invalid}},
 	}})
-	is.Equal(fleet.nodes[0].core.Counters().Refused, uint64(1))
+	is.Equal(fleet.nodes[0].core.Counters().Invalid, uint64(1))
 	is.Equal(fleet.nodes[0].core.Placement(document.Service).Version, document.Version)
 }
 
 func TestContactIsLostAndRegained(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 12, 3, newDocument(t, 1))
+	fleet := convergedFleet(t, 12, 3, newDocument(t, 1))
 	node := fleet.nodes[1] // zone-1
 	is.Equal(node.contacts, []gossip.ContactChange{gossip.ContactRegained})
 	for _, zone := range []lb.Zone{"zone-0", "zone-1", "zone-2"} {
@@ -309,7 +311,7 @@
 	is.Equal(node.contacts[2:], []gossip.ContactChange{gossip.ContactRegained})
 }
 
-func TestAloneNodeGoesOn(t *testing.T) {
+func TestSingleNodeAcknowledgesItsChanges(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(t, 1, 1, nil)
 	fleet.runFor(5 * time.Second)
@@ -318,10 +320,10 @@
 	document := newDocument(t, 1)
 	fleet.publish(fleet.nodes[0], document)
 	_, ok := fleet.runUntil(5*time.Second, func() bool { return fleet.acknowledged(document, 1) })
-	is.True(ok) // it is the whole zone
+	is.True(ok) // the node is the only one of its zone
 }
 
-func TestNewRefusesBadSettings(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	_, err := gossip.New(gossip.DefaultSettings("", "zone", 1))
 	is.True(err != nil)
@@ -331,24 +333,24 @@
 	is.True(err != nil)
 }
 
-func TestReportsOfStrangersCountForNothing(t *testing.T) {
+func TestReportsOfNonMembersAreIgnored(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 6, 3, newDocument(t, 1))
+	fleet := convergedFleet(t, 6, 3, newDocument(t, 1))
 	node := fleet.nodes[0]
 	report := message.InForce{Zone: "zone-2", Aggregated: true, Nodes: 1, ConfigRevision: 99}
 	fleet.step(node, &gossip.Event{Peer: &gossip.PeerEvent{From: "node-9999", Message: report}})
-	fleet.step(node, &gossip.Event{Peer: &gossip.PeerEvent{From: fleet.nodes[1].id, Message: report}}) // of zone-1
+	fleet.step(node, &gossip.Event{Peer: &gossip.PeerEvent{From: fleet.nodes[1].id, Message: report}}) // a node of zone-1
 	is.Equal(len(node.effects.InForce), 0)
 	is.Equal(node.core.Counters().Unknown, uint64(2))
 	is.True(fmt.Sprint(node.inForce["zone-2"].ConfigRevision) != "99")
 }
 
-// heldByHandover publishes a prepared placement while one node still hands over
-// records, and tells whether the publishers take it as in force; then the node
-// is done.
-func heldByHandover(t *testing.T, id int, busy bool) (meanwhile, afterwards bool) {
+// acknowledgedWithHandover publishes a prepared placement while one node is busy, or not, with
+// handing over records. It reports whether the publishers consider the placement in force
+// meanwhile, and whether they do after the node has finished.
+func acknowledgedWithHandover(t *testing.T, id int, busy bool) (meanwhile, afterwards bool) {
 	document := newDocument(t, 1)
-	fleet := settled(t, 12, 3, document)
+	fleet := convergedFleet(t, 12, 3, document)
 	node := fleet.nodes[id]
 	node.core.SetHandoverBusy(busy)
 	prepared, err := placement.Next(document, stamp(2), placement.Prepare(targets(2, 14)))
@@ -362,29 +364,29 @@
 	return meanwhile, afterwards
 }
 
-// TestPreparedPlacementWaitsForHandover: at each node in turn, reporters
-// included. Without the rule it is in force at once.
+// TestPreparedPlacementWaitsForHandover delays the handover at each node in turn, including
+// reporters. Without the rule the placement is in force at once.
 func TestPreparedPlacementWaitsForHandover(t *testing.T) {
 	for id := range 12 {
 		t.Run(fmt.Sprint(id), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			meanwhile, afterwards := heldByHandover(t, id, true)
+			meanwhile, afterwards := acknowledgedWithHandover(t, id, true)
 			is.True(!meanwhile)
 			is.True(afterwards)
 		})
 	}
-	t.Run("rule off", func(t *testing.T) {
+	t.Run("rule disabled", func(t *testing.T) {
 		t.Parallel()
 		is := is.New(t)
-		meanwhile, _ := heldByHandover(t, 3, false)
+		meanwhile, _ := acknowledgedWithHandover(t, 3, false)
 		is.True(meanwhile)
 	})
 }
 
-// TestAgreementWithOnePeerDoesNotHideAnother: a node whose neighbour lacks the
-// same placements compares with the others all the same. Found by the scale
-// run: two neighbours of 48 nodes lacked 12 placements for good.
+// TestAgreementWithOnePeerDoesNotHideAnother checks that a node compares placements with peers that
+// differ even while another peer agrees. Otherwise two neighbours of a fleet that lack the same
+// placements agree with each other and never receive them.
 func TestAgreementWithOnePeerDoesNotHideAnother(t *testing.T) {
 	is := is.New(t)
 	core, err := gossip.New(gossip.DefaultSettings("self", "zone", 1))
@@ -392,17 +394,17 @@
 	var effects gossip.Effects
 	core.Step(0, &gossip.Event{Members: []gossip.Member{{ID: "self", Zone: "zone"}, {ID: "same", Zone: "zone"}, {ID: "other", Zone: "zone"}}}, &effects)
 	core.Step(0, &gossip.Event{Placements: []*lb.Placement{newDocument(t, 1)}}, &effects)
-	asked := false
+	exchanged := false
 	for now := time.Second; now < 10*time.Second; now += time.Second {
 		ping := func(from lb.NodeID, digest uint64) {
 			core.Step(now, &gossip.Event{Peer: &gossip.PeerEvent{From: from, Message: message.Ping{Sequence: 1, Incarnation: 1, Digest: digest}}}, &effects)
 			for _, outgoing := range effects.Messages {
 				_, isDigest := outgoing.Message.(message.Digest)
-				asked = asked || isDigest && outgoing.To == "other"
+				exchanged = exchanged || isDigest && outgoing.To == "other"
 			}
 		}
 		ping("other", core.Digest()+1)
 		ping("same", core.Digest())
 	}
-	is.True(asked)
+	is.True(exchanged)
 }
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -7,36 +7,35 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// Bounds of one report, which keep it within a datagram.
+// These constants limit one report so that it fits into a datagram.
 const (
 	maxReported      = 24
 	maxReportedBytes = 900
-	// serviceVersionBytes is the JSON of a ServiceVersion without its name.
+	// serviceVersionBytes is the size of the JSON of a ServiceVersion without the service name.
 	serviceVersionBytes = 24
-	// reportRepeats is how often one adoption is reported; later reports rest
-	// on the digest.
+	// reportRepeats is how often a node reports one adoption. Later reports cover it by the digest
+	// only.
 	reportRepeats = 3
 	maxRecent     = 512
 )
 
-// adopted is an adoption that is still being reported.
-type adopted struct {
+// adoption is an adopted version that the node still reports.
+type adoption struct {
 	message.ServiceVersion
-	// prepared: the placement announces a generation, and is reported only
-	// when this node has handed over what that asks for.
-	prepared  bool
-	remaining int
+	// prepared is set if the placement announces a generation. The node reports it only after it
+	// has handed over the records that the new generation requires.
+	prepared         bool
+	remainingReports int
 }
 
-// isPrepared tells whether a placement announces a generation that new flows
-// do not use yet.
+// isPrepared reports whether a placement announces a generation that new flows do not use yet.
 func isPrepared(document *lb.Placement) bool {
 	return document.Current < len(document.Generations)-1
 }
 
-// SetHandoverBusy tells whether records of flows still wait to be handed over.
-// Meanwhile prepared placements are not reported as in force (docs/DESIGN.md,
-// "The chain"). It is to be set before each Step.
+// SetHandoverBusy sets whether records of flows are still to be handed over. Meanwhile the node
+// does not report prepared placements as in force (docs/DESIGN.md, "The chain"). The caller sets it
+// before each Step.
 func (core *Core) SetHandoverBusy(busy bool) {
 	if core.handoverBusy && !busy {
 		core.reportDue = true
@@ -44,86 +43,88 @@
 	core.handoverBusy = busy
 }
 
-// held tells whether an adoption is not to be reported yet.
-func (core *Core) held(recent *adopted) bool { return recent.prepared && core.handoverBusy }
+// withheld reports whether an adoption must not be reported yet.
+func (core *Core) withheld(recent *adoption) bool { return recent.prepared && core.handoverBusy }
 
-// noteAdopted puts an adoption into the next reports.
-func (core *Core) noteAdopted(document *lb.Placement) {
-	core.recent = slices.DeleteFunc(core.recent, func(older adopted) bool { return older.Service == document.Service })
-	core.recent = slices.Insert(core.recent, 0, adopted{
-		ServiceVersion: message.ServiceVersion{Service: document.Service, Version: document.Version},
-		prepared:       isPrepared(document),
-		remaining:      reportRepeats,
+// queueAdoption adds an adoption to the next reports.
+func (core *Core) queueAdoption(document *lb.Placement) {
+	core.recentAdoptions = slices.DeleteFunc(core.recentAdoptions, func(older adoption) bool { return older.Service == document.Service })
+	core.recentAdoptions = slices.Insert(core.recentAdoptions, 0, adoption{
+		ServiceVersion:   message.ServiceVersion{Service: document.Service, Version: document.Version},
+		prepared:         isPrepared(document),
+		remainingReports: reportRepeats,
 	})
-	core.recent = core.recent[:min(len(core.recent), maxRecent)]
+	core.recentAdoptions = core.recentAdoptions[:min(len(core.recentAdoptions), maxRecent)]
 	core.reportDue = true
 }
 
-// report tells the zone's reporters what this node has.
+// report sends this node's digest and recent adoptions to the reporters of its zone.
 func (core *Core) report(effects *Effects) {
-	versions := core.takeRecent()
+	versions := core.nextReportedVersions()
 	core.scheduleReport()
-	for _, to := range core.nearby {
+	for _, to := range core.zoneReporters {
 		if to != core.settings.Self {
 			core.send(effects, to, message.InForce{Zone: core.settings.Zone, Digest: core.digest, Nodes: 1, Versions: versions})
 		}
 	}
 }
 
-// scheduleReport makes the next report due: with the next tick while there is
-// something not told yet, soon while something is to be told again.
+// scheduleReport sets the time of the next report: at the next tick if an adoption has not been
+// reported yet, after ReportRepeatInterval if one is to be repeated, and after ReportInterval
+// otherwise.
 func (core *Core) scheduleReport() {
 	core.reportDue = false
 	core.nextReport = core.now + core.settings.ReportInterval
-	for index := range core.recent {
-		recent := &core.recent[index]
-		if core.held(recent) {
+	for index := range core.recentAdoptions {
+		recent := &core.recentAdoptions[index]
+		if core.withheld(recent) {
 			continue
 		}
-		core.nextReport = core.now + core.settings.ReportRepeat
-		core.reportDue = core.reportDue || recent.remaining == reportRepeats
+		core.nextReport = core.now + core.settings.ReportRepeatInterval
+		core.reportDue = core.reportDue || recent.remainingReports == reportRepeats
 	}
 }
 
-// takeRecent gives the adoptions for one report and puts them behind the others.
-func (core *Core) takeRecent() []message.ServiceVersion {
+// nextReportedVersions returns the adoptions for one report and moves them behind the others.
+func (core *Core) nextReportedVersions() []message.ServiceVersion {
 	var versions []message.ServiceVersion
-	var rest, taken []adopted
+	var rest, included []adoption
 	bytes := 0
-	for _, recent := range core.recent {
+	for _, recent := range core.recentAdoptions {
 		size := serviceVersionBytes + len(recent.Service)
 		full := len(versions) == maxReported || (len(versions) > 0 && bytes+size > maxReportedBytes)
-		if full || core.held(&recent) {
+		if full || core.withheld(&recent) {
 			rest = append(rest, recent)
 			continue
 		}
 		bytes += size
 		versions = append(versions, recent.ServiceVersion)
-		recent.remaining--
-		if recent.remaining > 0 {
-			taken = append(taken, recent)
+		recent.remainingReports--
+		if recent.remainingReports > 0 {
+			included = append(included, recent)
 		}
 	}
-	core.recent = append(rest, taken...)
+	core.recentAdoptions = append(rest, included...)
 	return versions
 }
 
-// setReporters takes the reporters of all zones: the nodes that watch the store.
-func (core *Core) setReporters(reporters []lb.NodeID, nearby []lb.NodeID) {
-	core.reporters, core.nearby = reporters, nearby
-	if !slices.Contains(nearby, core.settings.Self) {
+// setReporters sets the reporters of all zones and those of the local zone. The reporters are the
+// nodes that watch the store.
+func (core *Core) setReporters(reporters []lb.NodeID, zoneReporters []lb.NodeID) {
+	core.reporters, core.zoneReporters = reporters, zoneReporters
+	if !slices.Contains(zoneReporters, core.settings.Self) {
 		core.reporter = nil
 		return
 	}
 	if core.reporter == nil {
 		core.reporter = newReporter(core.digest)
-		core.reporter.trustMost = core.trustMost
+		core.reporter.acceptMajority = core.acceptMajority
 		core.reporter.addRevision(core.revision)
 	}
-	core.reporter.keep(core.members, core.settings.Zone, core.settings.Self)
+	core.reporter.setNodes(core.members, core.settings.Zone, core.settings.Self)
 }
 
-// setRevision takes the configuration revision that the placements reflect.
+// setRevision sets the configuration revision that the placements reflect.
 func (core *Core) setRevision(revision int64) {
 	core.revision = max(core.revision, revision)
 	if core.reporter != nil {
@@ -131,23 +132,23 @@
 	}
 }
 
-// noteChange tells the reporter of this node's own adoption.
-func (core *Core) noteChange(document *lb.Placement) {
+// recordChange passes this node's own adoption to its reporter, if it has one.
+func (core *Core) recordChange(document *lb.Placement) {
 	if core.reporter != nil {
 		version := message.ServiceVersion{Service: document.Service, Version: document.Version}
 		core.reporter.addChange(change{ServiceVersion: version, at: core.now, prepared: isPrepared(document)}, core.digest)
 	}
 }
 
-// takeInForce takes the report of a node of the zone, or of a reporter.
-func (core *Core) takeInForce(from lb.NodeID, report *message.InForce, effects *Effects) {
+// handleInForce applies the report of a node of the local zone, or the statement of a reporter.
+func (core *Core) handleInForce(from lb.NodeID, report *message.InForce, effects *Effects) {
 	if zone, member := core.members[from]; !member || zone != report.Zone {
 		core.counters.Unknown++
 		return
 	}
 	if !report.Aggregated {
 		if core.reporter != nil && report.Zone == core.settings.Zone {
-			core.reporter.take(from, report)
+			core.reporter.applyReport(from, report)
 		}
 		return
 	}
@@ -157,21 +158,22 @@
 	effects.InForce = append(effects.InForce, *report)
 }
 
-// advanceReporter states what is in force in the zone when that has changed, and now and then.
+// advanceReporter issues a statement on the local zone when the versions in force have changed, and
+// periodically.
 func (core *Core) advanceReporter(effects *Effects) {
 	if core.reporter == nil {
 		return
 	}
 	if !core.handoverBusy {
-		core.reporter.handedOver()
+		core.reporter.setHandedOver()
 	}
-	statement, due := core.reporter.state(core.now, &core.settings)
+	statement, due := core.reporter.nextStatement(core.now, &core.settings)
 	if !due {
 		return
 	}
 	effects.InForce = append(effects.InForce, statement)
-	if core.nearby[0] != core.settings.Self {
-		return // the zone's first reporter tells the others; this one is there for when it is gone
+	if core.zoneReporters[0] != core.settings.Self {
+		return // only the first reporter of the zone sends statements; this node takes over if that reporter fails
 	}
 	for _, to := range core.reporters {
 		if to != core.settings.Self {
--- a/internal/gossip/reporter.go
+++ b/internal/gossip/reporter.go
@@ -8,59 +8,59 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// Bounds of a reporter's memory.
+// These constants limit the memory and the statements of a reporter.
 const (
 	maxChanges   = 1024
 	maxDigests   = 256
 	maxRevisions = 256
-	// newsInterval is the shortest time between statements: what several nodes
-	// report in it makes one statement, which goes to every publisher.
-	newsInterval = 150 * time.Millisecond
-	// countInterval is the shortest time between statements in which only
-	// the count of nodes behind differs.
-	countInterval = 2 * time.Second
-	// calmReports is how many report intervals pass between statements
-	// without news.
-	calmReports = 5
-	// namedFor is how long a change is named in statements once all nodes
-	// have it, and awaitedFor how long that is waited for.
-	namedFor   = 10 * time.Second
-	awaitedFor = 5 * time.Minute
-	// maxReportedVersions bounds the memory of one node's reports.
+	// minStatementInterval is the minimum time between statements. It combines the reports of
+	// several nodes into one statement, because each statement goes to every publisher.
+	minStatementInterval = 150 * time.Millisecond
+	// minCountInterval is the minimum time between statements that differ only in their counts of
+	// nodes.
+	minCountInterval = 2 * time.Second
+	// reportsPerIdleStatement is the number of report intervals between statements without updates.
+	reportsPerIdleStatement = 5
+	// listedFor is how long statements list a change after all nodes have adopted it.
+	// adoptionTimeout is how long the reporter waits until all nodes have adopted it.
+	listedFor       = 10 * time.Second
+	adoptionTimeout = 5 * time.Minute
+	// maxReportedVersions limits the memory for the reports of one node.
 	maxReportedVersions = 256
 )
 
-// reporter keeps what the nodes of one zone have. Its own adoptions are
-// numbered by serials; a node's place is the serial up to which it surely has
-// everything. Placements never go back, so a place never does.
+// reporter tracks which placement versions the nodes of one zone have. It numbers the adoptions of
+// its own node with serials. appliedSerial of another node is the serial up to which that node
+// certainly has all changes. It never decreases, because the versions of placements do not.
 type reporter struct {
 	serial    uint64
 	first     uint64 // serial of changes[0]
 	changes   []change
 	digests   []digestAt
-	nodes     map[lb.NodeID]*reported // live nodes of the zone but self
+	nodes     map[lb.NodeID]*nodeProgress // live nodes of the zone without this node
 	revisions []revisionAt
-	revision  int64 // in force at all live nodes
+	revision  int64 // configuration revision in force at all live nodes
 
-	trustMost bool // rule off, for tests; see Core
+	acceptMajority bool // disables a rule in tests; see Core
 
-	dirty    bool // something may have changed since last
-	repeat   bool // last was news and is to be said again soon
-	last     message.InForce
-	lastSent time.Duration
+	dirty      bool // the state may have changed since the last statement
+	repeatLast bool // the last statement contained updates and is to be repeated soon
+	last       message.InForce
+	lastSent   time.Duration
 }
 
 // change is one adoption of this node.
 type change struct {
 	message.ServiceVersion
 	at time.Duration
-	// prepared: in force at a node only when the node has named it in a
-	// report; a digest tells that it is adopted, not what was handed over.
+	// prepared is set if the placement announces a generation. It is in force at a node only when
+	// the node has listed it in a report: an equal digest shows that the node has adopted it, but
+	// not that its records are handed over.
 	prepared bool
-	// everywhere: all nodes have had it since everywhereAt.
-	everywhere   bool
-	everywhereAt time.Duration
-	// handedOver: this node itself has it in force, when prepared.
+	// onAllNodes is set if all nodes have the change, since onAllNodesAt.
+	onAllNodes   bool
+	onAllNodesAt time.Duration
+	// handedOver is set if the change is prepared and this node has handed over its records.
 	handedOver bool
 }
 
@@ -71,27 +71,27 @@
 	serial   uint64
 }
 
-// reported is what is known of one node.
-type reported struct {
-	matched bool   // a digest of this node was once equal to one of ours
-	place   uint64 // serial up to which it has everything, when matched
-	digest  uint64 // as reported last
-	// versions are those reported lately.
+// nodeProgress is the state of another node as derived from its reports.
+type nodeProgress struct {
+	matched       bool   // a digest of the node was once equal to a digest of the reporter
+	appliedSerial uint64 // serial up to which the node has all changes, if matched
+	digest        uint64 // last reported digest
+	// versions contains the recently reported versions.
 	versions map[lb.ServiceName]lb.Version
 }
 
-// newReporter starts from the present placements, as serial zero.
+// newReporter returns a reporter whose serial zero stands for the current placements.
 func newReporter(digest uint64) *reporter {
 	return &reporter{
 		first:   1,
 		dirty:   true,
 		digests: []digestAt{{digest: digest}},
-		nodes:   make(map[lb.NodeID]*reported),
+		nodes:   make(map[lb.NodeID]*nodeProgress),
 	}
 }
 
-// keep forgets nodes that are gone and adds new ones.
-func (reporter *reporter) keep(members map[lb.NodeID]lb.Zone, zone lb.Zone, self lb.NodeID) {
+// setNodes removes nodes that are no longer members of the zone and adds new ones.
+func (reporter *reporter) setNodes(members map[lb.NodeID]lb.Zone, zone lb.Zone, self lb.NodeID) {
 	reporter.dirty = true
 	for id := range reporter.nodes {
 		if members[id] != zone {
@@ -100,12 +100,12 @@
 	}
 	for id, memberZone := range members {
 		if memberZone == zone && id != self && reporter.nodes[id] == nil {
-			reporter.nodes[id] = &reported{}
+			reporter.nodes[id] = &nodeProgress{}
 		}
 	}
 }
 
-// addChange notes this node's own adoption and its digest after it.
+// addChange records an adoption of this node and its digest afterwards.
 func (reporter *reporter) addChange(added change, digest uint64) {
 	reporter.dirty = true
 	reporter.serial++
@@ -119,15 +119,15 @@
 		reporter.digests = slices.Delete(reporter.digests, 0, 1)
 	}
 	for _, node := range reporter.nodes {
-		if node.digest == digest { // it was ahead of this node
-			node.matched, node.place = true, reporter.serial
+		if node.digest == digest { // the node adopted the change before this node did
+			node.matched, node.appliedSerial = true, reporter.serial
 		}
-		reporter.advance(node)
+		reporter.advanceNode(node)
 	}
 }
 
-// handedOver notes that this node has handed over what its placements ask for.
-func (reporter *reporter) handedOver() {
+// setHandedOver records that this node has handed over the records that its placements require.
+func (reporter *reporter) setHandedOver() {
 	for index := len(reporter.changes) - 1; index >= 0; index-- {
 		change := &reporter.changes[index]
 		if !change.prepared {
@@ -141,7 +141,7 @@
 	}
 }
 
-// addRevision notes that the placements up to now reflect a revision.
+// addRevision records that the placements up to now reflect a configuration revision.
 func (reporter *reporter) addRevision(revision int64) {
 	last := len(reporter.revisions) - 1
 	if revision <= reporter.revision || (last >= 0 && reporter.revisions[last].revision >= revision) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// take notes the report of one node.
-func (reporter *reporter) take(from lb.NodeID, report *message.InForce) {
+// applyReport records the report of one node.
+func (reporter *reporter) applyReport(from lb.NodeID, report *message.InForce) {
 	node := reporter.nodes[from]
 	if node == nil {
 		return
@@ -169,7 +169,7 @@
 	for index := len(reporter.digests) - 1; index >= 0; index-- {
 		if reporter.digests[index].digest == report.Digest {
 			node.matched = true
-			node.place = max(node.place, reporter.digests[index].serial)
+			node.appliedSerial = max(node.appliedSerial, reporter.digests[index].serial)
 			break
 		}
 	}
@@ -179,25 +179,25 @@
 		}
 		node.versions[version.Service] = max(node.versions[version.Service], version.Version)
 	}
-	reporter.advance(node)
+	reporter.advanceNode(node)
 }
 
-// advance moves a node's place over the changes that it has reported.
-func (reporter *reporter) advance(node *reported) {
-	for node.matched && node.place < reporter.serial && node.place+1 >= reporter.first {
-		next := reporter.changes[node.place+1-reporter.first]
+// advanceNode advances a node's appliedSerial over the changes that the node has reported.
+func (reporter *reporter) advanceNode(node *nodeProgress) {
+	for node.matched && node.appliedSerial < reporter.serial && node.appliedSerial+1 >= reporter.first {
+		next := reporter.changes[node.appliedSerial+1-reporter.first]
 		if node.versions[next.Service] < next.Version {
 			return
 		}
-		node.place++
+		node.appliedSerial++
 	}
 	if len(node.versions) > maxReportedVersions {
 		reporter.pruneVersions(node)
 	}
 }
 
-// pruneVersions forgets reported versions of services that have not changed lately.
-func (reporter *reporter) pruneVersions(node *reported) {
+// pruneVersions deletes the reported versions of services without recent changes.
+func (reporter *reporter) pruneVersions(node *nodeProgress) {
 	recent := make(map[lb.ServiceName]lb.Version)
 	for _, change := range reporter.changes[max(0, len(reporter.changes)-maxReportedVersions):] {
 		if version, found := node.versions[change.Service]; found {
@@ -207,25 +207,25 @@
 	node.versions = recent
 }
 
-// has tells whether a node has the change of a serial.
-func (node *reported) has(change *change, serial uint64) bool {
+// hasChange reports whether a node has the change with a serial.
+func (node *nodeProgress) hasChange(change *change, serial uint64) bool {
 	if node.versions[change.Service] >= change.Version {
 		return true
 	}
-	return !change.prepared && node.matched && node.place >= serial
+	return !change.prepared && node.matched && node.appliedSerial >= serial
 }
 
-// state gives the statement on the zone, and whether it is due to be sent.
-func (reporter *reporter) state(now time.Duration, settings *Settings) (message.InForce, bool) {
-	age, interval := now-reporter.lastSent, calmReports*settings.ReportInterval
-	if reporter.repeat {
-		interval = settings.ReportRepeat
+// nextStatement returns the statement on the zone, and whether it is due to be sent.
+func (reporter *reporter) nextStatement(now time.Duration, settings *Settings) (message.InForce, bool) {
+	age, interval := now-reporter.lastSent, reportsPerIdleStatement*settings.ReportInterval
+	if reporter.repeatLast {
+		interval = settings.ReportRepeatInterval
 	}
-	if age < newsInterval || !reporter.dirty && age < interval {
+	if age < minStatementInterval || !reporter.dirty && age < interval {
 		return message.InForce{}, false
 	}
-	lowest, behind := reporter.places()
-	reporter.reach(lowest)
+	lowest, behind := reporter.progress()
+	reporter.advanceRevision(lowest)
 	statement := message.InForce{
 		Zone:           settings.Zone,
 		Aggregated:     true,
@@ -233,21 +233,22 @@
 		Nodes:          len(reporter.nodes) + 1,
 		Behind:         behind,
 		ConfigRevision: reporter.revision,
-		Versions:       reporter.everywhere(now),
+		Versions:       reporter.versionsOnAllNodes(now),
 	}
-	news := reporter.isNews(&statement, age)
-	if age < interval && !news {
+	updated := reporter.hasUpdates(&statement, age)
+	if age < interval && !updated {
 		return message.InForce{}, false
 	}
-	reporter.repeat = news
+	reporter.repeatLast = updated
 	reporter.dirty = statement.Behind > 0
 	reporter.last, reporter.lastSent = statement, now
 	return statement, true
 }
 
-// isNews tells whether a statement says more than the last one: at once when
-// more is in force, after countInterval when only counts differ.
-func (reporter *reporter) isNews(statement *message.InForce, age time.Duration) bool {
+// hasUpdates reports whether a statement differs from the last one in a way that must be published:
+// immediately if another revision or version is in force, after minCountInterval if only the counts
+// differ.
+func (reporter *reporter) hasUpdates(statement *message.InForce, age time.Duration) bool {
 	if statement.ConfigRevision != reporter.last.ConfigRevision {
 		return true
 	}
@@ -257,23 +258,24 @@
 		}
 	}
 	counts := statement.Behind != reporter.last.Behind || statement.Nodes != reporter.last.Nodes
-	return counts && age >= countInterval
+	return counts && age >= minCountInterval
 }
 
-// places gives the lowest place of all nodes, and how many are not at the last serial.
-func (reporter *reporter) places() (lowest uint64, behind int) {
+// progress returns the lowest appliedSerial of all nodes, and the number of nodes that lack the
+// last change.
+func (reporter *reporter) progress() (lowest uint64, behind int) {
 	lowest = reporter.serial
 	for _, node := range reporter.nodes {
-		if !node.matched || node.place < reporter.serial {
+		if !node.matched || node.appliedSerial < reporter.serial {
 			behind++
 		}
-		lowest = min(lowest, node.place)
+		lowest = min(lowest, node.appliedSerial)
 	}
 	return lowest, behind
 }
 
-// reach takes the revisions that all nodes have got to.
-func (reporter *reporter) reach(lowest uint64) {
+// advanceRevision advances the revision in force to the highest one that all nodes have reached.
+func (reporter *reporter) advanceRevision(lowest uint64) {
 	for _, node := range reporter.nodes {
 		if !node.matched {
 			return
@@ -285,20 +287,20 @@
 	}
 }
 
-// everywhere lists the versions that all nodes have lately got, newest first.
-func (reporter *reporter) everywhere(now time.Duration) []message.ServiceVersion {
+// versionsOnAllNodes returns the versions that all nodes have adopted recently, newest first.
+func (reporter *reporter) versionsOnAllNodes(now time.Duration) []message.ServiceVersion {
 	var versions []message.ServiceVersion
 	bytes := 0
 	for index := len(reporter.changes) - 1; index >= 0 && len(versions) < maxReported; index-- {
 		change := &reporter.changes[index]
-		if now-change.at > awaitedFor {
+		if now-change.at > adoptionTimeout {
 			break
 		}
-		if !change.everywhere && reporter.allHave(change, reporter.first+uint64(index)) {
-			change.everywhere, change.everywhereAt = true, now
+		if !change.onAllNodes && reporter.isOnAllNodes(change, reporter.first+uint64(index)) {
+			change.onAllNodes, change.onAllNodesAt = true, now
 		}
-		named := slices.ContainsFunc(versions, func(version message.ServiceVersion) bool { return version.Service == change.Service })
-		if named || !change.everywhere || now-change.everywhereAt > namedFor {
+		listed := slices.ContainsFunc(versions, func(version message.ServiceVersion) bool { return version.Service == change.Service })
+		if listed || !change.onAllNodes || now-change.onAllNodesAt > listedFor {
 			continue
 		}
 		bytes += serviceVersionBytes + len(change.Service)
@@ -310,17 +312,17 @@
 	return versions
 }
 
-func (reporter *reporter) allHave(change *change, serial uint64) bool {
+func (reporter *reporter) isOnAllNodes(change *change, serial uint64) bool {
 	if change.prepared && !change.handedOver {
 		return false
 	}
 	lacking := 0
 	for _, node := range reporter.nodes {
-		if !node.has(change, serial) {
+		if !node.hasChange(change, serial) {
 			lacking++
 		}
 	}
-	if reporter.trustMost {
+	if reporter.acceptMajority {
 		return lacking <= len(reporter.nodes)/2
 	}
 	return lacking == 0
