--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// BenchmarkMembership measures in virtual time, at each size: the traffic of a
-// node in a calm fleet, and how long a killed node, or a twentieth of all nodes
-// killed at once, stays in any view.
+// BenchmarkMembership measures, in virtual time and per fleet size, the traffic of a node in a
+// stable fleet, and how long it takes until no view contains a killed node any more, or a twentieth
+// of all nodes killed at once.
 func BenchmarkMembership(b *testing.B) {
 	for _, size := range []int{12, 48, 192, 840} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				fleet := settled(b, size, 3)
-				fleet.packs = true
+				fleet := convergedFleet(b, size, 3)
+				fleet.compress = true
 				fleet.runFor(5 * time.Second)
 				fleet.resetBytes()
-				const calm = 10 * time.Second
+				const stable = 10 * time.Second
 				wall := time.Now()
-				fleet.runFor(calm)
-				perNode := time.Since(wall) / time.Duration(size) / time.Duration(calm.Seconds())
-				mean, highest := fleet.bytesPerSecond(calm)
-				b.ReportMetric(float64(perNode.Microseconds()), "calm-us/node-s") // simulation included
+				fleet.runFor(stable)
+				perNode := time.Since(wall) / time.Duration(size) / time.Duration(stable.Seconds())
+				mean, highest := fleet.bytesPerSecond(stable)
+				b.ReportMetric(float64(perNode.Microseconds()), "calm-us/node-s") // includes the simulation
 				b.ReportMetric(mean, "calm-B/s")
 				b.ReportMetric(highest, "calm-max-B/s")
 
 				const kills = 5
 				fleet.resetBytes()
-				begun := fleet.queue.Now()
+				startedAt := fleet.queue.Now()
 				var sum, longest time.Duration
 				for kill := range kills {
 					victim := fleet.nodes[(kill*7+3)%size]
 					victim.down = true
 					took, ok := fleet.runUntil(30*time.Second, func() bool { return fleet.viewedBy(victim.machine.ID, false, nil) })
 					if !ok {
-						b.Fatalf("%s is still in a view after 30 s", victim.machine.ID)
+						b.Fatalf("a view still contains %s after 30 s", victim.machine.ID)
 					}
 					sum += took
 					longest = max(longest, took)
 				}
-				mean, highest = fleet.bytesPerSecond(fleet.queue.Now() - begun)
+				mean, highest = fleet.bytesPerSecond(fleet.queue.Now() - startedAt)
 				b.ReportMetric((sum / kills).Seconds(), "kill-mean-s")
 				b.ReportMetric(longest.Seconds(), "kill-max-s")
 				b.ReportMetric(mean, "kill-B/s")
@@ -57,7 +57,7 @@
 				}
 				took, ok := fleet.runUntil(30*time.Second, fleet.agreed)
 				if !ok {
-					b.Fatal("nodes that died together are still in a view after 30 s")
+					b.Fatal("a view still contains simultaneously killed nodes after 30 s")
 				}
 				_, highest = fleet.bytesPerSecond(took)
 				b.ReportMetric(took.Seconds(), "rack-s")
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -13,96 +13,97 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// entry is what this node knows of another one.
+// entry is the state of another node as known to this node.
 type entry struct {
 	machine     Machine
 	hash        lb.NodeHash
 	zone        *zone
 	state       message.MemberState
-	leaving     bool // stays set while the entry is suspect
+	leaving     bool // remains set while the entry is suspect
 	incarnation uint64
-	// tells is how often this node, which raised the suspicion, still tells
-	// the suspect itself.
-	tells int
-	// buried is the incarnation that was declared dead here, until the node
-	// has been told of it.
-	buried uint64
-	// deadline ends the suspicion of a suspect, or the memory of a dead entry.
+	// suspicionNotices is the number of direct notices that this node, which raised the suspicion,
+	// still sends to the suspect.
+	suspicionNotices int
+	// deadIncarnation is the incarnation that this node declared dead. It is zero after the node
+	// concerned was notified.
+	deadIncarnation uint64
+	// deadline is the end of the suspicion of a suspect, or the time at which a dead entry may be
+	// removed.
 	deadline time.Duration
 }
 
 func (entry *entry) live() bool { return entry.state != message.MemberDead }
 
-// Core is the membership of one node. It is not safe for concurrent use.
+// Core is the membership state machine of one node. It is not safe for concurrent use.
 type Core struct {
-	settings    Settings
-	random      *rand.Rand
-	now         time.Duration
-	incarnation uint64
-	buried      uint64 // highest own incarnation known to have been declared dead
-	leaving     bool
-	stopped     bool
-	digest      uint64
-
-	entries    map[lb.NodeID]*entry
-	zones      []*zone // sorted by name; own zone included
-	ownZone    *zone
-	machines   []Machine // the platform's list without self
-	listed     map[lb.NodeID]int
-	suspects   []*entry
-	askers     []netip.AddrPort                 // who waits for the whole membership
-	answeredAt map[netip.AddrPort]time.Duration // when those who asked were last answered
-	nextWhole  time.Duration                    // when it may be encoded again
-	rumours    []*rumour                        // next to send first
+	settings        Settings
+	random          *rand.Rand
+	now             time.Duration
+	incarnation     uint64
+	deadIncarnation uint64 // highest incarnation of this node that others are known to have declared dead
+	leaving         bool
+	stopped         bool
+	digest          uint64
+
+	entries      map[lb.NodeID]*entry
+	zones        []*zone // sorted by name, including the local zone
+	ownZone      *zone
+	machines     []Machine // the platform's list without this node
+	listed       map[lb.NodeID]int
+	suspects     []*entry
+	listRequests []netip.AddrPort                 // nodes waiting for the full member list
+	listSentAt   map[netip.AddrPort]time.Duration // time of the last answer per node
+	nextFullList time.Duration                    // earliest time of the next encoding of the full list
+	rumours      []*rumour                        // next to send first
 
 	probes    []probe
 	forwarded []forwardedProbe
 	sequence  uint64
 
-	// viewHash covers the live entries and self; viewSince is when it first
-	// differed from that of every peer heard since, or zero.
+	// viewHash is the hash of the live entries and this node.
 	viewHash uint64
-	// differs tells since when a peer's view differs from this node's.
-	differs  map[lb.NodeID]time.Duration
-	joined   bool
-	changed  bool // Members differs from what was last announced
-	rejoined bool
-	replaced bool
-
-	started      bool
-	startedAt    time.Duration
-	lastStep     time.Duration
-	lastTick     time.Duration
-	nextProbe    time.Duration
-	nextRumour   time.Duration
-	nextAttempt  time.Duration
-	nextReap     time.Duration
-	nextSync     time.Duration
-	attempt      int // place in machines
-	crossZone    int // place in zones
-	rumourTokens float64
-
-	// Rules switched off by tests, to show that the tests need them.
-	ignoreRefutes bool // a suspect or dead update on self is not refuted
-	hideDeaths    bool // a node that came back is not told that it had been dead
+	// differsSince contains, for each peer whose view differs from this node's, the time since when
+	// it does.
+	differsSince map[lb.NodeID]time.Duration
+	joined       bool
+	changed      bool // the result of Members differs from the one last announced
+	rejoined     bool
+	replaced     bool
+
+	started         bool
+	startedAt       time.Duration
+	lastStep        time.Duration
+	lastTick        time.Duration
+	nextProbe       time.Duration
+	nextRumour      time.Duration
+	nextMachinePing time.Duration
+	nextReap        time.Duration
+	nextSync        time.Duration
+	machineIndex    int // index into machines
+	zoneIndex       int // index into zones
+	rumourTokens    float64
+
+	// Tests disable these rules to verify that they detect a violation.
+	noRefutation   bool // do not refute a suspect or dead update about this node
+	noDeathNotices bool // do not notify a returned node that it had been declared dead
 }
 
-// New gives the core of a node that knows nobody yet.
+// New returns the core of a node that knows no other nodes yet.
 func New(settings Settings) (*Core, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	core := &Core{
-		settings:    settings,
-		random:      rand.New(rand.NewPCG(settings.Seed, xxhash.Sum64String(string(settings.Self.ID)))),
-		incarnation: settings.Incarnation,
-		entries:     make(map[lb.NodeID]*entry),
-		listed:      make(map[lb.NodeID]int),
-		answeredAt:  make(map[netip.AddrPort]time.Duration),
-		differs:     make(map[lb.NodeID]time.Duration),
+		settings:     settings,
+		random:       rand.New(rand.NewPCG(settings.Seed, xxhash.Sum64String(string(settings.Self.ID)))),
+		incarnation:  settings.Incarnation,
+		entries:      make(map[lb.NodeID]*entry),
+		listed:       make(map[lb.NodeID]int),
+		listSentAt:   make(map[netip.AddrPort]time.Duration),
+		differsSince: make(map[lb.NodeID]time.Duration),
 	}
 	core.ownZone = core.zoneOf(settings.Self.Zone)
-	core.sequence = uint64(core.random.Uint32()) // answers to an earlier run match nothing
+	core.sequence = uint64(core.random.Uint32()) // random, so that answers to an earlier instance match no probe
 	core.viewHash = viewHashOf(settings.Self.ID, false)
 	core.changed = true
 	return core, nil
@@ -111,10 +112,10 @@
 // SetDigest sets the digest of placements that pings carry.
 func (core *Core) SetDigest(digest uint64) { core.digest = digest }
 
-// Incarnation is this node's present incarnation.
+// Incarnation returns the current incarnation of this node.
 func (core *Core) Incarnation() uint64 { return core.incarnation }
 
-// Members appends all nodes taken as alive to buffer, self included, sorted by ID.
+// Members appends all nodes considered alive to buffer, including this node, sorted by ID.
 func (core *Core) Members(buffer []Member) []Member {
 	start := len(buffer)
 	buffer = append(buffer, Member{Machine: core.settings.Self, Leaving: core.leaving, Incarnation: core.incarnation})
@@ -130,7 +131,7 @@
 	return buffer
 }
 
-// Resolve gives the control address of a node that is known, alive or not.
+// Resolve returns the control address of a known node, whether it is alive or not.
 func (core *Core) Resolve(id lb.NodeID) (netip.AddrPort, bool) {
 	if entry := core.entries[id]; entry != nil {
 		return entry.machine.Control, true
@@ -141,12 +142,13 @@
 	return netip.AddrPort{}, false
 }
 
-// Step takes one event at a time that never goes back and fills effects.
+// Step applies one event and fills effects. now must not decrease between calls; lower values count
+// as the highest one so far.
 func (core *Core) Step(now time.Duration, event *Event, effects *Effects) {
 	*effects = Effects{Messages: effects.Messages[:0], Batches: effects.Batches[:0]}
 	core.now = max(now, core.now)
 	core.start()
-	core.notePause()
+	core.detectPause()
 	switch {
 	case event.Peer != nil:
 		core.receive(event.Peer, effects)
@@ -163,7 +165,8 @@
 	core.rejoined, core.replaced = false, false
 }
 
-// start spreads the nodes' timers, so that a fleet started at once does not beat in step.
+// start randomizes the timers, so that the nodes of a fleet started at once do not send their
+// messages at the same time.
 func (core *Core) start() {
 	if core.started {
 		return
@@ -173,9 +176,9 @@
 	core.lastTick = core.now
 	core.nextProbe = core.now + core.jitter(core.settings.ProbeInterval)
 	core.nextRumour = core.now + core.jitter(core.settings.RumourInterval)
-	core.nextAttempt = core.now
+	core.nextMachinePing = core.now
 	core.startedAt = core.now
-	core.nextSync = core.now + core.jitter(youngSync)
+	core.nextSync = core.now + core.jitter(warmUpSyncInterval)
 	core.nextReap = core.now + core.jitter(reapInterval)
 }
 
@@ -183,8 +186,9 @@
 	return time.Duration(core.random.Int64N(int64(limit)))
 }
 
-// notePause forgives others what this node may have missed while it was not running.
-func (core *Core) notePause() {
+// detectPause discards pending failures after a pause of this node, because the node may have
+// missed the answers of its peers.
+func (core *Core) detectPause() {
 	gap := core.now - core.lastStep
 	core.lastStep = core.now
 	if gap <= core.settings.PauseLimit {
@@ -195,7 +199,7 @@
 		suspect.deadline = core.now + core.settings.SuspicionTimeout
 	}
 	for _, zone := range core.zones {
-		zone.doubts = zone.doubts[:0]
+		zone.failedProbes = zone.failedProbes[:0]
 	}
 }
 
@@ -205,22 +209,22 @@
 	}
 	elapsed := core.now - core.lastTick
 	core.lastTick = core.now
-	core.refillRumours(elapsed)
+	core.refillRumourTokens(elapsed)
 	core.advanceProbes(effects)
 	core.advanceSuspects()
-	core.answerAskers(effects)
+	core.answerListRequests(effects)
 	if core.now >= core.nextProbe {
 		core.nextProbe = core.now + core.settings.ProbeInterval
 		core.startProbes(effects)
 	}
 	if core.now >= core.nextRumour {
 		core.nextRumour = core.now + core.settings.RumourInterval
-		core.spreadRumours(effects)
+		core.sendRumours(effects)
 	}
-	if core.now >= core.nextAttempt {
-		core.nextAttempt = core.now + core.settings.AttemptInterval
-		core.attemptMachines(effects)
-		core.askForAll(effects)
+	if core.now >= core.nextMachinePing {
+		core.nextMachinePing = core.now + core.settings.MachinePingInterval
+		core.pingMachines(effects)
+		core.requestFullList(effects)
 	}
 	if core.now >= core.nextReap {
 		core.nextReap = core.now + reapInterval
@@ -234,7 +238,8 @@
 	effects.Messages = append(effects.Messages, Outgoing{To: machine.ID, Address: machine.Control, Message: outgoing})
 }
 
-// viewHashOf is one node's part of the view hash, which is their exclusive or.
+// viewHashOf returns the contribution of one node to the view hash, which is the XOR of all
+// contributions.
 func viewHashOf(id lb.NodeID, leaving bool) uint64 {
 	hash := xxhash.Sum64String(string(id))
 	if leaving {
@@ -243,8 +248,8 @@
 	return hash
 }
 
-// leavingHash sets a leaving node apart in the view hash; any odd constant does.
+// leavingHash distinguishes a leaving node in the view hash. Any odd constant is suitable.
 const leavingHash = 0x9e3779b97f4a7c15
 
-// reapInterval is the time between looks for dead entries to forget.
+// reapInterval is the time between checks for dead entries to remove.
 const reapInterval = 10 * time.Second
--- a/internal/member/export_test.go
+++ b/internal/member/export_test.go
@@ -1,7 +1,8 @@
 package member
 
-// IgnoreRefutes switches off the rule that a node refutes what others wrongly say of it.
-func (core *Core) IgnoreRefutes() { core.ignoreRefutes = true }
+// DisableRefutation disables the rule that a node refutes false updates about itself.
+func (core *Core) DisableRefutation() { core.noRefutation = true }
 
-// HideDeaths switches off the rule that a node that came back is told that it had been dead.
-func (core *Core) HideDeaths() { core.hideDeaths = true }
+// DisableDeathNotices disables the rule that a returned node is notified that it had been declared
+// dead.
+func (core *Core) DisableDeathNotices() { core.noDeathNotices = true }
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -13,7 +13,7 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// fleet runs the membership of many nodes in virtual time.
+// fleet simulates the membership protocol of many nodes in virtual time.
 type fleet struct {
 	t        testing.TB
 	queue    sim.Queue[delivery]
@@ -24,9 +24,9 @@
 	delays   []time.Duration
 	line     []byte
 	change   func(*member.Settings)
-	// packs counts messages as compressed, which takes most of the time of a
-	// run. Off, they count as longer than they are.
-	packs bool
+	// compress counts messages by their compressed size. Compression takes most of the time of a
+	// simulation; without it, messages count with their uncompressed size.
+	compress bool
 }
 
 type node struct {
@@ -35,22 +35,22 @@
 	effects  member.Effects
 	down     bool
 	paused   bool
-	waiting  []delivery // what a paused node finds when it wakes
+	backlog  []delivery // deliveries that arrive while the node is paused
 	bytes    int
 	largest  int
 	rejoined int
 	view     map[lb.NodeID]member.Member
-	run      int // a restart makes old ticks stale
+	instance int // number of the current instance; ticks of earlier instances are ignored
 }
 
-// delivery is a message, or a tick when message is nil.
+// delivery is a message, or a tick if message is nil.
 type delivery struct {
 	to, from *node
 	message  message.Message
-	run      int
+	instance int
 }
 
-const clockStart = 1_800_000_000_000 // milliseconds; node runs get incarnations from here
+const clockStart = 1_800_000_000_000 // in milliseconds; the base of all incarnations
 
 func newFleet(t testing.TB, size, zones int, change func(*member.Settings)) *fleet {
 	fleet := &fleet{t: t, byID: make(map[lb.NodeID]*node), change: change}
@@ -70,7 +70,7 @@
 	return fleet
 }
 
-// add starts a node, or another run of one.
+// add starts a node, or a new instance of it.
 func (fleet *fleet) add(machine member.Machine, listed []member.Machine) *node {
 	added := fleet.byID[machine.ID]
 	if added == nil {
@@ -78,9 +78,9 @@
 		fleet.byID[machine.ID] = added
 		fleet.nodes = append(fleet.nodes, added)
 	}
-	added.down, added.run = false, added.run+1
+	added.down, added.instance = false, added.instance+1
 	incarnation := uint64(clockStart + fleet.queue.Now().Milliseconds())
-	settings := member.DefaultSettings(machine, incarnation, uint64(added.run))
+	settings := member.DefaultSettings(machine, incarnation, uint64(added.instance))
 	if fleet.change != nil {
 		fleet.change(&settings)
 	}
@@ -90,7 +90,7 @@
 	}
 	added.core = core
 	fleet.step(added, &member.Event{Machines: listed})
-	fleet.queue.After(0, delivery{to: added, run: added.run})
+	fleet.queue.After(0, delivery{to: added, instance: added.instance})
 	return added
 }
 
@@ -110,13 +110,13 @@
 	}
 	for _, batch := range at.effects.Batches {
 		for _, address := range batch.To {
-			fleet.send(at, fleet.at(address), batch.Message)
+			fleet.send(at, fleet.nodeAt(address), batch.Message)
 		}
 	}
 }
 
-// at gives the node with a control address, or nil.
-func (fleet *fleet) at(address netip.AddrPort) *node {
+// nodeAt returns the node with a control address, or nil.
+func (fleet *fleet) nodeAt(address netip.AddrPort) *node {
 	for _, candidate := range fleet.byID {
 		if candidate.machine.Control == address {
 			return candidate
@@ -131,7 +131,7 @@
 		fleet.t.Fatal(err)
 	}
 	fleet.line = line
-	if fleet.packs {
+	if fleet.compress {
 		line = transport.Pack(sent.MessageType(), line)
 	}
 	at.bytes += transport.Cost(len(line))
@@ -150,11 +150,11 @@
 func (fleet *fleet) deliver(next delivery) {
 	at := next.to
 	switch {
-	case at.down || (next.message == nil && next.run != at.run):
+	case at.down || (next.message == nil && next.instance != at.instance):
 	case next.message == nil && at.paused:
-		at.waiting = append(at.waiting, next)
+		at.backlog = append(at.backlog, next)
 	case at.paused:
-		at.waiting = append(at.waiting, next)
+		at.backlog = append(at.backlog, next)
 	case next.message == nil:
 		fleet.step(at, &member.Event{})
 		fleet.queue.After(member.TickInterval, next)
@@ -167,28 +167,29 @@
 	}
 }
 
-// wake lets a paused node find all that came meanwhile.
-func (fleet *fleet) wake(at *node) {
+// resume resumes a paused node and delivers its backlog.
+func (fleet *fleet) resume(at *node) {
 	at.paused = false
-	for _, next := range at.waiting {
+	for _, next := range at.backlog {
 		fleet.queue.After(0, next)
 	}
-	at.waiting = nil
+	at.backlog = nil
 }
 
-// runFor goes on for a time.
+// runFor runs the simulation for a duration.
 func (fleet *fleet) runFor(duration time.Duration) {
 	until := fleet.queue.Now() + duration
 	fleet.runUntil(duration, func() bool { return fleet.queue.Now() >= until })
 }
 
-// runUntil goes on until the condition holds, looked at every 10 ms, and gives
-// the time it took; false when it took longer than limit.
+// runUntil runs the simulation until the condition holds, which it checks every 10 ms. It returns
+// the elapsed time, and false if the time exceeded the limit.
 func (fleet *fleet) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	return fleet.queue.RunUntil(limit, fleet.deliver, condition)
 }
 
-// viewedBy tells whether every running node but self has the node in (or not in) its view.
+// viewedBy reports whether the views of all other running nodes that viewers selects contain the
+// node or, if present is false, do not contain it.
 func (fleet *fleet) viewedBy(id lb.NodeID, present bool, viewers func(*node) bool) bool {
 	for _, viewer := range fleet.nodes {
 		if viewer.down || viewer.paused || viewer.machine.ID == id || (viewers != nil && !viewers(viewer)) {
@@ -201,7 +202,7 @@
 	return true
 }
 
-// agreed tells whether every running node sees exactly the running nodes.
+// agreed reports whether every running node views exactly the running nodes as alive.
 func (fleet *fleet) agreed() bool {
 	running := 0
 	for _, node := range fleet.nodes {
@@ -225,14 +226,14 @@
 	return true
 }
 
-// resetBytes starts a measurement of traffic.
+// resetBytes starts a new measurement of the traffic.
 func (fleet *fleet) resetBytes() {
 	for _, node := range fleet.nodes {
 		node.bytes = 0
 	}
 }
 
-// bytesPerSecond gives the mean and the highest over the running nodes.
+// bytesPerSecond returns the mean and the maximum rate of the running nodes.
 func (fleet *fleet) bytesPerSecond(duration time.Duration) (mean, highest float64) {
 	running := 0.0
 	for _, node := range fleet.nodes {
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -9,25 +9,28 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// viewPatience is how long views may differ before a peer's is asked for.
-const viewPatience = 5 * time.Second
+// viewDifferenceTimeout is how long the view of a peer may differ before this node requests the
+// peer's member list.
+const viewDifferenceTimeout = 5 * time.Second
 
-// Where many nodes start at once, each is given the membership as it is then,
-// and rumours alone would take five seconds and more to tell of some hundreds.
+// When many nodes start at once, each of them receives the member list as it is at that time, and
+// rumours alone would take five seconds and more to disseminate some hundreds of joins. Therefore a
+// node requests lists sooner after its start.
 const (
-	// youth is how long after its start a node asks sooner.
-	youth = 8 * time.Second
-	// youngPatience replaces viewPatience, and youngSync SyncInterval.
-	youngPatience = 500 * time.Millisecond
-	youngSync     = time.Second
+	// warmUpPeriod is the time after its start during which a node requests lists sooner.
+	warmUpPeriod = 8 * time.Second
+	// warmUpDifferenceTimeout replaces viewDifferenceTimeout during the warm-up, and
+	// warmUpSyncInterval replaces SyncInterval.
+	warmUpDifferenceTimeout = 500 * time.Millisecond
+	warmUpSyncInterval      = time.Second
 )
 
-// stopFanout is the number of nodes told that this one ends.
+// stopFanout is the number of nodes that receive the announcement that this node stops.
 const stopFanout = 6
 
-// setMachines takes the platform's list. It lags, so it neither adds nor
-// removes members later on; but a node that knows nobody presumes all listed
-// machines alive until a peer or the probes tell better.
+// setMachines sets the platform's list of machines. The list lags behind, so it does not add or
+// remove members later. However, a node that knows no other nodes presumes that all listed machines
+// are alive, until a peer or the probes provide their actual state.
 func (core *Core) setMachines(machines []Machine) {
 	core.machines = slices.DeleteFunc(slices.Clone(machines), func(machine Machine) bool {
 		return machine.ID == core.settings.Self.ID || machine.ID == "" || machine.Zone == "" ||
@@ -46,37 +49,36 @@
 	}
 }
 
-// attemptMachines reaches out to listed machines: to a random one for its
-// whole membership until this node has joined, later to those that are not
-// members, in turn.
-func (core *Core) attemptMachines(effects *Effects) {
+// pingMachines contacts listed machines. Until this node has joined, it requests the full member
+// list from a random machine. Later it pings the machines that are not members, in turn.
+func (core *Core) pingMachines(effects *Effects) {
 	count := len(core.machines)
 	if count == 0 {
 		return
 	}
 	if !core.joined {
-		core.attemptOne(&core.machines[core.random.IntN(count)], true, effects)
+		core.pingMachine(&core.machines[core.random.IntN(count)], true, effects)
 		return
 	}
-	attempts := maxAttempts
+	pings := maxMachinePings
 	for range count {
-		core.attempt = (core.attempt + 1) % count
-		candidate := &core.machines[core.attempt]
+		core.machineIndex = (core.machineIndex + 1) % count
+		candidate := &core.machines[core.machineIndex]
 		if known := core.entries[candidate.ID]; known == nil || !known.live() {
-			core.attemptOne(candidate, false, effects)
-			attempts--
+			core.pingMachine(candidate, false, effects)
+			pings--
 		}
-		if attempts == 0 {
+		if pings == 0 {
 			return
 		}
 	}
 }
 
-// maxAttempts is the number of listed machines tried at once: with one, a fleet
+// maxMachinePings is the maximum number of listed machines contacted at once. With one, a fleet
 // that starts together takes a second for each node that a node has missed.
-const maxAttempts = 3
+const maxMachinePings = 3
 
-func (core *Core) attemptOne(machine *Machine, full bool, effects *Effects) {
+func (core *Core) pingMachine(machine *Machine, full bool, effects *Effects) {
 	core.sequence++
 	updates := append([]message.MemberUpdate{core.selfUpdate()}, core.updatesFor(machine.ID)...)
 	core.send(effects, machine, message.Ping{
@@ -89,8 +91,8 @@
 	})
 }
 
-// allUpdates describes all entries and self, sorted by name.
-func (core *Core) allUpdates() []message.MemberUpdate {
+// fullList returns updates about all entries and this node, sorted by name.
+func (core *Core) fullList() []message.MemberUpdate {
 	updates := make([]message.MemberUpdate, 0, len(core.entries)+1)
 	updates = append(updates, core.selfUpdate())
 	for _, entry := range core.entries {
@@ -105,9 +107,9 @@
 
 func compareUpdates(left, right message.MemberUpdate) int { return cmp.Compare(left.Node, right.Node) }
 
-// merge takes a peer's whole membership, without passing it on: others have it
-// or ask for it as well. On joining, machines that this node
-// only presumed alive and the peer does not know are dropped.
+// merge applies a peer's full member list. It does not disseminate the updates, because other nodes
+// have them or request the list themselves. When this node joins, it removes the machines that it
+// only presumed alive and that the peer does not know.
 func (core *Core) merge(updates []message.MemberUpdate) {
 	for index := range updates {
 		core.apply(&updates[index])
@@ -116,70 +118,70 @@
 		return
 	}
 	core.joined = true
-	mentioned := make(map[lb.NodeID]bool, len(updates))
+	included := make(map[lb.NodeID]bool, len(updates))
 	for index := range updates {
-		mentioned[updates[index].Node] = true
+		included[updates[index].Node] = true
 	}
 	for index := range core.machines {
 		known := core.entries[core.machines[index].ID]
-		if known != nil && known.incarnation == 0 && !mentioned[known.machine.ID] {
-			core.forget(known)
+		if known != nil && known.incarnation == 0 && !included[known.machine.ID] {
+			core.removeEntry(known)
 		}
 	}
 }
 
-// compareView asks a peer for its membership when its view has differed for
-// long. That is kept by peer: a few nodes that lack the same members agree with
-// each other, and differ from all others no less.
+// compareView requests a peer's member list if its view has differed for some time. The time is
+// kept per peer because a few nodes that lack the same members agree with each other, but still
+// differ from all others.
 func (core *Core) compareView(event *PeerEvent, view uint64, effects *Effects) {
 	if view == core.viewHash || view == 0 {
-		delete(core.differs, event.From)
+		delete(core.differsSince, event.From)
 		return
 	}
-	since, known := core.differs[event.From]
+	since, known := core.differsSince[event.From]
 	if !known {
 		since = core.now
-		core.differs[event.From] = since
+		core.differsSince[event.From] = since
 	}
-	patience, interval := viewPatience, core.settings.SyncInterval
-	if core.now-core.startedAt < youth {
-		patience, interval = youngPatience, youngSync
+	timeout, interval := viewDifferenceTimeout, core.settings.SyncInterval
+	if core.now-core.startedAt < warmUpPeriod {
+		timeout, interval = warmUpDifferenceTimeout, warmUpSyncInterval
 	}
-	if core.now-since < patience || core.now < core.nextSync {
+	if core.now-since < timeout || core.now < core.nextSync {
 		return
 	}
 	if sender, ok := core.sender(event); ok {
 		core.nextSync = core.now + interval
-		delete(core.differs, event.From)
-		core.attemptOne(&sender, true, effects)
+		delete(core.differsSince, event.From)
+		core.pingMachine(&sender, true, effects)
 	}
 }
 
-// forget drops an entry altogether.
-func (core *Core) forget(known *entry) {
+// removeEntry deletes an entry.
+func (core *Core) removeEntry(known *entry) {
 	if known.live() {
-		core.change(known, message.MemberDead, known.incarnation)
+		core.setState(known, message.MemberDead, known.incarnation)
 	}
 	delete(core.entries, known.machine.ID)
-	delete(core.differs, known.machine.ID)
+	delete(core.differsSince, known.machine.ID)
 }
 
-// reap forgets those long dead, or long unreachable with their zone, that the
-// platform no longer lists.
+// reap deletes the entries that the platform no longer lists, if they have been dead, or
+// unreachable with their zone, for DeadRetention.
 func (core *Core) reap() {
 	for id, known := range core.entries {
 		if _, listed := core.listed[id]; listed {
 			continue
 		}
-		long := !known.live() && core.now >= known.deadline
-		lost := known.zone.unreachable && core.now-known.zone.since >= core.settings.DeadRetention
-		if long || lost {
-			core.forget(known)
+		expired := !known.live() && core.now >= known.deadline
+		unreachable := known.zone.unreachable && core.now-known.zone.unreachableSince >= core.settings.DeadRetention
+		if expired || unreachable {
+			core.removeEntry(known)
 		}
 	}
 }
 
-// leave announces the planned stop.
+// leave announces the planned stop of this node.
 func (core *Core) leave(effects *Effects) {
 	if core.leaving {
 		return
@@ -187,27 +189,27 @@
 	core.viewHash ^= viewHashOf(core.settings.Self.ID, false) ^ viewHashOf(core.settings.Self.ID, true)
 	core.leaving = true
 	core.changed = true
-	core.spread(core.selfUpdate())
-	core.spreadRumours(effects)
+	core.queueRumour(core.selfUpdate())
+	core.sendRumours(effects)
 }
 
-// stop tells a few nodes that this one is gone, and falls silent.
+// stop announces to a few nodes that this node stops. Afterwards the node sends no more messages.
 func (core *Core) stop(effects *Effects) {
 	if core.stopped {
 		return
 	}
 	core.stopped = true
-	gone := message.MemberUpdate{Node: core.settings.Self.ID, State: message.MemberDead, Incarnation: core.incarnation}
+	stopped := message.MemberUpdate{Node: core.settings.Self.ID, State: message.MemberDead, Incarnation: core.incarnation}
 	for range stopFanout {
 		if target := core.rumourTarget(); target != nil {
-			core.send(effects, &target.machine, message.Ping{Incarnation: core.incarnation, Updates: []message.MemberUpdate{gone}})
+			core.send(effects, &target.machine, message.Ping{Incarnation: core.incarnation, Updates: []message.MemberUpdate{stopped}})
 		}
 	}
 }
 
-// JoinRequest announces this node to a seed and asks for the whole membership,
-// unless the seed takes the same nodes as alive. Its sequence is zero, since no
-// probe waits for an answer.
+// JoinRequest returns a ping that announces this node to a seed and requests the full member list,
+// unless the seed has the same view. Its sequence number is zero, since no probe waits for an
+// answer.
 func (core *Core) JoinRequest() message.Ping {
 	self := message.MemberUpdate{
 		Node:        core.settings.Self.ID,
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,11 +1,11 @@
-// Package member implements the membership of balancers: SWIM (Das, Gupta and
-// Motivala, DSN 2002) with suspicion and incarnations, by zone. It is a
-// deterministic core without I/O, clock or global randomness; see docs/DESIGN.md.
+// Package member implements the membership protocol of the load balancer nodes: SWIM (Das, Gupta
+// and Motivala, DSN 2002) with suspicion and incarnations, extended by zones. It is a deterministic
+// core without I/O, clock or global randomness; see docs/DESIGN.md.
 //
-// Each node probes the node after it on the hash ring of its zone, a random
-// node of its zone and a node of another zone in turn, once per ProbeInterval,
-// so that its cost does not depend on the size of the fleet. Updates ride on
-// probes and, while they are news, on a few extra messages within a byte budget.
+// Once per ProbeInterval, each node probes its successor on the hash ring of its zone, a random
+// node of its zone, and a node of another zone, with the other zones in turn. The cost per node
+// therefore does not depend on the size of the fleet. Updates are piggybacked on probes. New
+// updates are also sent in a few additional messages within a byte budget.
 package member
 
 import (
@@ -18,7 +18,7 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// Machine is where a balancer runs, as the platform lists it.
+// Machine is the name, zone and addresses of a load balancer node, as the platform lists them.
 type Machine struct {
 	ID      lb.NodeID
 	Zone    lb.Zone
@@ -26,51 +26,50 @@
 	Data    netip.AddrPort // Geneve over UDP
 }
 
-// Member is one balancer that this node takes as alive.
+// Member is a load balancer node that this node considers alive.
 type Member struct {
 	Machine
 	Leaving     bool
-	Incarnation uint64 // zero while only the machine list has told of it
+	Incarnation uint64 // zero while the node is known only from the list of machines
 }
 
-// Settings of the membership. Zero values are not valid; see DefaultSettings.
+// Settings configures the membership protocol. Zero values are not valid; see DefaultSettings.
 type Settings struct {
 	Self Machine
-	// Incarnation must be higher than in any earlier run under the same name:
+	// Incarnation must be higher than the incarnation of any earlier instance with the same name:
 	// the start time in milliseconds.
 	Incarnation uint64
-	// Seed of the node's random choices.
+	// Seed determines the node's random choices.
 	Seed uint64
-	// ProbeInterval is the time between probes of one kind.
+	// ProbeInterval is the time between probes of the same kind.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct answer may take, IndirectTimeout how
-	// much longer one through other nodes.
+	// ProbeTimeout is how long a direct answer may take, IndirectTimeout how much longer an answer
+	// through other nodes may take.
 	ProbeTimeout, IndirectTimeout time.Duration
-	// IndirectProbes is the number of nodes asked to probe in this node's place.
+	// IndirectProbes is the number of nodes that probe on behalf of this node.
 	IndirectProbes int
-	// SuspicionTimeout is the time in which a suspect node can refute.
+	// SuspicionTimeout is the time within which a suspect node can refute the suspicion.
 	SuspicionTimeout time.Duration
-	// RumourInterval is the time between extra messages while there is news.
+	// RumourInterval is the time between additional messages while there are new updates.
 	RumourInterval time.Duration
-	// RumourFanout is the number of nodes told at each RumourInterval.
+	// RumourFanout is the number of nodes that receive a message at each RumourInterval.
 	RumourFanout int
-	// RumourBytesPerSecond bounds these extra messages, and the updates that
-	// ride on others.
+	// RumourBytesPerSecond limits these additional messages, and the updates piggybacked on other
+	// messages.
 	RumourBytesPerSecond int
-	// PauseLimit is the gap between steps after which this node blames itself
-	// for answers that did not come.
+	// PauseLimit is the maximum gap between steps. After a longer gap, this node attributes missing
+	// answers to its own pause.
 	PauseLimit time.Duration
-	// AttemptInterval is the time between attempts to reach listed machines
-	// that are not members.
-	AttemptInterval time.Duration
-	// SyncInterval is the shortest time between requests for a peer's whole
-	// membership, once joined.
+	// MachinePingInterval is the time between pings to listed machines that are not members.
+	MachinePingInterval time.Duration
+	// SyncInterval is the minimum time between requests for a peer's full member list after this
+	// node has joined.
 	SyncInterval time.Duration
-	// DeadRetention is how long a dead node is remembered.
+	// DeadRetention is how long the entry of a dead node is kept.
 	DeadRetention time.Duration
 }
 
-// DefaultSettings gives the defaults for a node.
+// DefaultSettings returns the default settings of a node.
 func DefaultSettings(self Machine, incarnation, seed uint64) Settings {
 	return Settings{
 		Self:                 self,
@@ -85,13 +84,13 @@
 		RumourFanout:         3,
 		RumourBytesPerSecond: 3000,
 		PauseLimit:           500 * time.Millisecond,
-		AttemptInterval:      time.Second,
+		MachinePingInterval:  time.Second,
 		SyncInterval:         15 * time.Second,
 		DeadRetention:        10 * time.Minute,
 	}
 }
 
-// Validate names the first value that cannot be used.
+// Validate returns an error for the first invalid value.
 func (settings *Settings) Validate() error {
 	if settings.Self.ID == "" || settings.Self.Zone == "" {
 		return errors.Newf("member: self %+v has no name or no zone", settings.Self)
@@ -112,7 +111,7 @@
 		{"suspicion timeout", settings.SuspicionTimeout},
 		{"rumour interval", settings.RumourInterval},
 		{"pause limit", settings.PauseLimit},
-		{"attempt interval", settings.AttemptInterval},
+		{"machine ping interval", settings.MachinePingInterval},
 		{"sync interval", settings.SyncInterval},
 		{"dead retention", settings.DeadRetention},
 	}
@@ -128,23 +127,23 @@
 	return nil
 }
 
-// Event is one input. At most one of its fields is set; none makes a tick,
-// which is due every TickInterval.
+// Event is one input of the core. At most one of its fields is set. An event without fields is a
+// tick, which is due every TickInterval.
 type Event struct {
-	// Peer is a Ping, PingAck, PingReq or Members from another node.
+	// Peer is a message from another node: a Ping, PingAck, PingReq or Members.
 	Peer *PeerEvent
-	// Machines replaces the platform's list of machines, self included or not.
+	// Machines replaces the platform's list of machines. It may include this node.
 	Machines []Machine
 	// Leave announces the planned stop of this node.
 	Leave bool
-	// Stop announces that this node ends now: others need not detect it.
+	// Stop announces that this node stops now, so that other nodes need not detect it.
 	Stop bool
 }
 
 // PeerEvent is a message from another node.
 type PeerEvent struct {
 	From    lb.NodeID
-	Address netip.AddrPort // invalid when it came by TCP from an unknown sender
+	Address netip.AddrPort // invalid if the message arrived over TCP from an unknown sender
 	Message message.Message
 }
 
@@ -155,17 +154,18 @@
 	Message message.Message
 }
 
-// Effects is filled by one Step. The caller reuses it; Step resets it first.
+// Effects receives the results of one Step. The caller reuses it; Step resets it first.
 type Effects struct {
 	Messages []Outgoing
 	Batches  []Batch
-	// Changed: Members gives another list than before. Set on ticks only.
+	// Changed is set if Members returns another list than before. Only ticks set it.
 	Changed bool
-	// Rejoined: this node, or a whole zone, had been out of the others' view.
-	// What they decided meanwhile may be unknown here until it has resynced.
+	// Rejoined is set if this node, or a whole zone, had been missing from the views of the others.
+	// Until this node has synchronized again, it may not know what the others have decided
+	// meanwhile.
 	Rejoined bool
-	// Replaced: a later run under this name is alive at another address. This
-	// one has fallen silent and must end.
+	// Replaced is set if a later instance with the same name is alive at another address. This
+	// instance sends no more messages and must stop.
 	Replaced bool
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -11,35 +11,35 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// settled gives a fleet that has started and agrees.
-func settled(t testing.TB, size, zones int) *fleet {
+// convergedFleet returns a fleet that has started and whose views agree.
+func convergedFleet(t testing.TB, size, zones int) *fleet {
 	fleet := newFleet(t, size, zones, nil)
 	fleet.runFor(3 * time.Second)
 	if _, ok := fleet.runUntil(60*time.Second, fleet.agreed); !ok {
-		t.Fatal("the fleet does not agree after its start")
+		t.Fatal("the views of the fleet do not agree after its start")
 	}
 	return fleet
 }
 
 func TestKilledNodeLeavesAllViews(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 48, 3)
-	fleet.packs = true
+	fleet := convergedFleet(t, 48, 3)
+	fleet.compress = true
 	victim := fleet.nodes[17]
 	victim.down = true
 	took, ok := fleet.runUntil(6*time.Second, func() bool { return fleet.viewedBy(victim.machine.ID, false, nil) })
 	is.True(ok)
-	t.Logf("out of all views after %s", took)
+	t.Logf("removed from all views after %s", took)
 	fleet.runFor(20 * time.Second)
-	is.True(fleet.agreed()) // and nobody else is gone
+	is.True(fleet.agreed()) // no other node was removed
 	for _, node := range fleet.nodes {
-		is.True(node.largest <= 1000) // bytes of the largest message but Members
+		is.True(node.largest <= 1000) // bytes of the largest message except Members
 	}
 }
 
-func TestRestartedNodeComesBackWithHigherIncarnation(t *testing.T) {
+func TestRestartedNodeRejoinsWithHigherIncarnation(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 24, 3)
+	fleet := convergedFleet(t, 24, 3)
 	victim := fleet.nodes[5]
 	before := victim.core.Incarnation()
 	victim.down = true
@@ -49,29 +49,29 @@
 	_, ok := fleet.runUntil(10*time.Second, fleet.agreed)
 	is.True(ok)
 	is.True(victim.core.Incarnation() > before)
-	is.Equal(victim.rejoined, 0) // a new run has nothing to distrust
+	is.Equal(victim.rejoined, 0) // a new instance has no earlier view
 }
 
-func TestPausedNodeLearnsThatItWasDead(t *testing.T) {
+func TestPausedNodeLearnsThatItWasDeclaredDead(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 24, 3)
+	fleet := convergedFleet(t, 24, 3)
 	victim := fleet.nodes[5]
 	before := victim.core.Incarnation()
 	victim.paused = true
 	fleet.runFor(10 * time.Second)
 	is.True(fleet.viewedBy(victim.machine.ID, false, nil))
-	fleet.wake(victim)
+	fleet.resume(victim)
 	_, ok := fleet.runUntil(10*time.Second, fleet.agreed)
 	is.True(ok)
 	is.True(victim.core.Incarnation() > before)
 	is.True(victim.rejoined > 0)
 	fleet.runFor(10 * time.Second)
-	is.True(fleet.agreed()) // its old view has made it suspect nobody
+	is.True(fleet.agreed()) // its old view caused no suspicions
 }
 
 func TestLeavingAndStoppingNode(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 24, 3)
+	fleet := convergedFleet(t, 24, 3)
 	victim := fleet.nodes[5]
 	fleet.step(victim, &member.Event{Leave: true})
 	leaving := func() bool {
@@ -85,23 +85,23 @@
 	_, ok := fleet.runUntil(5*time.Second, leaving)
 	is.True(ok)
 	fleet.runFor(10 * time.Second)
-	is.True(leaving()) // alive and leaving for as long as it runs
+	is.True(leaving()) // the node remains alive and leaving while it runs
 	fleet.step(victim, &member.Event{Stop: true})
 	victim.down = true
 	took, ok := fleet.runUntil(5*time.Second, func() bool { return fleet.viewedBy(victim.machine.ID, false, nil) })
 	is.True(ok)
-	t.Logf("a stop is known everywhere after %s", took)
+	t.Logf("all nodes have learned of the stop after %s", took)
 }
 
-func TestCutZoneIsUnreachableAndComesBack(t *testing.T) {
+func TestPartitionedZoneIsUnreachableUntilThePartitionHeals(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 48, 3)
-	const cut = lb.Zone("zone-1")
+	fleet := convergedFleet(t, 48, 3)
+	const isolated = lb.Zone("zone-1")
 	setCut := func(on bool) {
-		fleet.network.Cut(cut, "zone-0", on)
-		fleet.network.Cut(cut, "zone-2", on)
+		fleet.network.Cut(isolated, "zone-0", on)
+		fleet.network.Cut(isolated, "zone-2", on)
 	}
-	inside := func(node *node) bool { return node.machine.Zone == cut }
+	inside := func(node *node) bool { return node.machine.Zone == isolated }
 	separate := func() bool {
 		for _, viewer := range fleet.nodes {
 			for _, other := range fleet.nodes {
@@ -116,10 +116,10 @@
 	setCut(true)
 	took, ok := fleet.runUntil(20*time.Second, separate)
 	is.True(ok)
-	t.Logf("both sides are apart after %s", took)
+	t.Logf("the sides are separated after %s", took)
 	fleet.runFor(20 * time.Second)
 	is.True(separate())
-	for _, viewer := range fleet.nodes { // each side still sees its own
+	for _, viewer := range fleet.nodes { // each side still views its own nodes as alive
 		for _, other := range fleet.nodes {
 			_, seen := viewer.view[other.machine.ID]
 			is.True(seen == (inside(viewer) == inside(other)))
@@ -128,66 +128,66 @@
 	setCut(false)
 	took, ok = fleet.runUntil(30*time.Second, fleet.agreed)
 	is.True(ok)
-	t.Logf("together again after %s", took)
+	t.Logf("all views agree again after %s", took)
 	for _, node := range fleet.nodes {
 		is.True(node.rejoined > 0)
 	}
 }
 
-// TestCutBetweenTwoZones: a third zone still speaks to both. Packets cannot be
-// relayed over the cut, so each side must leave the other out; nobody is dead, as
-// the third zone's views show.
-func TestCutBetweenTwoZones(t *testing.T) {
+// TestPartitionBetweenTwoZones cuts two zones off from each other while a third zone still
+// communicates with both. Packets cannot be relayed around the partition, so each side must remove
+// the other from its view. No node is dead, as the views of the third zone show.
+func TestPartitionBetweenTwoZones(t *testing.T) {
 	for _, size := range []int{3, 6, 24} {
 		is := is.New(t)
-		fleet := settled(t, size, 3)
+		fleet := convergedFleet(t, size, 3)
 		fleet.network.Cut("zone-0", "zone-1", true)
-		apart := func() bool {
+		separate := func() bool {
 			for _, viewer := range fleet.nodes {
 				for _, other := range fleet.nodes {
 					_, seen := viewer.view[other.machine.ID]
-					bothAway := viewer.machine.Zone != "zone-2" && other.machine.Zone != "zone-2"
-					if seen == (bothAway && viewer.machine.Zone != other.machine.Zone) {
+					bothOutside := viewer.machine.Zone != "zone-2" && other.machine.Zone != "zone-2"
+					if seen == (bothOutside && viewer.machine.Zone != other.machine.Zone) {
 						return false
 					}
 				}
 			}
 			return true
 		}
-		took, ok := fleet.runUntil(20*time.Second, apart)
+		took, ok := fleet.runUntil(20*time.Second, separate)
 		is.True(ok)
-		t.Logf("%d nodes: apart after %s", size, took)
+		t.Logf("%d nodes: separated after %s", size, took)
 		for range 20 {
 			fleet.runFor(time.Second)
-			is.True(apart())
+			is.True(separate())
 		}
 		fleet.network.Cut("zone-0", "zone-1", false)
 		took, ok = fleet.runUntil(10*time.Second, fleet.agreed)
 		is.True(ok)
-		t.Logf("%d nodes: together after %s", size, took)
+		t.Logf("%d nodes: all views agree again after %s", size, took)
 	}
 }
 
-func TestWholeZoneDies(t *testing.T) {
+func TestZoneFailure(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 48, 3)
+	fleet := convergedFleet(t, 48, 3)
 	for _, node := range fleet.nodes {
 		node.down = node.machine.Zone == "zone-2"
 	}
 	took, ok := fleet.runUntil(10*time.Second, fleet.agreed)
 	is.True(ok)
-	t.Logf("a dead zone is out of all views after %s", took)
+	t.Logf("the failed zone is removed from all views after %s", took)
 }
 
 func TestJoinWithLaggingMachineList(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 12, 3)
-	gone := fleet.nodes[3]
-	gone.down = true
+	fleet := convergedFleet(t, 12, 3)
+	dead := fleet.nodes[3]
+	dead.down = true
 	fleet.runFor(10 * time.Second)
 	joining := fleet.machines[0]
 	joining.ID = "node-new"
-	listed := fleet.machines[:6] // lists the dead one, not the new one and not all of the others
+	listed := fleet.machines[:6] // contains the dead node, not the new one and not all others
 	fleet.add(joining, listed)
 	_, ok := fleet.runUntil(10*time.Second, fleet.agreed)
 	is.True(ok)
@@ -196,7 +196,7 @@
 func TestSmallFleets(t *testing.T) {
 	for _, size := range []int{1, 2, 3} {
 		is := is.New(t)
-		fleet := settled(t, size, 3)
+		fleet := convergedFleet(t, size, 3)
 		fleet.runFor(30 * time.Second)
 		is.True(fleet.agreed())
 		if size == 1 {
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestLossyNetworkKillsNobody(t *testing.T) {
+func TestMessageLossCausesNoFalseDeaths(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(t, 24, 3, nil)
 	fleet.network.Loss = 0.05
@@ -224,9 +224,9 @@
 	}
 }
 
-func TestReplacedRunFallsSilent(t *testing.T) {
+func TestReplacedInstanceStopsSending(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 6, 3)
+	fleet := convergedFleet(t, 6, 3)
 	old := fleet.nodes[2]
 	update := message.MemberUpdate{
 		Node: old.machine.ID, Zone: old.machine.Zone, Control: "10.9.9.9:4700", Data: "10.9.9.9:6081",
@@ -241,7 +241,7 @@
 	is.Equal(len(old.effects.Messages), 0)
 }
 
-func TestNewRefusesBadSettings(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	_, err := member.New(member.DefaultSettings(member.Machine{}, 1, 1))
 	is.True(err != nil)
--- a/internal/member/asker_test.go
+++ b/internal/member/memberlist_test.go
@@ -15,64 +15,65 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// Size of a fleet that starts all at once, and its seeds.
+// These are the size of a fleet whose nodes all start at once, the number of its seeds, and the
+// interval of join requests.
 const (
 	startingNodes = 200
 	seedCount     = 3
-	askInterval   = 500 * time.Millisecond
+	joinInterval  = 500 * time.Millisecond
 )
 
-// joinAll has every node that knows no other ask the seeds.
-func (fleet *fleet) joinAll() {
-	for _, asker := range fleet.nodes {
-		if len(asker.view) > 1 {
+// sendJoinRequests makes every node that knows no other node send a join request to the seeds.
+func (fleet *fleet) sendJoinRequests() {
+	for _, requester := range fleet.nodes {
+		if len(requester.view) > 1 {
 			continue
 		}
 		for _, seed := range fleet.nodes[:seedCount] {
-			if seed != asker {
-				fleet.send(asker, seed, asker.core.JoinRequest())
+			if seed != requester {
+				fleet.send(requester, seed, requester.core.JoinRequest())
 			}
 		}
 	}
 }
 
-// startAlone gives nodes that know nobody.
-func startAlone(t *testing.T) *fleet {
+// unjoinedFleet returns a fleet whose nodes know no other nodes.
+func unjoinedFleet(t *testing.T) *fleet {
 	fleet := newFleet(t, seedCount, 3, nil)
 	for _, node := range fleet.nodes {
 		fleet.add(node.machine, nil)
 	}
-	wide := newFleet(t, startingNodes, 3, nil)
-	for _, machine := range wide.machines[seedCount:] {
+	large := newFleet(t, startingNodes, 3, nil)
+	for _, machine := range large.machines[seedCount:] {
 		fleet.add(machine, nil)
 	}
 	return fleet
 }
 
-// TestFleetThatStartsAtOnceAgreesSoon: nodes ask three seeds, which answer a few
-// of them with the whole membership and tell the others whom to ask.
-func TestFleetThatStartsAtOnceAgreesSoon(t *testing.T) {
+// TestSimultaneousStartConverges covers a fleet whose nodes all request the member list from three
+// seeds, which answer a few of them with the full list and the others with a partial one.
+func TestSimultaneousStartConverges(t *testing.T) {
 	is := is.New(t)
-	fleet := startAlone(t)
+	fleet := unjoinedFleet(t)
 	for range 8 {
-		fleet.joinAll()
-		fleet.runFor(askInterval)
+		fleet.sendJoinRequests()
+		fleet.runFor(joinInterval)
 	}
-	is.True(fleet.agreed()) // 4 s after the start; by rumours alone it takes more than 5
+	is.True(fleet.agreed()) // 4 s after the start; with rumours alone it takes more than 5 s
 }
 
-// TestWholeMembershipIsEncodedOnceATick: whoever asks while others wait is
-// answered with them, or told whom to ask.
-func TestWholeMembershipIsEncodedOnceATick(t *testing.T) {
+// TestFullMemberListIsEncodedOncePerTick checks that requests that arrive while others wait are
+// answered together at the next tick, with the full list or with a partial one.
+func TestFullMemberListIsEncodedOncePerTick(t *testing.T) {
 	is := is.New(t)
-	fleet := startAlone(t)
+	fleet := unjoinedFleet(t)
 	seed := fleet.nodes[0]
-	encoded, whole, partial := 0, 0, 0
+	encoded, full, partial := 0, 0, 0
 	count := func() {
 		for _, outgoing := range seed.effects.Messages {
-			if told, found := outgoing.Message.(message.Members); found && !told.Partial {
+			if list, found := outgoing.Message.(message.Members); found && !list.Partial {
 				encoded++
-				whole++
+				full++
 			}
 		}
 		for _, batch := range seed.effects.Batches {
@@ -81,28 +82,28 @@
 				partial += len(batch.To)
 				continue
 			}
-			whole += len(batch.To)
+			full += len(batch.To)
 		}
 	}
 	fleet.runFor(time.Second)
-	for _, asker := range fleet.nodes[1:61] {
+	for _, requester := range fleet.nodes[1:61] {
 		fleet.step(seed, &member.Event{Peer: &member.PeerEvent{
-			From: asker.machine.ID, Address: asker.machine.Control, Message: asker.core.JoinRequest(),
+			From: requester.machine.ID, Address: requester.machine.Control, Message: requester.core.JoinRequest(),
 		}})
 		count()
 	}
-	is.Equal(whole, 1)
+	is.Equal(full, 1)
 	_, answered := fleet.runUntil(time.Second, func() bool { return len(seed.effects.Batches) > 0 })
 	is.True(answered)
 	count()
-	is.Equal(encoded, 3) // one at once, one for those who waited, one that names members
-	is.Equal(whole, 9)
+	is.Equal(encoded, 3) // one immediate list, one full list and one partial list for the queued requests
+	is.Equal(full, 9)
 	is.Equal(partial, 51)
 }
 
-// BenchmarkWholeMembership is what it costs to encode and compress the whole
-// membership for those who join; MaxMembers bounds it.
-func BenchmarkWholeMembership(b *testing.B) {
+// BenchmarkFullMemberList measures the cost of encoding and compressing the full member list for
+// joining nodes. MaxMembers limits its size.
+func BenchmarkFullMemberList(b *testing.B) {
 	for _, count := range []int{300, 1000, message.MaxMembers} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
 			machines := make([]member.Machine, count)
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -8,18 +8,18 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// probe is one question whether a node is alive, until answered or failed.
+// probe is a pending probe of a node.
 type probe struct {
-	sequence uint64
-	target   lb.NodeID
-	zone     *zone
-	started  time.Duration
-	indirect bool // other nodes have been asked
-	followUp bool // sent to tell a dead node from an unreachable zone
-	done     bool
+	sequence     uint64
+	target       lb.NodeID
+	zone         *zone
+	started      time.Duration
+	indirectSent bool // other nodes have been requested to probe
+	followUp     bool // sent to distinguish a dead node from an unreachable zone
+	done         bool
 }
 
-// forwardedProbe is one made in the place of another node.
+// forwardedProbe is a probe on behalf of another node.
 type forwardedProbe struct {
 	sequence       uint64
 	origin         Machine
@@ -27,11 +27,11 @@
 	expires        time.Duration
 }
 
-// maxForwarded bounds the probes made for others at one time.
+// maxForwarded is the maximum number of pending probes on behalf of other nodes.
 const maxForwarded = 64
 
-// startProbes sends the probes of one interval: the successor on the ring, a
-// random node of the own zone, and a node of the next other zone in turn.
+// startProbes sends the probes of one interval: to the successor on the ring, to a random node of
+// the local zone, and to a node of another zone, with the zones in turn.
 func (core *Core) startProbes(effects *Effects) {
 	first := core.ringSuccessor()
 	if first != nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// ringSuccessor is the next node of the own zone, or of all zones when this
-// node is alone in its own.
+// ringSuccessor returns the next node of the local zone, or of all zones if this node is alone in
+// its zone.
 func (core *Core) ringSuccessor() *entry {
 	self := core.settings.Self.ID.Hash()
 	if next := core.ownZone.successor(self); next != nil {
@@ -66,11 +66,12 @@
 	return zone.live[core.random.IntN(len(zone.live))]
 }
 
-// nextOtherZone goes through the zones with live nodes, unreachable ones included.
+// nextOtherZone returns the next zone with live nodes in round-robin order, including unreachable
+// zones, or nil if there is no other zone.
 func (core *Core) nextOtherZone() *zone {
 	for range core.zones {
-		core.crossZone = (core.crossZone + 1) % len(core.zones)
-		candidate := core.zones[core.crossZone]
+		core.zoneIndex = (core.zoneIndex + 1) % len(core.zones)
+		candidate := core.zones[core.zoneIndex]
 		if candidate != core.ownZone && len(candidate.live) > 0 {
 			return candidate
 		}
@@ -96,7 +97,7 @@
 	core.ping(&target.machine, core.sequence, effects)
 }
 
-// ping sends a Ping with what the target should know.
+// ping sends a Ping with the updates for the target.
 func (core *Core) ping(target *Machine, sequence uint64, effects *Effects) {
 	core.send(effects, target, message.Ping{
 		Sequence:    sequence,
@@ -107,8 +108,8 @@
 	})
 }
 
-// advanceProbes asks other nodes when a direct answer is late and gives up
-// when theirs is late as well.
+// advanceProbes sends indirect probes if a direct answer is overdue, and lets a probe fail if the
+// indirect answers are overdue as well.
 func (core *Core) advanceProbes(effects *Effects) {
 	for index := 0; index < len(core.probes); index++ { // probeFailed may append
 		current := &core.probes[index]
@@ -119,9 +120,9 @@
 			current.done = true
 			failed := *current
 			core.probeFailed(&failed, effects)
-		case age >= core.settings.ProbeTimeout && !current.indirect:
-			current.indirect = true
-			core.askOthers(current.target, current.sequence, effects)
+		case age >= core.settings.ProbeTimeout && !current.indirectSent:
+			current.indirectSent = true
+			core.sendIndirectProbes(current.target, current.sequence, effects)
 		}
 	}
 	core.probes = slices.DeleteFunc(core.probes, func(probe probe) bool { return probe.done })
@@ -130,14 +131,14 @@
 	})
 }
 
-// askOthers asks a few nodes to probe the target: one of its own zone, one of
-// this node's zone, and others from other zones, or from anywhere.
-func (core *Core) askOthers(id lb.NodeID, sequence uint64, effects *Effects) {
+// sendIndirectProbes requests that a few nodes probe the target: one of the target's zone, one of
+// the local zone, and others of other zones, or of any zone if there are no others.
+func (core *Core) sendIndirectProbes(id lb.NodeID, sequence uint64, effects *Effects) {
 	target := core.entries[id]
 	if target == nil {
 		return
 	}
-	asked := []*entry{target}
+	used := []*entry{target}
 	for attempt := range 2 * core.settings.IndirectProbes {
 		var helper *entry
 		switch attempt {
@@ -146,21 +147,22 @@
 		case 1:
 			helper = core.randomIn(core.ownZone)
 		default:
-			helper = core.randomIn(core.bridgeZone(target.zone))
+			helper = core.randomIn(core.relayZone(target.zone))
 		}
-		if helper == nil || slices.Contains(asked, helper) {
+		if helper == nil || slices.Contains(used, helper) {
 			continue
 		}
-		asked = append(asked, helper)
+		used = append(used, helper)
 		core.send(effects, &helper.machine, message.PingReq{Sequence: sequence, Target: id, Updates: core.updatesFor(helper.machine.ID)})
-		if len(asked) > core.settings.IndirectProbes {
+		if len(used) > core.settings.IndirectProbes {
 			return
 		}
 	}
 }
 
-// bridgeZone picks a zone that is neither the own nor the other one, if there is any.
-func (core *Core) bridgeZone(other *zone) *zone {
+// relayZone returns a random zone with live nodes that is neither the local nor the other zone, or
+// any zone if there is none.
+func (core *Core) relayZone(other *zone) *zone {
 	offset := core.random.IntN(len(core.zones))
 	for index := range core.zones {
 		candidate := core.zones[(offset+index)%len(core.zones)]
@@ -171,7 +173,7 @@
 	return core.zones[offset]
 }
 
-// randomIn gives a random live node of a reachable zone, or nil.
+// randomIn returns a random live node of a reachable zone, or nil if there is none.
 func (core *Core) randomIn(zone *zone) *entry {
 	if zone.unreachable || len(zone.live) == 0 {
 		return nil
@@ -179,7 +181,7 @@
 	return core.randomOf(zone)
 }
 
-// receive takes one message.
+// receive handles one message.
 func (core *Core) receive(event *PeerEvent, effects *Effects) {
 	if core.stopped || event.From == core.settings.Self.ID {
 		return
@@ -187,25 +189,26 @@
 	switch received := event.Message.(type) {
 	case message.Ping:
 		core.applyAll(received.Updates)
-		core.heardFrom(event.From, received.Incarnation)
+		core.recordAlive(event.From, received.Incarnation)
 		core.compareView(event, received.View, effects)
 		core.answer(event, &received, effects)
 	case message.PingAck:
 		core.applyAll(received.Updates)
-		core.heardFrom(event.From, received.Incarnation)
+		core.recordAlive(event.From, received.Incarnation)
 		core.compareView(event, received.View, effects)
 		core.acknowledge(event.From, received.Sequence, effects)
 	case message.PingReq:
 		core.applyAll(received.Updates)
-		core.heardFrom(event.From, 0)
+		core.recordAlive(event.From, 0)
 		core.forward(event, &received, effects)
 	case message.Members:
-		core.heardFrom(event.From, 0)
-		core.takeMembers(&received, effects)
+		core.recordAlive(event.From, 0)
+		core.handleMembers(&received, effects)
 	}
 }
 
-// sender gives the machine to answer a message to; false when its address is not known.
+// sender returns the machine to which answers to a message are sent, and false if its address is
+// unknown.
 func (core *Core) sender(event *PeerEvent) (Machine, bool) {
 	address := event.Address
 	if !address.IsValid() {
@@ -219,9 +222,9 @@
 	if !ok {
 		return
 	}
-	agreedJoin := ping.Sequence == 0 && ping.View == core.viewHash
-	if ping.Full && !agreedJoin {
-		core.noteAsker(sender, effects)
+	sameViewJoin := ping.Sequence == 0 && ping.View == core.viewHash
+	if ping.Full && !sameViewJoin {
+		core.handleListRequest(sender, effects)
 	}
 	if ping.Sequence == 0 {
 		return
@@ -235,7 +238,8 @@
 	})
 }
 
-// acknowledge ends the probe that an answer belongs to, or passes the answer on.
+// acknowledge ends the probe that an answer belongs to, or forwards the answer to the node on whose
+// behalf the probe was sent.
 func (core *Core) acknowledge(from lb.NodeID, sequence uint64, effects *Effects) {
 	for index := range core.probes {
 		if core.probes[index].sequence != sequence || core.probes[index].done {
@@ -243,7 +247,7 @@
 		}
 		core.probes[index].done = true
 		if answered := core.probes[index]; answered.target != from {
-			core.probeBridged(&answered, effects)
+			core.probeAnsweredIndirectly(&answered, effects)
 		}
 		return
 	}
@@ -264,7 +268,7 @@
 	}
 }
 
-// forward probes in the place of another node.
+// forward sends a probe on behalf of another node.
 func (core *Core) forward(event *PeerEvent, request *message.PingReq, effects *Effects) {
 	origin, ok := core.sender(event)
 	target := core.entries[request.Target]
--- a/internal/member/random_test.go
+++ b/internal/member/random_test.go
@@ -12,16 +12,16 @@
 	"robinpulley.example/robinpulley/internal/sim"
 )
 
-// TestRandomFaultsConverge kills, restarts and pauses nodes and cuts zones at
-// random for a minute, also together; once all is well again every view must
-// be right, and no node may have gone back in its incarnation.
+// TestRandomFaultsConverge kills, restarts and pauses nodes and cuts zones off at random for a minute, also
+// simultaneously. After all faults are repaired, every view must be correct, and no incarnation may
+// have decreased.
 func TestRandomFaultsConverge(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			fleet := settled(t, 18, 3)
-			fleet.packs = seed == 0
+			fleet := convergedFleet(t, 18, 3)
+			fleet.compress = seed == 0
 			random := sim.NewRandom(seed)
 			incarnations := make(map[lb.NodeID]uint64)
 			for range 30 {
@@ -38,7 +38,7 @@
 					node.paused = !node.down
 				case 3:
 					if node.paused {
-						fleet.wake(node)
+						fleet.resume(node)
 					}
 				case 4:
 					cut := random.IntN(2) == 0
@@ -55,40 +55,40 @@
 			}
 			for _, node := range fleet.nodes {
 				if node.paused {
-					fleet.wake(node)
+					fleet.resume(node)
 				}
 				if node.down {
 					fleet.add(node.machine, fleet.machines)
 				}
 			}
 			took, ok := fleet.runUntil(60*time.Second, fleet.agreed)
-			t.Logf("all agree after %s", took)
+			t.Logf("all views agree after %s", took)
 			is.True(ok)
 			fleet.runFor(10 * time.Second)
 			is.True(fleet.agreed())
 			for _, node := range fleet.nodes {
-				is.True(!fleet.packs || node.largest <= 1000)
+				is.True(!fleet.compress || node.largest <= 1000)
 			}
 		})
 	}
 }
 
-// TestRackDies: neighbours on the ring die together.
-func TestRackDies(t *testing.T) {
+// TestRackFailure stops neighbours on the ring simultaneously.
+func TestRackFailure(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 96, 3)
+	fleet := convergedFleet(t, 96, 3)
 	for _, node := range fleet.nodes[:12] {
 		node.down = true
 	}
 	took, ok := fleet.runUntil(20*time.Second, fleet.agreed)
 	is.True(ok)
-	t.Logf("12 of 96 nodes out of all views after %s", took)
+	t.Logf("12 of 96 nodes are removed from all views after %s", took)
 }
 
-// TestRollingRestart leaves, stops and restarts one node after the other.
+// TestRollingRestart announces the leave of one node after the other, and stops and restarts it.
 func TestRollingRestart(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 24, 3)
+	fleet := convergedFleet(t, 24, 3)
 	for _, node := range fleet.nodes[:12] {
 		fleet.step(node, &member.Event{Leave: true})
 		fleet.runFor(2 * time.Second)
--- a/internal/member/rules_test.go
+++ b/internal/member/rules_test.go
@@ -12,13 +12,13 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// accuse has one node say that another, which is well, is suspect, and tells
-// whether all still see it after a while.
-func accuse(t *testing.T, refutes bool) bool {
-	fleet := settled(t, 24, 3)
+// survivesFalseSuspicion makes one node send a suspicion of a healthy node, and reports whether all
+// views still contain that node after a while.
+func survivesFalseSuspicion(t *testing.T, refutes bool) bool {
+	fleet := convergedFleet(t, 24, 3)
 	victim := fleet.nodes[7]
 	if !refutes {
-		victim.core.IgnoreRefutes()
+		victim.core.DisableRefutation()
 	}
 	fleet.step(fleet.nodes[1], &member.Event{Peer: &member.PeerEvent{
 		From:    fleet.nodes[2].machine.ID,
@@ -36,21 +36,21 @@
 	return true
 }
 
-// TestRefutationByIncarnation: a node wrongly suspected stays in all views. The
-// mutant that does not refute falls out.
+// TestRefutationByIncarnation checks that a falsely suspected node stays in all views, and that a
+// mutant without refutation is removed from them.
 func TestRefutationByIncarnation(t *testing.T) {
 	is := is.New(t)
-	is.True(accuse(t, true))
-	is.True(!accuse(t, false)) // rule off
+	is.True(survivesFalseSuspicion(t, true))
+	is.True(!survivesFalseSuspicion(t, false)) // with the rule disabled
 }
 
-// learnsLate has a node refute a suspicion before it hears that another one has
-// declared it dead already, and tells whether it learns of that later.
-func learnsLate(t *testing.T, change func(*member.Core)) bool {
-	fleet := settled(t, 6, 3)
+// learnsOfDeath makes a node refute a suspicion before it learns that another node has already
+// declared it dead, and reports whether the node learns of that later.
+func learnsOfDeath(t *testing.T, change func(*member.Core)) bool {
+	fleet := convergedFleet(t, 6, 3)
 	viewer, victim := fleet.nodes[0], fleet.nodes[1]
 	change(viewer.core)
-	tell := func(to *node, update message.MemberUpdate) {
+	send := func(to *node, update message.MemberUpdate) {
 		fleet.step(to, &member.Event{Peer: &member.PeerEvent{
 			From:    fleet.nodes[2].machine.ID,
 			Address: fleet.nodes[2].machine.Control,
@@ -58,9 +58,10 @@
 		}})
 	}
 	incarnation := victim.core.Incarnation()
-	tell(viewer, message.MemberUpdate{Node: victim.machine.ID, State: message.MemberDead, Incarnation: incarnation})
-	tell(victim, message.MemberUpdate{Node: victim.machine.ID, State: message.MemberSuspect, Incarnation: incarnation})
-	// The viewer hears of the refutation before the victim hears of its death.
+	send(viewer, message.MemberUpdate{Node: victim.machine.ID, State: message.MemberDead, Incarnation: incarnation})
+	send(victim, message.MemberUpdate{Node: victim.machine.ID, State: message.MemberSuspect, Incarnation: incarnation})
+	// The viewer receives the refutation before the victim receives the update that declares it
+	// dead.
 	fleet.step(viewer, &member.Event{Peer: &member.PeerEvent{
 		From:    victim.machine.ID,
 		Address: victim.machine.Control,
@@ -74,17 +75,19 @@
 	return victim.rejoined > 0
 }
 
-// TestDeathIsToldLate: without the rule a node never learns of it.
-func TestDeathIsToldLate(t *testing.T) {
+// TestNodeLearnsLateThatItWasDeclaredDead also checks that a node never learns of its declared
+// death without the rule.
+func TestNodeLearnsLateThatItWasDeclaredDead(t *testing.T) {
 	is := is.New(t)
-	is.True(learnsLate(t, func(*member.Core) {}))
-	is.True(!learnsLate(t, (*member.Core).HideDeaths)) // rule off
+	is.True(learnsOfDeath(t, func(*member.Core) {}))
+	is.True(!learnsOfDeath(t, (*member.Core).DisableDeathNotices)) // with the rule disabled
 }
 
-// TestOldUpdatesChangeNothing: what an old view says of a newer run is no news.
-func TestOldUpdatesChangeNothing(t *testing.T) {
+// TestStaleUpdatesAreIgnored checks that updates about an earlier incarnation of a node are
+// ignored.
+func TestStaleUpdatesAreIgnored(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 6, 3)
+	fleet := convergedFleet(t, 6, 3)
 	viewer, other := fleet.nodes[0], fleet.nodes[1]
 	old := other.core.Incarnation() - 1
 	for _, state := range []message.MemberState{message.MemberSuspect, message.MemberDead, message.MemberLeaving} {
@@ -100,18 +103,18 @@
 	fleet.runFor(5 * time.Second)
 	is.True(fleet.agreed())
 	is.True(!viewer.view[other.machine.ID].Leaving)
-	is.Equal(other.core.Incarnation(), old+1) // nothing to refute
+	is.Equal(other.core.Incarnation(), old+1) // it had nothing to refute
 }
 
-// TestJoinThatAgreesCostsNoList: a member that asks a seed now and then is
-// answered with the whole membership only when the two differ.
-func TestJoinThatAgreesCostsNoList(t *testing.T) {
+// TestJoinRequestWithEqualViewReturnsNoList checks that a seed answers a periodic join request of a
+// member with the full list only if their views differ.
+func TestJoinRequestWithEqualViewReturnsNoList(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 6, 3)
-	seed, asker := fleet.nodes[0], fleet.nodes[1]
+	fleet := convergedFleet(t, 6, 3)
+	seed, requester := fleet.nodes[0], fleet.nodes[1]
 	lists := func() int {
 		fleet.step(seed, &member.Event{Peer: &member.PeerEvent{
-			From: asker.machine.ID, Address: asker.machine.Control, Message: asker.core.JoinRequest(),
+			From: requester.machine.ID, Address: requester.machine.Control, Message: requester.core.JoinRequest(),
 		}})
 		count := 0
 		for _, outgoing := range seed.effects.Messages {
@@ -122,7 +125,7 @@
 		return count
 	}
 	is.Equal(lists(), 0)
-	fleet.step(asker, &member.Event{Peer: &member.PeerEvent{
+	fleet.step(requester, &member.Event{Peer: &member.PeerEvent{
 		From: fleet.nodes[2].machine.ID, Address: fleet.nodes[2].machine.Control,
 		Message: message.Ping{Updates: []message.MemberUpdate{{
 			Node: fleet.nodes[3].machine.ID, State: message.MemberDead, Incarnation: fleet.nodes[3].core.Incarnation(),
@@ -131,12 +134,12 @@
 	is.Equal(lists(), 1)
 }
 
-// TestRumoursKeepToTheirBytes: many nodes restarted at once make much news; the
-// extra messages stay within their rate.
-func TestRumoursKeepToTheirBytes(t *testing.T) {
+// TestRumoursStayWithinTheirByteRate checks that the additional messages stay within their rate
+// when many nodes announce changes at once.
+func TestRumoursStayWithinTheirByteRate(t *testing.T) {
 	is := is.New(t)
-	fleet := settled(t, 48, 3)
-	fleet.packs = true
+	fleet := convergedFleet(t, 48, 3)
+	fleet.compress = true
 	fleet.runFor(5 * time.Second)
 	fleet.resetBytes()
 	const span = 20 * time.Second
@@ -152,9 +155,10 @@
 	}
 }
 
-// TestAgreementWithOnePeerDoesNotHideAnother: a node that agrees with some peer
-// asks one that differs for its view all the same. Found by the scale run: of
-// 192 nodes started at once, some missed eight others for over a minute.
+// TestAgreementWithOnePeerDoesNotHideAnother checks that a node requests the view of a peer that
+// differs even while another peer agrees. Otherwise, when many nodes start at once, a few nodes
+// that lack the same members agree with each other and do not learn of these members for over a
+// minute.
 func TestAgreementWithOnePeerDoesNotHideAnother(t *testing.T) {
 	is := is.New(t)
 	machine := func(id lb.NodeID, port uint16) member.Machine {
@@ -166,7 +170,7 @@
 	is.NoErr(err)
 	var effects member.Effects
 	core.Step(0, &member.Event{Machines: []member.Machine{same, other}}, &effects)
-	tell := func(now time.Duration, from *member.Machine, content message.Message) {
+	receive := func(now time.Duration, from *member.Machine, content message.Message) {
 		core.Step(now, &member.Event{Peer: &member.PeerEvent{From: from.ID, Address: from.Control, Message: content}}, &effects)
 	}
 	var updates []message.MemberUpdate
@@ -176,8 +180,8 @@
 			State: message.MemberAlive, Incarnation: 1,
 		})
 	}
-	tell(0, &same, message.Members{Updates: updates}) // it has joined
-	own, asked := uint64(0), false
+	receive(0, &same, message.Members{Updates: updates}) // the node has joined
+	own, requested := uint64(0), false
 	for now := time.Duration(0); now < 40*time.Second; now += member.TickInterval {
 		core.Step(now, &member.Event{}, &effects)
 		for _, from := range []*member.Machine{&same, &other} {
@@ -185,23 +189,23 @@
 			if from == &other {
 				view++
 			}
-			tell(now, from, message.Ping{Sequence: 1, Incarnation: 1, View: view})
+			receive(now, from, message.Ping{Sequence: 1, Incarnation: 1, View: view})
 			for _, outgoing := range effects.Messages {
 				if answer, ok := outgoing.Message.(message.PingAck); ok {
 					own = answer.View
 				}
 				request, ok := outgoing.Message.(message.Ping)
-				asked = asked || ok && request.Full && outgoing.To == "other"
+				requested = requested || ok && request.Full && outgoing.To == "other"
 			}
 		}
 	}
-	is.True(asked)
+	is.True(requested)
 }
 
-// TestBridgedAnswerOfAZoneThatIsGone is the end of a balancer in varied-3 of
-// kfr-accra: the only node of a zone was probed through another one, was
-// declared dead meanwhile, and the answer came after that.
-func TestBridgedAnswerOfAZoneThatIsGone(t *testing.T) {
+// TestIndirectAnswerFromRemovedZone guards against a crash: the only node of a zone was probed
+// through another node and declared dead meanwhile, and the answer arrived afterwards, when the
+// zone was empty.
+func TestIndirectAnswerFromRemovedZone(t *testing.T) {
 	is := is.New(t)
 	machine := func(id lb.NodeID, zone lb.Zone, port uint16) member.Machine {
 		address := netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), port)
@@ -212,8 +216,8 @@
 	is.NoErr(err)
 	effects := member.Effects{}
 	now := time.Duration(0)
-	fromHelper := func(told message.Message) {
-		core.Step(now, &member.Event{Peer: &member.PeerEvent{From: helper.ID, Address: helper.Control, Message: told}}, &effects)
+	fromHelper := func(received message.Message) {
+		core.Step(now, &member.Event{Peer: &member.PeerEvent{From: helper.ID, Address: helper.Control, Message: received}}, &effects)
 	}
 	update := func(m member.Machine, state message.MemberState) message.MemberUpdate {
 		return message.MemberUpdate{
@@ -223,24 +227,24 @@
 	fromHelper(message.Members{Updates: []message.MemberUpdate{
 		update(target, message.MemberAlive), update(helper, message.MemberAlive),
 	}})
-	asked := uint64(0) // the sequence of a probe of the target that the helper was asked for
-	for asked == 0 && now < time.Minute {
+	sequence := uint64(0) // sequence number of the indirect probe of the target that the helper received
+	for sequence == 0 && now < time.Minute {
 		now += 50 * time.Millisecond
 		core.Step(now, &member.Event{}, &effects)
 		sent := append(effects.Messages[:0:0], effects.Messages...)
 		for _, outgoing := range sent {
-			switch told := outgoing.Message.(type) {
+			switch probe := outgoing.Message.(type) {
 			case message.Ping:
-				if outgoing.Address == helper.Control && told.Sequence > 0 {
-					fromHelper(message.PingAck{Sequence: told.Sequence, Incarnation: 1})
+				if outgoing.Address == helper.Control && probe.Sequence > 0 {
+					fromHelper(message.PingAck{Sequence: probe.Sequence, Incarnation: 1})
 				}
 			case message.PingReq:
-				asked = told.Sequence
+				sequence = probe.Sequence
 			}
 		}
 	}
-	is.True(asked > 0)
+	is.True(sequence > 0)
 	fromHelper(message.Ping{Updates: []message.MemberUpdate{update(target, message.MemberDead)}})
-	fromHelper(message.PingAck{Sequence: asked, Incarnation: 1})
+	fromHelper(message.PingAck{Sequence: sequence, Incarnation: 1})
 	is.Equal(len(core.Members(nil)), 2) // this node and the helper
 }
--- a/internal/member/update.go
+++ b/internal/member/update.go
@@ -10,7 +10,8 @@
 
 func (entry *entry) suspect() bool { return entry.state == message.MemberSuspect }
 
-// rank orders the states of one incarnation: a higher one overrides (SWIM, section 4.2).
+// rank orders the states of one incarnation. A higher state overrides a lower one (SWIM, section
+// 4.2).
 func rank(state message.MemberState) int {
 	switch state {
 	case message.MemberAlive:
@@ -23,7 +24,7 @@
 	return 3
 }
 
-// supersedes tells whether an update is news about an entry.
+// supersedes reports whether an update is newer than the state of an entry.
 func supersedes(update *message.MemberUpdate, known *entry) bool {
 	if update.Incarnation != known.incarnation {
 		return update.Incarnation > known.incarnation
@@ -31,16 +32,16 @@
 	return rank(update.State) > rank(known.state)
 }
 
-// applyAll takes the updates that rode on a message and passes on what is news.
+// applyAll applies the updates piggybacked on a message and queues the new ones as rumours.
 func (core *Core) applyAll(updates []message.MemberUpdate) {
 	for index := range updates {
 		if core.apply(&updates[index]) {
-			core.spread(updates[index])
+			core.queueRumour(updates[index])
 		}
 	}
 }
 
-// apply takes one update and tells whether it is news to pass on.
+// apply applies one update and reports whether it is new and must be disseminated.
 func (core *Core) apply(update *message.MemberUpdate) bool {
 	if update.Node == core.settings.Self.ID {
 		core.applySelf(update)
@@ -48,62 +49,62 @@
 	}
 	known := core.entries[update.Node]
 	if known == nil {
-		return core.addFrom(update) != nil
+		return core.addFromUpdate(update) != nil
 	}
 	if update.Incarnation == 0 {
-		return core.applyUnknown(update, known)
+		return core.applyWithoutIncarnation(update, known)
 	}
 	if !supersedes(update, known) {
 		return false
 	}
 	if known.incarnation == 0 && !known.live() && update.State == message.MemberSuspect {
-		// Dead here already, and now doubted by those who knew its incarnation.
-		core.change(known, message.MemberDead, update.Incarnation)
-		core.spread(known.update())
+		// This node considers it dead already, and nodes that knew its incarnation now suspect it.
+		core.setState(known, message.MemberDead, update.Incarnation)
+		core.queueRumour(known.update())
 		return false
 	}
-	// Learning the first incarnation of a listed machine changes nobody's view.
-	news := known.incarnation != 0 || update.State != message.MemberAlive || !known.live()
+	// The first known incarnation of a listed machine changes no view.
+	isNew := known.incarnation != 0 || update.State != message.MemberAlive || !known.live()
 	if machine, ok := machineOf(update); ok && machine != known.machine {
-		core.move(known, machine)
+		core.updateMachine(known, machine)
 	}
-	core.change(known, update.State, update.Incarnation)
-	return news
+	core.setState(known, update.State, update.Incarnation)
+	return isNew
 }
 
-// applyUnknown takes an update by a node that does not know the incarnation.
-// What it says against a node is a suspicion of whatever incarnation is known
-// here, which that node can refute.
-func (core *Core) applyUnknown(update *message.MemberUpdate, known *entry) bool {
-	against := update.State == message.MemberSuspect || update.State == message.MemberDead
+// applyWithoutIncarnation applies an update by a node that does not know the incarnation. A suspect
+// or dead update counts as a suspicion of the incarnation known to this node, which the node
+// concerned can refute.
+func (core *Core) applyWithoutIncarnation(update *message.MemberUpdate, known *entry) bool {
+	accusation := update.State == message.MemberSuspect || update.State == message.MemberDead
 	knownAlready := known.suspect() && update.State == message.MemberSuspect
-	if !against || !known.live() || knownAlready {
+	if !accusation || !known.live() || knownAlready {
 		return false
 	}
 	if known.incarnation == 0 {
-		core.change(known, update.State, 0)
+		core.setState(known, update.State, 0)
 		return true
 	}
 	if !known.suspect() {
-		core.change(known, message.MemberSuspect, known.incarnation)
-		core.spread(known.update())
+		core.setState(known, message.MemberSuspect, known.incarnation)
+		core.queueRumour(known.update())
 	}
 	return false
 }
 
-// applySelf refutes what others wrongly say of this node. A death told late, of
-// an incarnation of this run that has been refuted already, still counts as one.
+// applySelf refutes false updates about this node. A dead update that arrives late, about an
+// incarnation of this instance that has already been refuted, still counts as a declared death.
 func (core *Core) applySelf(update *message.MemberUpdate) {
-	if update.State == message.MemberDead && update.Incarnation > core.buried && update.Incarnation >= core.settings.Incarnation {
-		core.buried = update.Incarnation
+	if update.State == message.MemberDead && update.Incarnation > core.deadIncarnation && update.Incarnation >= core.settings.Incarnation {
+		core.deadIncarnation = update.Incarnation
 		core.rejoined = true
 	}
-	own := message.MemberAlive
+	ownState := message.MemberAlive
 	if core.leaving {
-		own = message.MemberLeaving
+		ownState = message.MemberLeaving
 	}
 	if update.Incarnation < core.incarnation ||
-		(update.Incarnation == core.incarnation && rank(update.State) <= rank(own)) {
+		(update.Incarnation == core.incarnation && rank(update.State) <= rank(ownState)) {
 		return
 	}
 	machine, ok := machineOf(update)
@@ -112,17 +113,17 @@
 		core.stopped = true
 		return
 	}
-	if core.ignoreRefutes {
+	if core.noRefutation {
 		return
 	}
 	core.incarnation = update.Incarnation + 1
 	core.changed = true
-	core.spread(core.selfUpdate())
+	core.queueRumour(core.selfUpdate())
 }
 
-// heardFrom takes a message as a sign of life of its sender, whose present
-// incarnation is zero when the message does not tell it.
-func (core *Core) heardFrom(from lb.NodeID, incarnation uint64) {
+// recordAlive counts a message as a sign that its sender is alive. incarnation is the sender's
+// current one, or zero if the message does not contain it.
+func (core *Core) recordAlive(from lb.NodeID, incarnation uint64) {
 	known := core.entries[from]
 	if known == nil {
 		index, listed := core.listed[from]
@@ -130,34 +131,34 @@
 			return
 		}
 		known = core.add(core.machines[index], message.MemberAlive, incarnation)
-		core.spread(known.update())
+		core.queueRumour(known.update())
 	}
-	core.hear(known.zone, from)
+	core.recordZoneContact(known.zone, from)
 	if incarnation <= known.incarnation || known.state == message.MemberLeaving {
 		return
 	}
-	news := known.incarnation != 0 || known.state != message.MemberAlive
-	core.change(known, message.MemberAlive, incarnation)
-	if news {
-		core.spread(known.update())
+	isNew := known.incarnation != 0 || known.state != message.MemberAlive
+	core.setState(known, message.MemberAlive, incarnation)
+	if isNew {
+		core.queueRumour(known.update())
 	}
 }
 
-// suspectTells is how often a node tells another that it suspects it, besides
-// the news to all.
-const suspectTells = 2
+// maxSuspicionNotices is the number of notices that a node sends directly to a node that it
+// suspects, in addition to the rumours.
+const maxSuspicionNotices = 2
 
-// suspect begins the suspicion of a node that did not answer.
+// suspect starts the suspicion of a node that did not answer.
 func (core *Core) suspect(target *entry) {
 	if !target.live() || target.suspect() {
 		return
 	}
-	core.change(target, message.MemberSuspect, target.incarnation)
-	target.tells = suspectTells
-	core.spread(target.update())
+	core.setState(target, message.MemberSuspect, target.incarnation)
+	target.suspicionNotices = maxSuspicionNotices
+	core.queueRumour(target.update())
 }
 
-// advanceSuspects declares dead whoever did not refute in time.
+// advanceSuspects declares suspects dead that did not refute in time.
 func (core *Core) advanceSuspects() {
 	for index := 0; index < len(core.suspects); {
 		suspect := core.suspects[index]
@@ -165,14 +166,14 @@
 			index++
 			continue
 		}
-		core.change(suspect, message.MemberDead, suspect.incarnation) // removes it from suspects
-		core.spread(suspect.update())
+		core.setState(suspect, message.MemberDead, suspect.incarnation) // removes it from suspects
+		core.queueRumour(suspect.update())
 	}
 }
 
-// addFrom adds a node that only an update tells of; nil when the update says
-// too little, or only that an unknown node is dead.
-func (core *Core) addFrom(update *message.MemberUpdate) *entry {
+// addFromUpdate adds a node that is known only from an update. It returns nil if the update lacks
+// the addresses, or only reports that an unknown node is dead.
+func (core *Core) addFromUpdate(update *message.MemberUpdate) *entry {
 	machine, ok := machineOf(update)
 	if !ok || update.State == message.MemberDead {
 		return nil
@@ -188,12 +189,13 @@
 		state:   message.MemberDead,
 	}
 	core.entries[machine.ID] = added
-	core.change(added, state, incarnation)
+	core.setState(added, state, incarnation)
 	return added
 }
 
-// move takes a node's new addresses or zone, as after a restart elsewhere.
-func (core *Core) move(known *entry, machine Machine) {
+// updateMachine sets the new addresses or the new zone of a node, for example after a restart on
+// another machine.
+func (core *Core) updateMachine(known *entry, machine Machine) {
 	live := known.live()
 	if live {
 		known.zone.remove(known)
@@ -206,8 +208,8 @@
 	}
 }
 
-// change puts an entry into a state and keeps all that depends on it.
-func (core *Core) change(known *entry, state message.MemberState, incarnation uint64) {
+// setState sets the state of an entry and updates everything that depends on it.
+func (core *Core) setState(known *entry, state message.MemberState, incarnation uint64) {
 	wasLive, wasLeaving := known.live(), known.leaving
 	if wasLive {
 		core.viewHash ^= viewHashOf(known.machine.ID, wasLeaving)
@@ -216,7 +218,7 @@
 		core.suspects = slices.DeleteFunc(core.suspects, func(entry *entry) bool { return entry == known })
 	}
 	wasSuspect := known.suspect()
-	known.state, known.incarnation, known.tells = state, incarnation, 0
+	known.state, known.incarnation, known.suspicionNotices = state, incarnation, 0
 	switch state {
 	case message.MemberAlive:
 		known.leaving = false
@@ -229,7 +231,7 @@
 		core.suspects = append(core.suspects, known)
 	case message.MemberDead:
 		known.deadline = core.now + core.settings.DeadRetention
-		known.buried = incarnation
+		known.deadIncarnation = incarnation
 	}
 	if known.live() {
 		core.viewHash ^= viewHashOf(known.machine.ID, known.leaving)
@@ -242,7 +244,8 @@
 	}
 }
 
-// machineOf reads the addresses of an update; false when it has none.
+// machineOf returns the machine that an update describes, and false if the update has no valid
+// addresses.
 func machineOf(update *message.MemberUpdate) (Machine, bool) {
 	control, controlError := netip.ParseAddrPort(update.Control)
 	data, dataError := netip.ParseAddrPort(update.Data)
@@ -263,7 +266,8 @@
 	}
 }
 
-// update describes an entry; addresses are left out where nobody needs them.
+// update returns an update about an entry. It omits the addresses of suspect and dead nodes,
+// because no node needs them.
 func (entry *entry) update() message.MemberUpdate {
 	if entry.state == message.MemberSuspect || entry.state == message.MemberDead {
 		return message.MemberUpdate{Node: entry.machine.ID, State: entry.state, Incarnation: entry.incarnation}
--- a/internal/member/zone.go
+++ b/internal/member/zone.go
@@ -8,62 +8,66 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// zone is what this node knows of one zone. A zone that is cut off is not
-// suspected node by node: when a probe fails and nothing has been heard from
-// the zone since, two more of its nodes are probed at once; when they fail too
-// the whole zone is unreachable, in this node's view only, until it is heard
-// again. A zone that answers through other zones only is unreachable as well,
-// once it has been silent for directSilence: packets could not be relayed to it.
+// zone is the state of one zone as known to this node. The nodes of a zone that is cut off are not
+// suspected one by one: when a probe fails and no message has arrived from the zone since it
+// started, two more nodes of the zone are probed at once. If these probes fail too, the whole zone
+// is unreachable, in this node's view only, until a message arrives from it again. A zone that
+// answers only through other zones also becomes unreachable, when no direct message has arrived for
+// directContactTimeout, because packets could not be relayed to it.
 type zone struct {
 	name lb.Zone
-	live []*entry // live entries sorted by hash, self not included
-	// heard is when a message last came straight from a node of the zone.
-	heard time.Duration
-	// doubts are failed probes that wait for the verdict on the zone.
-	doubts      []doubt
-	unreachable bool
-	since       time.Duration // start of unreachable
-}
-
-// doubt is one probe without a direct answer.
-type doubt struct {
+	live []*entry // live entries sorted by hash, without this node
+	// lastDirectMessage is the time of the last message that arrived directly from a node of the
+	// zone.
+	lastDirectMessage time.Duration
+	// failedProbes contains the failed probes for which it is not yet decided whether the node or
+	// the whole zone is unreachable.
+	failedProbes     []failedProbe
+	unreachable      bool
+	unreachableSince time.Duration // set while unreachable
+}
+
+// failedProbe is a probe without a direct answer.
+type failedProbe struct {
 	target lb.NodeID
-	// bridged: it was answered through another node, so the target is alive.
-	bridged bool
+	// answeredIndirectly is set if an answer arrived through another node, so that the target is
+	// alive.
+	answeredIndirectly bool
 }
 
-// directSilence is how long a zone that answers through others may be silent
-// itself; it covers several lost probes.
-const directSilence = 3 * time.Second
+// directContactTimeout is how long a zone that answers only through others may send no direct
+// message. It covers several lost probes.
+const directContactTimeout = 3 * time.Second
 
-// followUpProbes is the number of further nodes probed before a zone is given up.
+// followUpProbes is the number of further nodes that are probed before a zone counts as
+// unreachable.
 const followUpProbes = 2
 
-// zoneOf gives the zone of a name, adding it when it is new.
+// zoneOf returns the zone with a name, and adds it if it is new.
 func (core *Core) zoneOf(name lb.Zone) *zone {
 	index, found := slices.BinarySearchFunc(core.zones, name, func(zone *zone, name lb.Zone) int {
 		return cmp.Compare(zone.name, name)
 	})
 	if !found {
-		core.zones = slices.Insert(core.zones, index, &zone{name: name, heard: core.now})
+		core.zones = slices.Insert(core.zones, index, &zone{name: name, lastDirectMessage: core.now})
 	}
 	return core.zones[index]
 }
 
-// ZoneHeard is what this node has heard of one zone.
+// ZoneHeard is the state of this node's contact with one zone.
 type ZoneHeard struct {
 	Zone lb.Zone
-	// At is when a message last came straight from a node of the zone, or when the
-	// zone became known.
+	// At is the time of the last message that arrived directly from a node of the zone, or the time
+	// at which the zone became known.
 	At time.Duration
-	// Lost: the zone is unreachable, in this node's view.
+	// Lost is set if the zone is unreachable, in this node's view.
 	Lost bool
 }
 
-// Heard appends what this node has heard of each zone.
+// Heard appends the state of the contact with each zone to buffer.
 func (core *Core) Heard(buffer []ZoneHeard) []ZoneHeard {
 	for _, zone := range core.zones {
-		buffer = append(buffer, ZoneHeard{Zone: zone.name, At: zone.heard, Lost: zone.unreachable})
+		buffer = append(buffer, ZoneHeard{Zone: zone.name, At: zone.lastDirectMessage, Lost: zone.unreachable})
 	}
 	return buffer
 }
@@ -85,8 +89,8 @@
 	}
 }
 
-// successor gives the first live entry after a hash on the ring that is not
-// suspect, or the first one after it when all are.
+// successor returns the first live entry after a hash on the ring that is not suspect, or the first
+// live entry if all are suspect.
 func (zone *zone) successor(hash lb.NodeHash) *entry {
 	count := len(zone.live)
 	if count == 0 {
@@ -103,24 +107,24 @@
 	return zone.live[start%count]
 }
 
-// hear notes a message straight from a node of the zone: the zone is there, so
-// those in doubt are suspect on their own.
-func (core *Core) hear(zone *zone, from lb.NodeID) {
-	zone.heard = core.now
+// recordZoneContact records a message that arrived directly from a node of the zone. Since the zone
+// is reachable, the targets of its failed probes become suspect individually.
+func (core *Core) recordZoneContact(zone *zone, from lb.NodeID) {
+	zone.lastDirectMessage = core.now
 	if zone.unreachable {
 		zone.unreachable = false
 		core.changed = true
 		core.rejoined = true
 	}
-	for _, doubt := range zone.doubts {
-		if target := core.entries[doubt.target]; target != nil && doubt.target != from && !doubt.bridged {
+	for _, failed := range zone.failedProbes {
+		if target := core.entries[failed.target]; target != nil && failed.target != from && !failed.answeredIndirectly {
 			core.suspect(target)
 		}
 	}
-	zone.doubts = zone.doubts[:0]
+	zone.failedProbes = zone.failedProbes[:0]
 }
 
-// probeFailed takes the verdict of one probe that got no answer in any way.
+// probeFailed evaluates a probe that received neither a direct nor an indirect answer.
 func (core *Core) probeFailed(failed *probe, effects *Effects) {
 	target := core.entries[failed.target]
 	if target == nil || !target.live() || target.suspect() {
@@ -130,73 +134,74 @@
 	switch {
 	case zone.unreachable:
 		return
-	case zone.heard > failed.started || len(zone.live) < 2:
+	case zone.lastDirectMessage > failed.started || len(zone.live) < 2:
 		core.suspect(target)
 		return
 	}
-	core.addDoubt(failed, false, effects)
+	core.addFailedProbe(failed, false, effects)
 	switch {
-	case zone.bridged():
-		core.giveUpBridged(zone)
+	case zone.hasIndirectAnswer():
+		core.checkDirectContact(zone)
 	case !core.followingUp(zone):
-		core.giveUp(zone)
+		core.markUnreachable(zone)
 	}
 }
 
-// probeBridged takes a probe that was answered through another node only.
-func (core *Core) probeBridged(answered *probe, effects *Effects) {
+// probeAnsweredIndirectly evaluates a probe that was answered only through another node.
+func (core *Core) probeAnsweredIndirectly(answered *probe, effects *Effects) {
 	target := core.entries[answered.target]
 	if target == nil || !target.live() {
-		return // it was declared dead since, and its zone may be empty
+		return // the target was declared dead meanwhile, and its zone may be empty
 	}
 	zone := answered.zone
-	if zone == core.ownZone || zone.unreachable || zone.heard > answered.started {
+	if zone == core.ownZone || zone.unreachable || zone.lastDirectMessage > answered.started {
 		return
 	}
-	core.addDoubt(answered, true, effects)
-	core.giveUpBridged(zone)
+	core.addFailedProbe(answered, true, effects)
+	core.checkDirectContact(zone)
 }
 
-// giveUpBridged gives up a zone that answers through others, when enough of
-// its nodes are in doubt and it has been silent itself for long enough.
-func (core *Core) giveUpBridged(zone *zone) {
-	enough := len(zone.doubts) >= min(1+followUpProbes, len(zone.live))
-	if enough && core.now-zone.heard >= directSilence {
-		core.giveUp(zone)
+// checkDirectContact marks a zone that answers only through others as unreachable, if enough of its
+// nodes have failed probes and no direct message has arrived for directContactTimeout.
+func (core *Core) checkDirectContact(zone *zone) {
+	enough := len(zone.failedProbes) >= min(1+followUpProbes, len(zone.live))
+	if enough && core.now-zone.lastDirectMessage >= directContactTimeout {
+		core.markUnreachable(zone)
 	}
 }
 
-// addDoubt notes a probe without direct answer and probes others of its zone.
-func (core *Core) addDoubt(unanswered *probe, bridged bool, effects *Effects) {
+// addFailedProbe records a probe without a direct answer and probes other nodes of the zone.
+func (core *Core) addFailedProbe(unanswered *probe, answeredIndirectly bool, effects *Effects) {
 	zone := unanswered.zone
-	if !zone.doubted(unanswered.target) {
-		zone.doubts = append(zone.doubts, doubt{target: unanswered.target, bridged: bridged})
+	if !zone.hasFailedProbe(unanswered.target) {
+		zone.failedProbes = append(zone.failedProbes, failedProbe{target: unanswered.target, answeredIndirectly: answeredIndirectly})
 	}
 	if !unanswered.followUp && !core.followingUp(zone) {
 		core.followUp(zone, effects)
 	}
 }
 
-// giveUp takes a zone as unreachable.
-func (core *Core) giveUp(zone *zone) {
-	zone.doubts = zone.doubts[:0]
+// markUnreachable marks a zone as unreachable.
+func (core *Core) markUnreachable(zone *zone) {
+	zone.failedProbes = zone.failedProbes[:0]
 	zone.unreachable = true
-	zone.since = core.now
+	zone.unreachableSince = core.now
 	core.changed = true
 }
 
-// bridged tells whether a node of the zone has lately been found alive, but only through others.
-func (zone *zone) bridged() bool {
-	return slices.ContainsFunc(zone.doubts, func(doubt doubt) bool { return doubt.bridged })
+// hasIndirectAnswer reports whether a node of the zone was recently found alive, but only through
+// others.
+func (zone *zone) hasIndirectAnswer() bool {
+	return slices.ContainsFunc(zone.failedProbes, func(failed failedProbe) bool { return failed.answeredIndirectly })
 }
 
-// followUp probes nodes of a zone that are not in doubt yet.
+// followUp probes nodes of a zone that have no failed probe yet.
 func (core *Core) followUp(zone *zone, effects *Effects) {
 	offset := core.random.IntN(len(zone.live))
 	started := 0
 	for index := range zone.live {
 		candidate := zone.live[(offset+index)%len(zone.live)]
-		if zone.doubted(candidate.machine.ID) || candidate.suspect() {
+		if zone.hasFailedProbe(candidate.machine.ID) || candidate.suspect() {
 			continue
 		}
 		core.startProbe(candidate, true, effects)
@@ -207,8 +212,8 @@
 	}
 }
 
-func (zone *zone) doubted(id lb.NodeID) bool {
-	return slices.ContainsFunc(zone.doubts, func(doubt doubt) bool { return doubt.target == id })
+func (zone *zone) hasFailedProbe(id lb.NodeID) bool {
+	return slices.ContainsFunc(zone.failedProbes, func(failed failedProbe) bool { return failed.target == id })
 }
 
 func (core *Core) followingUp(zone *zone) bool {
