--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -183,7 +183,7 @@
 			}
 			return
 		}
-		if item.Class != transport.ClassMember {
+		if item.Class != transport.ClassMembership {
 			from.bytes += transport.Cost(len(item.Line))
 		}
 		fleet.transmit(from, fleet.nodes[item.To.Port()], item.Line)
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -174,8 +174,8 @@
 			continue
 		}
 		expired := !known.live() && core.now >= known.deadline
-		unreachable := known.zone.unreachable && core.now-known.zone.unreachableSince >= core.settings.DeadRetention
-		if expired || unreachable {
+		zoneExpired := known.zone.unreachable && core.now-known.zone.unreachableSince >= core.settings.DeadRetention
+		if expired || zoneExpired {
 			core.removeEntry(known)
 		}
 	}
@@ -199,10 +199,10 @@
 		return
 	}
 	core.stopped = true
-	stopped := message.MemberUpdate{Node: core.settings.Self.ID, State: message.MemberDead, Incarnation: core.incarnation}
+	update := message.MemberUpdate{Node: core.settings.Self.ID, State: message.MemberDead, Incarnation: core.incarnation}
 	for range stopFanout {
 		if target := core.rumourTarget(); target != nil {
-			core.send(effects, &target.machine, message.Ping{Incarnation: core.incarnation, Updates: []message.MemberUpdate{stopped}})
+			core.send(effects, &target.machine, message.Ping{Incarnation: core.incarnation, Updates: []message.MemberUpdate{update}})
 		}
 	}
 }
--- a/internal/member/random_test.go
+++ b/internal/member/random_test.go
@@ -12,9 +12,9 @@
 	"robinpulley.example/robinpulley/internal/sim"
 )
 
-// TestRandomFaultsConverge kills, restarts and pauses nodes and cuts zones off at random for a minute, also
-// simultaneously. After all faults are repaired, every view must be correct, and no incarnation may
-// have decreased.
+// TestRandomFaultsConverge kills, restarts and pauses nodes and cuts zones off at random for a
+// minute, also simultaneously. After all faults are repaired, every view must be correct, and no
+// incarnation may have decreased.
 func TestRandomFaultsConverge(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/transport/counters.go
+++ b/internal/transport/counters.go
@@ -8,39 +8,39 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// Direction tells sent from received messages.
+// Direction distinguishes sent from received messages.
 type Direction string
 
-// The directions.
+// These are the directions.
 const (
 	Sent     Direction = "sent"
 	Received Direction = "received"
 )
 
-// Fault names why a message or frame was not sent or not taken.
+// Fault is the reason why a message or frame was not sent or not accepted.
 type Fault string
 
-// The faults.
+// These are the faults.
 const (
-	FaultEncode        Fault = "encode"         // a message of our own that the codec refuses
-	FaultDecode        Fault = "decode"         // a line that the codec refuses
-	FaultQueueFull     Fault = "queue_full"     // more waiting than the queue holds
-	FaultBudget        Fault = "budget"         // dropped while it waited: the byte budget is spent
-	FaultBlocked       Fault = "blocked"        // cut by the fault tests
-	FaultUnknownSender Fault = "unknown_sender" // beyond the allowance of unknown senders
-	FaultNetwork       Fault = "network"        // the system refused to send, dial or read
-	FaultConnections   Fault = "connections"    // more connections than allowed at once
+	FaultEncode        Fault = "encode"         // the codec rejected an outgoing message
+	FaultDecode        Fault = "decode"         // the codec rejected a received line
+	FaultQueueFull     Fault = "queue_full"     // the queue of the class was full
+	FaultBudget        Fault = "budget"         // dropped from the queue because the byte budget was spent
+	FaultBlocked       Fault = "blocked"        // blocked by a fault test
+	FaultUnknownSender Fault = "unknown_sender" // above the rate limit for unknown senders
+	FaultNetwork       Fault = "network"        // the operating system returned an error for a send, dial or read
+	FaultConnections   Fault = "connections"    // all connection slots were in use
 )
 
-// Traffic counts one type of message in one direction.
+// Traffic counts the messages of one type in one direction.
 type Traffic struct {
 	Type      message.Type
 	Direction Direction
 	Messages  uint64
-	Bytes     uint64 // lines, with the overheads of Cost when sent
+	Bytes     uint64 // bytes of the lines; sent ones include the overheads that Cost adds
 }
 
-// FaultCount counts one fault.
+// FaultCount is the number of occurrences of one fault.
 type FaultCount struct {
 	Fault Fault
 	Count uint64
@@ -57,7 +57,7 @@
 	direction Direction
 }
 
-// meter counts; it is safe for concurrent use.
+// meter counts traffic and faults. It is safe for concurrent use.
 type meter struct {
 	mutex   sync.Mutex
 	traffic map[trafficKey]*Traffic
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -15,7 +15,7 @@
 		"Control messages not sent or not taken, by fault.", "fault")
 )
 
-// Metrics lists those of control messages.
+// Metrics returns the metrics of control messages.
 func Metrics() []*metrics.Metric { return []*metrics.Metric{metricBytes, metricMessages, metricFaults} }
 
 // Sample writes the counters as samples of Metrics.
--- a/internal/transport/pack.go
+++ b/internal/transport/pack.go
@@ -10,15 +10,17 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// packedMark is the first byte of a datagram or connection whose rest is
-// compressed (RFC 1951). A plain line begins with a brace.
-const packedMark = 0x01
+// compressedMarker is the first byte of a datagram or connection whose remainder is compressed (RFC
+// 1951). An uncompressed line begins with a brace.
+const compressedMarker = 0x01
 
-// packThreshold is the size below which compression does not pay.
-const packThreshold = 256
+// minPackBytes is the minimum size of a line to compress. Compression of shorter lines saves too
+// little.
+const minPackBytes = 256
 
-// packDictionary primes the compression with what most placements contain;
-// both sides must have the same. The most frequent parts stand last.
+// packDictionary is the preset dictionary of the compression. It contains the text that most
+// messages have in common, with the most frequent parts last. Both sides must use the same
+// dictionary.
 const packDictionary = `{"type":"ping_req","from":"","body":{"q":1,"t":"","u":[{"n":"","s":"suspect","i":1800000000000}]}}` +
 	`{"type":"ping","from":"","body":{"q":1,"i":1800000000000,"u":[{"n":"","s":"leaving","i":1800000000000},` +
 	`{"n":"","s":"dead","i":1800000000000},{"n":"","s":"dead","i":1800000000000}],"g":1,"m":1}}` +
@@ -35,11 +37,11 @@
 	`"backends":[{"revision":1,"gone":true,"gone_ms":1,"backend":{"name":"i-","identity":1,"service":"","address":"10.0.0.1:8080","zone":"","state":"draining","created":1,"slots":2}},` +
 	`{"revision":1,"backend":{"name":"i-","identity":1,"service":"","address":"10.0.0.1:8080","zone":"","state":"active","created":1,"slots":2}}]}}}`
 
-// idlePackers keeps a few writers for use again: each takes about a megabyte
-// of tables, whose allocation costs more than most lines.
+// idlePackers holds a few writers for reuse. Each allocates about a megabyte of tables, which costs
+// more than compressing most lines.
 var idlePackers = make(chan *flate.Writer, 4)
 
-func takePacker() *flate.Writer {
+func acquirePacker() *flate.Writer {
 	select {
 	case writer := <-idlePackers:
 		return writer
@@ -47,19 +49,20 @@
 	}
 	writer, err := flate.NewWriterDict(nil, flate.DefaultCompression, []byte(packDictionary))
 	if err != nil {
-		panic(err) // the level is a constant
+		panic(err) // impossible, since the level is a valid constant
 	}
 	return writer
 }
 
-func returnPacker(writer *flate.Writer) {
+func releasePacker(writer *flate.Writer) {
 	select {
 	case idlePackers <- writer:
 	default:
 	}
 }
 
-// packable tells which types are worth compressing: flow records and hashes are not.
+// packable reports whether compression of a message type is worthwhile. Flow records and hashes do
+// not compress.
 func packable(kind message.Type) bool {
 	switch kind {
 	case message.TypePing, message.TypePingAck, message.TypePingReq, message.TypeMembers,
@@ -70,16 +73,16 @@
 	return false
 }
 
-// Pack gives the form in which a line travels: compressed where that makes it
-// shorter, else the line itself.
+// Pack returns the form in which a line is sent: compressed if that is shorter, otherwise the line
+// itself.
 func Pack(kind message.Type, line []byte) []byte {
-	if len(line) < packThreshold || !packable(kind) {
+	if len(line) < minPackBytes || !packable(kind) {
 		return line
 	}
 	packed := bytes.NewBuffer(make([]byte, 0, len(line)))
-	packed.WriteByte(packedMark)
-	writer := takePacker()
-	defer returnPacker(writer)
+	packed.WriteByte(compressedMarker)
+	writer := acquirePacker()
+	defer releasePacker(writer)
 	writer.Reset(packed)
 	_, writeError := writer.Write(line)
 	if err := errors.CombineErrors(writeError, writer.Close()); err != nil || packed.Len() >= len(line) {
@@ -88,13 +91,13 @@
 	return packed.Bytes()
 }
 
-// unpack gives a reader of the plain lines of a connection or datagram.
+// unpack returns a reader of the uncompressed lines of a connection or datagram.
 func unpack(data io.Reader) io.Reader {
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(data, first); err != nil {
 		return bytes.NewReader(nil)
 	}
-	if first[0] != packedMark {
+	if first[0] != compressedMarker {
 		return io.MultiReader(bytes.NewReader(first), data)
 	}
 	return flate.NewReaderDict(data, []byte(packDictionary))
--- a/internal/transport/pack_test.go
+++ b/internal/transport/pack_test.go
@@ -16,7 +16,7 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// document gives a placement of 14 back ends, of which one is being replaced.
+// document returns a placement with 14 back ends, one of which is being replaced.
 func document(t testing.TB) lb.Placement {
 	targets := func(first int) []placement.Target {
 		list := make([]placement.Target, 14)
@@ -56,10 +56,10 @@
 	one.Send(two.Address(), sent)
 	incoming := <-two.received
 	is.Equal(incoming.Message, sent)
-	is.Equal(incoming.Address, one.Address()) // it came as a datagram
+	is.Equal(incoming.Address, one.Address()) // the message arrived as a datagram
 }
 
-func TestPackLeavesShortAndDenseLines(t *testing.T) {
+func TestPackKeepsShortAndIncompressibleLines(t *testing.T) {
 	is := is.New(t)
 	short := []byte("{}\n")
 	is.Equal(transport.Pack(message.TypePlacements, short), short)
@@ -67,7 +67,7 @@
 	is.Equal(transport.Pack(message.TypeRecords, records), records)
 }
 
-func TestBrokenPackedDataIsCounted(t *testing.T) {
+func TestInvalidCompressedDataIsCounted(t *testing.T) {
 	is := is.New(t)
 	receiver := open(t, "receiver", nil)
 	connection, err := net.Dial("udp", receiver.Address().String())
@@ -78,8 +78,8 @@
 	receiver.waitFault(transport.FaultDecode, 1)
 }
 
-// FuzzUnpack gives outside bytes to the decompression: no panic, a bounded
-// result, and what Pack makes of the result is read back.
+// FuzzUnpack decompresses arbitrary bytes. Unpack must not panic, its result must be of limited
+// size, and packing and unpacking the result must return the same bytes.
 func FuzzUnpack(f *testing.F) {
 	line, err := message.Encode(nil, "one", message.Placements{Placements: []lb.Placement{document(f)}})
 	if err != nil {
@@ -96,7 +96,7 @@
 		}
 		again, err := transport.Unpack(transport.Pack(message.TypePlacements, plain))
 		if err != nil || !bytes.Equal(plain, again) {
-			t.Fatalf("%d bytes came back as %d (%v)", len(plain), len(again), err)
+			t.Fatalf("%d bytes became %d bytes after Pack and Unpack (%v)", len(plain), len(again), err)
 		}
 	})
 }
@@ -114,9 +114,9 @@
 	b.ReportMetric(float64(packed), "packed-bytes")
 }
 
-// TestSmallDeltaIsPackedTight: one changed back end, told to many nodes again
-// and again, is what a storm of changes is made of.
-func TestSmallDeltaIsPackedTight(t *testing.T) {
+// TestSmallDeltaCompressesWell checks the compressed size of a delta with one changed back end.
+// During a surge of changes, a node sends many such deltas to many nodes.
+func TestSmallDeltaCompressesWell(t *testing.T) {
 	is := is.New(t)
 	sent := message.ViewDelta{AgeMillis: 3, Route: message.Route{Origin: "front-a-5"}, Delta: view.Delta{
 		After: 600, Revision: 612, Version: 18, ConfigurationRevision: 590,
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -9,52 +9,56 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// Class ranks messages by what their loss costs.
+// Class is the priority of a message, according to the consequences of its loss.
 type Class uint8
 
-// The classes, most urgent first.
+// These are the classes, most urgent first.
 const (
-	// ClassMember is membership: without it peers declare this node dead. It
-	// is sent at once, ahead of the budget by at most MemberDebt.
-	ClassMember Class = iota
-	// ClassState is what safety rests on; it waits for its bytes.
+	// ClassMembership contains the messages of the membership protocol: without them peers declare
+	// this node dead. They are sent immediately, and may exceed the budget by up to
+	// MaxMembershipDebt.
+	ClassMembership Class = iota
+	// ClassState contains the messages on which safety depends. They wait until the budget permits
+	// them.
 	ClassState
-	// ClassDocument is placements and views; they wait behind ClassState.
+	// ClassDocument contains placements and views. They wait behind ClassState.
 	ClassDocument
-	// ClassReport is what is in force where. It waits behind the placements
-	// that it speaks of: ahead of them it would hold up what it waits for.
+	// ClassReport contains reports of the versions in force. They wait behind the placements that
+	// they refer to: if they were sent first, they would delay the placements that they wait for.
 	ClassReport
-	// ClassHint saves hops, or flows that a second failure meets; it is dropped when bytes are short.
+	// ClassHint contains messages that save hops, or protect flows against a second failure. They
+	// are dropped if the budget is short.
 	ClassHint
-	// ClassBulk is a snapshot (members, a whole view), or a line longer than
-	// BulkLineBytes; it has a budget of its own, so that a fleet that starts
-	// holds up no change.
+	// ClassBulk contains snapshots (member lists, whole views) and lines longer than BulkLineBytes.
+	// It has its own budget, so that a starting fleet does not delay changes.
 	ClassBulk
 	classCount
 )
 
-// MemberDebt is how far ahead of the budget membership may be sent.
-const MemberDebt = time.Second
+// MaxMembershipDebt is how far membership messages may exceed the budget, as the time that the
+// budget needs to make up for it.
+const MaxMembershipDebt = time.Second
 
-// BulkLineBytes is the size, before compression, above which a line is ClassBulk.
+// BulkLineBytes is the size before compression above which a line belongs to ClassBulk.
 const BulkLineBytes = 32 << 10
 
-// bulkBackends is the number of back ends above which changes of a view are ClassBulk, as
-// when thousands start at once: to eight others they take a second's budget.
+// bulkBackends is the number of back ends above which the changes of a view belong to ClassBulk,
+// for example when thousands of back ends start at once. Sending such a delta to eight nodes
+// consumes the budget of one second.
 const bulkBackends = 160
 
-// Overheads counted with the bytes of a line: IPv4 and UDP headers, and the
-// headers of the six segments that open and close a TCP connection.
+// These overheads are added to the bytes of a line: the IPv4 and UDP headers, and the headers of
+// the six segments that open and close a TCP connection.
 const (
 	DatagramOverhead   = 20 + 8
 	ConnectionOverhead = 6 * (20 + 20)
 )
 
-// MaxDatagramBytes is the largest packed line sent as a datagram: with headers it
+// MaxDatagramBytes is the maximum size of a packed line that is sent as a datagram. With headers it
 // stays below the smallest MTU in common use (1,280 bytes, RFC 8200).
 const MaxDatagramBytes = 1200
 
-// Cost gives the bytes that a packed line of this size takes from the budget.
+// Cost returns the bytes of the budget that a packed line of this size consumes.
 func Cost(packedBytes int) int {
 	if packedBytes <= MaxDatagramBytes {
 		return packedBytes + DatagramOverhead
@@ -62,39 +66,41 @@
 	return packedBytes + ConnectionOverhead
 }
 
-// Budget bounds the bytes that a node sends.
+// Budget limits the bytes that a node sends.
 type Budget struct {
-	// BytesPerSecond is sustained, over all classes but ClassBulk.
+	// BytesPerSecond is the sustained rate of all classes except ClassBulk.
 	BytesPerSecond int
-	// BurstBytes may be sent at once after silence.
+	// BurstBytes is the number of bytes that may be sent at once after an idle period.
 	BurstBytes int
-	// BulkBytesPerSecond bounds ClassBulk.
+	// BulkBytesPerSecond is the sustained rate of ClassBulk.
 	BulkBytesPerSecond int
-	// QueueLength bounds the messages that wait, per class.
+	// QueueLength is the maximum number of waiting messages per class.
 	QueueLength int
 }
 
-// DefaultBudget is for today's deployments: 4 KB/s of control.
+// DefaultBudget returns the budget of present deployments: 4 KB/s of control messages.
 func DefaultBudget() Budget {
 	return Budget{BytesPerSecond: 4096, BurstBytes: 32 << 10, BulkBytesPerSecond: 128 << 10, QueueLength: 1024}
 }
 
-// hintReserveShare is the part of the burst that hints leave to other classes.
-const hintReserveShare = 4
+// hintReserveDivisor determines the reserve for other classes: hints leave this fraction (one over
+// the divisor) of the burst unused.
+const hintReserveDivisor = 4
 
-// Queued is one encoded message on its way to a peer.
+// Queued is an encoded message to one peer.
 type Queued struct {
 	To    netip.AddrPort
 	Type  message.Type
 	Class Class
-	Line  []byte // as given by Pack
-	// Until is when the message is dropped if it still waits; zero: never.
-	Until time.Time
+	Line  []byte // as returned by Pack
+	// ExpiresAt is the time at which the message is dropped if it is still waiting. If it is zero,
+	// the message does not expire.
+	ExpiresAt time.Time
 }
 
-// Queue holds the messages of one node until the budget lets them go. It has
-// no clock: the caller gives the time, so that processes and simulations share
-// it. It is not safe for concurrent use.
+// Queue holds the messages of one node until the budget permits sending them. It has no clock: the
+// caller passes the time, so that processes and simulations can both use it. It is not safe for
+// concurrent use.
 type Queue struct {
 	budget  Budget
 	limiter *rate.Limiter
@@ -103,7 +109,7 @@
 	dropped [classCount]uint64
 }
 
-// NewQueue gives an empty queue with a full burst.
+// NewQueue returns an empty queue whose burst is fully available.
 func NewQueue(budget Budget) *Queue {
 	return &Queue{
 		budget:  budget,
@@ -112,18 +118,19 @@
 	}
 }
 
-// ClassOf ranks a message by what it says and the size of its line before compression.
+// ClassOf returns the class of a message, according to its type, its contents and the size of its
+// line before compression.
 func ClassOf(m message.Message, lineBytes int) Class {
 	switch m := m.(type) {
 	case message.Ping, message.PingAck, message.PingReq:
-		return ClassMember
+		return ClassMembership
 	case message.Pins, message.OpenFlows:
 		return ClassHint
 	case message.InForce:
 		return ClassReport
 	case message.Members:
 		if m.Partial {
-			return ClassMember // few, and the receiver knows nobody
+			return ClassMembership // short, and the receiver does not know any members yet
 		}
 		return ClassBulk
 	case message.ViewDelta:
@@ -140,17 +147,18 @@
 	return ClassState
 }
 
-// How long messages may wait that say how old the sender's view is: the age is
-// that of when they were made, and a receiver takes what waited for fresher
+// These constants limit how long messages may wait that contain the age of the sender's view. The
+// age is computed when a message is created, so a receiver would consider a delayed message fresher
 // than it is.
 const (
-	digestLifetime = 200 * time.Millisecond // another one follows
-	deltaLifetime  = time.Second            // it is asked for again
-	// outcomeLifetime: older ones, also those on load, speak of what may be over.
+	digestLifetime = 200 * time.Millisecond // the next digest follows soon
+	deltaLifetime  = time.Second            // the receiver requests it again
+	// outcomeLifetime also applies to load messages. Older messages describe conditions that may be
+	// over.
 	outcomeLifetime = 500 * time.Millisecond
 )
 
-// Lifetime is how long a message may wait; zero: as long as it takes.
+// Lifetime returns how long a message may wait, or zero if it does not expire.
 func Lifetime(m message.Message) time.Duration {
 	switch m.(type) {
 	case message.ViewDigest:
@@ -163,7 +171,8 @@
 	return 0
 }
 
-// Push adds a message. When its class is full the message is dropped, counted, and false given.
+// Push adds a message. If the queue of its class is full, Push drops and counts the message and
+// returns false.
 func (queue *Queue) Push(item Queued) bool {
 	if len(queue.waiting[item.Class]) >= queue.budget.QueueLength {
 		queue.dropped[item.Class]++
@@ -173,13 +182,13 @@
 	return true
 }
 
-// Pop gives the next message that may be sent now. Without one it gives the
-// time after which to ask again, or zero when nothing waits.
+// Pop returns the next message that may be sent now. If there is none, it returns the time after
+// which to call Pop again, or zero if no message is waiting.
 func (queue *Queue) Pop(now time.Time) (item Queued, ready bool, wait time.Duration) {
-	if item, ready = queue.popMember(now); ready {
+	if item, ready = queue.popMembership(now); ready {
 		return item, true, 0
 	}
-	item, ready, wait = queue.popWaiting(now, queue.mostUrgent(), queue.limiter)
+	item, ready, wait = queue.popWaiting(now, queue.firstWaitingClass(), queue.limiter)
 	if ready {
 		return item, true, 0
 	}
@@ -196,8 +205,9 @@
 	return Queued{}, false, wait
 }
 
-// mostUrgent is the class that waits for its bytes next.
-func (queue *Queue) mostUrgent() Class {
+// firstWaitingClass returns the most urgent class of those that wait for the budget and have
+// waiting messages.
+func (queue *Queue) firstWaitingClass() Class {
 	for _, class := range [...]Class{ClassState, ClassDocument} {
 		if len(queue.waiting[class]) > 0 {
 			return class
@@ -206,16 +216,17 @@
 	return ClassReport
 }
 
-// popMember sends ahead of the budget, and drops what would be too far ahead.
-func (queue *Queue) popMember(now time.Time) (Queued, bool) {
-	for len(queue.waiting[ClassMember]) > 0 {
-		item := queue.take(ClassMember)
+// popMembership returns the next membership message, even if that exceeds the budget, and drops
+// messages that would exceed MaxMembershipDebt.
+func (queue *Queue) popMembership(now time.Time) (Queued, bool) {
+	for len(queue.waiting[ClassMembership]) > 0 {
+		item := queue.dequeue(ClassMembership)
 		reservation := queue.limiter.ReserveN(now, Cost(len(item.Line)))
-		if reservation.OK() && reservation.DelayFrom(now) <= MemberDebt {
+		if reservation.OK() && reservation.DelayFrom(now) <= MaxMembershipDebt {
 			return item, true
 		}
 		reservation.CancelAt(now)
-		queue.dropped[ClassMember]++
+		queue.dropped[ClassMembership]++
 	}
 	return Queued{}, false
 }
@@ -227,30 +238,30 @@
 	}
 	cost := Cost(len(queue.waiting[class][0].Line))
 	if limiter.AllowN(now, cost) {
-		return queue.take(class), true, 0
+		return queue.dequeue(class), true, 0
 	}
 	missing := float64(cost) - limiter.TokensAt(now)
 	seconds := missing / float64(limiter.Limit())
 	return Queued{}, false, max(time.Millisecond, time.Duration(seconds*float64(time.Second)))
 }
 
-// dropExpired drops what has waited for too long at the head of a class.
+// dropExpired drops the expired messages at the head of a class.
 func (queue *Queue) dropExpired(now time.Time, class Class) {
 	for len(queue.waiting[class]) > 0 {
-		until := queue.waiting[class][0].Until
+		until := queue.waiting[class][0].ExpiresAt
 		if until.IsZero() || now.Before(until) {
 			return
 		}
-		queue.take(class)
+		queue.dequeue(class)
 		queue.dropped[class]++
 	}
 }
 
-// popHint drops hints that would eat into the reserve of other classes.
+// popHint returns the next hint and drops hints that would use the reserve of other classes.
 func (queue *Queue) popHint(now time.Time) (Queued, bool) {
-	reserve := float64(queue.budget.BurstBytes / hintReserveShare)
+	reserve := float64(queue.budget.BurstBytes / hintReserveDivisor)
 	for len(queue.waiting[ClassHint]) > 0 {
-		item := queue.take(ClassHint)
+		item := queue.dequeue(ClassHint)
 		cost := Cost(len(item.Line))
 		if queue.limiter.TokensAt(now)-float64(cost) >= reserve && queue.limiter.AllowN(now, cost) {
 			return item, true
@@ -260,18 +271,18 @@
 	return Queued{}, false
 }
 
-func (queue *Queue) take(class Class) Queued {
+func (queue *Queue) dequeue(class Class) Queued {
 	item := queue.waiting[class][0]
 	queue.waiting[class][0] = Queued{}
 	queue.waiting[class] = queue.waiting[class][1:]
 	return item
 }
 
-// Dropped counts the messages of a class that were never sent.
+// Dropped returns the number of dropped messages of a class.
 func (queue *Queue) Dropped(class Class) uint64 { return queue.dropped[class] }
 
-// droppedInAll counts the messages of all classes that were never sent.
-func (queue *Queue) droppedInAll() uint64 {
+// totalDropped returns the number of dropped messages of all classes.
+func (queue *Queue) totalDropped() uint64 {
 	sum := uint64(0)
 	for _, count := range queue.dropped {
 		sum += count
--- a/internal/transport/queue_test.go
+++ b/internal/transport/queue_test.go
@@ -16,7 +16,7 @@
 	return transport.Queued{Type: m.MessageType(), Class: transport.ClassOf(m, size), Line: make([]byte, size)}
 }
 
-// drain pops until nothing is ready and gives the bytes and types in their order.
+// drain pops messages until none is ready. It returns the total bytes, and the types in order.
 func drain(queue *transport.Queue, now time.Time) (bytes int, kinds []message.Type) {
 	for {
 		item, ready, _ := queue.Pop(now)
@@ -41,7 +41,7 @@
 func TestQueueDropsHintsFirst(t *testing.T) {
 	is := is.New(t)
 	queue := transport.NewQueue(transport.DefaultBudget())
-	const count = 100 // of 1,000 bytes each, beyond the burst of 32 KiB
+	const count = 100 // of 1,000 bytes each, more than the burst of 32 KiB
 	for range count {
 		queue.Push(queued(message.Pins{}, 1000))
 	}
@@ -50,11 +50,11 @@
 	is.True(len(kinds) < count)
 	is.Equal(int(queue.Dropped(transport.ClassHint)), count-len(kinds))
 	is.True(queue.Push(queued(message.Records{}, 1000)))
-	_, kinds = drain(queue, now) // the reserve is left to others
+	_, kinds = drain(queue, now) // the reserve remains available to other classes
 	is.Equal(kinds, []message.Type{message.TypeRecords})
 }
 
-func TestQueueKeepsStateUntilItsBytesCome(t *testing.T) {
+func TestQueueKeepsStateUntilTheBudgetPermits(t *testing.T) {
 	is := is.New(t)
 	queue := transport.NewQueue(transport.DefaultBudget())
 	const count = 100
@@ -75,7 +75,7 @@
 	is.Equal(queue.Dropped(transport.ClassState), uint64(0))
 }
 
-func TestQueueBoundsItsLength(t *testing.T) {
+func TestQueueLimitsItsLength(t *testing.T) {
 	is := is.New(t)
 	budget := transport.DefaultBudget()
 	budget.QueueLength = 2
@@ -83,11 +83,11 @@
 	is.True(queue.Push(queued(message.Records{}, 1)))
 	is.True(queue.Push(queued(message.Records{}, 1)))
 	is.True(!queue.Push(queued(message.Records{}, 1)))
-	is.True(queue.Push(queued(message.Ping{}, 1))) // per class
+	is.True(queue.Push(queued(message.Ping{}, 1))) // the limit applies per class
 }
 
-// sentInMinute offers ten times the budget for a minute and gives the bytes that went out.
-func sentInMinute(budget transport.Budget) int {
+// bytesSentInMinute pushes ten times the budget for a minute and returns the number of bytes sent.
+func bytesSentInMinute(budget transport.Budget) int {
 	queue := transport.NewQueue(budget)
 	now, sent := time.Unix(0, 0), 0
 	for range 60 {
@@ -103,21 +103,21 @@
 	return sent
 }
 
-// TestByteLimit holds a node under its budget whatever is offered. The mutant
-// without the limit breaks the same bound.
+// TestByteLimit checks that a node stays within its budget under overload, and that a mutant
+// without the limit exceeds the same bound.
 func TestByteLimit(t *testing.T) {
 	is := is.New(t)
 	budget := transport.DefaultBudget()
-	bound := budget.BurstBytes + 60*budget.BytesPerSecond + budget.BytesPerSecond // burst, a minute, MemberDebt
-	is.True(sentInMinute(budget) <= bound)
+	bound := budget.BurstBytes + 60*budget.BytesPerSecond + budget.BytesPerSecond // the burst, a minute at the sustained rate, and MaxMembershipDebt
+	is.True(bytesSentInMinute(budget) <= bound)
 	mutant := budget
 	mutant.BytesPerSecond, mutant.BurstBytes = math.MaxInt32, math.MaxInt32
-	is.True(sentInMinute(mutant) > bound) // rule off
+	is.True(bytesSentInMinute(mutant) > bound) // without the limit
 }
 
-// TestSnapshotsDoNotHoldUpChanges: a node that answers a starting fleet with
-// members and whole views, far beyond its budget, tells of a change at once.
-func TestSnapshotsDoNotHoldUpChanges(t *testing.T) {
+// TestSnapshotsDoNotDelayChanges checks that a node still sends a change at once while it answers a
+// starting fleet with member lists and whole views far beyond its budget.
+func TestSnapshotsDoNotDelayChanges(t *testing.T) {
 	is := is.New(t)
 	queue := transport.NewQueue(transport.DefaultBudget())
 	whole := message.ViewDelta{Delta: view.Delta{Revision: 9}}
@@ -137,19 +137,19 @@
 	}
 }
 
-// TestViewMessageThatWaitedIsDropped: a digest is believed for the age that it
-// states, so that one that has waited must not be sent.
-func TestViewMessageThatWaitedIsDropped(t *testing.T) {
+// TestExpiredViewMessageIsDropped checks that a view message that has waited for its lifetime is
+// not sent: receivers rely on the age that it states.
+func TestExpiredViewMessageIsDropped(t *testing.T) {
 	for _, m := range []message.Message{message.ViewDigest{}, message.ViewDelta{Delta: view.Delta{After: 1}}, message.ViewDelta{}} {
 		is := is.New(t)
 		queue := transport.NewQueue(transport.DefaultBudget())
 		now := time.Unix(0, 0)
 		item := queued(m, 100)
-		item.Until = now.Add(transport.Lifetime(m))
-		is.True(item.Until.After(now))
+		item.ExpiresAt = now.Add(transport.Lifetime(m))
+		is.True(item.ExpiresAt.After(now))
 		is.True(queue.Push(item))
 		is.True(queue.Push(queued(message.Records{}, 100)))
-		_, kinds := drain(queue, item.Until)
+		_, kinds := drain(queue, item.ExpiresAt)
 		is.Equal(kinds, []message.Type{message.TypeRecords})
 		is.Equal(queue.Dropped(item.Class), uint64(1))
 	}
--- a/internal/transport/size_test.go
+++ b/internal/transport/size_test.go
@@ -13,10 +13,10 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// TestReleaseIsToldWithinTheBudget: the load is that of a release which replaces 300 back
-// ends in three seconds, each with three changes, told by a node to eight others three
-// times a second. What a node may send at once after silence, 16 s of its budget, holds it.
-func TestReleaseIsToldWithinTheBudget(t *testing.T) {
+// TestReleaseUpdatesFitTheBurst covers a release that replaces 300 back ends in three seconds, with
+// three changes each. A node sends the changes to eight others three times a second. They must fit
+// into the burst of 16 s of its budget.
+func TestReleaseUpdatesFitTheBurst(t *testing.T) {
 	is := is.New(t)
 	const changes, rounds, others, burst = 90, 10, 8, 16 * 14000
 	sent := message.ViewDelta{AgeMillis: 3, Delta: view.Delta{After: 600, Revision: 12000, Version: 18, ConfigurationRevision: 590}}
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -9,28 +9,28 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// Limits of TCP connections.
+// These are the limits of TCP connections.
 const (
-	outboundConnections = 8
-	inboundConnections  = 64
-	dialTimeout         = time.Second
-	// streamTimeout bounds a whole connection, from accept or dial to its end.
+	maxOutboundConnections = 8
+	maxInboundConnections  = 64
+	dialTimeout            = time.Second
+	// streamTimeout limits the duration of a connection, from accept or dial until it is closed.
 	streamTimeout = 10 * time.Second
-	// streamBytes bounds what one connection may bring, uncompressed.
-	streamBytes = 4 * message.MaxLineBytes
+	// maxStreamBytes limits the uncompressed bytes that one connection may deliver.
+	maxStreamBytes = 4 * message.MaxLineBytes
 )
 
-// startStream sends one line over a connection of its own, in the background.
+// startStream sends one line over a separate connection in the background.
 func (transport *Transport) startStream(item Queued) {
 	select {
-	case transport.outbound <- struct{}{}:
+	case transport.outboundSlots <- struct{}{}:
 	default:
 		transport.meter.fault(FaultConnections)
 		return
 	}
 	transport.running.Go(func() {
-		defer func() { <-transport.outbound }()
-		if err := transport.stream(item); err != nil {
+		defer func() { <-transport.outboundSlots }()
+		if err := transport.writeStream(item); err != nil {
 			transport.meter.fault(FaultNetwork)
 			return
 		}
@@ -38,7 +38,7 @@
 	})
 }
 
-func (transport *Transport) stream(item Queued) error {
+func (transport *Transport) writeStream(item Queued) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	connection, err := dialer.DialContext(transport.context, "tcp", item.To.String())
 	if err != nil {
@@ -54,7 +54,7 @@
 	return err
 }
 
-// closeWithTransport ends a connection early when the transport closes.
+// closeWithTransport closes a connection when the transport closes, until stop is called.
 func (transport *Transport) closeWithTransport(connection net.Conn) (stop func() bool) {
 	return context.AfterFunc(transport.context, func() { connection.Close() })
 }
@@ -67,25 +67,26 @@
 		}
 		if err != nil {
 			transport.meter.fault(FaultNetwork)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
-		case transport.inbound <- struct{}{}:
+		case transport.inboundSlots <- struct{}{}:
 		default:
 			transport.meter.fault(FaultConnections)
 			connection.Close()
 			continue
 		}
 		transport.running.Go(func() {
-			defer func() { <-transport.inbound }()
+			defer func() { <-transport.inboundSlots }()
 			transport.readStream(connection)
 		})
 	}
 }
 
-// acceptPause keeps a failing accept (no file descriptors left) from spinning.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, for example without free file descriptors.
+// It prevents a busy loop.
+const acceptRetryDelay = 10 * time.Millisecond
 
 func (transport *Transport) readStream(connection net.Conn) {
 	defer connection.Close()
@@ -95,5 +96,5 @@
 		transport.meter.fault(FaultNetwork)
 		return
 	}
-	transport.takeLines(connection, netip.AddrPort{})
+	transport.readLines(connection, netip.AddrPort{})
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,8 +1,8 @@
-// Package transport carries messages between balancers: lines of up to
-// MaxDatagramBytes as UDP datagrams, longer ones over a TCP connection each,
-// both on one control address. Long lines are compressed. A byte budget bounds what a node sends;
-// membership goes first and hints are dropped first. Errors are counted, never
-// fatal: whoever needs an answer asks again.
+// Package transport sends messages between load balancer nodes: lines of up to MaxDatagramBytes as
+// UDP datagrams, and longer ones over one TCP connection each, both to the same control address.
+// Long lines are compressed. A byte budget limits what a node sends: membership messages are sent
+// first, and hints are dropped first. Errors are counted and never fatal; a node that needs an
+// answer repeats its request.
 package transport
 
 import (
@@ -22,65 +22,66 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// Incoming is one message from a peer.
+// Incoming is a message from a peer.
 type Incoming struct {
 	From lb.NodeID
-	// Address is the sender's control address; invalid when the message came
-	// by TCP from a sender that Resolve does not know.
+	// Address is the sender's control address. It is invalid if the message arrived over TCP from a
+	// sender that Resolve does not know.
 	Address netip.AddrPort
 	Message message.Message
 }
 
-// Settings of a transport.
+// Settings configures a transport.
 type Settings struct {
 	Self lb.NodeID
-	// Listen is the control address, for UDP and TCP. Port zero takes a free one.
+	// Listen is the control address, for UDP and TCP. If the port is zero, Open selects a free one.
 	Listen netip.AddrPort
 	Budget Budget
-	// Handle takes each message received. It is called from several goroutines
-	// and must not block for long.
+	// Handle is called with each received message. It is called from several goroutines and must
+	// not block for long.
 	Handle func(Incoming)
-	// Resolve gives the control address of a known node. Messages of others
-	// share a small allowance. Nil takes everyone as known.
+	// Resolve returns the control address of a known node. Messages from unknown nodes share a low
+	// rate limit. If Resolve is nil, all nodes count as known.
 	Resolve func(lb.NodeID) (netip.AddrPort, bool)
-	// Blocked cuts a peer off in fault tests, both ways. Nil cuts nobody off.
+	// Blocked reports whether a fault test cuts off a peer, in both directions. If it is nil, no
+	// peer is cut off.
 	Blocked func(netip.AddrPort) bool
 }
 
-// Limits of the receiving side.
+// These are the limits of the receiving side.
 const (
-	// unknownPerSecond bounds the messages taken from unknown senders together;
-	// joining nodes need only a few.
-	unknownPerSecond = 50
-	receiveBytes     = 64 << 10 // the largest UDP datagram
-	listenAttempts   = 8        // to find a port that is free for UDP and TCP
+	// maxUnknownPerSecond limits the messages accepted from all unknown senders together. Joining
+	// nodes need only a few.
+	maxUnknownPerSecond = 50
+	receiveBufferBytes  = 64 << 10 // maximum size of a UDP datagram
+	listenAttempts      = 8        // attempts to find a port that is free for both UDP and TCP
 )
 
 // Transport sends and receives the messages of one node.
 type Transport struct {
-	settings Settings
-	address  netip.AddrPort
-	udp      *net.UDPConn
-	tcp      *net.TCPListener
-	meter    *meter
-	unknown  *rate.Limiter
+	settings       Settings
+	address        netip.AddrPort
+	udp            *net.UDPConn
+	tcp            *net.TCPListener
+	meter          *meter
+	unknownLimiter *rate.Limiter
 
 	mutex sync.Mutex // guards queue
 	queue *Queue
 	wake  chan struct{}
 
-	outbound chan struct{} // slots of outgoing connections
-	inbound  chan struct{} // slots of incoming connections
+	outboundSlots chan struct{} // slots of outgoing connections
+	inboundSlots  chan struct{} // slots of incoming connections
 
 	context context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-// Open listens on the control address and starts sending and receiving.
+// Open listens on the control address and starts to send and receive.
 func Open(settings Settings) (*Transport, error) {
 	if settings.Handle == nil {
-		return nil, errors.New("transport: Handle is not set")
+		return nil, errors.New("transport: Handle is nil")
 	}
 	if budget := settings.Budget; budget.BytesPerSecond <= 0 || budget.BurstBytes < MaxDatagramBytes+DatagramOverhead ||
 		budget.BulkBytesPerSecond <= 0 || budget.QueueLength <= 0 {
@@ -91,16 +92,16 @@
 		return nil, err
 	}
 	transport := &Transport{
-		settings: settings,
-		address:  netip.AddrPortFrom(settings.Listen.Addr(), udp.LocalAddr().(*net.UDPAddr).AddrPort().Port()),
-		udp:      udp,
-		tcp:      tcp,
-		meter:    newMeter(),
-		unknown:  rate.NewLimiter(unknownPerSecond, unknownPerSecond),
-		queue:    NewQueue(settings.Budget),
-		wake:     make(chan struct{}, 1),
-		outbound: make(chan struct{}, outboundConnections),
-		inbound:  make(chan struct{}, inboundConnections),
+		settings:       settings,
+		address:        netip.AddrPortFrom(settings.Listen.Addr(), udp.LocalAddr().(*net.UDPAddr).AddrPort().Port()),
+		udp:            udp,
+		tcp:            tcp,
+		meter:          newMeter(),
+		unknownLimiter: rate.NewLimiter(maxUnknownPerSecond, maxUnknownPerSecond),
+		queue:          NewQueue(settings.Budget),
+		wake:           make(chan struct{}, 1),
+		outboundSlots:  make(chan struct{}, maxOutboundConnections),
+		inboundSlots:   make(chan struct{}, maxInboundConnections),
 	}
 	transport.context, transport.cancel = context.WithCancel(context.Background())
 	transport.running.Go(transport.sendLoop)
@@ -130,14 +131,14 @@
 	return nil, nil, failure
 }
 
-// Address is the control address in use.
+// Address returns the control address in use.
 func (transport *Transport) Address() netip.AddrPort { return transport.address }
 
-// Counters gives a copy of the counters.
+// Counters returns a copy of the counters.
 func (transport *Transport) Counters() Counters { return transport.meter.snapshot() }
 
-// Close stops sending and receiving, drops what still waits, and returns when
-// all goroutines have ended.
+// Close stops sending and receiving, drops waiting messages, and returns when all goroutines have
+// ended.
 func (transport *Transport) Close() error {
 	transport.cancel()
 	err := errors.CombineErrors(transport.udp.Close(), transport.tcp.Close())
@@ -145,13 +146,12 @@
 	return err
 }
 
-// Send puts a message on its way. It never blocks and reports no error: what
-// cannot be sent is counted.
+// Send queues a message. It never blocks and returns no error: failures are counted.
 func (transport *Transport) Send(to netip.AddrPort, outgoing message.Message) {
 	transport.SendAll([]netip.AddrPort{to}, outgoing)
 }
 
-// SendAll puts one message on its way to several peers; it is encoded once.
+// SendAll queues one message for several peers. The message is encoded once.
 func (transport *Transport) SendAll(peers []netip.AddrPort, outgoing message.Message) {
 	line, err := message.Encode(nil, transport.settings.Self, outgoing)
 	if err != nil {
@@ -161,7 +161,7 @@
 	kind := outgoing.MessageType()
 	queued := Queued{Type: kind, Class: ClassOf(outgoing, len(line)), Line: Pack(kind, line)}
 	if lifetime := Lifetime(outgoing); lifetime > 0 {
-		queued.Until = time.Now().Add(lifetime)
+		queued.ExpiresAt = time.Now().Add(lifetime)
 	}
 	for _, to := range peers {
 		queued.To = to
@@ -191,7 +191,7 @@
 	return transport.settings.Blocked != nil && transport.settings.Blocked(address)
 }
 
-// sendLoop sends what the queue lets go and sleeps until there is more.
+// sendLoop sends the messages that the queue releases, and sleeps until the next one may be sent.
 func (transport *Transport) sendLoop() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -214,13 +214,13 @@
 	}
 }
 
-// pop takes the next message and counts those that the queue dropped for it.
+// pop returns the next message and counts the messages that the queue has dropped meanwhile.
 func (transport *Transport) pop() (Queued, bool, time.Duration) {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
-	before := transport.queue.droppedInAll()
+	before := transport.queue.totalDropped()
 	item, ready, wait := transport.queue.Pop(time.Now())
-	after := transport.queue.droppedInAll()
+	after := transport.queue.totalDropped()
 	for range after - before {
 		transport.meter.fault(FaultBudget)
 	}
@@ -240,7 +240,7 @@
 }
 
 func (transport *Transport) receiveDatagrams() {
-	buffer := make([]byte, receiveBytes)
+	buffer := make([]byte, receiveBufferBytes)
 	for {
 		size, source, err := transport.udp.ReadFromUDPAddrPort(buffer)
 		if transport.context.Err() != nil {
@@ -251,25 +251,25 @@
 			continue
 		}
 		source = netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
-		transport.takeLines(bytes.NewReader(buffer[:size]), source)
+		transport.readLines(bytes.NewReader(buffer[:size]), source)
 	}
 }
 
-// takeLines handles the lines of a datagram or connection.
-func (transport *Transport) takeLines(data io.Reader, source netip.AddrPort) {
-	scanner := bufio.NewScanner(io.LimitReader(unpack(data), streamBytes))
+// readLines handles the lines of a datagram or connection.
+func (transport *Transport) readLines(data io.Reader, source netip.AddrPort) {
+	scanner := bufio.NewScanner(io.LimitReader(unpack(data), maxStreamBytes))
 	scanner.Buffer(nil, message.MaxLineBytes+1)
 	for scanner.Scan() {
-		transport.take(scanner.Bytes(), source)
+		transport.handleLine(scanner.Bytes(), source)
 	}
 	if scanner.Err() != nil && transport.context.Err() == nil {
 		transport.meter.fault(FaultDecode)
 	}
 }
 
-// take handles one line. source is invalid for lines that came by TCP, whose
-// sender's control address is looked up.
-func (transport *Transport) take(line []byte, source netip.AddrPort) {
+// handleLine handles one line. source is invalid for a line that arrived over TCP; the control
+// address of its sender is looked up.
+func (transport *Transport) handleLine(line []byte, source netip.AddrPort) {
 	if source.IsValid() && transport.blocked(source) {
 		transport.meter.fault(FaultBlocked)
 		return
@@ -280,7 +280,7 @@
 		return
 	}
 	address, known := transport.resolve(from)
-	if !known && !transport.unknown.Allow() {
+	if !known && !transport.unknownLimiter.Allow() {
 		transport.meter.fault(FaultUnknownSender)
 		return
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,7 +15,7 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// peer is a transport that keeps what it receives.
+// peer is a transport that collects the messages that it receives.
 type peer struct {
 	*transport.Transport
 	received chan transport.Incoming
@@ -42,7 +42,8 @@
 	return peer
 }
 
-// waitFault returns when the fault has been counted that often; the test's own deadline bounds it.
+// waitFault waits until the fault has been counted that often. The deadline of the test binary
+// limits the wait.
 func (peer *peer) waitFault(fault transport.Fault, count uint64) {
 	for {
 		for _, counted := range peer.Counters().Faults {
@@ -54,8 +55,8 @@
 	}
 }
 
-// dense gives random bytes, which compression does not shorten.
-func dense(size int) []byte {
+// incompressible returns random bytes, which compression does not shorten.
+func incompressible(size int) []byte {
 	random := rand.New(rand.NewPCG(1, 1))
 	data := make([]byte, size)
 	for index := range data {
@@ -73,11 +74,11 @@
 	is.Equal(incoming.Address, one.Address())
 	is.Equal(incoming.Message, message.Ping{Sequence: 7})
 
-	large := message.Placements{Placements: []lb.Placement{{Service: "s", History: dense(100 << 10)}}}
+	large := message.Placements{Placements: []lb.Placement{{Service: "s", History: incompressible(100 << 10)}}}
 	two.Send(one.Address(), large)
 	incoming = <-one.received
 	is.Equal(incoming.Message, large)
-	is.True(!incoming.Address.IsValid()) // TCP, and nobody to resolve the sender
+	is.True(!incoming.Address.IsValid()) // TCP, and no Resolve function for the sender
 	for _, traffic := range one.Counters().Traffic {
 		is.Equal(traffic.Messages, uint64(1))
 		is.True(traffic.Bytes > 0)
@@ -98,11 +99,11 @@
 	_, err = connection.Write(lines)
 	is.NoErr(err)
 	is.Equal((<-receiver.received).Message, message.Ping{Sequence: 1})
-	is.Equal((<-receiver.received).Message, message.Ping{Sequence: 2}) // the bad line harms no other
+	is.Equal((<-receiver.received).Message, message.Ping{Sequence: 2}) // the invalid line does not affect the next one
 	receiver.waitFault(transport.FaultDecode, 1)
 }
 
-func TestBlockedBothWays(t *testing.T) {
+func TestBlockedPeerIsCutOffInBothDirections(t *testing.T) {
 	is := is.New(t)
 	var cut atomic.Bool
 	cut.Store(true)
@@ -130,15 +131,15 @@
 	one.waitFault(transport.FaultUnknownSender, 1)
 }
 
-func TestSendCountsItsFaults(t *testing.T) {
+func TestSendCountsFaults(t *testing.T) {
 	one := open(t, "one", nil)
 	one.Send(netip.MustParseAddrPort("127.0.0.1:1"), message.Clean{Service: "bad name"})
 	one.waitFault(transport.FaultEncode, 1)
-	one.Send(netip.MustParseAddrPort("127.0.0.1:1"), message.Placements{Placements: []lb.Placement{{Service: "s", History: dense(2000)}}})
-	one.waitFault(transport.FaultNetwork, 1) // nobody listens there
+	one.Send(netip.MustParseAddrPort("127.0.0.1:1"), message.Placements{Placements: []lb.Placement{{Service: "s", History: incompressible(2000)}}})
+	one.waitFault(transport.FaultNetwork, 1) // no process listens on the port
 }
 
-func TestOpenRefusesBadSettings(t *testing.T) {
+func TestOpenRejectsInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	_, err := transport.Open(transport.Settings{Budget: transport.DefaultBudget()})
 	is.True(err != nil)
--- a/internal/transport/unpack.go
+++ b/internal/transport/unpack.go
@@ -7,9 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Unpack gives the plain line that Pack was given, cut at the bound of what
-// one connection may bring.
+// Unpack returns the line that was passed to Pack, truncated to the limit of one connection.
 func Unpack(packed []byte) ([]byte, error) {
-	line, err := io.ReadAll(io.LimitReader(unpack(bytes.NewReader(packed)), streamBytes))
+	line, err := io.ReadAll(io.LimitReader(unpack(bytes.NewReader(packed)), maxStreamBytes))
 	return line, errors.Wrapf(err, "packed line of %d bytes", len(packed))
 }
