--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -27,8 +27,8 @@
 	// deadIncarnation is the incarnation that this node declared dead. It is zero after the node
 	// concerned was notified.
 	deadIncarnation uint64
-	// deadline is the end of the suspicion of a suspect, or the time at which a dead entry may be
-	// removed.
+	// deadline is the time at which the suspicion of a suspect ends, or at which a dead entry may
+	// be removed.
 	deadline time.Duration
 }
 
--- a/internal/message/load.go
+++ b/internal/message/load.go
@@ -44,8 +44,8 @@
 	Echo bool `json:"e,omitempty"`
 }
 
-// LoadReport is sent up the tree over a zone. It carries the observations since the previous
-// report.
+// LoadReport is sent up the distribution tree of a zone, whose root is the first node of the zone.
+// It carries the observations since the previous report.
 type LoadReport struct {
 	Services []ServiceWork `json:"v"`
 }
@@ -59,7 +59,7 @@
 }
 
 // LoadState is sent between the first nodes of zones, each with its own zone only, and down the
-// tree over a zone, with all zones.
+// distribution tree of a zone, with all zones.
 type LoadState struct {
 	// Sender is the first node of a zone, and Number is the sequence number of the state among its
 	// states.
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -71,7 +71,7 @@
 }
 
 // Clean reports to the publisher of the service that the sender, as the head of the chain, knows of
-// no flow in these buckets that is on another back end than the base back end.
+// no flow in these buckets outside the base back end.
 type Clean struct {
 	Service lb.ServiceName `json:"service"`
 	Version lb.Version     `json:"version"`
--- a/internal/message/openflow.go
+++ b/internal/message/openflow.go
@@ -16,8 +16,8 @@
 	Acknowledged uint32    `json:"a"`
 }
 
-// OpenFlows announces flows along the trees over the zones and between the first nodes of the
-// zones, until all nodes know them.
+// OpenFlows announces flows along the distribution trees of the zones and between the first nodes
+// of the zones, until all nodes know them.
 type OpenFlows struct {
 	Flows []OpenFlow `json:"flows,omitempty"`
 	// Ask is set by a sender that has just started. It requests the flows of the last seconds.
--- a/internal/message/outcome.go
+++ b/internal/message/outcome.go
@@ -20,14 +20,15 @@
 	Reporters int `json:"n,omitempty"`
 }
 
-// OutcomeReport is sent up the tree over a zone, and between the first nodes of zones.
+// OutcomeReport is sent up the distribution tree of a zone, whose root is the first node of the
+// zone, and between the first nodes of zones.
 type OutcomeReport struct {
 	// Zone is set if the report is the sum of a whole zone, sent by its first node.
 	Zone     bool              `json:"zone,omitempty"`
 	Backends []BackendOutcomes `json:"backends"`
 }
 
-// OutcomeVerdict is sent down the tree over a zone.
+// OutcomeVerdict is sent down the distribution tree of a zone.
 type OutcomeVerdict struct {
 	// Sender is the first node of the zone, and Number is the sequence number of the verdict among
 	// its verdicts.
