--- a/internal/experiment/batch.go
+++ b/internal/experiment/batch.go
@@ -9,13 +9,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Batch is a scenario run with many seeds on several kinds of balancers.
+// Batch runs a scenario with several seeds on each of several kinds of balancers.
 type Batch struct {
 	Scenario  *Scenario
 	Factories []Factory
-	// Parallel is the number of runs at once; zero takes half of the processors.
+	// Parallel is the number of concurrent runs; zero means half of the processors.
 	Parallel int
-	// Progress is told after each run how many are done of how many; nil is allowed.
+	// Progress is called after each run with the number of finished runs and of all runs. It may be
+	// nil.
 	Progress func(done, total int)
 }
 
@@ -23,11 +24,11 @@
 type job struct {
 	factory Factory
 	seed    uint64
-	place   int
+	index   int // position of its result
 }
 
-// Run runs the batch. Results come in the order of factories, then seeds,
-// whatever the order in which the runs end.
+// Run executes all runs of the batch. Results are ordered by factory, then by seed, regardless of
+// the order in which the runs finish.
 func (batch *Batch) Run() ([]*Result, error) {
 	jobs := batch.jobs()
 	results := make([]*Result, len(jobs))
@@ -39,10 +40,10 @@
 	for range batch.workers() {
 		group.Go(func() {
 			for job := range queue {
-				results[job.place], failures[job.place] = Run(batch.Scenario, job.factory, job.seed)
+				results[job.index], failures[job.index] = Run(batch.Scenario, job.factory, job.seed)
 				lock.Lock()
 				done++
-				batch.report(done, len(jobs))
+				batch.reportProgress(done, len(jobs))
 				lock.Unlock()
 			}
 		})
@@ -59,14 +60,15 @@
 	var jobs []job
 	for _, factory := range batch.Factories {
 		for i := range batch.Scenario.Runs {
-			jobs = append(jobs, job{factory: factory, seed: batch.Scenario.Seed + uint64(i)*seedStep, place: len(jobs)})
+			jobs = append(jobs, job{factory: factory, seed: batch.Scenario.Seed + uint64(i)*seedStride, index: len(jobs)})
 		}
 	}
 	return jobs
 }
 
-// seedStep keeps the random sources of two runs apart: a run uses a few seeds in a row.
-const seedStep = 16
+// seedStride is the difference between the seeds of two consecutive runs. Each run derives several
+// random sources from consecutive seeds, and two runs must not share a source.
+const seedStride = 16
 
 func (batch *Batch) workers() int {
 	if batch.Parallel > 0 {
@@ -75,24 +77,24 @@
 	return max(1, runtime.NumCPU()/2)
 }
 
-func (batch *Batch) report(done, total int) {
+func (batch *Batch) reportProgress(done, total int) {
 	if batch.Progress != nil {
 		batch.Progress(done, total)
 	}
 }
 
-// WriteResults writes results as JSON lines.
+// WriteResults writes the results as JSON, one result per line.
 func WriteResults(writer io.Writer, results []*Result) error {
 	encoder := json.NewEncoder(writer)
 	for _, result := range results {
 		if err := encoder.Encode(result); err != nil {
-			return errors.Wrap(err, "results")
+			return errors.Wrap(err, "encode result")
 		}
 	}
 	return nil
 }
 
-// ReadResults reads results written by WriteResults.
+// ReadResults reads results that WriteResults wrote. Unknown fields are errors.
 func ReadResults(reader io.Reader) ([]*Result, error) {
 	decoder := json.NewDecoder(reader)
 	decoder.DisallowUnknownFields()
@@ -104,7 +106,7 @@
 			return results, nil
 		}
 		if err != nil {
-			return nil, errors.Wrapf(err, "result %d", len(results)+1)
+			return nil, errors.Wrapf(err, "decode result %d", len(results)+1)
 		}
 		results = append(results, &result)
 	}
--- a/internal/experiment/flow.go
+++ b/internal/experiment/flow.go
@@ -10,7 +10,7 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// flowState is where a caller is with its flow.
+// flowState is the state of a flow at its client.
 type flowState uint8
 
 const (
@@ -20,94 +20,99 @@
 	flowCompleted
 	flowBroken
 	flowRefused
-	flowFailed // the opening was never answered
+	flowFailed // the opening was never answered, or a host reset it
 )
 
-// none marks a host or node that is not set.
+// none is the index of a host or node that is not set.
 const none = int32(-1)
 
-// flow is one flow as its caller, and the run's bookkeeping, see it.
+// flow is the state of one flow at its client, and what the run records about the flow.
 type flow struct {
-	key       lb.FlowKey
-	openingID uint32
-	service   int32
-	traffic   int32
-	state     flowState
-	attempts  uint8
-	ran       bool // the tap's request has been taken by its host
-	doubled   bool // counted in RunTwice
-	falsified bool // counted in FalseNotRun
-	notRun    bool // refused as NotRun
-	awaiting  bool // a packet is not yet acknowledged
-	firstHost int32
-	segment   int32
-	timer     uint32 // generation: timers of an older one are void
-	born      time.Duration
-	ends      time.Duration
+	key                lb.FlowKey
+	openingID          uint32
+	service            int32
+	traffic            int32
+	state              flowState
+	attempts           uint8
+	requestAccepted    bool   // a host accepted the request of the tap
+	countedRunTwice    bool   // already counted in Result.RunTwice
+	countedFalseNotRun bool   // already counted in Result.FalseNotRun
+	refusedNotRun      bool   // a balancer refused the opening as NotRun
+	awaitingAck        bool   // the last packet is not yet acknowledged
+	firstHost          int32  // the first host that received the opening, or none
+	acknowledged       int32  // number of acknowledged packets
+	timerGeneration    uint32 // generation of the armed timer; timers of an older generation are ignored
+	openedAt           time.Duration
+	closesAt           time.Duration // when a feed closes
 }
 
-// Retransmission by callers (RFC 6298 minimum of one second, doubled each time).
+// Retransmission by clients. The timeout starts at the minimum of RFC 6298, one second, and doubles
+// with each retransmission.
 const (
-	firstRetransmit    = time.Second
-	openingAttempts    = 5
-	establishedRetries = 6
+	initialRetransmitTimeout = time.Second
+	maxOpeningAttempts       = 5
+	maxEstablishedAttempts   = 6
 )
 
-// virtualAddress gives the front end of a service, by its index.
+// virtualAddress returns the front-end address of the service with the given index.
 func virtualAddress(service int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(service >> 8), byte(service)}), 443)
 }
 
-// hostAddress gives the Geneve endpoint of a host, by its index.
+// hostAddress returns the Geneve endpoint of the host with the given index.
 func hostAddress(host int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 19, byte(host >> 8), byte(host)}), 6081)
 }
 
-// callerAddress gives each flow its own address and port.
-func callerAddress(index int) netip.AddrPort {
+// clientAddress returns the client address and port of the flow with the given index. No two flows
+// share them.
+func clientAddress(index int) netip.AddrPort {
 	var address [4]byte
 	binary.BigEndian.PutUint32(address[:], 0x0a000000|uint32(index>>10))
 	return netip.AddrPortFrom(netip.AddrFrom4(address), uint16(1024+index&0x3ff))
 }
 
-// newFlow adds a flow and gives its index.
+// newFlow adds a flow and returns its index.
 func (run *run) newFlow(service, traffic int32) int32 {
 	index := int32(len(run.flows))
 	run.flows = append(run.flows, flow{
-		key:       lb.NewFlowKey(callerAddress(int(index)), virtualAddress(int(service)), lb.TCP),
-		openingID: run.workload.Uint32() | 1,
+		key:       lb.NewFlowKey(clientAddress(int(index)), virtualAddress(int(service)), lb.TCP),
+		openingID: run.workloadRandom.Uint32() | 1,
 		service:   service,
 		traffic:   traffic,
 		firstHost: none,
-		born:      run.queue.Now(),
+		openedAt:  run.queue.Now(),
 	})
 	return index
 }
 
-// exponential draws from an exponential distribution.
+// exponential draws a duration from an exponential distribution with the given mean.
 func (run *run) exponential(mean time.Duration) time.Duration {
-	return time.Duration(float64(mean) * run.workload.ExpFloat64())
+	return time.Duration(float64(mean) * run.workloadRandom.ExpFloat64())
 }
 
-// arrive opens a new flow and schedules the next arrival (open loop).
-func (run *run) arrive(service, traffic int32) {
+// handleArrival opens a new flow and schedules the next arrival. Arrivals are open-loop: their rate
+// does not depend on the answers.
+func (run *run) handleArrival(service, traffic int32) {
 	spec := &run.services[service].spec.Traffic[traffic]
-	gap := time.Duration(float64(time.Second) / spec.OpensPerSecond * run.workload.ExpFloat64())
+	gap := time.Duration(float64(time.Second) / spec.OpensPerSecond * run.workloadRandom.ExpFloat64())
 	if run.queue.Now()+gap < run.scenario.Duration {
 		run.queue.After(gap, event{kind: eventArrival, index: service, other: traffic})
 	}
-	run.open(run.newFlow(service, traffic))
+	run.openFlow(run.newFlow(service, traffic))
 }
 
-func (run *run) open(index int32) {
+// openFlow sends the opening of a flow.
+func (run *run) openFlow(index int32) {
 	run.result.Opened++
 	run.flows[index].attempts = 1
 	run.send(index, core.PacketOpening)
-	run.armTimer(index, firstRetransmit)
+	run.armTimer(index, initialRetransmitTimeout)
 }
 
-// prefill sets up the flows that are open at the start: the stationary
-// population of each feed, on the hosts of the first placement.
+// prefill establishes the feeds that are open at the start of the run: the steady-state number of
+// flows, on the hosts that the first placement selects. Other kinds of traffic start without open
+// flows.
 func (run *run) prefill(service, traffic int32) {
 	spec := &run.services[service].spec.Traffic[traffic]
 	if spec.Kind != Feed {
@@ -121,32 +126,33 @@
 		host := run.initialHost(index)
 		flow.firstHost = host
 		run.hosts[host].flows[index] = struct{}{}
-		flow.ends = run.exponential(spec.MeanDuration)
+		flow.closesAt = run.exponential(spec.MeanDuration)
 		run.result.Opened++
 		run.result.Established++
 		run.openFlows++
-		run.armTimer(index, time.Duration(run.workload.Float64()*float64(spec.PacketEvery)))
+		run.armTimer(index, time.Duration(run.workloadRandom.Float64()*float64(spec.PacketEvery)))
 	}
 }
 
-// armTimer sets the flow's only timer.
+// armTimer sets the timer of a flow. A flow has one timer, so an earlier timer is cancelled.
 func (run *run) armTimer(index int32, after time.Duration) {
 	flow := &run.flows[index]
-	flow.timer++
-	run.queue.After(after, event{kind: eventTimer, index: index, generation: flow.timer})
+	flow.timerGeneration++
+	run.queue.After(after, event{kind: eventTimer, index: index, generation: flow.timerGeneration})
 }
 
-// timer is the flow's timer: a retransmission, or a feed's next packet.
-func (run *run) timer(index int32, generation uint32) {
+// handleTimer handles the expiry of a flow's timer: it retransmits the last packet, or sends the
+// next packet of a feed.
+func (run *run) handleTimer(index int32, generation uint32) {
 	flow := &run.flows[index]
-	if flow.timer != generation {
+	if flow.timerGeneration != generation {
 		return
 	}
 	switch flow.state {
 	case flowOpening:
 		run.retransmitOpening(index)
 	case flowEstablished, flowClosing:
-		if flow.awaiting {
+		if flow.awaitingAck {
 			run.retransmit(index)
 			return
 		}
@@ -155,31 +161,34 @@
 	}
 }
 
+// retransmitOpening sends the opening again, or ends the flow as failed after the last attempt.
 func (run *run) retransmitOpening(index int32) {
 	flow := &run.flows[index]
-	if flow.attempts >= openingAttempts {
+	if flow.attempts >= maxOpeningAttempts {
 		flow.state = flowFailed
 		run.result.OpeningFailed++
 		return
 	}
 	run.send(index, core.PacketOpening)
-	run.armTimer(index, firstRetransmit<<flow.attempts)
+	run.armTimer(index, initialRetransmitTimeout<<flow.attempts)
 	flow.attempts++
 }
 
+// retransmit sends the unacknowledged packet again, or ends the flow as broken after the last
+// attempt.
 func (run *run) retransmit(index int32) {
 	flow := &run.flows[index]
-	if flow.attempts >= establishedRetries {
-		run.breakFlow(index, CauseSilent)
+	if flow.attempts >= maxEstablishedAttempts {
+		run.breakFlow(index, CauseUnanswered)
 		return
 	}
-	run.sendAwaiting(index)
-	run.armTimer(index, firstRetransmit<<flow.attempts)
+	run.sendUnacknowledged(index)
+	run.armTimer(index, initialRetransmitTimeout<<flow.attempts)
 	flow.attempts++
 }
 
-// sendAwaiting sends the packet that waits for its acknowledgement.
-func (run *run) sendAwaiting(index int32) {
+// sendUnacknowledged sends the packet that awaits an acknowledgement.
+func (run *run) sendUnacknowledged(index int32) {
 	kind := core.PacketMiddle
 	if run.flows[index].state == flowClosing {
 		kind = core.PacketClosing
@@ -194,19 +203,19 @@
 	finished := false
 	switch spec.Kind {
 	case Feed:
-		finished = run.queue.Now() >= flow.ends
+		finished = run.queue.Now() >= flow.closesAt
 	case Upload:
-		finished = flow.segment >= int32(spec.Segments)
+		finished = flow.acknowledged >= int32(spec.Segments)
 	case Tap:
-		finished = flow.segment >= 1
+		finished = flow.acknowledged >= 1
 	}
 	if finished {
 		flow.state = flowClosing
 	}
-	flow.awaiting = true
+	flow.awaitingAck = true
 	flow.attempts = 0
-	run.sendAwaiting(index)
-	run.armTimer(index, firstRetransmit)
+	run.sendUnacknowledged(index)
+	run.armTimer(index, initialRetransmitTimeout)
 	flow.attempts = 1
 }
 
@@ -214,31 +223,32 @@
 	return run.services[flow.service].spec.Traffic[flow.traffic]
 }
 
-// answerKind is what reaches a caller.
+// answerKind is the kind of a packet that reaches the client.
 type answerKind uint8
 
 const (
 	answerAccepted     answerKind = iota + 1 // SYN-ACK
 	answerAcknowledged                       // acknowledgement of a middle packet
-	answerReply                              // the tap's answer
-	answerClosed
-	answerReset // RST of a host
-	answerNotRun
-	answerMayHaveRun
+	answerResponse                           // response to the request of a tap
+	answerClosed                             // acknowledgement of a closing packet
+	answerReset                              // RST from a host
+	answerNotRun                             // refusal by a balancer
+	answerMayHaveRun                         // refusal by a balancer
 )
 
-// answered handles what reaches the caller of a flow.
-func (run *run) answered(index int32, kind answerKind, retryAfter time.Duration) {
+// handleAnswer handles an answer that reaches the client of a flow. Answers to a flow that has ended
+// are ignored.
+func (run *run) handleAnswer(index int32, kind answerKind, retryAfter time.Duration) {
 	flow := &run.flows[index]
 	switch {
 	case flow.state == flowOpening:
-		run.answeredOpening(index, kind, retryAfter)
+		run.handleAnswerToOpening(index, kind, retryAfter)
 	case flow.state == flowEstablished || flow.state == flowClosing:
-		run.answeredEstablished(index, kind)
+		run.handleAnswerOnEstablished(index, kind)
 	}
 }
 
-func (run *run) answeredOpening(index int32, kind answerKind, retryAfter time.Duration) {
+func (run *run) handleAnswerToOpening(index int32, kind answerKind, retryAfter time.Duration) {
 	flow := &run.flows[index]
 	switch kind {
 	case answerAccepted:
@@ -247,7 +257,7 @@
 		run.openFlows++
 		run.result.FlowsOpenPeak = max(run.result.FlowsOpenPeak, run.openFlows)
 		if spec := run.trafficOf(flow); spec.Kind == Feed {
-			flow.ends = run.queue.Now() + run.exponential(spec.MeanDuration)
+			flow.closesAt = run.queue.Now() + run.exponential(spec.MeanDuration)
 			run.recordLatency(flow, Feed)
 		}
 		run.nextPacket(index)
@@ -262,19 +272,19 @@
 	case answerReset:
 		flow.state = flowFailed
 		run.result.OpeningFailed++
-	case answerAcknowledged, answerReply, answerClosed:
+	case answerAcknowledged, answerResponse, answerClosed:
 	}
 }
 
-func (run *run) answeredEstablished(index int32, kind answerKind) {
+func (run *run) handleAnswerOnEstablished(index int32, kind answerKind) {
 	flow := &run.flows[index]
 	switch kind {
 	case answerReset:
 		run.breakFlow(index, CauseReset)
 	case answerNotRun, answerMayHaveRun:
 		run.breakFlow(index, CauseRefused)
-	case answerAcknowledged, answerReply:
-		run.acknowledged(index, kind)
+	case answerAcknowledged, answerResponse:
+		run.handleAcknowledgement(index, kind)
 	case answerClosed:
 		if flow.state == flowClosing {
 			flow.state = flowCompleted
@@ -285,37 +295,40 @@
 	}
 }
 
-func (run *run) acknowledged(index int32, kind answerKind) {
+// handleAcknowledgement handles the acknowledgement of the last packet of an established flow.
+func (run *run) handleAcknowledgement(index int32, kind answerKind) {
 	flow := &run.flows[index]
-	if !flow.awaiting || flow.state != flowEstablished {
+	if !flow.awaitingAck || flow.state != flowEstablished {
 		return
 	}
 	spec := run.trafficOf(flow)
-	if spec.Kind == Tap && kind != answerReply {
-		return // taken, not yet answered
+	if spec.Kind == Tap && kind != answerResponse {
+		return // the host accepted the request and has not responded yet
 	}
-	flow.awaiting = false
-	flow.segment++
+	flow.awaitingAck = false
+	flow.acknowledged++
 	switch spec.Kind {
 	case Feed:
-		gap := time.Duration((0.5 + run.workload.Float64()) * float64(spec.PacketEvery))
+		gap := time.Duration((0.5 + run.workloadRandom.Float64()) * float64(spec.PacketEvery))
 		run.armTimer(index, gap)
 	case Tap:
 		run.recordLatency(flow, Tap)
 		run.nextPacket(index)
 	case Upload:
-		if flow.segment == int32(spec.Segments) {
+		if flow.acknowledged == int32(spec.Segments) {
 			run.recordLatency(flow, Upload)
 		}
 		run.nextPacket(index)
 	}
 }
 
+// recordLatency records the time since the flow was opened in the histogram of its kind.
 func (run *run) recordLatency(flow *flow, kind FlowKind) {
-	elapsed := int64((run.queue.Now() - flow.born) / time.Microsecond)
-	_ = run.latency[kind].RecordValue(min(max(elapsed, lowestLatency), highestLatency))
+	elapsed := int64((run.queue.Now() - flow.openedAt) / time.Microsecond)
+	_ = run.latency[kind].RecordValue(min(max(elapsed, minLatencyMicros), maxLatencyMicros))
 }
 
+// breakFlow ends an established flow as broken and counts it by cause.
 func (run *run) breakFlow(index int32, cause Cause) {
 	flow := &run.flows[index]
 	flow.state = flowBroken
--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -7,112 +7,121 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// host is one back end host: its connections, and slots in which requests run.
+// host is one back-end host, with its connections and with the slots that execute requests.
 type host struct {
-	service  int32
-	number   int // index in its service
-	zone     lb.Zone
-	flows    map[int32]struct{}
-	slotFree []time.Duration
-	leaving  bool
-	left     time.Duration // when it was told to leave
+	service          int32
+	number           int // index in its service
+	zone             lb.Zone
+	flows            map[int32]struct{} // open connections, by flow index
+	slotFreeAt       []time.Duration    // when each slot becomes free
+	leaving          bool
+	drainRequestedAt time.Duration // when its drain was requested
 }
 
-// LateLimit is how long after a drain a back end may still get new flows.
-const LateLimit = 3 * time.Second
+// DrainDeadline is the maximum time after a drain request during which a back end may still receive
+// new flows. Later flows are counted in Result.LateNew.
+const DrainDeadline = 3 * time.Second
 
-// atHost handles a packet that reached a host.
-func (run *run) atHost(hostIndex, flowIndex int32, kind core.PacketKind) {
+// packetAtHost handles a packet that reaches a host.
+func (run *run) packetAtHost(hostIndex, flowIndex int32, kind core.PacketKind) {
 	host, flow := &run.hosts[hostIndex], &run.flows[flowIndex]
 	if host.service != flow.service {
 		run.result.WrongService++
 		return
 	}
 	if kind == core.PacketOpening {
-		run.openAtHost(hostIndex, flowIndex)
+		run.openingAtHost(hostIndex, flowIndex)
 		return
 	}
 	if _, known := host.flows[flowIndex]; !known {
-		run.strayAtHost(hostIndex, flowIndex, kind)
+		run.unknownFlowAtHost(hostIndex, flowIndex, kind)
 		return
 	}
 	if kind == core.PacketClosing {
 		delete(host.flows, flowIndex)
-		run.answer(flowIndex, answerClosed, 0)
+		run.sendAnswer(flowIndex, answerClosed, 0)
 		return
 	}
-	run.serve(host, flowIndex)
+	run.handleFlowPacket(host, flowIndex)
 }
 
-// strayAtHost handles a packet of a flow that the host does not have.
-func (run *run) strayAtHost(hostIndex, flowIndex int32, kind core.PacketKind) {
+// unknownFlowAtHost handles a packet of a flow that is not open at the host. A host that never had
+// the flow resets it. The flow's first host acknowledges a closing packet again, because the
+// acknowledgement may have been lost, and ignores other packets.
+func (run *run) unknownFlowAtHost(hostIndex, flowIndex int32, kind core.PacketKind) {
 	flow := &run.flows[flowIndex]
 	if hostIndex != flow.firstHost {
-		run.answer(flowIndex, answerReset, 0)
+		run.sendAnswer(flowIndex, answerReset, 0)
 		return
 	}
 	if kind == core.PacketClosing {
-		run.answer(flowIndex, answerClosed, 0)
+		run.sendAnswer(flowIndex, answerClosed, 0)
 	}
 }
 
-func (run *run) openAtHost(hostIndex, flowIndex int32) {
+// openingAtHost handles an opening that reaches a host. A host without a free connection resets the
+// flow.
+func (run *run) openingAtHost(hostIndex, flowIndex int32) {
 	host, flow := &run.hosts[hostIndex], &run.flows[flowIndex]
 	if flow.firstHost == none {
-		run.countLate(host)
+		run.countLateNew(host)
 		flow.firstHost = hostIndex
 	}
-	if flow.firstHost != hostIndex && !flow.doubled {
-		flow.doubled = true
+	if flow.firstHost != hostIndex && !flow.countedRunTwice {
+		flow.countedRunTwice = true
 		run.result.RunTwice++
 	}
-	run.checkNotRun(flow)
+	run.countFalseNotRun(flow)
 	if _, known := host.flows[flowIndex]; !known {
 		if flow.state != flowOpening {
-			return // a copy that came after the flow ended
+			return // a delayed copy of the opening: the flow has left the opening state
 		}
 		if len(host.flows) >= run.services[host.service].spec.Connections {
-			run.answer(flowIndex, answerReset, 0)
+			run.sendAnswer(flowIndex, answerReset, 0)
 			return
 		}
 		host.flows[flowIndex] = struct{}{}
 	}
-	run.answer(flowIndex, answerAccepted, 0)
+	run.sendAnswer(flowIndex, answerAccepted, 0)
 }
 
-func (run *run) countLate(host *host) {
-	if host.leaving && run.queue.Now() > host.left+LateLimit {
+// countLateNew counts a new flow at a host whose drain was requested more than DrainDeadline ago.
+func (run *run) countLateNew(host *host) {
+	if host.leaving && run.queue.Now() > host.drainRequestedAt+DrainDeadline {
 		run.result.LateNew++
 	}
 }
 
-// checkNotRun counts a flow that was refused as not run although a host got it.
-func (run *run) checkNotRun(flow *flow) {
-	if flow.notRun && flow.firstHost != none && !flow.falsified {
-		flow.falsified = true
+// countFalseNotRun counts, once, a flow that a balancer refused as NotRun although a host received
+// its opening.
+func (run *run) countFalseNotRun(flow *flow) {
+	if flow.refusedNotRun && flow.firstHost != none && !flow.countedFalseNotRun {
+		flow.countedFalseNotRun = true
 		run.result.FalseNotRun++
 	}
 }
 
-// serve handles a middle packet of a known flow.
-func (run *run) serve(host *host, flowIndex int32) {
+// handleFlowPacket handles a packet of an open flow. The request of a tap runs in the slot that
+// becomes free first.
+func (run *run) handleFlowPacket(host *host, flowIndex int32) {
 	flow := &run.flows[flowIndex]
 	spec := run.trafficOf(flow)
 	if spec.Kind != Tap {
-		run.answer(flowIndex, answerAcknowledged, 0)
+		run.sendAnswer(flowIndex, answerAcknowledged, 0)
 		return
 	}
-	if flow.ran {
-		return // a retransmission of a request that is being served; its answer is sent once done
+	if flow.requestAccepted {
+		return // a retransmitted request: the response to the first copy is already scheduled
 	}
-	flow.ran = true
-	slot := earliest(host.slotFree)
-	start := max(host.slotFree[slot], run.queue.Now())
-	host.slotFree[slot] = start + run.exponential(spec.ServiceTime)
-	run.answer(flowIndex, answerReply, host.slotFree[slot]-run.queue.Now())
+	flow.requestAccepted = true
+	slot := indexOfEarliest(host.slotFreeAt)
+	start := max(host.slotFreeAt[slot], run.queue.Now())
+	host.slotFreeAt[slot] = start + run.exponential(spec.ServiceTime)
+	run.sendAnswer(flowIndex, answerResponse, host.slotFreeAt[slot]-run.queue.Now())
 }
 
-func earliest(times []time.Duration) int {
+// indexOfEarliest returns the index of the earliest time.
+func indexOfEarliest(times []time.Duration) int {
 	best := 0
 	for i, at := range times {
 		if at < times[best] {
@@ -122,8 +131,9 @@
 	return best
 }
 
-// answer sends something from a host straight to the caller (direct server return).
-func (run *run) answer(flowIndex int32, kind answerKind, after time.Duration) {
+// sendAnswer sends an answer from a host directly to the client, past the balancers (direct server
+// return).
+func (run *run) sendAnswer(flowIndex int32, kind answerKind, after time.Duration) {
 	delay := after + run.scenario.Delays.Client
-	run.queue.After(delay, event{kind: eventAnswer, index: flowIndex, other: int32(kind)})
+	run.queue.After(delay, event{kind: eventAnswerAtClient, index: flowIndex, other: int32(kind)})
 }
--- a/internal/experiment/node.go
+++ b/internal/experiment/node.go
@@ -10,24 +10,26 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// node is one balancer of the run.
+// node is one simulated balancer.
 type node struct {
-	id       lb.NodeID
-	zone     lb.Zone
-	balancer baseline.Balancer
-	alive    bool
-	leaving  bool
-	frozen   time.Duration // until when it is paused
-	view     int           // version of the membership it has
-	bytes    uint64        // control bytes sent
-	// resyncing: it distrusts its view and is being given what its peers have.
-	resyncing bool
+	id           lb.NodeID
+	zone         lb.Zone
+	balancer     baseline.Balancer
+	alive        bool
+	leaving      bool
+	pausedUntil  time.Duration // the balancer is paused until this time
+	membership   int           // version of the membership that it adopted
+	controlBytes uint64        // control bytes sent
+	// resyncScheduled is set while a resync of the node is scheduled, because its balancer reported
+	// an unverified view.
+	resyncScheduled bool
 }
 
-// fabricDrain is how long a planned stop waits, after its hand-over, for
-// packets that the fabric still sends.
-const fabricDrain = 2 * time.Second
+// fabricDrainTime is how long a planned stop continues after its handover and fabricUpdateDelay,
+// for packets that the fabric sent earlier.
+const fabricDrainTime = 2 * time.Second
 
+// addNode adds a balancer, lets the fabric send packets to it and returns its index.
 func (run *run) addNode(zone lb.Zone) int32 {
 	index := int32(len(run.nodes))
 	id := lb.NodeID(fmt.Sprintf("balancer-%d", index))
@@ -37,21 +39,23 @@
 	settings.IdleTimeout = timings.IdleTimeout
 	settings.PinLifetime = timings.PinLifetime
 	run.nodes = append(run.nodes, &node{id: id, zone: zone, alive: true, balancer: run.factory.New(settings)})
-	run.byID[id] = index
+	run.nodeByID[id] = index
 	run.fabric = append(run.fabric, index)
 	return index
 }
 
-// startNode gives a node its first members and placements, and its ticks.
+// startNode passes the current membership and placements to a node and schedules its first tick at
+// a random time within a tick interval.
 func (run *run) startNode(index int32) {
 	run.adoptMembers(index)
 	for _, service := range run.services {
-		run.adopt(index, service.document)
+		run.adoptPlacement(index, service.document)
 	}
-	run.queue.After(time.Duration(run.views.Int64N(int64(core.TickInterval))), event{kind: eventTick, other: index})
+	run.queue.After(time.Duration(run.lagRandom.Int64N(int64(core.TickInterval))), event{kind: eventTick, other: index})
 }
 
-// step drives one node and carries out its messages. The packet's decision stays in run.effects.
+// step passes run.stepEvent to a node's balancer and sends the messages that the balancer returns.
+// The decision on a packet is left in run.effects.
 func (run *run) step(index int32) {
 	node := run.nodes[index]
 	node.balancer.Step(run.queue.Now(), &run.stepEvent, &run.effects)
@@ -60,52 +64,55 @@
 		run.sendMessage(index, outgoing)
 	}
 	if run.effects.HandoverDone && node.leaving {
-		run.leaveLater(index)
+		run.scheduleExit(index)
 	}
-	if run.effects.Unverified && !node.resyncing {
-		node.resyncing = true
-		run.act(run.lag(), func() { run.resync(index) })
+	if run.effects.Unverified && !node.resyncScheduled {
+		node.resyncScheduled = true
+		run.schedule(run.randomLag(), func() { run.resync(index) })
 	}
 }
 
-// resync gives a node that distrusts its view what its peers have.
+// resync refreshes a node's unverified view: the node adopts the current membership and placements,
+// and regains contact with its peers. A paused node does so when it resumes.
 func (run *run) resync(index int32) {
 	node := run.nodes[index]
 	if !node.alive {
 		return
 	}
-	if node.frozen > run.queue.Now() {
-		run.queue.Add(node.frozen, event{kind: eventAction, action: func() { run.resync(index) }})
+	if node.pausedUntil > run.queue.Now() {
+		run.queue.Add(node.pausedUntil, event{kind: eventAction, action: func() { run.resync(index) }})
 		return
 	}
 	run.adoptMembers(index)
 	for _, service := range run.services {
-		run.adopt(index, service.document)
+		run.adoptPlacement(index, service.document)
 	}
 	run.stepEvent.Contact = core.ContactRegained
 	run.step(index)
-	node.resyncing = false
+	node.resyncScheduled = false
 }
 
+// sendMessage sends a control message from one node to another. A Clean message goes to the
+// publisher of placements.
 func (run *run) sendMessage(from int32, outgoing core.Outgoing) {
 	sender := run.nodes[from]
-	sender.bytes += uint64(encodedSize(sender.id, outgoing.Message))
+	sender.controlBytes += uint64(encodedSize(sender.id, outgoing.Message))
 	if clean, ok := outgoing.Message.(message.Clean); ok {
-		run.cleaned(clean)
+		run.handleClean(clean)
 		return
 	}
-	to, known := run.byID[outgoing.To]
+	to, known := run.nodeByID[outgoing.To]
 	if !known {
 		return
 	}
 	peer := &core.PeerEvent{From: sender.id, Message: outgoing.Message}
 	run.delays = run.network.Delays(sender.zone, run.nodes[to].zone, run.delays)
 	for _, delay := range run.delays {
-		run.queue.After(delay, event{kind: eventMessage, other: to, message: peer})
+		run.queue.After(delay, event{kind: eventMessageAtNode, other: to, message: peer})
 	}
 }
 
-// encodedSize is the message's size on the wire, in bytes.
+// encodedSize returns the size of the message on the wire, in bytes.
 func encodedSize(from lb.NodeID, sent message.Message) int {
 	line, err := message.Encode(nil, from, sent)
 	if err != nil {
@@ -114,21 +121,23 @@
 	return len(line)
 }
 
-// ready says whether a node takes the event now; a paused node takes it when it goes on.
-func (run *run) ready(index int32, next *event) bool {
+// acceptsEvent reports whether a node handles the event now. A paused node gets the event again
+// when it resumes; a dead node never handles it.
+func (run *run) acceptsEvent(index int32, next *event) bool {
 	node := run.nodes[index]
 	if !node.alive {
 		return false
 	}
-	if node.frozen > run.queue.Now() {
-		run.queue.Add(node.frozen, *next)
+	if node.pausedUntil > run.queue.Now() {
+		run.queue.Add(node.pausedUntil, *next)
 		return false
 	}
 	return true
 }
 
+// messageAtNode handles a control message that reaches a balancer.
 func (run *run) messageAtNode(next *event) {
-	if !run.ready(next.other, next) {
+	if !run.acceptsEvent(next.other, next) {
 		return
 	}
 	run.peerEvent = *next.message
@@ -136,8 +145,9 @@
 	run.step(next.other)
 }
 
+// tick passes a tick to a balancer and schedules the next one.
 func (run *run) tick(next *event) {
-	if !run.ready(next.other, next) {
+	if !run.acceptsEvent(next.other, next) {
 		return
 	}
 	run.stepEvent.Tick = true
@@ -145,26 +155,27 @@
 	run.queue.After(core.TickInterval, *next)
 }
 
-// packetAtNode handles a packet that reached a balancer.
+// packetAtNode handles a packet that reaches a balancer.
 func (run *run) packetAtNode(next *event) {
-	if !run.ready(next.other, next) {
+	if !run.acceptsEvent(next.other, next) {
 		return
 	}
 	if next.relay.Hop == lb.HopIngress {
-		run.ingress++
+		run.ingressPackets++
 	}
 	run.packet = core.Packet{
 		Key:       run.flows[next.index].key,
-		Kind:      next.packet,
-		OpeningID: next.opening,
+		Kind:      next.packetKind,
+		OpeningID: next.openingID,
 		Relay:     next.relay,
 	}
 	run.stepEvent.Packet = &run.packet
 	run.step(next.other)
-	run.carryOut(next, run.effects.Decision)
+	run.applyDecision(next, run.effects.Decision)
 }
 
-func (run *run) carryOut(next *event, decision core.Decision) {
+// applyDecision applies a balancer's decision on a packet.
+func (run *run) applyDecision(next *event, decision core.Decision) {
 	switch decision.Action {
 	case core.ActionForward:
 		run.forward(next, decision)
@@ -176,45 +187,48 @@
 	}
 }
 
+// forward sends a packet from a balancer to a host.
 func (run *run) forward(next *event, decision core.Decision) {
-	host, known := run.byHost[decision.Host]
+	host, known := run.hostByAddress[decision.Host]
 	if !known {
 		return
 	}
 	run.delays = run.network.Delays(run.nodes[next.other].zone, run.hosts[host].zone, run.delays)
 	for _, delay := range run.delays {
-		run.queue.After(delay, event{kind: eventHost, packet: next.packet, index: next.index, other: host})
+		run.queue.After(delay, event{kind: eventPacketAtHost, packetKind: next.packetKind, index: next.index, other: host})
 	}
 }
 
+// relay sends a packet from a balancer to another one.
 func (run *run) relay(next *event, decision core.Decision) {
 	if next.relay.Hop == lb.HopIngress {
-		run.relayed++
+		run.relayedPackets++
 	}
-	to, known := run.byID[decision.Peer]
+	to, known := run.nodeByID[decision.Peer]
 	if !known {
 		return
 	}
 	run.delays = run.network.Delays(run.nodes[next.other].zone, run.nodes[to].zone, run.delays)
 	for _, delay := range run.delays {
 		run.queue.After(delay, event{
-			kind: eventPacket, packet: next.packet, index: next.index, other: to,
-			opening: next.opening, relay: decision.Relay,
+			kind: eventPacketAtNode, packetKind: next.packetKind, index: next.index, other: to,
+			openingID: next.openingID, relay: decision.Relay,
 		})
 	}
 }
 
+// refuse sends a refusal from a balancer to the client.
 func (run *run) refuse(next *event, decision core.Decision) {
 	flow := &run.flows[next.index]
 	answer := answerMayHaveRun
 	if decision.Refusal.Verdict == lb.NotRun {
 		answer = answerNotRun
-		if next.packet == core.PacketOpening {
-			flow.notRun = true
-			run.checkNotRun(flow)
+		if next.packetKind == core.PacketOpening {
+			flow.refusedNotRun = true
+			run.countFalseNotRun(flow)
 		}
 	}
 	run.queue.After(run.scenario.Delays.Client, event{
-		kind: eventAnswer, index: next.index, other: int32(answer), retryAfter: decision.Refusal.RetryAfter,
+		kind: eventAnswerAtClient, index: next.index, other: int32(answer), retryAfter: decision.Refusal.RetryAfter,
 	})
 }
--- a/internal/experiment/publisher.go
+++ b/internal/experiment/publisher.go
@@ -11,45 +11,49 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// prepareLimit is the longest wait for a prepared version to be everywhere
+// prepareTimeout is the maximum time to wait until all live nodes have adopted a prepared version
 // (docs/DESIGN.md, "Placement").
-const prepareLimit = 1500 * time.Millisecond
+const prepareTimeout = 1500 * time.Millisecond
 
-// weight is every back end's share: the hosts of a scenario are equal.
-const weight = 100
+// backendWeight is the weight of every back end. All hosts of a scenario have the same capacity.
+const backendWeight = 100
 
-// service is one service and the publisher of its placements. The publisher
-// follows docs/DESIGN.md; how unevenly views spread is the scenario's choice.
+// service is one service and the publisher of its placements. The publisher implements
+// docs/DESIGN.md. The scenario's Timings.Spread sets how far apart in time the nodes adopt a
+// placement.
 type service struct {
-	run      *run
-	spec     *Service
-	index    int32
-	first    int32   // index of its first host
-	members  []int32 // hosts that are to take new flows
-	document *lb.Placement
-	table    *placement.Table
-	adopted  map[int32]lb.Version // by node
-	pending  []change
-	busy     bool
-	inForce  []float64
-	clean    map[uint16]bool
+	run            *run
+	spec           *Service
+	index          int32
+	firstHostIndex int32   // index of its first host in run.hosts
+	members        []int32 // hosts that receive new flows
+	document       *lb.Placement
+	table          *placement.Table
+	adopted        map[int32]lb.Version // newest version that each node adopted, by node index
+	pending        []change             // changes that wait until the present one is committed
+	preparing      bool                 // a change is prepared and not yet committed
+	inForceMillis  []float64            // milliseconds from the request of each change to its commit at all live nodes
+	cleanBuckets   map[uint16]bool      // buckets whose history is no longer needed
 }
 
-// change is an operator's change that waits for its turn.
+// change is one change to a placement, as an operator requests it.
 type change struct {
 	requested time.Duration
 	apply     func()
 }
 
+// addService adds the service with the given index in the scenario, and its hosts.
 func (run *run) addService(index int32) {
 	spec := &run.scenario.Services[index]
-	service := &service{run: run, spec: spec, index: index, first: int32(len(run.hosts)), adopted: make(map[int32]lb.Version)}
+	service := &service{run: run, spec: spec, index: index, firstHostIndex: int32(len(run.hosts)), adopted: make(map[int32]lb.Version)}
 	run.services = append(run.services, service)
 	for range spec.Hosts {
 		service.members = append(service.members, service.addHost())
 	}
 }
 
+// addHost adds a host to the run and returns its index. It does not make the host a member of the
+// service.
 func (service *service) addHost() int32 {
 	run := service.run
 	index := int32(len(run.hosts))
@@ -60,18 +64,18 @@
 		}
 	}
 	run.hosts = append(run.hosts, host{
-		service:  service.index,
-		number:   number,
-		zone:     run.scenario.Zones[number%len(run.scenario.Zones)],
-		flows:    make(map[int32]struct{}),
-		slotFree: make([]time.Duration, service.spec.Slots),
+		service:    service.index,
+		number:     number,
+		zone:       run.scenario.Zones[number%len(run.scenario.Zones)],
+		flows:      make(map[int32]struct{}),
+		slotFreeAt: make([]time.Duration, service.spec.Slots),
 	})
-	run.byHost[hostAddress(int(index))] = index
+	run.hostByAddress[hostAddress(int(index))] = index
 	return index
 }
 
-// start makes the first placement, committed from the beginning.
-func (service *service) start() error {
+// createPlacement creates the first placement, which is already committed.
+func (service *service) createPlacement() error {
 	document, err := placement.New(service.spec.Name, service.stamp(),
 		placement.SetFrontends([]lb.Frontend{{Address: virtualAddress(int(service.index)), Protocol: lb.TCP}}),
 		placement.SetOpensPerSecond(service.spec.OpensPerSecond),
@@ -89,67 +93,71 @@
 	return placement.Stamp{WriteID: fmt.Sprintf("write-%d", service.run.queue.Now())}
 }
 
+// targets returns the members of the service as targets of a placement.
 func (service *service) targets() []placement.Target {
 	targets := make([]placement.Target, 0, len(service.members))
 	for _, host := range service.members {
 		targets = append(targets, placement.Target{
 			Name:   lb.BackendName(fmt.Sprintf("%s-%03d", service.spec.Name, service.run.hosts[host].number)),
 			Host:   hostAddress(int(host)),
-			Weight: weight,
+			Weight: backendWeight,
 		})
 	}
 	return targets
 }
 
-// initialHost is the host on which the first placement puts a flow.
+// initialHost returns the host that the first placement selects for a flow.
 func (run *run) initialHost(flowIndex int32) int32 {
 	flow := &run.flows[flowIndex]
 	table := run.services[flow.service].table
 	backend, _ := table.Backend(table.Current(flow.key.ID().Bucket()))
-	return run.byHost[backend.Host]
+	return run.hostByAddress[backend.Host]
 }
 
-// publish makes the next document and lets every node adopt it in its time.
+// publish applies the changes to the placement and delivers the new version to all nodes. It
+// returns false when the changes have no effect.
 func (service *service) publish(changes ...placement.Change) bool {
 	next, err := placement.Next(service.document, service.stamp(), changes...)
 	if err != nil {
-		panic(fmt.Sprintf("experiment: transition of %s: %v", service.spec.Name, err))
+		panic(fmt.Sprintf("experiment: change the placement of service %s: %v", service.spec.Name, err))
 	}
 	if next.Version == service.document.Version {
 		return false
 	}
 	service.document = next
 	for index := range service.run.nodes {
-		service.deliver(int32(index), next)
+		service.scheduleDelivery(int32(index), next)
 	}
 	return true
 }
 
-func (service *service) deliver(index int32, document *lb.Placement) {
-	service.run.act(service.run.lag(), func() { service.run.adoptLater(index, document) })
+// scheduleDelivery schedules the delivery of a placement to a node, after a random lag.
+func (service *service) scheduleDelivery(index int32, document *lb.Placement) {
+	service.run.schedule(service.run.randomLag(), func() { service.run.deliverPlacement(index, document) })
 }
 
-// adoptLater gives a document to a node; a paused node takes it when it goes on,
-// a node that is cut off when the cut is over.
-func (run *run) adoptLater(index int32, document *lb.Placement) {
+// deliverPlacement passes a placement to a live node. A paused node adopts it when it resumes.
+func (run *run) deliverPlacement(index int32, document *lb.Placement) {
 	node := run.nodes[index]
 	switch {
 	case !node.alive:
-	case node.frozen > run.queue.Now():
-		run.queue.Add(node.frozen, event{kind: eventAction, action: func() { run.adoptLater(index, document) }})
+	case node.pausedUntil > run.queue.Now():
+		run.queue.Add(node.pausedUntil, event{kind: eventAction, action: func() { run.deliverPlacement(index, document) }})
 	default:
-		run.adopt(index, document)
+		run.adoptPlacement(index, document)
 	}
 }
 
-func (run *run) adopt(index int32, document *lb.Placement) {
-	service := run.serviceOf(document.Service)
+// adoptPlacement passes a placement to a node's balancer and records that the node has it.
+func (run *run) adoptPlacement(index int32, document *lb.Placement) {
+	service := run.serviceByName(document.Service)
 	service.adopted[index] = max(service.adopted[index], document.Version)
 	run.stepEvent.Placement = document
 	run.step(index)
 }
 
-func (run *run) serviceOf(name lb.ServiceName) *service {
+// serviceByName returns the service with the given name.
+func (run *run) serviceByName(name lb.ServiceName) *service {
 	for _, service := range run.services {
 		if service.spec.Name == name {
 			return service
@@ -158,8 +166,8 @@
 	panic(fmt.Sprintf("experiment: no service %q", name))
 }
 
-// everywhere says whether every live node has a version.
-func (service *service) everywhere(version lb.Version) bool {
+// adoptedByAll reports whether all live nodes have adopted the version or a newer one.
+func (service *service) adoptedByAll(version lb.Version) bool {
 	for index, node := range service.run.nodes {
 		if node.alive && service.adopted[int32(index)] < version {
 			return false
@@ -168,50 +176,57 @@
 	return true
 }
 
-// request queues an operator's change.
-func (service *service) request(apply func()) {
+// requestChange queues a change to the members of the service.
+func (service *service) requestChange(apply func()) {
 	service.pending = append(service.pending, change{requested: service.run.queue.Now(), apply: apply})
-	service.proceed()
+	service.startNextChange()
 }
 
-// proceed begins the next change: prepare, then commit.
-func (service *service) proceed() {
-	if service.busy || len(service.pending) == 0 {
+// startNextChange starts the next pending change: it prepares the change, and awaitPrepared commits
+// it.
+func (service *service) startNextChange() {
+	if service.preparing || len(service.pending) == 0 {
 		return
 	}
 	next := service.pending[0]
 	service.pending = service.pending[1:]
-	service.busy = true
+	service.preparing = true
 	next.apply()
 	service.publish(placement.Prepare(service.targets()))
-	service.awaitPrepared(next, service.run.queue.Now()+prepareLimit)
+	service.awaitPrepared(next, service.run.queue.Now()+prepareTimeout)
 }
 
-// poll is how often the publisher looks whether a version is everywhere.
-const poll = 50 * time.Millisecond
+// pollInterval is the interval at which the publisher checks whether all live nodes have adopted a
+// version.
+const pollInterval = 50 * time.Millisecond
 
-func (service *service) awaitPrepared(change change, limit time.Duration) {
-	if !service.everywhere(service.document.Version) && service.run.queue.Now() < limit {
-		service.run.act(poll, func() { service.awaitPrepared(change, limit) })
+// awaitPrepared commits the prepared version once all live nodes have adopted it, or at the
+// deadline, and starts the next change.
+func (service *service) awaitPrepared(change change, deadline time.Duration) {
+	if !service.adoptedByAll(service.document.Version) && service.run.queue.Now() < deadline {
+		service.run.schedule(pollInterval, func() { service.awaitPrepared(change, deadline) })
 		return
 	}
 	service.publish(placement.Commit())
-	service.busy = false
+	service.preparing = false
 	service.awaitCommitted(change, service.document.Version)
-	service.proceed()
+	service.startNextChange()
 }
 
+// awaitCommitted records how long the change took, once all live nodes have adopted its committed
+// version, and schedules the removal of the generations before it.
 func (service *service) awaitCommitted(change change, version lb.Version) {
-	if !service.everywhere(version) {
-		service.run.act(poll, func() { service.awaitCommitted(change, version) })
+	if !service.adoptedByAll(version) {
+		service.run.schedule(pollInterval, func() { service.awaitCommitted(change, version) })
 		return
 	}
 	elapsed := service.run.queue.Now() - change.requested
-	service.inForce = append(service.inForce, float64(elapsed)/float64(time.Millisecond))
-	service.run.act(service.run.scenario.Timings.IdleTimeout, func() { service.settle(version) })
+	service.inForceMillis = append(service.inForceMillis, float64(elapsed)/float64(time.Millisecond))
+	service.run.schedule(service.run.scenario.Timings.IdleTimeout, func() { service.settle(version) })
 }
 
-// settle makes the newest generation that was committed by the version the base.
+// settle makes the newest generation that was already committed in the given version the oldest one
+// of the placement.
 func (service *service) settle(version lb.Version) {
 	generation := lb.Version(0)
 	for _, candidate := range service.document.Generations[:service.document.Current+1] {
@@ -223,37 +238,39 @@
 		return
 	}
 	service.publish(placement.Settle(generation))
-	service.clean = nil
+	service.cleanBuckets = nil
 }
 
-// cleaned clears history that the heads report as no longer needed.
-func (run *run) cleaned(clean message.Clean) {
-	service := run.serviceOf(clean.Service)
+// handleClean handles a head's report of buckets whose history is no longer needed. All reports of
+// one second are cleared together.
+func (run *run) handleClean(clean message.Clean) {
+	service := run.serviceByName(clean.Service)
 	if clean.Version != service.document.Version || len(service.document.Generations) > 1 {
 		return
 	}
-	if service.clean == nil {
-		service.clean = make(map[uint16]bool)
-		run.act(time.Second, service.clear)
+	if service.cleanBuckets == nil {
+		service.cleanBuckets = make(map[uint16]bool)
+		run.schedule(time.Second, service.clearHistory)
 	}
 	for _, bucket := range clean.Buckets {
-		service.clean[bucket] = true
+		service.cleanBuckets[bucket] = true
 	}
 }
 
-func (service *service) clear() {
-	buckets := make([]uint16, 0, len(service.clean))
-	for bucket := range service.clean {
+// clearHistory publishes a placement without the history of the reported buckets.
+func (service *service) clearHistory() {
+	buckets := make([]uint16, 0, len(service.cleanBuckets))
+	for bucket := range service.cleanBuckets {
 		buckets = append(buckets, bucket)
 	}
 	slices.Sort(buckets)
-	service.clean = nil
+	service.cleanBuckets = nil
 	if len(buckets) > 0 && len(service.document.Generations) == 1 {
 		service.publish(placement.Clear(buckets))
 	}
 }
 
-// adoptMembers gives a node the membership as it now is.
+// adoptMembers passes the current membership to a node's balancer.
 func (run *run) adoptMembers(index int32) {
 	members := make([]core.Member, 0, len(run.nodes))
 	for _, node := range run.nodes {
@@ -261,7 +278,7 @@
 			members = append(members, core.Member{ID: node.id, Zone: node.zone, Leaving: node.leaving})
 		}
 	}
-	run.nodes[index].view = run.membership
+	run.nodes[index].membership = run.membershipVersion
 	run.stepEvent.Members = members
 	run.step(index)
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -8,17 +8,18 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Cause says why an established flow broke.
+// Cause is the reason why an established flow broke.
 type Cause string
 
 // The causes of broken flows.
 const (
-	// CauseReset: a packet reached a host that does not have the flow.
+	// CauseReset means that a packet reached a host that does not have the flow.
 	CauseReset Cause = "reset"
-	// CauseRefused: a balancer refused a packet of the established flow.
+	// CauseRefused means that a balancer refused a packet of the flow.
 	CauseRefused Cause = "refused"
-	// CauseSilent: the caller gave up after retransmitting without an answer.
-	CauseSilent Cause = "silent"
+	// CauseUnanswered means that the client gave up because none of its retransmissions was
+	// answered.
+	CauseUnanswered Cause = "silent"
 )
 
 // Result is the outcome of one run.
@@ -27,42 +28,47 @@
 	Balancer string `json:"balancer"`
 	Seed     uint64 `json:"seed"`
 
+	// Opened, Established and Completed count flows.
 	Opened      int           `json:"opened"`
 	Established int           `json:"established"`
 	Completed   int           `json:"completed"`
 	Broken      map[Cause]int `json:"broken"`
 	// BrokenTotal is the sum over Broken.
 	BrokenTotal int `json:"broken_total"`
-	// RunTwice counts openings that reached two hosts.
+	// RunTwice counts flows whose opening reached more than one host.
 	RunTwice int `json:"run_twice"`
-	// FalseNotRun counts openings refused as NotRun of which a host got a copy.
+	// FalseNotRun counts flows whose opening was refused as NotRun although a host received a copy.
 	FalseNotRun int `json:"false_not_run"`
 	// WrongService counts packets that reached a host of another service.
 	WrongService int `json:"wrong_service"`
-	// LateNew counts openings at a leaving back end more than LateLimit after its drain.
+	// LateNew counts new flows at a leaving back end more than DrainDeadline after the request for
+	// its drain.
 	LateNew       int            `json:"late_new"`
-	Refused       map[string]int `json:"refused"` // by verdict, openings only
+	Refused       map[string]int `json:"refused"` // openings, by verdict
 	OpeningFailed int            `json:"opening_failed"`
 	FlowsOpenPeak int            `json:"flows_open_peak"`
 
-	// Imbalance is the busiest back end's open flows over the mean of the
-	// active ones, per service, at the end of the run.
+	// Imbalance is the ratio, for each service at the end of the run, of the maximum number of open
+	// flows on an active back end to the mean over its active back ends.
 	Imbalance map[lb.ServiceName]float64 `json:"imbalance"`
-	// Samples of the worst service's imbalance over time, one a second.
+	// Samples holds one sample for each second of the run.
 	Samples []Sample `json:"samples,omitempty"`
 
-	// ControlBytesPerNode is bytes per second sent by one node on the mean and by the busiest one.
+	// ControlBytesMean and ControlBytesMax are the mean and the maximum over nodes of the control
+	// bytes that a node sent per second.
 	ControlBytesMean float64 `json:"control_bytes_mean"`
 	ControlBytesMax  float64 `json:"control_bytes_max"`
-	RelayedShare     float64 `json:"relayed_share"` // packets relayed, of all packets handled at their ingress
-	// InForce is the time from a change to its commit at all live nodes, in milliseconds.
+	RelayedShare     float64 `json:"relayed_share"` // share of client packets that their ingress balancer relayed
+	// InForceMillis holds, for each placement change, the milliseconds from its request until all
+	// live nodes adopted its commit.
 	InForceMillis []float64 `json:"in_force_ms,omitempty"`
 
 	Latency map[FlowKind]Latency `json:"latency"`
 	Events  uint64               `json:"events"`
 }
 
-// Sample is one second of a run.
+// Sample is the state of a run at the end of one second: the highest imbalance of a service, the
+// open flows, and the flows broken so far.
 type Sample struct {
 	Second    int     `json:"s"`
 	Imbalance float64 `json:"i"`
@@ -70,7 +76,7 @@
 	Broken    int     `json:"b"`
 }
 
-// Latency sums up one histogram, in milliseconds.
+// Latency holds quantiles of a latency histogram, in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -79,18 +85,19 @@
 	Max   float64 `json:"max"`
 }
 
-// Range of the latency histograms, in microseconds, and their precision.
+// Range of the latency histograms in microseconds, and their precision in significant decimal
+// digits.
 const (
-	lowestLatency    = 1
-	highestLatency   = int64(10 * time.Minute / time.Microsecond)
-	latencyPrecision = 3
+	minLatencyMicros = 1
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+	latencyDigits    = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestLatency, highestLatency, latencyPrecision)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
 
-func summarise(histogram *hdrhistogram.Histogram) Latency {
+func summarize(histogram *hdrhistogram.Histogram) Latency {
 	return Latency{
 		Count: histogram.TotalCount(),
 		P50:   milliseconds(histogram.ValueAtQuantile(50)),
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -13,84 +13,84 @@
 	"robinpulley.example/robinpulley/internal/sim"
 )
 
-// Factory makes the balancer of one node.
+// Factory creates balancers of one kind. New is called once per node.
 type Factory struct {
 	Name string
 	New  func(core.Settings) baseline.Balancer
 }
 
-// eventKind tells what an event of the run is.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
-	eventArrival eventKind = iota + 1
-	eventRetry
-	eventTimer
-	eventPacket  // a packet reaches a balancer
-	eventHost    // a packet reaches a host
-	eventAnswer  // something reaches a caller
-	eventMessage // a message reaches a balancer
-	eventTick
-	eventSample
-	eventAction // anything rare
+	eventArrival        eventKind = iota + 1 // a client opens a flow
+	eventRetry                               // a client opens a new flow after a refusal
+	eventTimer                               // the timer of a flow expires
+	eventPacketAtNode                        // a packet reaches a balancer
+	eventPacketAtHost                        // a packet reaches a host
+	eventAnswerAtClient                      // an answer reaches a client
+	eventMessageAtNode                       // a control message reaches a balancer
+	eventTick                                // a balancer's tick
+	eventSample                              // a sample is due
+	eventAction                              // any other event; its action is called
 )
 
-// event is one thing that happens at a time. Which fields are set depends on its kind.
+// event is one event of the run. Its kind determines which fields are set.
 type event struct {
 	kind       eventKind
-	packet     core.PacketKind
-	index      int32 // flow, service or node
-	other      int32 // host, node, traffic or answer
+	packetKind core.PacketKind
+	index      int32 // flow or service
+	other      int32 // host, node, traffic or answerKind
 	generation uint32
-	opening    uint32
+	openingID  uint32
 	retryAfter time.Duration
 	relay      lb.Relay
 	message    *core.PeerEvent
 	action     func()
 }
 
-// run is the state of one run.
+// run is the state of one run of a scenario.
 type run struct {
-	scenario *Scenario
-	factory  Factory
-	queue    sim.Queue[event]
-	network  sim.Network
-	workload *rand.Rand // arrivals, durations
-	spray    *rand.Rand // which balancer gets a packet
-	views    *rand.Rand // when nodes learn of things
+	scenario       *Scenario
+	factory        Factory
+	queue          sim.Queue[event]
+	network        sim.Network
+	workloadRandom *rand.Rand // arrivals and durations of flows
+	sprayRandom    *rand.Rand // the balancer that receives each packet
+	lagRandom      *rand.Rand // the lag of each node's views
 
-	nodes    []*node
-	byID     map[lb.NodeID]int32
-	fabric   []int32 // the balancers that the fabric sends to
-	hosts    []host
-	byHost   map[netip.AddrPort]int32
-	services []*service
-	flows    []flow
+	nodes         []*node
+	nodeByID      map[lb.NodeID]int32
+	fabric        []int32 // balancers to which the fabric sends packets
+	hosts         []host
+	hostByAddress map[netip.AddrPort]int32
+	services      []*service
+	flows         []flow
 
-	openFlows  int
-	relayed    uint64
-	ingress    uint64
-	membership int // version of the membership
-	latency    map[FlowKind]*hdrhistogram.Histogram
-	effects    core.Effects
-	stepEvent  core.Event
-	packet     core.Packet
-	peerEvent  core.PeerEvent
-	delays     []time.Duration
-	result     *Result
+	openFlows         int
+	relayedPackets    uint64 // client packets that their ingress balancer relayed
+	ingressPackets    uint64 // client packets that balancers handled
+	membershipVersion int    // version of the membership
+	latency           map[FlowKind]*hdrhistogram.Histogram
+	effects           core.Effects // this field and the next four are reused by every step
+	stepEvent         core.Event
+	packet            core.Packet
+	peerEvent         core.PeerEvent
+	delays            []time.Duration
+	result            *Result
 }
 
-// Run runs one scenario with one seed on the balancers of the factory.
+// Run runs a scenario once, with the given seed, on balancers that the factory creates.
 func Run(scenario *Scenario, factory Factory, seed uint64) (*Result, error) {
 	run := &run{
-		scenario: scenario,
-		factory:  factory,
-		workload: sim.NewRandom(seed),
-		spray:    sim.NewRandom(seed + 1),
-		views:    sim.NewRandom(seed + 2),
-		byID:     make(map[lb.NodeID]int32),
-		byHost:   make(map[netip.AddrPort]int32),
-		latency:  map[FlowKind]*hdrhistogram.Histogram{Feed: newHistogram(), Tap: newHistogram(), Upload: newHistogram()},
+		scenario:       scenario,
+		factory:        factory,
+		workloadRandom: sim.NewRandom(seed),
+		sprayRandom:    sim.NewRandom(seed + 1),
+		lagRandom:      sim.NewRandom(seed + 2),
+		nodeByID:       make(map[lb.NodeID]int32),
+		hostByAddress:  make(map[netip.AddrPort]int32),
+		latency:        map[FlowKind]*hdrhistogram.Histogram{Feed: newHistogram(), Tap: newHistogram(), Upload: newHistogram()},
 		result: &Result{
 			Scenario:  scenario.Name,
 			Balancer:  factory.Name,
@@ -107,7 +107,7 @@
 		Loss: delays.Loss, Duplication: delays.Duplication,
 	}
 	run.network.Start(sim.NewRandom(seed + 3))
-	if err := run.setUp(seed); err != nil {
+	if err := run.initialize(seed); err != nil {
 		return nil, err
 	}
 	run.loop()
@@ -115,7 +115,9 @@
 	return run.result, nil
 }
 
-func (run *run) setUp(seed uint64) error {
+// initialize creates the services, hosts, balancers and initial flows, and schedules the first
+// events.
+func (run *run) initialize(seed uint64) error {
 	for i := range run.scenario.Services {
 		run.addService(int32(i))
 	}
@@ -125,7 +127,7 @@
 		}
 	}
 	for _, service := range run.services {
-		if err := service.start(); err != nil {
+		if err := service.createPlacement(); err != nil {
 			return err
 		}
 	}
@@ -143,6 +145,7 @@
 	return nil
 }
 
+// loop handles events until the duration of the scenario is over.
 func (run *run) loop() {
 	for {
 		next, ok := run.queue.Next()
@@ -157,54 +160,57 @@
 func (run *run) handle(next *event) {
 	switch next.kind {
 	case eventArrival:
-		run.arrive(next.index, next.other)
+		run.handleArrival(next.index, next.other)
 	case eventRetry:
-		run.open(run.newFlow(next.index, next.other))
+		run.openFlow(run.newFlow(next.index, next.other))
 	case eventTimer:
-		run.timer(next.index, next.generation)
-	case eventPacket:
+		run.handleTimer(next.index, next.generation)
+	case eventPacketAtNode:
 		run.packetAtNode(next)
-	case eventHost:
-		run.atHost(next.other, next.index, next.packet)
-	case eventAnswer:
-		run.answered(next.index, answerKind(next.other), next.retryAfter)
-	case eventMessage:
+	case eventPacketAtHost:
+		run.packetAtHost(next.other, next.index, next.packetKind)
+	case eventAnswerAtClient:
+		run.handleAnswer(next.index, answerKind(next.other), next.retryAfter)
+	case eventMessageAtNode:
 		run.messageAtNode(next)
 	case eventTick:
 		run.tick(next)
 	case eventSample:
-		run.sample()
+		run.recordSample()
 	case eventAction:
 		next.action()
 	}
 }
 
-// act schedules a rare event.
-func (run *run) act(after time.Duration, action func()) {
+// schedule schedules a call of the action.
+func (run *run) schedule(after time.Duration, action func()) {
 	run.queue.After(after, event{kind: eventAction, action: action})
 }
 
-// lag draws the time until one node learns of something.
-func (run *run) lag() time.Duration {
-	return time.Duration(run.views.Int64N(int64(run.scenario.Timings.Spread) + 1))
+// randomLag draws the delay after which a node adopts a new view: uniform from zero to
+// Timings.Spread.
+func (run *run) randomLag() time.Duration {
+	return time.Duration(run.lagRandom.Int64N(int64(run.scenario.Timings.Spread) + 1))
 }
 
-// send sprays one packet of a flow onto a random balancer.
+// send sends one packet of a flow from the client to a random balancer. The fabric sprays packets:
+// it selects the balancer anew for each packet of a flow.
 func (run *run) send(flowIndex int32, kind core.PacketKind) {
 	if len(run.fabric) == 0 {
 		return
 	}
-	nodeIndex := run.fabric[run.spray.IntN(len(run.fabric))]
+	nodeIndex := run.fabric[run.sprayRandom.IntN(len(run.fabric))]
 	zone := run.nodes[nodeIndex].zone
 	run.delays = run.network.Delays(zone, zone, run.delays)
 	for _, delay := range run.delays {
 		run.queue.After(delay+run.scenario.Delays.Client, event{
-			kind: eventPacket, packet: kind, index: flowIndex, other: nodeIndex,
-			opening: run.openingID(flowIndex, kind),
+			kind: eventPacketAtNode, packetKind: kind, index: flowIndex, other: nodeIndex,
+			openingID: run.openingID(flowIndex, kind),
 		})
 	}
 }
 
+// openingID returns the opening ID that a packet carries: only openings carry one.
 func (run *run) openingID(flowIndex int32, kind core.PacketKind) uint32 {
 	if kind == core.PacketOpening {
 		return run.flows[flowIndex].openingID
@@ -212,18 +218,19 @@
 	return 0
 }
 
-// sample notes the imbalance and the open flows, once a second.
-func (run *run) sample() {
+// recordSample records a Sample and schedules the next one.
+func (run *run) recordSample() {
 	run.result.Samples = append(run.result.Samples, Sample{
 		Second:    int(run.queue.Now() / time.Second),
-		Imbalance: run.worstImbalance(),
+		Imbalance: run.maxImbalance(),
 		Open:      run.openFlows,
 		Broken:    run.result.BrokenTotal,
 	})
 	run.queue.After(time.Second, event{kind: eventSample})
 }
 
-func (run *run) worstImbalance() float64 {
+// maxImbalance returns the highest imbalance of a service.
+func (run *run) maxImbalance() float64 {
 	worst := 0.0
 	for index := range run.services {
 		worst = max(worst, run.imbalance(int32(index)))
@@ -231,11 +238,12 @@
 	return worst
 }
 
-// leastMean is the mean of open flows per back end below which imbalance says
-// more of chance than of the balancer: a service below it counts as zero.
-const leastMean = 50
+// minMeanFlows is the mean number of open flows per back end below which the imbalance of a service
+// counts as zero, because random variation of a few flows outweighs the balancer's effect.
+const minMeanFlows = 50
 
-// imbalance is the busiest active back end's open flows over their mean.
+// imbalance returns the maximum number of open flows on an active back end of the service, divided
+// by the mean over its active back ends.
 func (run *run) imbalance(service int32) float64 {
 	busiest, total, count := 0, 0, 0
 	for i := range run.hosts {
@@ -247,30 +255,31 @@
 		total += len(host.flows)
 		count++
 	}
-	if total < count*leastMean {
+	if total < count*minMeanFlows {
 		return 0
 	}
 	return float64(busiest) * float64(count) / float64(total)
 }
 
+// finish completes the result at the end of the run.
 func (run *run) finish() {
 	result := run.result
 	for index, service := range run.services {
 		result.Imbalance[service.spec.Name] = run.imbalance(int32(index))
-		result.InForceMillis = append(result.InForceMillis, service.inForce...)
+		result.InForceMillis = append(result.InForceMillis, service.inForceMillis...)
 	}
 	for kind, histogram := range run.latency {
 		if histogram.TotalCount() > 0 {
-			result.Latency[kind] = summarise(histogram)
+			result.Latency[kind] = summarize(histogram)
 		}
 	}
 	seconds := run.scenario.Duration.Seconds()
 	for _, node := range run.nodes {
-		rate := float64(node.bytes) / seconds
+		rate := float64(node.controlBytes) / seconds
 		result.ControlBytesMax = max(result.ControlBytesMax, rate)
 		result.ControlBytesMean += rate / float64(len(run.nodes))
 	}
-	if run.ingress > 0 {
-		result.RelayedShare = float64(run.relayed) / float64(run.ingress)
+	if run.ingressPackets > 0 {
+		result.RelayedShare = float64(run.relayedPackets) / float64(run.ingressPackets)
 	}
 }
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// scenario loads a committed scenario and shortens it.
+// scenario loads a scenario of the repository and sets its duration.
 func scenario(t *testing.T, name string, duration time.Duration) *experiment.Scenario {
 	t.Helper()
 	loaded, err := experiment.Load(filepath.Join("..", "..", "scenarios", name+".yaml"))
@@ -48,7 +48,7 @@
 	is.True(len(entries) > 0)
 	for _, entry := range entries {
 		if entry.IsDir() {
-			continue // days of the users' bench, in a form of its own
+			continue // the folder holds scenarios in another format
 		}
 		_, err := experiment.Load(filepath.Join("..", "..", "scenarios", entry.Name()))
 		is.NoErr(err) // every scenario loads
@@ -65,7 +65,7 @@
 	is.Equal(encode(t, first), encode(t, second)) // byte for byte
 	other, err := experiment.Run(short, coreFactory(), 6)
 	is.NoErr(err)
-	is.True(encode(t, first) != encode(t, other)) // another seed is another run
+	is.True(encode(t, first) != encode(t, other)) // another seed produces another result
 }
 
 func TestPlannedChangesBreakNothing(t *testing.T) {
@@ -74,12 +74,12 @@
 			is := is.New(t)
 			result, err := experiment.Run(scenario(t, name, 60*time.Second), coreFactory(), 1)
 			is.NoErr(err)
-			is.True(result.Established > 10000) // the load was there
+			is.True(result.Established > 10000) // the scenario produced enough flows
 			is.Equal(result.BrokenTotal, 0)     // no flow breaks
-			is.Equal(result.RunTwice, 0)        // none runs twice
-			is.Equal(result.FalseNotRun, 0)     // "not run" is true
-			is.Equal(result.WrongService, 0)    // none reaches another service
-			is.Equal(result.LateNew, 0)         // a leaving back end gets nothing new
+			is.Equal(result.RunTwice, 0)        // no request runs twice
+			is.Equal(result.FalseNotRun, 0)     // every refusal as NotRun is correct
+			is.Equal(result.WrongService, 0)    // no packet reaches another service
+			is.Equal(result.LateNew, 0)         // a leaving back end receives no new flows
 		})
 	}
 }
@@ -106,7 +106,7 @@
 		}
 		result, err := experiment.Run(scenario(t, "tally-wallet-planned", 40*time.Second), factory, 1)
 		is.NoErr(err)
-		is.True(result.BrokenTotal > 0) // so that the count of the core can fail
+		is.True(result.BrokenTotal > 0) // the scenario breaks flows unless the balancer prevents it
 	}
 }
 
@@ -122,12 +122,12 @@
 			is := is.New(t)
 			_, err := experiment.Parse([]byte(testCase.text))
 			is.True(err != nil)
-			is.True(bytes.Contains([]byte(err.Error()), []byte(testCase.want))) // names it
+			is.True(bytes.Contains([]byte(err.Error()), []byte(testCase.want))) // the error names the field and the value
 		})
 	}
 }
 
-func TestResultsSurviveTheFile(t *testing.T) {
+func TestResultsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	result, err := experiment.Run(scenario(t, "tally-wallet-calm", 5*time.Second), coreFactory(), 3)
 	is.NoErr(err)
--- a/internal/report/table.go
+++ b/internal/report/table.go
@@ -128,7 +128,7 @@
 	for _, row := range rows {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d/%d/%d\t%d\t%d\t%d\t%.3f (%.3f, %.3f)\t%.0f\t%.1f%%\t%.0f\t%.1f",
 			row.Scenario, row.Balancer, row.Runs, row.RunsWithBroken, row.Established, row.Broken,
-			row.ByCause[experiment.CauseReset], row.ByCause[experiment.CauseRefused], row.ByCause[experiment.CauseSilent],
+			row.ByCause[experiment.CauseReset], row.ByCause[experiment.CauseRefused], row.ByCause[experiment.CauseUnanswered],
 			row.RunTwice, row.FalseNotRun, row.LateNew,
 			row.ImbalanceMean, row.ImbalanceSpread, row.ImbalanceWorst,
 			row.ControlMax, row.RelayedShare*100, row.InForceP99, row.TapP99)
