--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline holds three well-known ways to balance flows without any
-// word between balancers, to measure the core against: modulo hash, consistent
-// hash alone, and consistent hash with a local flow table (Maglev, NSDI 2016,
-// sections 3.3 and 3.4). They take the same events and placements as the core.
+// Package baseline implements three well-known methods of balancing flows without communication
+// between balancers, for comparison with the decision core: modulo hashing, consistent hashing, and
+// consistent hashing with a local flow table (Maglev, NSDI 2016, sections 3.3 and 3.4). They accept
+// the same events and placements as the core.
 package baseline
 
 import (
@@ -12,45 +12,45 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// Balancer decides for one balancer. The core is one.
+// Balancer is the decision logic of one balancer node. The decision core implements it, too.
 type Balancer interface {
-	// Step takes one event at the time now, counted from any fixed origin, and
-	// fills effects.
+	// Step handles one event at the time now, which is relative to any fixed origin, and writes the
+	// results to effects.
 	Step(now time.Duration, event *core.Event, effects *core.Effects)
 }
 
-// Method is a way to choose the back end of a flow.
+// Method is a method of selecting the back end of a flow.
 type Method string
 
 // The methods.
 const (
-	// ModuloHash takes the flow's hash modulo the number of back ends.
+	// ModuloHash selects the back end by the flow's hash modulo the number of back ends.
 	ModuloHash Method = "modulo"
-	// ConsistentHash takes the current table.
+	// ConsistentHash selects the back end with the consistent-hash table of the current placement.
 	ConsistentHash Method = "consistent"
-	// ConsistentHashWithTable takes the current table for flows that this node
-	// has not seen, and remembers what it took.
+	// ConsistentHashWithTable selects the back end like ConsistentHash for the first packet of a
+	// flow at this node, and stores it in a flow table for later packets.
 	ConsistentHashWithTable Method = "consistent-table"
 )
 
 // Methods lists all methods.
 var Methods = []Method{ModuloHash, ConsistentHash, ConsistentHashWithTable}
 
-// New gives a balancer of the method, or nil if there is no such method.
+// New returns a balancer that uses the method, or nil if the method is unknown.
 func New(method Method, settings core.Settings) Balancer {
-	common := &stateless{
-		settings:  settings,
-		services:  make(map[lb.ServiceName]*service),
-		frontends: make(map[lb.Frontend]*service),
-		nodes:     1,
+	common := &hashBalancer{
+		settings:    settings,
+		services:    make(map[lb.ServiceName]*service),
+		frontends:   make(map[lb.Frontend]*service),
+		memberCount: 1,
 	}
 	switch method {
 	case ModuloHash:
-		common.choose = modulo
+		common.selectBackend = selectByModulo
 	case ConsistentHash:
-		common.choose = consistent
+		common.selectBackend = selectByConsistentHash
 	case ConsistentHashWithTable:
-		common.choose = consistent
+		common.selectBackend = selectByConsistentHash
 		common.table = newFlowTable(settings.IdleTimeout)
 	default:
 		return nil
@@ -58,18 +58,19 @@
 	return common
 }
 
-// service is one service's placement in force.
+// service is the current placement of one service.
 type service struct {
-	name  lb.ServiceName
-	table *placement.Table
-	limit opensLimit
+	name           lb.ServiceName
+	table          *placement.Table
+	admissionLimit tokenBucket
 }
 
-// choice gives the back end of a flow that is not known.
-type choice func(service *service, flow lb.FlowID) lb.BackendID
+// selectFunc selects the back end of a flow that is not in the flow table.
+type selectFunc func(service *service, flow lb.FlowID) lb.BackendID
 
-// modulo spreads flows over the back ends of the current generation, by number.
-func modulo(service *service, flow lb.FlowID) lb.BackendID {
+// selectByModulo selects a back end of the current generation by the flow's hash modulo their
+// number.
+func selectByModulo(service *service, flow lb.FlowID) lb.BackendID {
 	document := service.table.Document()
 	backends := document.Generations[document.Current].Backends
 	if len(backends) == 0 {
@@ -78,7 +79,8 @@
 	return backends[uint64(flow)%uint64(len(backends))].ID
 }
 
-// consistent takes the table of the current generation.
-func consistent(service *service, flow lb.FlowID) lb.BackendID {
+// selectByConsistentHash selects a back end with the consistent-hash table of the current
+// generation.
+func selectByConsistentHash(service *service, flow lb.FlowID) lb.BackendID {
 	return service.table.Current(flow.Bucket())
 }
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-// decide gives the decision of one packet of flow number.
+// decide returns the decision on a packet of the flow with the given number.
 func decide(balancer baseline.Balancer, number int, kind core.PacketKind) core.Decision {
 	source := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(1024+number))
 	packet := &core.Packet{Key: lb.NewFlowKey(source, frontend.Address, lb.TCP), Kind: kind, OpeningID: 1}
@@ -33,7 +33,8 @@
 	return effects.Decision
 }
 
-// TestMovedFlows counts the flows that each method moves when a back end goes.
+// TestMovedFlows counts the flows that each method moves to another back end when one of ten back
+// ends is removed.
 func TestMovedFlows(t *testing.T) {
 	const flows = 10_000
 	first, err := placement.New("web", placement.Stamp{WriteID: "1"},
@@ -43,7 +44,7 @@
 	is.New(t).NoErr(err)
 	cases := []struct {
 		method    baseline.Method
-		low, high int // moved flows: about 90%, a little over 10%, none
+		low, high int // bounds of the number of moved flows: about 90%, a little over 10%, none
 	}{
 		{baseline.ModuloHash, 8500, 9500},
 		{baseline.ConsistentHash, 900, 2500},
@@ -70,16 +71,16 @@
 			}
 			t.Logf("%d of %d flows moved", moved, flows)
 			is.True(moved >= test.low && moved <= test.high)
-			balancer.Step(0, &core.Event{Placement: first}, &effects) // an old version is not adopted
+			balancer.Step(0, &core.Event{Placement: first}, &effects) // an older version must not be adopted
 			for number := range flows {
-				fresh := decide(balancer, flows+number, core.PacketOpening)
-				is.True(fresh.Backend != 10) // the back end that left
+				decision := decide(balancer, flows+number, core.PacketOpening)
+				is.True(decision.Backend != 10) // the removed back end
 			}
 		})
 	}
 }
 
-// TestLimit checks that openings over a node's share of the limit are refused.
+// TestLimit checks that openings above a node's share of the admission limit are refused.
 func TestLimit(t *testing.T) {
 	is := is.New(t)
 	document, err := placement.New("web", placement.Stamp{WriteID: "1"}, placement.SetFrontends([]lb.Frontend{frontend}),
--- a/internal/baseline/step.go
+++ b/internal/baseline/step.go
@@ -9,19 +9,19 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// stateless is a balancer that knows placements only, besides its own flow
-// table if the method has one.
-type stateless struct {
-	settings  core.Settings
-	choose    choice
-	services  map[lb.ServiceName]*service
-	frontends map[lb.Frontend]*service
-	nodes     int        // members, to share the limit of new flows
-	table     *flowTable // nil: none
+// hashBalancer is a balancer whose only state is the placements, and a flow table if its method
+// uses one.
+type hashBalancer struct {
+	settings      core.Settings
+	selectBackend selectFunc
+	services      map[lb.ServiceName]*service
+	frontends     map[lb.Frontend]*service
+	memberCount   int        // number of members, which share the admission limit of a service equally
+	table         *flowTable // nil if the method uses none
 }
 
-// Step takes one event.
-func (balancer *stateless) Step(now time.Duration, event *core.Event, effects *core.Effects) {
+// Step handles one event.
+func (balancer *hashBalancer) Step(now time.Duration, event *core.Event, effects *core.Effects) {
 	*effects = core.Effects{Messages: effects.Messages[:0]}
 	switch {
 	case event.Packet != nil:
@@ -29,45 +29,48 @@
 	case event.Placement != nil:
 		balancer.adopt(event.Placement)
 	case event.Members != nil:
-		balancer.nodes = max(1, len(event.Members))
+		balancer.memberCount = max(1, len(event.Members))
 	}
 	if event.Tick && balancer.table != nil {
 		balancer.table.sweep(now)
 	}
-	effects.HandoverDone = event.Leave || event.Tick // nothing is ever handed over
+	effects.HandoverDone = event.Leave || event.Tick // this balancer has no records to hand over
 }
 
-func (balancer *stateless) adopt(document *lb.Placement) {
-	known := balancer.services[document.Service]
-	if known != nil && document.Version <= known.table.Version() {
+// adopt replaces the placement of a service, unless the document is invalid or not newer.
+func (balancer *hashBalancer) adopt(document *lb.Placement) {
+	entry := balancer.services[document.Service]
+	if entry != nil && document.Version <= entry.table.Version() {
 		return
 	}
 	table, err := placement.Compile(document)
 	if err != nil {
 		return
 	}
-	if known == nil {
-		known = &service{name: document.Service}
-		balancer.services[document.Service] = known
+	if entry == nil {
+		entry = &service{name: document.Service}
+		balancer.services[document.Service] = entry
 	} else {
-		balancer.forgetFrontends(known)
+		balancer.removeFrontends(entry)
 	}
-	known.table = table
+	entry.table = table
 	for _, frontend := range document.Frontends {
-		balancer.frontends[frontend] = known
+		balancer.frontends[frontend] = entry
 	}
 }
 
-func (balancer *stateless) forgetFrontends(known *service) {
-	for _, frontend := range known.table.Document().Frontends {
-		if balancer.frontends[frontend] == known {
+// removeFrontends removes the front ends of a service's current placement.
+func (balancer *hashBalancer) removeFrontends(entry *service) {
+	for _, frontend := range entry.table.Document().Frontends {
+		if balancer.frontends[frontend] == entry {
 			delete(balancer.frontends, frontend)
 		}
 	}
 }
 
-// decide forwards the packet by the flow table or the method's choice.
-func (balancer *stateless) decide(now time.Duration, packet *core.Packet) core.Decision {
+// decide forwards the packet to the back end in the flow table, or to the one that the method
+// selects. It refuses an opening above the admission limit.
+func (balancer *hashBalancer) decide(now time.Duration, packet *core.Packet) core.Decision {
 	service := balancer.frontends[frontendOf(&packet.Key)]
 	if service == nil {
 		return core.Decision{Action: core.ActionDrop, Reason: core.ReasonUnknownService}
@@ -78,30 +81,34 @@
 			return balancer.forward(service, backend)
 		}
 	}
-	chosen := balancer.choose(service, flow)
+	backend := balancer.selectBackend(service, flow)
 	if packet.Kind == core.PacketOpening && !balancer.admit(service, now) {
 		return balancer.refuse(service, lb.NotRun, core.ReasonAdmission)
 	}
 	if balancer.table != nil {
-		balancer.table.put(service, flow, chosen, now)
+		balancer.table.put(service, flow, backend, now)
 	}
-	return balancer.forward(service, chosen)
+	return balancer.forward(service, backend)
 }
 
+// frontendOf returns the front end to which packets of the flow are addressed.
 func frontendOf(key *lb.FlowKey) lb.Frontend {
 	address := netip.AddrFrom16(key.Destination).Unmap()
 	return lb.Frontend{Address: netip.AddrPortFrom(address, key.DestinationPort), Protocol: key.Protocol}
 }
 
-func (balancer *stateless) admit(service *service, now time.Duration) bool {
+// admit reports whether a new flow is within this node's share of the admission limit.
+func (balancer *hashBalancer) admit(service *service, now time.Duration) bool {
 	limit := int64(service.table.Document().OpensPerSecond)
 	if limit == 0 {
 		return true
 	}
-	return service.limit.take(now, max(1, limit/int64(balancer.nodes)))
+	return service.admissionLimit.allow(now, max(1, limit/int64(balancer.memberCount)))
 }
 
-func (balancer *stateless) forward(service *service, id lb.BackendID) core.Decision {
+// forward returns the decision to forward to a back end, or a refusal if the back end is missing or
+// failed.
+func (balancer *hashBalancer) forward(service *service, id lb.BackendID) core.Decision {
 	backend, found := service.table.Backend(id)
 	switch {
 	case id == lb.NoBackend:
@@ -112,7 +119,7 @@
 	return core.Decision{Action: core.ActionForward, Service: service.name, Backend: id, Host: backend.Host}
 }
 
-func (balancer *stateless) refuse(service *service, verdict lb.Verdict, reason core.Reason) core.Decision {
+func (balancer *hashBalancer) refuse(service *service, verdict lb.Verdict, reason core.Reason) core.Decision {
 	return core.Decision{
 		Action:  core.ActionRefuse,
 		Reason:  reason,
@@ -121,15 +128,16 @@
 	}
 }
 
-// opensLimit is a token bucket of one second's burst.
-type opensLimit struct {
+// tokenBucket is a token bucket whose burst is the tokens of one second.
+type tokenBucket struct {
 	updated time.Duration
-	tokens  int64 // in nanoseconds of the limit's rate
-	started bool
+	tokens  int64 // in billionths of a token
+	started bool  // the first use fills the bucket
 }
 
-// take takes one token from a bucket that fills at perSecond.
-func (limit *opensLimit) take(now time.Duration, perSecond int64) bool {
+// allow removes one token, and reports whether there was one. The bucket refills at perSecond tokens
+// per second.
+func (limit *tokenBucket) allow(now time.Duration, perSecond int64) bool {
 	capacity := perSecond * int64(time.Second)
 	if !limit.started {
 		limit.started = true
--- a/internal/baseline/table.go
+++ b/internal/baseline/table.go
@@ -6,31 +6,34 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// sweepEvery is the time between two looks at all flows.
-const sweepEvery = 30 * time.Second
+// sweepInterval is the time between two scans of the table for idle flows.
+const sweepInterval = 30 * time.Second
 
-// flowKey names a flow of one service.
+// flowKey identifies a flow of a service.
 type flowKey struct {
 	service *service
 	flow    lb.FlowID
 }
 
+// flowEntry is the back end of a flow and the time of the flow's last packet.
 type flowEntry struct {
 	backend  lb.BackendID
 	lastSeen time.Duration
 }
 
-// flowTable remembers the back ends of the flows that one node has seen.
+// flowTable stores the back ends of the flows whose packets one node has handled. Entries expire
+// after lifetime without a packet.
 type flowTable struct {
-	lifetime time.Duration
-	entries  map[flowKey]flowEntry
-	swept    time.Duration
+	lifetime  time.Duration
+	entries   map[flowKey]flowEntry
+	lastSweep time.Duration // time of the last sweep
 }
 
 func newFlowTable(lifetime time.Duration) *flowTable {
 	return &flowTable{lifetime: lifetime, entries: make(map[flowKey]flowEntry)}
 }
 
+// get returns the back end of a flow and renews its entry.
 func (table *flowTable) get(service *service, flow lb.FlowID, now time.Duration) (lb.BackendID, bool) {
 	key := flowKey{service, flow}
 	entry, found := table.entries[key]
@@ -42,18 +45,19 @@
 	return entry.backend, true
 }
 
+// put stores the back end of a flow.
 func (table *flowTable) put(service *service, flow lb.FlowID, backend lb.BackendID, now time.Duration) {
 	if backend != lb.NoBackend {
 		table.entries[flowKey{service, flow}] = flowEntry{backend: backend, lastSeen: now}
 	}
 }
 
-// sweep forgets idle flows.
+// sweep removes expired entries, at most once per sweepInterval.
 func (table *flowTable) sweep(now time.Duration) {
-	if now-table.swept < sweepEvery {
+	if now-table.lastSweep < sweepInterval {
 		return
 	}
-	table.swept = now
+	table.lastSweep = now
 	for key, entry := range table.entries {
 		if now-entry.lastSeen > table.lifetime {
 			delete(table.entries, key)
--- a/internal/labcommand/experiment.go
+++ b/internal/labcommand/experiment.go
@@ -1,5 +1,5 @@
-// Package labcommand implements robinlab's commands for experiments in
-// virtual time: experiment, overload and report.
+// Package labcommand implements the subcommands of robinlab that run experiments in virtual time
+// and report their results: experiment, overload and report.
 package labcommand
 
 import (
@@ -16,7 +16,7 @@
 	"robinpulley.example/robinpulley/internal/report"
 )
 
-// Experiment runs scenario files in virtual time.
+// Experiment is the subcommand that runs scenario files in virtual time.
 type Experiment struct {
 	Files    []string `arg:"" help:"Scenario files (YAML)." type:"existingfile"`
 	Compare  bool     `help:"Run the baselines beside the core."`
@@ -28,10 +28,11 @@
 	Check    bool     `help:"Exit with an error when a flow ran twice or a refusal was false on the core."`
 }
 
-// coreName is the name of the real core in results.
+// coreName is the name of the production decision core in results.
 const coreName = "robinpulley"
 
-// factories gives the core and, when asked, the baselines.
+// factories returns the factory of the decision core and, if compare is set, those of the
+// baselines.
 func factories(compare bool) []experiment.Factory {
 	list := []experiment.Factory{{
 		Name: coreName,
@@ -49,15 +50,15 @@
 	return list
 }
 
-// Run carries the command out.
+// Run executes the subcommand: it runs the scenarios, writes their results and prints a table.
 func (command *Experiment) Run() error {
 	var results []*experiment.Result
 	for _, file := range command.Files {
-		more, err := command.runFile(file)
+		fileResults, err := command.runFile(file)
 		if err != nil {
 			return err
 		}
-		results = append(results, more...)
+		results = append(results, fileResults...)
 	}
 	if command.Out != "" {
 		if err := writeFile(command.Out, results); err != nil {
@@ -71,12 +72,14 @@
 		}
 		results = append(results, earlier...)
 	}
-	if err := report.Table(os.Stdout, report.Rows(results), command.baseline()); err != nil {
+	if err := report.WriteTable(os.Stdout, report.Rows(results), command.baseline()); err != nil {
 		return err
 	}
-	return command.verdict(results)
+	return command.checkGuarantees(results)
 }
 
+// baseline returns the baseline that the table compares all balancers with, or an empty string
+// without comparison.
 func (command *Experiment) baseline() string {
 	if command.Compare {
 		return string(baseline.Methods[0])
@@ -84,6 +87,7 @@
 	return ""
 }
 
+// runFile runs the scenario of one file.
 func (command *Experiment) runFile(file string) ([]*experiment.Result, error) {
 	scenario, err := experiment.Load(file)
 	if err != nil {
@@ -104,8 +108,10 @@
 	return batch.Run()
 }
 
-// verdict fails when a guarantee that holds under every fault was broken by the core.
-func (command *Experiment) verdict(results []*experiment.Result) error {
+// checkGuarantees returns an error, if Check is set, when a run of the core violated a guarantee
+// that must hold under every fault: no flow runs twice, no refusal as NotRun is false, and no
+// packet reaches a wrong service.
+func (command *Experiment) checkGuarantees(results []*experiment.Result) error {
 	if !command.Check {
 		return nil
 	}
@@ -121,7 +127,7 @@
 	return nil
 }
 
-// barWidth is the length of the progress bar, in characters.
+// barWidth is the width of the progress bar, in characters.
 const barWidth = 40
 
 // progress draws a progress bar on standard error.
@@ -133,57 +139,60 @@
 	}
 }
 
+// writeFile writes results to a file and creates the file's folder if necessary.
 func writeFile(path string, results []*experiment.Result) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		return errors.Wrap(err, "results")
+		return errors.Wrap(err, "create folder for results")
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "results")
+		return errors.Wrap(err, "create results file")
 	}
 	if err := experiment.WriteResults(file, results); err != nil {
 		return errors.CombineErrors(err, file.Close())
 	}
-	return errors.Wrap(file.Close(), "results")
+	return errors.Wrap(file.Close(), "close results file")
 }
 
+// readFile reads results from a file.
 func readFile(path string) ([]*experiment.Result, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "results")
+		return nil, errors.Wrap(err, "open results file")
 	}
 	defer file.Close()
 	results, err := experiment.ReadResults(file)
-	return results, errors.Wrapf(err, "results %s", path)
+	return results, errors.Wrapf(err, "read results file %s", path)
 }
 
-// Report makes a table, and plots, of results written by experiment.
+// Report is the subcommand that prints a table, and optionally writes plots, of results that the
+// subcommand experiment wrote.
 type Report struct {
 	Files    []string `arg:"" help:"Result files (JSON lines)." type:"existingfile"`
 	Baseline string   `help:"Balancer to give the ratio of broken flows to."`
 	Plots    string   `help:"Folder for plots (SVG)."`
 }
 
-// Run carries the command out.
+// Run executes the subcommand.
 func (command *Report) Run() error {
 	var results []*experiment.Result
 	for _, file := range command.Files {
-		more, err := readFile(file)
+		fileResults, err := readFile(file)
 		if err != nil {
 			return err
 		}
-		results = append(results, more...)
+		results = append(results, fileResults...)
 	}
 	if len(results) == 0 {
-		return errors.New("no results in the files given")
+		return errors.New("the given files contain no results")
 	}
-	if err := report.Table(os.Stdout, report.Rows(results), command.Baseline); err != nil {
+	if err := report.WriteTable(os.Stdout, report.Rows(results), command.Baseline); err != nil {
 		return err
 	}
 	if command.Plots == "" {
 		return nil
 	}
-	paths, err := report.Plots(command.Plots, results)
+	paths, err := report.WritePlots(command.Plots, results)
 	for _, path := range paths {
 		fmt.Println(path)
 	}
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,5 +1,5 @@
-// Package rapidseed gives the property tests of a package a fixed seed, so that
-// every run has the same verdict. A seed on the command line goes first.
+// Package rapidseed sets a fixed seed for the property tests of a package, which use rapid, so that
+// every run produces the same result. A seed on the command line (-rapid.seed) takes precedence.
 package rapidseed
 
 import (
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// seed is that of all packages that use Run.
+// seed is the seed for all packages that use Run.
 const seed = "4"
 
-// Run runs the tests of a package, for its TestMain, and gives the exit code.
+// Run runs the tests of a package and returns the exit code. It is called from TestMain.
 func Run(m *testing.M) int {
 	flag.Parse()
 	seeded := false
--- a/internal/report/curve.go
+++ b/internal/report/curve.go
@@ -7,19 +7,19 @@
 	"gonum.org/v1/plot/plotutil"
 )
 
-// Curve is one line of a plot.
+// Curve is one line of a plot, as the coordinates of its points.
 type Curve struct {
 	Name string
 	X, Y []float64
 }
 
-// Axes are the title and the labels of a plot.
+// Axes holds the title of a plot and the labels of its axes.
 type Axes struct {
 	Title, X, Y string
 }
 
-// Curves writes a plot of some lines, whose y axis begins at 0, as SVG.
-func Curves(path string, axes Axes, curves []Curve) error {
+// WriteCurves writes a plot of the curves to a file, as SVG. Its y axis starts at 0.
+func WriteCurves(path string, axes Axes, curves []Curve) error {
 	picture := plot.New()
 	picture.Title.Text = axes.Title
 	picture.X.Label.Text = axes.X
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -15,35 +15,35 @@
 	"robinpulley.example/robinpulley/internal/experiment"
 )
 
-// Size of each plot.
+// Width and height of each plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 )
 
-// line is what one plot shows of a sample.
-type line struct {
-	name, axis string
-	value      func(experiment.Sample) float64
+// measure is a quantity that a plot shows over time. Its name is part of the file name.
+type measure struct {
+	name, axisLabel string
+	value           func(experiment.Sample) float64
 }
 
-var lines = []line{
+var measures = []measure{
 	{"imbalance", "busiest back end over mean", func(sample experiment.Sample) float64 { return sample.Imbalance }},
 	{"broken", "broken flows so far", func(sample experiment.Sample) float64 { return float64(sample.Broken) }},
 	{"open", "open flows", func(sample experiment.Sample) float64 { return float64(sample.Open) }},
 }
 
-// Plots writes one SVG per scenario and measure into a folder, each with the
-// first run of every kind of balancer, and gives their paths.
-func Plots(folder string, results []*experiment.Result) ([]string, error) {
+// WritePlots writes one SVG file per scenario and measure to a folder, and returns the paths of the
+// files. Each plot has one line per kind of balancer, from the first run of that kind.
+func WritePlots(folder string, results []*experiment.Result) ([]string, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return nil, errors.Wrap(err, "plots")
+		return nil, errors.Wrap(err, "create folder for plots")
 	}
 	var paths []string
 	for _, scenario := range scenarios(results) {
-		for _, line := range lines {
-			path := filepath.Join(folder, fmt.Sprintf("%s-%s.svg", fileName(scenario), line.name))
-			if err := draw(path, scenario, line, firstRuns(results, scenario)); err != nil {
+		for _, measure := range measures {
+			path := filepath.Join(folder, fmt.Sprintf("%s-%s.svg", fileName(scenario), measure.name))
+			if err := writePlot(path, scenario, measure, firstRuns(results, scenario)); err != nil {
 				return nil, err
 			}
 			paths = append(paths, path)
@@ -52,8 +52,10 @@
 	return paths, nil
 }
 
+// fileName returns the name of a scenario as a part of a file name.
 func fileName(scenario string) string { return strings.ReplaceAll(scenario, " ", "-") }
 
+// scenarios returns the names of the scenarios, in order of appearance.
 func scenarios(results []*experiment.Result) []string {
 	var names []string
 	seen := make(map[string]bool)
@@ -66,6 +68,7 @@
 	return names
 }
 
+// firstRuns returns the first result of a scenario for each kind of balancer.
 func firstRuns(results []*experiment.Result, scenario string) []*experiment.Result {
 	var first []*experiment.Result
 	seen := make(map[string]bool)
@@ -78,17 +81,18 @@
 	return first
 }
 
-func draw(path, scenario string, line line, results []*experiment.Result) error {
+// writePlot writes the plot of one measure of a scenario to a file.
+func writePlot(path, scenario string, measure measure, results []*experiment.Result) error {
 	chart := plot.New()
 	chart.Title.Text = scenario
 	chart.X.Label.Text = "seconds"
-	chart.Y.Label.Text = line.axis
+	chart.Y.Label.Text = measure.axisLabel
 	var arguments []any
 	for _, result := range results {
 		points := make(plotter.XYs, len(result.Samples))
 		for i, sample := range result.Samples {
 			points[i].X = float64(sample.Second)
-			points[i].Y = line.value(sample)
+			points[i].Y = measure.value(sample)
 		}
 		arguments = append(arguments, result.Balancer, points)
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestRowsSumUpRunsByScenarioAndBalancer(t *testing.T) {
+func TestRowsSummarizeRunsByScenarioAndBalancer(t *testing.T) {
 	is := is.New(t)
 	rows := report.Rows([]*experiment.Result{result("core", 0, 1.1), result("modulo", 40, 1.2), result("core", 2, 1.3)})
 	is.Equal(len(rows), 2)
@@ -32,17 +32,17 @@
 	is.Equal(rows[0].Runs, 2)
 	is.Equal(rows[0].RunsWithBroken, 1)
 	is.Equal(rows[0].Broken, 2)
-	is.Equal(rows[0].ImbalanceWorst, 1.3) // each run's worst service
+	is.Equal(rows[0].ImbalanceMax, 1.3) // the highest imbalance of a service in any run
 	is.True(rows[0].ImbalanceMean > 1.199 && rows[0].ImbalanceMean < 1.201)
 	is.Equal(rows[0].InForceP99, 300.0)
 	is.Equal(rows[1].ByCause[experiment.CauseReset], 40)
 }
 
-func TestTableGivesTheRatioToTheBaseline(t *testing.T) {
+func TestTableContainsRatioToBaseline(t *testing.T) {
 	is := is.New(t)
 	var text bytes.Buffer
 	rows := report.Rows([]*experiment.Result{result("core", 2, 1.1), result("modulo", 40, 1.2)})
-	is.NoErr(report.Table(&text, rows, "modulo"))
+	is.NoErr(report.WriteTable(&text, rows, "modulo"))
 	is.True(strings.Contains(text.String(), "broken vs modulo"))
 	is.True(strings.Contains(text.String(), "0.0500"))
 }
@@ -50,10 +50,10 @@
 func TestPlotsAreWritten(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
-	paths, err := report.Plots(folder, []*experiment.Result{result("core", 2, 1.1), result("modulo", 40, 1.2)})
+	paths, err := report.WritePlots(folder, []*experiment.Result{result("core", 2, 1.1), result("modulo", 40, 1.2)})
 	is.NoErr(err)
 	is.Equal(len(paths), 3)
 	content, err := os.ReadFile(filepath.Join(folder, "calm-broken.svg"))
 	is.NoErr(err)
-	is.True(bytes.Contains(content, []byte("modulo"))) // the legend names each balancer
+	is.True(bytes.Contains(content, []byte("modulo"))) // the legend contains each balancer's name
 }
--- a/internal/report/table.go
+++ b/internal/report/table.go
@@ -1,4 +1,4 @@
-// Package report turns the results of experiments into a table and plots.
+// Package report formats the results of experiments as a table and as plots.
 package report
 
 import (
@@ -11,11 +11,11 @@
 	"robinpulley.example/robinpulley/internal/experiment"
 )
 
-// Row sums up the runs of one scenario on one kind of balancer.
+// Row is the summary of all runs of one scenario on one kind of balancer.
 type Row struct {
 	Scenario, Balancer string
 	Runs               int
-	RunsWithBroken     int
+	RunsWithBroken     int // number of runs in which at least one flow broke
 	Established        int
 	Broken             int
 	ByCause            map[experiment.Cause]int
@@ -23,17 +23,18 @@
 	FalseNotRun        int
 	WrongService       int
 	LateNew            int
-	// ImbalanceMean and ImbalanceWorst are over runs, of each run's worst service.
-	ImbalanceMean, ImbalanceWorst float64
-	// ImbalanceSpread is the standard deviation over runs.
-	ImbalanceSpread float64
-	ControlMax      float64 // bytes a second, the busiest node of any run
+	// ImbalanceMean and ImbalanceMax are the mean and the maximum over runs of the highest
+	// imbalance of a service in each run.
+	ImbalanceMean, ImbalanceMax float64
+	// ImbalanceStdDev is the standard deviation of the same values.
+	ImbalanceStdDev float64
+	ControlBytesMax float64 // maximum over nodes and runs, in bytes per second
 	RelayedShare    float64 // mean over runs
-	InForceP99      float64 // milliseconds, over all changes of all runs
-	TapP99          float64 // milliseconds, worst run
+	InForceP99      float64 // over all placement changes of all runs, in milliseconds
+	TapP99          float64 // maximum over runs, in milliseconds
 }
 
-// Rows groups results by scenario and balancer, in their order of appearance.
+// Rows returns one row for each combination of scenario and balancer, in order of appearance.
 func Rows(results []*experiment.Result) []Row {
 	type group struct{ scenario, balancer string }
 	var order []group
@@ -47,12 +48,13 @@
 	}
 	rows := make([]Row, 0, len(order))
 	for _, key := range order {
-		rows = append(rows, sumUp(members[key]))
+		rows = append(rows, summarize(members[key]))
 	}
 	return rows
 }
 
-func sumUp(results []*experiment.Result) Row {
+// summarize returns the row of the results, which are of one scenario and balancer.
+func summarize(results []*experiment.Result) Row {
 	row := Row{
 		Scenario: results[0].Scenario, Balancer: results[0].Balancer, Runs: len(results),
 		ByCause: make(map[experiment.Cause]int),
@@ -60,16 +62,17 @@
 	var imbalances, inForce []float64
 	for _, result := range results {
 		row.add(result)
-		imbalances = append(imbalances, worst(result))
+		imbalances = append(imbalances, maxImbalance(result))
 		inForce = append(inForce, result.InForceMillis...)
 		row.RelayedShare += result.RelayedShare / float64(len(results))
 	}
-	row.ImbalanceMean, row.ImbalanceSpread = meanAndSpread(imbalances)
-	row.ImbalanceWorst = slices.Max(imbalances)
+	row.ImbalanceMean, row.ImbalanceStdDev = meanAndStdDev(imbalances)
+	row.ImbalanceMax = slices.Max(imbalances)
 	row.InForceP99 = quantile(inForce, 0.99)
 	return row
 }
 
+// add adds the counts of a result to the row, and updates its maxima.
 func (row *Row) add(result *experiment.Result) {
 	if result.BrokenTotal > 0 {
 		row.RunsWithBroken++
@@ -83,11 +86,12 @@
 	row.FalseNotRun += result.FalseNotRun
 	row.WrongService += result.WrongService
 	row.LateNew += result.LateNew
-	row.ControlMax = max(row.ControlMax, result.ControlBytesMax)
+	row.ControlBytesMax = max(row.ControlBytesMax, result.ControlBytesMax)
 	row.TapP99 = max(row.TapP99, result.Latency[experiment.Tap].P99)
 }
 
-func worst(result *experiment.Result) float64 {
+// maxImbalance returns the highest imbalance of a service in a result.
+func maxImbalance(result *experiment.Result) float64 {
 	imbalance := 0.0
 	for _, value := range result.Imbalance {
 		imbalance = max(imbalance, value)
@@ -95,17 +99,19 @@
 	return imbalance
 }
 
-func meanAndSpread(values []float64) (mean, spread float64) {
+// meanAndStdDev returns the mean and the standard deviation of the values.
+func meanAndStdDev(values []float64) (mean, stdDev float64) {
 	for _, value := range values {
 		mean += value / float64(len(values))
 	}
 	for _, value := range values {
-		spread += (value - mean) * (value - mean) / float64(len(values))
+		stdDev += (value - mean) * (value - mean) / float64(len(values))
 	}
-	return mean, math.Sqrt(spread)
+	return mean, math.Sqrt(stdDev)
 }
 
-// quantile gives the value at a quantile (nearest rank), or zero of none.
+// quantile returns the value at a quantile by the nearest-rank method, or zero if there are no
+// values.
 func quantile(values []float64, at float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -116,9 +122,9 @@
 	return sorted[max(rank, 0)]
 }
 
-// Table writes the rows as text, and with a baseline named, the ratio of
-// broken flows to the baseline's of the same scenario.
-func Table(writer io.Writer, rows []Row, baseline string) error {
+// WriteTable writes the rows as a text table. If baseline is not empty, an additional column holds
+// the number of broken flows divided by that of the balancer named baseline in the same scenario.
+func WriteTable(writer io.Writer, rows []Row, baseline string) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	header := "scenario\tbalancer\truns\truns broken\tflows\tbroken\treset/refused/silent\ttwice\tfalse not-run\tlate new\timbalance (spread, worst)\tcontrol B/s max\trelayed\tin force p99 ms\ttap p99 ms"
 	if baseline != "" {
@@ -130,8 +136,8 @@
 			row.Scenario, row.Balancer, row.Runs, row.RunsWithBroken, row.Established, row.Broken,
 			row.ByCause[experiment.CauseReset], row.ByCause[experiment.CauseRefused], row.ByCause[experiment.CauseUnanswered],
 			row.RunTwice, row.FalseNotRun, row.LateNew,
-			row.ImbalanceMean, row.ImbalanceSpread, row.ImbalanceWorst,
-			row.ControlMax, row.RelayedShare*100, row.InForceP99, row.TapP99)
+			row.ImbalanceMean, row.ImbalanceStdDev, row.ImbalanceMax,
+			row.ControlBytesMax, row.RelayedShare*100, row.InForceP99, row.TapP99)
 		if baseline != "" {
 			fmt.Fprint(table, "\t", ratio(row, rows, baseline))
 		}
@@ -140,6 +146,8 @@
 	return table.Flush()
 }
 
+// ratio returns the broken flows of a row divided by the baseline's in the same scenario, or "-" if
+// the baseline has no row or no broken flows.
 func ratio(row Row, rows []Row, baseline string) string {
 	for _, other := range rows {
 		if other.Scenario != row.Scenario || other.Balancer != baseline {
--- a/internal/sim/queue.go
+++ b/internal/sim/queue.go
@@ -1,44 +1,48 @@
-// Package sim implements virtual time: a queue of events in the order of
-// their times, and a network of zones with delay, loss and duplication. The
-// same seed gives the same run, event for event.
+// Package sim provides the basis of simulations in virtual time: an event queue ordered by time,
+// and a network of zones with delay, loss and duplication. The same seed produces the same sequence
+// of events.
 package sim
 
 import "time"
 
-// Queue holds events until their time comes. Events of the same time come out
-// in the order in which they were added. The zero value is an empty queue.
+// Queue is a priority queue of events, ordered by time, with a virtual clock. Events with the same
+// time are returned in the order in which they were added. The zero value is an empty queue at time
+// zero.
 type Queue[E any] struct {
-	items    []item[E]
-	sequence uint64
+	items    []item[E] // heap
+	sequence uint64    // of the event added last
 	now      time.Duration
 }
 
+// item is an event in the queue. Its sequence number orders events with the same time.
 type item[E any] struct {
 	at       time.Duration
 	sequence uint64
 	event    E
 }
 
-// Now is the time of the event taken last.
+// Now returns the current virtual time: the time of the event that Next returned last.
 func (queue *Queue[E]) Now() time.Duration { return queue.now }
 
-// Len is the number of events waiting.
+// Len returns the number of queued events.
 func (queue *Queue[E]) Len() int { return len(queue.items) }
 
-// Add puts an event at a time. A time in the past counts as now.
+// Add schedules an event for the given time, or for the current time if the given time is in the
+// past.
 func (queue *Queue[E]) Add(at time.Duration, event E) {
 	at = max(at, queue.now)
 	queue.sequence++
 	queue.items = append(queue.items, item[E]{at: at, sequence: queue.sequence, event: event})
-	queue.up(len(queue.items) - 1)
+	queue.siftUp(len(queue.items) - 1)
 }
 
-// After puts an event at now plus delay.
+// After schedules an event for the current time plus the delay.
 func (queue *Queue[E]) After(delay time.Duration, event E) {
 	queue.Add(queue.now+delay, event)
 }
 
-// Next takes the earliest event and moves the time to it; false when empty.
+// Next removes and returns the earliest event, and advances the current time to it. It returns
+// false when the queue is empty.
 func (queue *Queue[E]) Next() (E, bool) {
 	var none E
 	if len(queue.items) == 0 {
@@ -49,40 +53,44 @@
 	queue.items[0] = queue.items[last]
 	queue.items[last] = item[E]{}
 	queue.items = queue.items[:last]
-	queue.down(0)
+	queue.siftDown(0)
 	queue.now = first.at
 	return first.event, true
 }
 
-// arity is the number of children of a heap node; four is kinder to the cache than two.
+// arity is the number of children of a heap node. A 4-ary heap has better cache locality than a
+// binary one.
 const arity = 4
 
-// lookEvery is the time between two looks of RunUntil at its condition.
-const lookEvery = 10 * time.Millisecond
+// checkInterval is the virtual time between two evaluations of the condition in RunUntil.
+const checkInterval = 10 * time.Millisecond
 
-// RunUntil gives event after event to deliver until the condition holds, looked at every
-// 10 ms, and gives the time it took; false when it took longer than limit.
+// RunUntil passes the events in order to deliver until the condition holds. It evaluates the
+// condition every 10 ms of virtual time, and once the queue is empty. It returns the elapsed
+// virtual time and whether the condition holds; when the limit is exceeded, it returns limit and
+// false.
 func (queue *Queue[E]) RunUntil(limit time.Duration, deliver func(E), condition func() bool) (time.Duration, bool) {
-	begun := queue.now
-	look := begun
+	start := queue.now
+	nextCheck := start
 	for {
-		if queue.now >= look {
+		if queue.now >= nextCheck {
 			if condition() {
-				return queue.now - begun, true
+				return queue.now - start, true
 			}
-			look = queue.now + lookEvery
+			nextCheck = queue.now + checkInterval
 		}
-		if queue.now > begun+limit {
+		if queue.now > start+limit {
 			return limit, false
 		}
 		next, ok := queue.Next()
 		if !ok {
-			return queue.now - begun, condition()
+			return queue.now - start, condition()
 		}
 		deliver(next)
 	}
 }
 
+// less reports whether item i is before item j: by time, then by sequence number.
 func (queue *Queue[E]) less(i, j int) bool {
 	left, right := &queue.items[i], &queue.items[j]
 	if left.at != right.at {
@@ -91,7 +99,8 @@
 	return left.sequence < right.sequence
 }
 
-func (queue *Queue[E]) up(i int) {
+// siftUp moves item i up the heap until its parent is not after it.
+func (queue *Queue[E]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / arity
 		if !queue.less(i, parent) {
@@ -102,19 +111,20 @@
 	}
 }
 
-func (queue *Queue[E]) down(i int) {
+// siftDown moves item i down the heap until none of its children is before it.
+func (queue *Queue[E]) siftDown(i int) {
 	for {
-		least := i
+		smallest := i
 		firstChild := i*arity + 1
 		for child := firstChild; child < min(firstChild+arity, len(queue.items)); child++ {
-			if queue.less(child, least) {
-				least = child
+			if queue.less(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		queue.items[i], queue.items[least] = queue.items[least], queue.items[i]
-		i = least
+		queue.items[i], queue.items[smallest] = queue.items[smallest], queue.items[i]
+		i = smallest
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -25,8 +25,8 @@
 		event, ok := queue.Next()
 		is.True(ok)
 		if previous >= 0 {
-			is.True(times[previous] <= times[event])                     // in time order
-			is.True(times[previous] != times[event] || previous < event) // then by insertion
+			is.True(times[previous] <= times[event])                     // ordered by time
+			is.True(times[previous] != times[event] || previous < event) // then by order of insertion
 		}
 		previous = event
 	}
@@ -34,7 +34,7 @@
 	is.True(!ok)
 }
 
-func TestQueueNeverGoesBack(t *testing.T) {
+func TestQueueTimeNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	var queue sim.Queue[string]
 	queue.Add(time.Second, "first")
@@ -45,7 +45,7 @@
 	is.Equal(queue.Now(), time.Second)
 }
 
-func TestRunUntilEndsWithTheConditionTheLimitOrTheEvents(t *testing.T) {
+func TestRunUntilStopsAtConditionLimitOrLastEvent(t *testing.T) {
 	is := is.New(t)
 	var queue sim.Queue[int]
 	for number := range 10 {
@@ -53,15 +53,15 @@
 	}
 	last := -1
 	deliver := func(number int) { last = number }
-	took, held := queue.RunUntil(time.Minute, deliver, func() bool { return last == 3 })
+	elapsed, held := queue.RunUntil(time.Minute, deliver, func() bool { return last == 3 })
 	is.True(held)
-	is.Equal(took, 3*time.Second)
-	took, held = queue.RunUntil(2*time.Second, deliver, func() bool { return false })
+	is.Equal(elapsed, 3*time.Second)
+	elapsed, held = queue.RunUntil(2*time.Second, deliver, func() bool { return false })
 	is.Equal(held, false)
-	is.Equal(took, 2*time.Second)
-	took, held = queue.RunUntil(time.Minute, deliver, func() bool { return last == 9 && queue.Len() == 0 })
+	is.Equal(elapsed, 2*time.Second)
+	elapsed, held = queue.RunUntil(time.Minute, deliver, func() bool { return last == 9 && queue.Len() == 0 })
 	is.True(held)
-	is.Equal(took, 3*time.Second)
+	is.Equal(elapsed, 3*time.Second)
 }
 
 func TestNetworkCutsAndDelays(t *testing.T) {
@@ -82,15 +82,15 @@
 	network := sim.Network{Loss: 0.1, Duplication: 0.2}
 	network.Start(sim.NewRandom(7))
 	const count = 20000
-	lost, doubled := 0, 0
+	lost, duplicated := 0, 0
 	for range count {
 		switch len(network.Delays("a", "b", nil)) {
 		case 0:
 			lost++
 		case 2:
-			doubled++
+			duplicated++
 		}
 	}
 	is.True(lost > count*8/100 && lost < count*12/100)
-	is.True(doubled > count*16/100 && doubled < count*20/100)
+	is.True(duplicated > count*16/100 && duplicated < count*20/100)
 }
