--- a/internal/experiment/batch.go
+++ b/internal/experiment/batch.go
@@ -56,6 +56,7 @@
 	return results, errors.Join(failures...)
 }
 
+// jobs returns the runs of the batch, in the order of their results.
 func (batch *Batch) jobs() []job {
 	var jobs []job
 	for _, factory := range batch.Factories {
@@ -70,6 +71,7 @@
 // random sources from consecutive seeds, and two runs must not share a source.
 const seedStride = 16
 
+// workers returns the number of concurrent runs.
 func (batch *Batch) workers() int {
 	if batch.Parallel > 0 {
 		return batch.Parallel
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -161,8 +161,8 @@
 	run.fabric = slices.DeleteFunc(run.fabric, func(other int32) bool { return other == index })
 }
 
-// join starts a new balancer. The fabric sends packets to it after the balancer has had time to
-// adopt its view.
+// join starts a new balancer. The fabric starts to send packets to it after
+// Timings.Spread, when all nodes have adopted the new membership.
 func (run *run) join(zone lb.Zone) {
 	if zone == "" {
 		zone = run.scenario.Zones[0]
@@ -199,7 +199,7 @@
 	run.schedule(fault.For, func() { run.setZonePartition(fault.Zone, false) })
 }
 
-// setZonePartition starts or ends the partition of a zone from all other zones.
+// setZonePartition starts the partition of a zone from all other zones, or ends it if cut is false.
 func (run *run) setZonePartition(zone lb.Zone, cut bool) {
 	for _, other := range run.scenario.Zones {
 		if other != zone {
@@ -209,8 +209,8 @@
 	run.schedule(detectionDelay, func() { run.updatePartitionViews(zone, cut) })
 }
 
-// updatePartitionViews sets each node's membership to the members that the node can reach, after a
-// random lag per node.
+// updatePartitionViews sets each node's membership to the members that the node can reach, or to
+// all members if cut is false, after a random lag per node.
 func (run *run) updatePartitionViews(zone lb.Zone, cut bool) {
 	run.membershipVersion++
 	for index := range run.nodes {
--- a/internal/experiment/flow.go
+++ b/internal/experiment/flow.go
@@ -13,14 +13,15 @@
 // flowState is the state of a flow at its client.
 type flowState uint8
 
+// The states of a flow. The last four are final.
 const (
 	flowOpening flowState = iota
 	flowEstablished
-	flowClosing
+	flowClosing // the client sent a closing packet
 	flowCompleted
-	flowBroken
-	flowRefused
-	flowFailed // the opening was never answered, or a host reset it
+	flowBroken  // see Cause
+	flowRefused // a balancer refused the opening
+	flowFailed  // the opening was never answered, or a host reset it
 )
 
 // none is the index of a host or node that is not set.
@@ -30,10 +31,10 @@
 type flow struct {
 	key                lb.FlowKey
 	openingID          uint32
-	service            int32
-	traffic            int32
+	service            int32 // index in run.services
+	traffic            int32 // index in the service's Traffic
 	state              flowState
-	attempts           uint8
+	attempts           uint8  // number of times that the client sent the last packet
 	requestAccepted    bool   // a host accepted the request of the tap
 	countedRunTwice    bool   // already counted in Result.RunTwice
 	countedFalseNotRun bool   // already counted in Result.FalseNotRun
@@ -219,6 +220,7 @@
 	flow.attempts = 1
 }
 
+// trafficOf returns the traffic to which a flow belongs.
 func (run *run) trafficOf(flow *flow) Traffic {
 	return run.services[flow.service].spec.Traffic[flow.traffic]
 }
@@ -232,8 +234,8 @@
 	answerResponse                           // response to the request of a tap
 	answerClosed                             // acknowledgement of a closing packet
 	answerReset                              // RST from a host
-	answerNotRun                             // refusal by a balancer
-	answerMayHaveRun                         // refusal by a balancer
+	answerNotRun                             // refusal by a balancer with the verdict lb.NotRun
+	answerMayHaveRun                         // refusal by a balancer with the verdict lb.MayHaveRun
 )
 
 // handleAnswer handles an answer that reaches the client of a flow. Answers to a flow that has ended
@@ -248,6 +250,8 @@
 	}
 }
 
+// handleAnswerToOpening handles an answer to a flow in the opening state. After a refusal with the
+// verdict NotRun, the client opens a new flow.
 func (run *run) handleAnswerToOpening(index int32, kind answerKind, retryAfter time.Duration) {
 	flow := &run.flows[index]
 	switch kind {
@@ -276,6 +280,7 @@
 	}
 }
 
+// handleAnswerOnEstablished handles an answer to an established or closing flow.
 func (run *run) handleAnswerOnEstablished(index int32, kind answerKind) {
 	flow := &run.flows[index]
 	switch kind {
--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -46,8 +46,8 @@
 }
 
 // unknownFlowAtHost handles a packet of a flow that is not open at the host. A host that never had
-// the flow resets it. The flow's first host acknowledges a closing packet again, because the
-// acknowledgement may have been lost, and ignores other packets.
+// the flow resets it. The flow's first host acknowledges a closing packet again and ignores all
+// other packets.
 func (run *run) unknownFlowAtHost(hostIndex, flowIndex int32, kind core.PacketKind) {
 	flow := &run.flows[flowIndex]
 	if hostIndex != flow.firstHost {
--- a/internal/experiment/publisher.go
+++ b/internal/experiment/publisher.go
@@ -89,6 +89,7 @@
 	return err
 }
 
+// stamp returns the stamp of a write at the current virtual time.
 func (service *service) stamp() placement.Stamp {
 	return placement.Stamp{WriteID: fmt.Sprintf("write-%d", service.run.queue.Now())}
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -44,9 +44,9 @@
 	// LateNew counts new flows at a leaving back end more than DrainDeadline after the request for
 	// its drain.
 	LateNew       int            `json:"late_new"`
-	Refused       map[string]int `json:"refused"` // openings, by verdict
-	OpeningFailed int            `json:"opening_failed"`
-	FlowsOpenPeak int            `json:"flows_open_peak"`
+	Refused       map[string]int `json:"refused"`         // openings, by verdict
+	OpeningFailed int            `json:"opening_failed"`  // openings without an answer or reset by a host
+	FlowsOpenPeak int            `json:"flows_open_peak"` // maximum number of open flows
 
 	// Imbalance is the ratio, for each service at the end of the run, of the maximum number of open
 	// flows on an active back end to the mean over its active back ends.
@@ -64,7 +64,7 @@
 	InForceMillis []float64 `json:"in_force_ms,omitempty"`
 
 	Latency map[FlowKind]Latency `json:"latency"`
-	Events  uint64               `json:"events"`
+	Events  uint64               `json:"events"` // number of simulated events
 }
 
 // Sample is the state of a run at the end of one second: the highest imbalance of a service, the
@@ -93,10 +93,12 @@
 	latencyDigits    = 3
 )
 
+// newHistogram returns an empty latency histogram.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
 
+// summarize returns the quantiles of a latency histogram.
 func summarize(histogram *hdrhistogram.Histogram) Latency {
 	return Latency{
 		Count: histogram.TotalCount(),
@@ -107,4 +109,5 @@
 	}
 }
 
+// milliseconds converts microseconds to milliseconds.
 func milliseconds(microseconds int64) float64 { return float64(microseconds) / 1000 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -67,7 +67,7 @@
 	services      []*service
 	flows         []flow
 
-	openFlows         int
+	openFlows         int    // number of established and closing flows
 	relayedPackets    uint64 // client packets that their ingress balancer relayed
 	ingressPackets    uint64 // client packets that balancers handled
 	membershipVersion int    // version of the membership
@@ -157,6 +157,7 @@
 	}
 }
 
+// handle dispatches an event by its kind.
 func (run *run) handle(next *event) {
 	switch next.kind {
 	case eventArrival:
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -19,8 +19,8 @@
 // Scenario describes an experiment, as read from a YAML file.
 type Scenario struct {
 	Name     string        `yaml:"name"`
-	Seed     uint64        `yaml:"seed"`
-	Runs     int           `yaml:"runs"`
+	Seed     uint64        `yaml:"seed"` // seed of the first run
+	Runs     int           `yaml:"runs"` // number of runs per kind of balancer, each with its own seed
 	Duration time.Duration `yaml:"duration"`
 	Zones    []lb.Zone     `yaml:"zones"`
 	Delays   Delays        `yaml:"delays"`
@@ -96,13 +96,13 @@
 
 // The kinds of faults: first the planned changes, then the failures (Kill, Freeze, CutZone).
 const (
-	Drain   FaultKind = "drain"   // a back end receives no more new flows
+	Drain   FaultKind = "drain"   // a back end stops receiving new flows
 	Undrain FaultKind = "undrain" // a drained back end receives new flows again
 	Add     FaultKind = "add"     // a new back end joins a service
 	Relabel FaultKind = "relabel" // a back end no longer matches its service's selector, and a new one does
-	Stop    FaultKind = "stop"    // planned stop of a balancer
+	Stop    FaultKind = "stop"    // a balancer stops as planned, after the handover of its records
 	Join    FaultKind = "join"    // a new balancer starts
-	Kill    FaultKind = "kill"    // a balancer dies
+	Kill    FaultKind = "kill"    // a balancer ends without notice
 	Freeze  FaultKind = "freeze"  // a balancer is paused for a time, then resumes with its old view
 	CutZone FaultKind = "cut"     // a network partition separates a zone from all others for a time
 )
@@ -115,8 +115,8 @@
 	// Target selects the back end among the members of its service, or the balancer among those
 	// that can be stopped. Indexes beyond the last wrap around.
 	Target int           `yaml:"target"`
-	Zone   lb.Zone       `yaml:"zone,omitempty"`
-	For    time.Duration `yaml:"for,omitempty"`
+	Zone   lb.Zone       `yaml:"zone,omitempty"` // of Join and CutZone
+	For    time.Duration `yaml:"for,omitempty"`  // duration of Freeze and CutZone
 }
 
 // Load reads a scenario file and validates it.
@@ -150,6 +150,7 @@
 	}
 }
 
+// validate returns an error that contains all problems of the scenario, or nil.
 func (scenario *Scenario) validate() error {
 	var validator validator
 	validator.require(scenario.Name != "", "name %q is empty", scenario.Name)
