--- a/internal/operator/objects.go
+++ b/internal/operator/objects.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	result.conditions = append(result.conditions, claim.Unchanged())
+	result.conditions = append(result.conditions, claim.UnchangedCondition())
 	if string(claim.Value) == name {
 		return nil
 	}
@@ -104,7 +104,7 @@
 	if owner.Exists() {
 		return errors.Wrapf(store.ErrConflict, "front end %s belongs to service %q", frontend, claim.Value)
 	}
-	result.conditions = append(result.conditions, owner.Unchanged())
+	result.conditions = append(result.conditions, owner.UnchangedCondition())
 	return nil
 }
 
@@ -132,7 +132,7 @@
 // release deletes the claim if it is the owner's.
 func (result *related) release(claim *store.KeyValue, owner string) {
 	if claim.Exists() && string(claim.Value) == owner {
-		result.conditions = append(result.conditions, claim.Unchanged())
+		result.conditions = append(result.conditions, claim.UnchangedCondition())
 		result.deletes = append(result.deletes, claim.Key)
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -195,7 +195,7 @@
 	}
 	revision, err := operator.client.Commit(ctx, store.Transaction{
 		WriteID:    note.WriteID,
-		Conditions: append([]store.Condition{read.Unchanged()}, extra.conditions...),
+		Conditions: append([]store.Condition{read.UnchangedCondition()}, extra.conditions...),
 		Puts:       puts,
 		Deletes:    extra.deletes,
 	})
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -10,32 +10,36 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Settings are the parameters of a client. Start from DefaultSettings.
+// Settings are the parameters of a client. Callers start from DefaultSettings.
 type Settings struct {
-	// Endpoints are the store's base URLs; the next is used when one fails.
+	// Endpoints are the base URLs of the store. After a failed request the client switches to the
+	// next one.
 	Endpoints []string
-	// Timeout bounds one request.
+	// Timeout bounds one request, including reading its response.
 	Timeout time.Duration
-	// RequestsPerSecond and Burst are this client's share of the store's rate limit.
+	// RequestsPerSecond and Burst limit the requests of this client. They are its share of the
+	// store's rate limit.
 	RequestsPerSecond float64
 	Burst             int
-	// RetryRatio is how many retries each request earns; RetryBurst how many are saved up at most.
+	// RetryRatio is the number of retry tokens that each request adds to the retry budget.
+	// RetryBurst is the maximum number of tokens in the budget.
 	RetryRatio float64
 	RetryBurst float64
-	// BackoffBase is the longest wait before the first retry; it doubles up to BackoffMax.
+	// BackoffBase is the maximum delay before the first retry. The delay doubles with each retry,
+	// up to BackoffMax.
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// PageSize is how many keys one request of a listing reads.
+	// PageSize is the maximum number of keys that List reads with one request.
 	PageSize int
-	// WatchIdleLimit renews a watch on which nothing came for so long.
+	// WatchIdleLimit is the time without any message after which the client reopens a watch stream.
 	WatchIdleLimit time.Duration
-	// Seed decides the jitter. It differs from client to client.
+	// Seed initializes the random generator for jitter. Each client needs a different seed.
 	Seed uint64
-	// Transport sends the requests.
+	// Transport sends the HTTP requests.
 	Transport http.RoundTripper
 }
 
-// DefaultSettings gives settings for one client of many.
+// DefaultSettings returns settings for one client among many of the same store.
 func DefaultSettings(endpoints []string, seed uint64) Settings {
 	return Settings{
 		Endpoints:         endpoints,
@@ -86,79 +90,83 @@
 	return nil
 }
 
-// KeyValue is one key with its value.
+// KeyValue is the state of one key: its value and its revisions in the store.
 type KeyValue struct {
 	Key            string
 	Value          []byte
 	CreateRevision int64
-	ModRevision    int64 // zero: there is no such key
-	Version        int64 // number of writes since the key was created
+	ModRevision    int64 // 0: the key does not exist
+	Version        int64 // number of writes since the key was created, 1 after the creation
 	Lease          LeaseID
-	// ReadRevision is the store's revision when this was read.
+	// ReadRevision is the store revision at which this state was read.
 	ReadRevision int64
 }
 
-// Exists tells whether the key is in the store.
+// Exists reports whether the key exists in the store.
 func (kv *KeyValue) Exists() bool { return kv.ModRevision != 0 }
 
-// Listing is the keys under a prefix.
+// Listing is the result of List: all keys with a common prefix.
 type Listing struct {
 	KeyValues []KeyValue // in ascending order of keys
-	// Revision of the store when the first page was read. Keys changed since
-	// may be given in their newer state; a watch from Revision+1 gives every change since.
+	// Revision is the store revision at which the first page was read. Keys that changed while
+	// later pages were read may appear in their newer state. A watch that starts at Revision+1
+	// delivers every change since then.
 	Revision int64
 }
 
-// Client is a client of the store. It may be used by several goroutines.
+// Client is a client of the store. It is safe for concurrent use.
 type Client struct {
 	settings Settings
 	http     *http.Client
-	guard    *guard
-	endpoint atomic.Uint32 // index of the endpoint in use
-	commits  atomic.Uint64 // calls of Commit so far
+	policy   *requestPolicy
+	// endpoint counts the switches to another endpoint. Modulo the number of endpoints it is the
+	// index of the current one.
+	endpoint atomic.Uint32
+	commits  atomic.Uint64 // number of calls of Commit so far
 }
 
-// New gives a client. It sends nothing.
+// New returns a client for the settings. It sends no request.
 func New(settings Settings) (*Client, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	client := &Client{settings: settings, http: &http.Client{Transport: settings.Transport}}
-	client.guard = newGuard(&client.settings)
+	client.policy = newRequestPolicy(&client.settings)
 	return client, nil
 }
 
-// Stats gives the client's counters.
+// Stats returns a copy of the client's counters.
 func (client *Client) Stats() Stats {
 	var stats Stats
-	client.guard.count(func(current *Stats) { stats = *current })
+	client.policy.updateStats(func(current *Stats) { stats = *current })
 	return stats
 }
 
-// Get reads one key; if there is no such key, the result does not exist.
+// Get reads one key. If the key does not exist, the result's Exists method returns false.
 func (client *Client) Get(ctx context.Context, key string) (KeyValue, error) {
 	request := rangeRequest{Key: []byte(key)}
 	var response rangeResponse
-	if err := client.callRetrying(ctx, pathRange, &request, &response); err != nil {
+	if err := client.callWithRetries(ctx, pathRange, &request, &response); err != nil {
 		return KeyValue{}, err
 	}
-	return single(key, &response), nil
+	return keyValueOf(key, &response), nil
 }
 
-func single(key string, response *rangeResponse) KeyValue {
+// keyValueOf returns the state of the key from the response to a range request for this key alone.
+func keyValueOf(key string, response *rangeResponse) KeyValue {
 	if len(response.KeyValues) == 0 {
 		return KeyValue{Key: key, ReadRevision: int64(response.Header.Revision)}
 	}
 	return response.KeyValues[0].keyValue(int64(response.Header.Revision))
 }
 
-// List reads all keys that begin with prefix, page by page.
+// List reads all keys that begin with prefix, in pages of Settings.PageSize keys.
 func (client *Client) List(ctx context.Context, prefix string) (Listing, error) {
 	var listing Listing
 	request := rangeRequest{Key: []byte(prefix), RangeEnd: rangeEnd(prefix), Limit: integer(client.settings.PageSize)}
 	for {
 		var page rangeResponse
-		if err := client.callRetrying(ctx, pathRange, &request, &page); err != nil {
+		if err := client.callWithRetries(ctx, pathRange, &request, &page); err != nil {
 			return Listing{}, err
 		}
 		if listing.Revision == 0 {
@@ -175,37 +183,40 @@
 	}
 }
 
-// callRetrying repeats a request that may safely run more than once.
-func (client *Client) callRetrying(ctx context.Context, path string, request, response any) error {
-	client.guard.first()
+// callWithRetries sends a request and retries it after failures. The request must be safe to
+// execute more than once.
+func (client *Client) callWithRetries(ctx context.Context, path string, request, response any) error {
+	client.policy.addRetryTokens()
 	for retry := 0; ; retry++ {
 		err := client.call(ctx, path, request, response)
 		if err == nil {
 			return nil
 		}
-		if !client.mayRetry(err) {
+		if !client.allowRetry(err) {
 			return err
 		}
-		if waitError := client.waitToRetry(ctx, retry, err); waitError != nil {
+		if waitError := client.waitBeforeRetry(ctx, retry, err); waitError != nil {
 			return err
 		}
 	}
 }
 
-// mayRetry takes a retry from the budget. What the store's rate limit refused
-// needs none: the rate that it leads to bounds those retries.
-func (client *Client) mayRetry(err error) bool {
-	return errors.Is(err, ErrThrottled) || errors.Is(err, ErrUnavailable) && client.guard.spend()
+// allowRetry reports whether a request that failed with err may be retried, and takes a token from
+// the retry budget for it. Retries of requests that were rejected by the store's rate limit need no
+// token, because each rejection lowers the client's own request rate, which bounds these retries.
+func (client *Client) allowRetry(err error) bool {
+	return errors.Is(err, ErrThrottled) || errors.Is(err, ErrUnavailable) && client.policy.takeRetryToken()
 }
 
+// retryable reports whether a later attempt of a request that failed with err may succeed.
 func retryable(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrThrottled)
 }
 
-// waitToRetry waits for the backoff. It gives an error at once when the
-// context would end before.
-func (client *Client) waitToRetry(ctx context.Context, retry int, cause error) error {
-	wait := client.guard.pause(retry, asError(cause).RetryAfter)
+// waitBeforeRetry waits for the backoff delay before a retry. It returns an error immediately if
+// the deadline of ctx would pass during the delay.
+func (client *Client) waitBeforeRetry(ctx context.Context, retry int, cause error) error {
+	wait := client.policy.retryDelay(retry, asError(cause).RetryAfter)
 	if deadline, found := ctx.Deadline(); found && time.Until(deadline) <= wait {
 		return cause
 	}
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -21,7 +21,7 @@
 func TestListReadsEveryPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		client, _ := newTestClient(t, newStandIn(), 1)
+		client, _ := newTestClient(t, newSimulatedStore(), 1)
 		client.settings.PageSize = 3
 		ctx := testContext(t, time.Minute)
 		for number := range 10 {
@@ -41,20 +41,20 @@
 	})
 }
 
-func TestConnectionRefusedIsNotRunAndTimeoutMayHaveRun(t *testing.T) {
+func TestVerdictsOfRefusedConnectionAndTimeout(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	closed := "http://" + listener.Addr().String()
+	closedEndpoint := "http://" + listener.Addr().String()
 	is.NoErr(listener.Close())
 	blocked := make(chan struct{})
-	silent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-blocked }))
-	defer silent.Close()
+	unresponsive := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-blocked }))
+	defer unresponsive.Close()
 	defer close(blocked)
 	for _, test := range []struct {
 		endpoint string
 		want     lb.Verdict
-	}{{closed, lb.NotRun}, {silent.URL, lb.MayHaveRun}} {
+	}{{closedEndpoint, lb.NotRun}, {unresponsive.URL, lb.MayHaveRun}} {
 		settings := DefaultSettings([]string{test.endpoint}, 1)
 		settings.Timeout = 50 * time.Millisecond
 		client, err := New(settings)
@@ -68,7 +68,7 @@
 
 func TestFailoverToTheNextEndpoint(t *testing.T) {
 	is := is.New(t)
-	live := httptest.NewServer(newStandIn())
+	live := httptest.NewServer(newSimulatedStore())
 	defer live.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -81,15 +81,15 @@
 	is.NoErr(err)
 }
 
-func TestOutageIsProbedOneRequestAtATime(t *testing.T) {
+func TestOutageSendsOneProbeAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server := newStandIn()
+		server := newSimulatedStore()
 		client, transport := newTestClient(t, server, 1)
 		server.SetFaults(storesim.Faults{Outage: true})
 		ctx := testContext(t, 10*time.Minute)
 		var callers sync.WaitGroup
-		for range 20 { // callers that go on asking for a minute each
+		for range 20 { // each caller keeps sending requests for a minute
 			callers.Go(func() {
 				for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 					_, err := client.Get(ctx, "/k")
@@ -101,10 +101,11 @@
 		start := time.Now()
 		callers.Wait()
 		is.Equal(client.Stats().Circuit, CircuitOpen)
-		// Up to 20 requests at once before the circuit opens, then one probe each second at most.
+		// At most 20 concurrent requests before the circuit opens, then at most one probe per
+		// second.
 		is.True(transport.requests() <= 20+int(time.Since(start).Seconds()))
 		server.SetFaults(storesim.Faults{})
-		time.Sleep(3 * time.Second) // longer than the longest wait for a probe
+		time.Sleep(3 * time.Second) // longer than the maximum delay before a probe
 		_, err := client.Get(ctx, "/k")
 		is.NoErr(err)
 		is.Equal(client.Stats().Circuit, CircuitClosed)
@@ -114,12 +115,12 @@
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		client, transport := newTestClient(t, newStandIn(), 1)
-		unsent := true
-		transport.set(func(string) fault { // every second request fails, so that the circuit stays closed
-			unsent = !unsent
-			if unsent {
-				return faultUnsent
+		client, transport := newTestClient(t, newSimulatedStore(), 1)
+		failNext := true
+		transport.setFault(func(string) fault { // every second request fails, which is too few for the circuit to open
+			failNext = !failNext
+			if failNext {
+				return faultNotSent
 			}
 			return faultNone
 		})
@@ -134,17 +135,17 @@
 	})
 }
 
-func TestRateLimits(t *testing.T) {
+func TestClientAdaptsToTheRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server := newStandIn()
+		server := newSimulatedStore()
 		server.SetFaults(storesim.Faults{RatePerSecond: 5})
 		client, transport := newTestClient(t, server, 1)
 		ctx := testContext(t, time.Hour)
 		start := time.Now()
 		for range 100 {
 			_, err := client.Get(ctx, "/k")
-			is.NoErr(err) // refused requests are repeated when the store says so
+			is.NoErr(err) // rejected requests are retried after the time that the store returned
 		}
 		is.True(time.Since(start) >= 19*time.Second)
 		stats := client.Stats()
@@ -160,11 +161,11 @@
 		}
 		seconds := time.Since(start).Seconds()
 		limit := client.settings.RequestsPerSecond*seconds + float64(client.settings.Burst)
-		is.True(float64(transport.requests()-sent) <= limit) // the client's own limit
+		is.True(float64(transport.requests()-sent) <= limit) // the client's own rate limit
 	})
 }
 
-func TestRetryAfterIsObeyed(t *testing.T) {
+func TestRetryAfterHeaderDelaysRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		refused := 0
@@ -181,6 +182,6 @@
 		is.Equal(typed.RetryAfter, 7*time.Second)
 		_, err = client.Get(testContext(t, time.Second), "/k")
 		is.True(errors.Is(err, ErrThrottled))
-		is.Equal(transport.requests(), 1) // not even asked
+		is.Equal(transport.requests(), 1) // the second call sent no request
 	})
 }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -9,34 +9,34 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Causes of errors, to be told apart with errors.Is.
+// Causes of errors. Callers distinguish them with errors.Is.
 var (
-	// ErrUnavailable: the store cannot be reached or does not work.
+	// ErrUnavailable means that the store cannot be reached or does not work.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrThrottled: the rate limit, of the store or of this client, was exceeded.
+	// ErrThrottled means that the rate limit of the store or of this client was exceeded.
 	ErrThrottled = errors.New("store rate limit")
-	// ErrRefused: the store found the request invalid.
-	ErrRefused = errors.New("store refused the request")
-	// ErrUnknownOutcome: it could not be found out whether a write took effect.
+	// ErrRejected means that the store rejected the request as invalid.
+	ErrRejected = errors.New("store rejected the request")
+	// ErrUnknownOutcome means that the client could not determine whether a write took effect.
 	ErrUnknownOutcome = errors.New("outcome of the write unknown")
-	// ErrConflict: a condition of a transaction does not hold; see ConflictError.
+	// ErrConflict means that a condition of a transaction does not hold; see ConflictError.
 	ErrConflict = errors.New("conflict")
-	// ErrCompacted: the history asked for is no longer kept.
+	// ErrCompacted means that the store has compacted the requested part of its history.
 	ErrCompacted = errors.New("history compacted")
-	// ErrLeaseLost: the lease has ended or belongs to another holder.
+	// ErrLeaseLost means that the lease has expired or that another holder has it.
 	ErrLeaseLost = errors.New("lease lost")
 )
 
-// Error is the error of every request to the store.
+// Error is the error type of every failed request to the store.
 type Error struct {
-	// Verdict is NotRun where the store is known not to have run the request.
+	// Verdict is NotRun if it is certain that the store has not executed the request.
 	Verdict lb.Verdict
 	Cause   error
-	// RetryAfter is when to come back; zero where the store said nothing.
+	// RetryAfter is the minimum time to wait before a retry. It is 0 if the store returned none.
 	RetryAfter time.Duration
 }
 
-// Error gives verdict and cause.
+// Error returns the cause, the verdict and the retry time, if there is one.
 func (err *Error) Error() string {
 	if err.RetryAfter > 0 {
 		return fmt.Sprintf("%v (%v, retry after %v)", err.Cause, err.Verdict, err.RetryAfter)
@@ -44,34 +44,38 @@
 	return fmt.Sprintf("%v (%v)", err.Cause, err.Verdict)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (err *Error) Unwrap() error { return err.Cause }
 
-// ConflictError says which condition of a transaction does not hold.
+// ConflictError reports which condition of a transaction does not hold.
 type ConflictError struct {
 	Condition Condition
-	// Current is what is under the key now; its ModRevision is zero if nothing is.
+	// Current is the state of the key when the store evaluated the condition. Its ModRevision is 0
+	// if the key does not exist.
 	Current KeyValue
 }
 
-// Error names the key and both revisions.
+// Error names the key and the actual and expected revisions.
 func (err *ConflictError) Error() string {
 	return fmt.Sprintf("conflict: %s is at revision %d, expected %d",
-		err.Condition.Key, err.Condition.actual(&err.Current), err.Condition.Revision)
+		err.Condition.Key, err.Condition.actualRevision(&err.Current), err.Condition.Revision)
 }
 
-// Unwrap gives ErrConflict.
+// Unwrap returns ErrConflict.
 func (err *ConflictError) Unwrap() error { return ErrConflict }
 
-func notRun(cause error) *Error { return &Error{Verdict: lb.NotRun, Cause: cause} }
+// notRunError returns an error for a request that the store has not executed.
+func notRunError(cause error) *Error { return &Error{Verdict: lb.NotRun, Cause: cause} }
 
-func mayHaveRun(cause error) *Error { return &Error{Verdict: lb.MayHaveRun, Cause: cause} }
+// mayHaveRunError returns an error for a request that the store may have executed.
+func mayHaveRunError(cause error) *Error { return &Error{Verdict: lb.MayHaveRun, Cause: cause} }
 
-// asError gives err as an *Error; one of another kind counts as MayHaveRun.
+// asError returns the *Error in the chain of err. If there is none, it returns an error with the
+// verdict MayHaveRun, which assumes the least.
 func asError(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
 		return typed
 	}
-	return mayHaveRun(err)
+	return mayHaveRunError(err)
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -7,35 +7,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// LeaseID names a lease in the store; 0 is none.
+// LeaseID identifies a lease in the store. 0 means no lease.
 type LeaseID int64
 
-// Lease is held while its key is in the store with the creation revision it
-// got when it was acquired. The holder never concludes from a clock that it
-// still holds it: each write made as holder carries Fence as a condition, so
-// that the store refuses it once the lease has ended, however long the holder
-// was paused.
+// Lease is a lease on a key. It is held as long as the key exists in the store with the creation
+// revision that it got when the lease was acquired. The holder never relies on a clock to decide
+// whether it still holds the lease. Instead, each of its writes carries HolderCondition, so that
+// the store rejects the write if the lease has expired, even after an arbitrarily long pause of the
+// holder.
 type Lease struct {
 	ID             LeaseID
 	Key            string
 	CreateRevision int64
 }
 
-// Fence is the condition under which the holder writes.
-func (lease *Lease) Fence() Condition {
-	return Condition{Key: lease.Key, Revision: lease.CreateRevision, OfCreation: true}
+// HolderCondition returns the condition that every write of the holder must carry.
+func (lease *Lease) HolderCondition() Condition {
+	return Condition{Key: lease.Key, Revision: lease.CreateRevision, CompareCreateRevision: true}
 }
 
-// Acquire takes the lease under key for the time to live, in the name of
-// holder, which is the key's value and unique to this call. If another holds
-// it, the error is a *ConflictError whose Current names the holder.
+// Acquire acquires the lease under key for timeToLive. The holder becomes the key's value and must
+// be unique to this call. If another holder has the lease, Acquire returns a *ConflictError whose
+// Current contains that holder.
 func (client *Client) Acquire(ctx context.Context, key, holder string, timeToLive time.Duration) (*Lease, error) {
 	current, err := client.Get(ctx, key)
 	if err != nil {
 		return nil, err
 	}
 	if current.Exists() {
-		return nil, notRun(&ConflictError{Condition: Condition{Key: key}, Current: current})
+		return nil, notRunError(&ConflictError{Condition: Condition{Key: key}, Current: current})
 	}
 	id, err := client.grant(ctx, timeToLive)
 	if err != nil {
@@ -48,43 +48,44 @@
 	return &Lease{ID: id, Key: key, CreateRevision: revision}, nil
 }
 
-// KeepAlive renews the lease. ErrLeaseLost means that it has ended.
+// KeepAlive renews the lease. It returns ErrLeaseLost if the lease has expired.
 func (client *Client) KeepAlive(ctx context.Context, lease *Lease) error {
 	var response keepAliveResponse
-	if err := client.callRetrying(ctx, pathKeepAlive, &leaseRequest{ID: integer(lease.ID)}, &response); err != nil {
+	if err := client.callWithRetries(ctx, pathKeepAlive, &leaseRequest{ID: integer(lease.ID)}, &response); err != nil {
 		return err
 	}
 	if response.Result.TTL <= 0 {
-		return notRun(errors.Wrap(ErrLeaseLost, lease.Key))
+		return notRunError(errors.Wrap(ErrLeaseLost, lease.Key))
 	}
 	return nil
 }
 
-// Release ends the lease and deletes its key.
+// Release revokes the lease, which deletes its key.
 func (client *Client) Release(ctx context.Context, lease *Lease) error {
 	var response leaseResponse
-	return client.callRetrying(ctx, pathRevoke, &leaseRequest{ID: integer(lease.ID)}, &response)
+	return client.callWithRetries(ctx, pathRevoke, &leaseRequest{ID: integer(lease.ID)}, &response)
 }
 
-// grant makes a lease. One whose answer is lost ends by itself.
+// grant creates a lease in the store. If the response is lost, the lease that was possibly created
+// expires on its own.
 func (client *Client) grant(ctx context.Context, timeToLive time.Duration) (LeaseID, error) {
 	seconds := integer((timeToLive + time.Second - 1) / time.Second)
 	var response leaseResponse
-	if err := client.callRetrying(ctx, pathGrant, &leaseRequest{TTL: seconds}, &response); err != nil {
+	if err := client.callWithRetries(ctx, pathGrant, &leaseRequest{TTL: seconds}, &response); err != nil {
 		return 0, err
 	}
 	return LeaseID(response.ID), nil
 }
 
-// CommitAsHolder runs the transaction if the lease is still held, else the
-// error is ErrLeaseLost.
+// CommitAsHolder commits the transaction if the lease is still held. Otherwise it returns
+// ErrLeaseLost.
 func (client *Client) CommitAsHolder(ctx context.Context, lease *Lease, txn Transaction) (int64, error) {
-	fence := lease.Fence()
-	txn.Conditions = append(append([]Condition{}, txn.Conditions...), fence)
+	holderCondition := lease.HolderCondition()
+	txn.Conditions = append(append([]Condition{}, txn.Conditions...), holderCondition)
 	revision, err := client.Commit(ctx, txn)
 	var conflict *ConflictError
-	if errors.As(err, &conflict) && conflict.Condition == fence {
-		return 0, notRun(errors.Mark(errors.Wrap(err, ErrLeaseLost.Error()), ErrLeaseLost))
+	if errors.As(err, &conflict) && conflict.Condition == holderCondition {
+		return 0, notRunError(errors.Mark(errors.Wrap(err, ErrLeaseLost.Error()), ErrLeaseLost))
 	}
 	return revision, err
 }
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -10,25 +10,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// resolve finds out whether a copy of the transaction ran: it gives the
-// revision at which it did, or 0 if none did and none will. Copies sent after
-// that depend on another fence.
-func (commit *commit) resolve(ctx context.Context) (int64, error) {
-	if err := commit.writeFence(ctx); err != nil {
+// resolve determines whether the store has executed an earlier copy of the transaction. It returns
+// the revision at which it did, or 0 if it has executed no copy and will execute none that has been
+// sent so far. Copies that are sent afterwards depend on the absence of a new fence key.
+func (commit *pendingCommit) resolve(ctx context.Context) (int64, error) {
+	if err := commit.createFence(ctx); err != nil {
 		return 0, err
 	}
 	revision, err := commit.findInHistory(ctx)
 	if err != nil {
 		return 0, err
 	}
-	commit.noteResolved()
-	commit.fence++
+	commit.recordResolved()
+	commit.fenceNumber++
 	return revision, nil
 }
 
-// writeFence makes the fence key. Once it is there, no copy can run.
-func (commit *commit) writeFence(ctx context.Context) error {
-	lease, err := commit.client.grant(ctx, fenceLifetime)
+// createFence creates the fence key. Every copy of the transaction sent so far requires the key's
+// absence, so the store executes none of them from then on.
+func (commit *pendingCommit) createFence(ctx context.Context) error {
+	lease, err := commit.client.grant(ctx, fenceTTL)
 	if err != nil {
 		return err
 	}
@@ -39,9 +40,9 @@
 	return commit.client.call(ctx, pathTxn, &request, &response)
 }
 
-// findInHistory reads the changes from when the conditions held up to the
-// fence and looks for the first one of the first condition's key.
-func (commit *commit) findInHistory(ctx context.Context) (int64, error) {
+// findInHistory reads the history from the revision at which the conditions held up to the creation
+// of the fence key, and searches it for the first change of the first condition's key.
+func (commit *pendingCommit) findInHistory(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, commit.client.settings.Timeout, errTimeout)
 	defer cancel()
 	first := commit.txn.Conditions[0]
@@ -55,28 +56,31 @@
 		if err != nil {
 			return 0, err
 		}
-		revision, found := commit.search(message.Events)
+		revision, found := commit.searchEvents(message.Events)
 		if found {
 			return revision, nil
 		}
 	}
 }
 
-// historyRange spans the first condition's key, the first put's key and the fence.
-func (commit *commit) historyRange() keyRange {
+// historyRange returns a key range that contains the first condition's key, the first put's key and
+// the fence key.
+func (commit *pendingCommit) historyRange() keyRange {
 	keys := []string{commit.txn.Conditions[0].Key, commit.txn.Puts[0].Key, commit.fenceKey()}
 	return keyRange{start: slices.Min(keys), end: append([]byte(slices.Max(keys)), 0)}
 }
 
-// search looks for the first change of the first condition's key, or the
-// fence. All events of one revision are in one message, in order.
-func (commit *commit) search(events []wireEvent) (revision int64, found bool) {
+// searchEvents searches the events for the first change of the first condition's key and for the
+// fence key, whichever comes first. found reports whether either occurred; revision is 0 unless the
+// change is this transaction's. The store sends all events of one revision in one message and in
+// order.
+func (commit *pendingCommit) searchEvents(events []wireEvent) (revision int64, found bool) {
 	key := commit.txn.Conditions[0].Key
 	for index := range events {
 		kv := &events[index].KeyValue
 		switch string(kv.Key) {
 		case key:
-			if commit.isOwn(events, kv.ModRevision) {
+			if commit.isOwnWrite(events, kv.ModRevision) {
 				return int64(kv.ModRevision), true
 			}
 			return 0, true
@@ -87,8 +91,9 @@
 	return 0, false
 }
 
-// isOwn tells whether the change at the revision is this transaction's.
-func (commit *commit) isOwn(events []wireEvent, revision integer) bool {
+// isOwnWrite reports whether this transaction made the change at the revision, which it recognizes
+// by the value of its first put.
+func (commit *pendingCommit) isOwnWrite(events []wireEvent, revision integer) bool {
 	mark := commit.txn.Puts[0]
 	return slices.ContainsFunc(events, func(event wireEvent) bool {
 		return event.KeyValue.ModRevision == revision && event.Type != eventDelete &&
@@ -96,57 +101,59 @@
 	})
 }
 
-// keyRange is the keys from start to before end.
+// keyRange is a range of keys that includes start and excludes end.
 type keyRange struct {
 	start string
 	end   []byte
 }
 
-// watchStream is one open watch.
+// watchStream is one open watch stream.
 type watchStream struct {
 	client  *Client
 	decoder *json.Decoder
 	close   func()
-	idle    *time.Timer // cancels the stream
+	idle    *time.Timer // cancels the stream when it expires
 }
 
-// openWatch starts a watch of the range from the given revision on; 0 is from now on.
+// openWatch opens a watch stream of the key range that starts at the revision from. 0 means the
+// current revision.
 func (client *Client) openWatch(ctx context.Context, keys keyRange, from int64) (*watchStream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	request := watchRequest{Create: watchCreate{
 		Key: []byte(keys.start), RangeEnd: keys.end, StartRevision: integer(from), ProgressNotify: true,
 	}}
 	idle := time.AfterFunc(client.settings.Timeout, func() { cancel(errTimeout) })
-	answer, err := client.send(ctx, pathWatch, &request)
+	httpResponse, err := client.send(ctx, pathWatch, &request)
 	if err != nil {
 		idle.Stop()
 		cancel(nil)
 		return nil, err
 	}
-	client.guard.succeeded()
-	stream := &watchStream{client: client, decoder: json.NewDecoder(answer.Body), idle: idle}
+	client.policy.recordSuccess()
+	stream := &watchStream{client: client, decoder: json.NewDecoder(httpResponse.Body), idle: idle}
 	stream.close = func() {
 		idle.Stop()
 		cancel(nil)
-		_ = answer.Body.Close()
+		_ = httpResponse.Body.Close()
 	}
 	return stream, nil
 }
 
-// next gives the next message. ErrCompacted means that the history asked for is gone.
+// next waits for the next message and returns it. It returns ErrCompacted if the store no longer
+// has the requested history.
 func (stream *watchStream) next() (*watchResponse, error) {
 	stream.idle.Reset(stream.client.settings.WatchIdleLimit)
 	var message watchMessage
 	if err := stream.decoder.Decode(&message); err != nil {
-		return nil, notRun(unavailable(err, pathWatch))
+		return nil, notRunError(unavailableError(err, pathWatch))
 	}
 	switch {
 	case message.Error != nil && message.Error.Code != codeOutOfRange:
-		return nil, notRun(unavailable(errors.Newf("code %d: %s", message.Error.Code, message.Error.Message), pathWatch))
+		return nil, notRunError(unavailableError(errors.Newf("code %d: %s", message.Error.Code, message.Error.Message), pathWatch))
 	case message.Error != nil || message.Result.CompactRevision > 0:
-		return nil, notRun(errors.Wrapf(ErrCompacted, "up to revision %d", message.Result.CompactRevision))
+		return nil, notRunError(errors.Wrapf(ErrCompacted, "up to revision %d", message.Result.CompactRevision))
 	case message.Result.Canceled:
-		return nil, notRun(unavailable(errors.New("cancelled by the store"), pathWatch))
+		return nil, notRunError(unavailableError(errors.New("canceled by the store"), pathWatch))
 	}
 	return &message.Result, nil
 }
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -10,81 +10,87 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Condition must hold for a transaction to run: the key was last changed (or,
-// with OfCreation, created) at Revision; 0 means that there is no such key.
+// Condition must hold for a transaction to run: the last change of the key, or its creation if
+// CompareCreateRevision is set, was at Revision. Revision 0 means that the key does not exist.
 type Condition struct {
-	Key        string
-	Revision   int64
-	OfCreation bool
-	// AsOf is a store revision at which the condition held, by a read; 0 if
-	// not known. Resolving a lost answer looks at the history from there on.
+	Key                   string
+	Revision              int64
+	CompareCreateRevision bool
+	// AsOf is a store revision at which a read showed that the condition held; 0 if unknown. After
+	// a lost response, Commit reads the history from this revision on.
 	AsOf int64
 }
 
-// Unchanged is the condition that the key is as it was read.
-func (kv *KeyValue) Unchanged() Condition {
+// UnchangedCondition returns the condition that the key has not changed since it was read.
+func (kv *KeyValue) UnchangedCondition() Condition {
 	return Condition{Key: kv.Key, Revision: kv.ModRevision, AsOf: kv.ReadRevision}
 }
 
-// actual gives the revision that the condition is about.
-func (condition *Condition) actual(current *KeyValue) int64 {
-	if condition.OfCreation {
+// actualRevision returns the revision of current that the condition compares with
+// Condition.Revision.
+func (condition *Condition) actualRevision(current *KeyValue) int64 {
+	if condition.CompareCreateRevision {
 		return current.CreateRevision
 	}
 	return current.ModRevision
 }
 
+// compare returns the condition in the gateway's format.
 func (condition *Condition) compare() compare {
 	revision := integer(condition.Revision)
-	if condition.OfCreation {
+	if condition.CompareCreateRevision {
 		return compare{Result: resultEqual, Target: targetCreate, Key: []byte(condition.Key), CreateRevision: &revision}
 	}
 	return compare{Result: resultEqual, Target: targetMod, Key: []byte(condition.Key), ModRevision: &revision}
 }
 
-// Put writes one key.
+// Put is a write of one key.
 type Put struct {
 	Key   string
 	Value []byte
-	Lease LeaseID // 0: none
+	Lease LeaseID // the key is deleted when this lease expires; 0: no lease
 }
 
-// Transaction is a set of writes that take effect together, if all conditions hold.
+// Transaction is a set of writes that take effect atomically if all conditions hold.
 type Transaction struct {
-	// WriteID is unique to this transaction; the same one may be committed
-	// again, by the same client, after an error.
+	// WriteID is unique to this transaction. After an error, the same client may commit a
+	// transaction with the same WriteID again.
 	WriteID string
-	// Conditions: the first one is on a key that the transaction puts or
-	// deletes, and not OfCreation.
+	// Conditions must hold for the transaction to run. The first one must be on a key that the
+	// transaction puts or deletes, and must not have CompareCreateRevision set.
 	Conditions []Condition
-	// Puts: the value of the first one contains WriteID, so that no other
-	// transaction puts the same.
+	// Puts are the keys to write. The value of the first one must contain WriteID, so that no other
+	// transaction writes the same value.
 	Puts    []Put
 	Deletes []string
 }
 
-// FencePrefix holds the keys that keep abandoned transactions from running.
+// FencePrefix is the prefix of the fence keys, which prevent the store from executing late copies
+// of a transaction.
 const FencePrefix = "/robinpulley/fences/"
 
-// fenceLifetime is how long a fence stays: far longer than a request may be
-// under way in the network or the store.
-const fenceLifetime = time.Hour
+// fenceTTL is the time after which the store deletes a fence key. It must be far longer than a
+// request can be delayed in the network or in the store.
+const fenceTTL = time.Hour
 
+// validate checks the requirements on a transaction without which a lost response could not be
+// resolved.
 func (txn *Transaction) validate() error {
 	switch {
 	case txn.WriteID == "":
 		return errors.New("transaction without write id")
-	case len(txn.Conditions) == 0 || txn.Conditions[0].OfCreation:
+	case len(txn.Conditions) == 0 || txn.Conditions[0].CompareCreateRevision:
 		return errors.Newf("transaction %s: the first condition must be on the last change of a key", txn.WriteID)
 	case len(txn.Puts) == 0:
 		return errors.Newf("transaction %s: at least one put is needed", txn.WriteID)
-	case !txn.changes(txn.Conditions[0].Key):
-		return errors.Newf("transaction %s: does not change %s, on which its first condition is", txn.WriteID, txn.Conditions[0].Key)
+	case !txn.changesKey(txn.Conditions[0].Key):
+		return errors.Newf("transaction %s: does not change %s, the key of its first condition", txn.WriteID, txn.Conditions[0].Key)
 	}
 	return nil
 }
 
-func (txn *Transaction) changes(key string) bool {
+// changesKey reports whether the transaction puts or deletes the key.
+func (txn *Transaction) changesKey(key string) bool {
 	for _, put := range txn.Puts {
 		if put.Key == key {
 			return true
@@ -98,7 +104,9 @@
 	return false
 }
 
-// request gives the transaction for the gateway. The fence must not exist.
+// request returns the transaction in the gateway's format, with the additional condition that the
+// fence key does not exist. If a condition fails, the store returns the state of each condition's
+// key.
 func (txn *Transaction) request(fence string) *txnRequest {
 	absent := Condition{Key: fence}
 	request := &txnRequest{Compare: []compare{absent.compare()}}
@@ -116,46 +124,47 @@
 	return request
 }
 
+// op returns the put in the gateway's format.
 func (put *Put) op() requestOp {
 	return requestOp{Put: &putRequest{Key: []byte(put.Key), Value: put.Value, Lease: integer(put.Lease)}}
 }
 
-// CompareAndSwap writes one key if it is as it was read. The value contains
-// writeID. The result is the revision of the write.
+// CompareAndSwap writes one key if the key has not changed since it was read, and returns the
+// revision of the write. The value must contain writeID.
 func (client *Client) CompareAndSwap(ctx context.Context, read *KeyValue, value []byte, writeID string, lease LeaseID) (int64, error) {
 	return client.Commit(ctx, Transaction{
 		WriteID:    writeID,
-		Conditions: []Condition{read.Unchanged()},
+		Conditions: []Condition{read.UnchangedCondition()},
 		Puts:       []Put{{Key: read.Key, Value: value, Lease: lease}},
 	})
 }
 
-// Commit runs the transaction and gives the revision at which it took effect.
+// Commit runs the transaction and returns the revision at which it took effect.
 //
-// A condition that does not hold gives a *ConflictError. When an answer is
-// lost, a copy of the request may run at any time, so the outcome is resolved
-// as follows. If the first condition names a revision, the same request is
-// sent again: revisions never come back, so at most one copy runs. If its
-// conditions then fail, or if the first condition is absence (which can come
-// back), a fence key is written first, on whose absence every copy depends:
-// none can run from then on. The history of the key from when the conditions
-// held up to the fence then says for certain whether a copy ran: the first
-// change is either this transaction's, known by its value, or another's.
-// Where that history cannot be read before ctx ends, or is compacted, the
-// error is ErrUnknownOutcome with the verdict MayHaveRun.
+// If a condition does not hold, Commit returns a *ConflictError. If the response to a request is
+// lost, the store may still execute a copy of the request at any later time. Commit then determines
+// the outcome as follows. If the first condition names a revision, Commit sends the same request
+// again. A key never returns to an earlier revision, so the store executes at most one of the
+// copies. If the conditions of the new copy fail, or if the first condition is the absence of a
+// key, which can hold repeatedly, Commit creates a fence key. Every copy requires the absence of
+// this key, so the store executes none from then on. The history of the first condition's key, from
+// the revision at which the conditions held up to the creation of the fence key, then proves
+// whether a copy was executed: its first change is either this transaction's, which is recognized
+// by its value, or another one's. If this history has been compacted or cannot be read before ctx
+// ends, Commit returns ErrUnknownOutcome with the verdict MayHaveRun.
 func (client *Client) Commit(ctx context.Context, txn Transaction) (int64, error) {
 	if err := txn.validate(); err != nil {
-		return 0, notRun(err)
+		return 0, notRunError(err)
 	}
-	client.guard.first()
-	commit := commit{client: client, txn: &txn, number: client.commits.Add(1)}
+	client.policy.addRetryTokens()
+	commit := pendingCommit{client: client, txn: &txn, callNumber: client.commits.Add(1)}
 	for retry := 0; ; retry++ {
 		revision, err := commit.attempt(ctx)
 		if err == nil {
 			return revision, nil
 		}
 		if !retryable(err) {
-			return 0, commit.giveUp(err)
+			return 0, commit.finalError(err)
 		}
 		if err := commit.prepareRetry(ctx, retry, err); err != nil {
 			return 0, err
@@ -163,22 +172,26 @@
 	}
 }
 
-// commit is one Commit under way.
-type commit struct {
-	client *Client
-	txn    *Transaction
-	number uint64 // of this call, so that a write id may be used by a later call again
-	fence  int    // number of the fence that copies sent now depend on
-	lost   bool
+// pendingCommit is the state of one call of Commit.
+type pendingCommit struct {
+	client      *Client
+	txn         *Transaction
+	callNumber  uint64 // number of this call of Commit; it keeps fence keys apart if a later call uses the same WriteID
+	fenceNumber int    // number of the fence key whose absence newly sent copies require
+	// outcomeUnknown is set while the outcome of an earlier copy is unknown because its response
+	// was lost.
+	outcomeUnknown bool
 }
 
-func (commit *commit) fenceKey() string {
-	return fmt.Sprintf("%s%s.%x.%d.%d", FencePrefix, commit.txn.WriteID, commit.client.settings.Seed, commit.number, commit.fence)
+// fenceKey returns the fence key whose absence newly sent copies require.
+func (commit *pendingCommit) fenceKey() string {
+	return fmt.Sprintf("%s%s.%x.%d.%d", FencePrefix, commit.txn.WriteID, commit.client.settings.Seed, commit.callNumber, commit.fenceNumber)
 }
 
-// attempt sends the transaction once and resolves a loss where that is needed.
-func (commit *commit) attempt(ctx context.Context) (int64, error) {
-	if commit.lost && commit.txn.Conditions[0].Revision == 0 {
+// attempt sends the transaction once and, if an earlier response was lost, determines the outcome
+// of the earlier copies where this is necessary.
+func (commit *pendingCommit) attempt(ctx context.Context) (int64, error) {
+	if commit.outcomeUnknown && commit.txn.Conditions[0].Revision == 0 {
 		if revision, err := commit.resolve(ctx); revision != 0 || err != nil {
 			return revision, err
 		}
@@ -187,74 +200,79 @@
 	err := commit.client.call(ctx, pathTxn, commit.txn.request(commit.fenceKey()), &response)
 	switch {
 	case err != nil && asError(err).Verdict != lb.NotRun:
-		commit.noteLoss()
+		commit.recordLostResponse()
 		return 0, err
 	case err != nil:
 		return 0, err
 	case response.Succeeded:
-		commit.noteResolved()
+		commit.recordResolved()
 		return int64(response.Header.Revision), nil
-	case !commit.lost:
-		return 0, commit.conflict(&response)
+	case !commit.outcomeUnknown:
+		return 0, commit.conflictError(&response)
 	}
 	if revision, err := commit.resolve(ctx); revision != 0 || err != nil {
 		return revision, err
 	}
-	return commit.attempt(ctx) // no earlier copy can run: as if for the first time
+	return commit.attempt(ctx) // no earlier copy can run any more, so this is equivalent to a first attempt
 }
 
-func (commit *commit) noteLoss() {
-	if !commit.lost {
-		commit.client.guard.count(func(stats *Stats) { stats.LostAnswers++ })
+// recordLostResponse records that the response to a copy was lost.
+func (commit *pendingCommit) recordLostResponse() {
+	if !commit.outcomeUnknown {
+		commit.client.policy.updateStats(func(stats *Stats) { stats.LostAnswers++ })
 	}
-	commit.lost = true
+	commit.outcomeUnknown = true
 }
 
-func (commit *commit) noteResolved() {
-	if commit.lost {
-		commit.client.guard.count(func(stats *Stats) { stats.Resolved++ })
+// recordResolved records that the outcome of all earlier copies is known.
+func (commit *pendingCommit) recordResolved() {
+	if commit.outcomeUnknown {
+		commit.client.policy.updateStats(func(stats *Stats) { stats.Resolved++ })
 	}
-	commit.lost = false
+	commit.outcomeUnknown = false
 }
 
-// conflict finds the condition that does not hold.
-func (commit *commit) conflict(response *txnResponse) error {
+// conflictError returns a *ConflictError for the first condition that does not hold.
+func (commit *pendingCommit) conflictError(response *txnResponse) error {
 	for index, condition := range commit.txn.Conditions {
 		if index >= len(response.Responses) || response.Responses[index].Range == nil {
-			return mayHaveRun(errors.Newf("transaction %s: answer lacks the state of %s", commit.txn.WriteID, condition.Key))
+			return mayHaveRunError(errors.Newf("transaction %s: response lacks the state of %s", commit.txn.WriteID, condition.Key))
 		}
-		current := single(condition.Key, response.Responses[index].Range)
+		current := keyValueOf(condition.Key, response.Responses[index].Range)
 		current.ReadRevision = int64(response.Header.Revision)
-		if condition.actual(&current) != condition.Revision {
-			return notRun(&ConflictError{Condition: condition, Current: current})
+		if condition.actualRevision(&current) != condition.Revision {
+			return notRunError(&ConflictError{Condition: condition, Current: current})
 		}
 	}
-	return notRun(errors.Wrapf(ErrRefused, "transaction %s: no condition fails, yet it did not run", commit.txn.WriteID))
+	return notRunError(errors.Wrapf(ErrRejected, "transaction %s: did not run although all conditions hold", commit.txn.WriteID))
 }
 
-// prepareRetry waits before the next attempt, or says that there is none. A
-// lost write is worth slow retries beyond the budget.
-func (commit *commit) prepareRetry(ctx context.Context, retry int, cause error) error {
+// prepareRetry waits for the backoff delay before the next attempt, or returns an error if there
+// must be no further attempt. A write whose outcome is unknown is retried even if the retry budget
+// is exhausted, but with an additional delay.
+func (commit *pendingCommit) prepareRetry(ctx context.Context, retry int, cause error) error {
 	var extra time.Duration
-	if !commit.client.mayRetry(cause) {
-		if !commit.lost {
+	if !commit.client.allowRetry(cause) {
+		if !commit.outcomeUnknown {
 			return cause
 		}
 		extra = commit.client.settings.BackoffMax
 	}
-	wait := extra + commit.client.guard.pause(retry, asError(cause).RetryAfter)
+	wait := extra + commit.client.policy.retryDelay(retry, asError(cause).RetryAfter)
 	if deadline, found := ctx.Deadline(); found && time.Until(deadline) <= wait {
-		return commit.giveUp(cause)
+		return commit.finalError(cause)
 	}
 	if err := sleep(ctx, wait); err != nil {
-		return commit.giveUp(cause)
+		return commit.finalError(cause)
 	}
 	return nil
 }
 
-func (commit *commit) giveUp(cause error) error {
-	if !commit.lost {
+// finalError returns the error with which Commit ends after cause: ErrUnknownOutcome if the outcome
+// is unknown, otherwise cause.
+func (commit *pendingCommit) finalError(cause error) error {
+	if !commit.outcomeUnknown {
 		return cause
 	}
-	return mayHaveRun(errors.Mark(errors.Wrapf(cause, "transaction %s: %v", commit.txn.WriteID, ErrUnknownOutcome), ErrUnknownOutcome))
+	return mayHaveRunError(errors.Mark(errors.Wrapf(cause, "transaction %s: %v", commit.txn.WriteID, ErrUnknownOutcome), ErrUnknownOutcome))
 }
--- a/internal/store/transaction_test.go
+++ b/internal/store/transaction_test.go
@@ -11,8 +11,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// writeBy makes a write by another client, without faults.
-func writeBy(t *testing.T, client *Client, key, id string) KeyValue {
+// writeWith writes the key by a client that has no faults, and returns the new state.
+func writeWith(t *testing.T, client *Client, key, id string) KeyValue {
 	t.Helper()
 	ctx := testContext(t, time.Minute)
 	read, err := client.Get(ctx, key)
@@ -29,7 +29,7 @@
 	return written
 }
 
-func deleteBy(t *testing.T, client *Client, key, id string) {
+func deleteWith(t *testing.T, client *Client, key, id string) {
 	t.Helper()
 	ctx := testContext(t, time.Minute)
 	read, err := client.Get(ctx, key)
@@ -44,18 +44,18 @@
 func deletion(read *KeyValue, id string) Transaction {
 	return Transaction{
 		WriteID:    id,
-		Conditions: []Condition{read.Unchanged()},
+		Conditions: []Condition{read.UnchangedCondition()},
 		Puts:       []Put{{Key: "/robinpulley/last", Value: []byte(id)}},
 		Deletes:    []string{read.Key},
 	}
 }
 
-func TestConflictNamesTheOtherWrite(t *testing.T) {
+func TestConflictReturnsCurrentState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		client, _ := newTestClient(t, newStandIn(), 1)
-		old := writeBy(t, client, "/k", "first")
-		current := writeBy(t, client, "/k", "second")
+		client, _ := newTestClient(t, newSimulatedStore(), 1)
+		old := writeWith(t, client, "/k", "first")
+		current := writeWith(t, client, "/k", "second")
 		_, err := client.CompareAndSwap(testContext(t, time.Minute), &old, []byte("third"), "third", 0)
 		var conflict *ConflictError
 		is.True(errors.As(err, &conflict))
@@ -65,61 +65,61 @@
 	})
 }
 
-// TestLostAnswersAreResolved loses the answer of a first try in each way and
-// lets another client act before the next.
-func TestLostAnswersAreResolved(t *testing.T) {
+// TestLostResponsesAreResolved injects each kind of fault into the first attempt of a write and
+// lets another client change the key before the second attempt.
+func TestLostResponsesAreResolved(t *testing.T) {
 	const key = "/robinpulley/k"
 	for _, test := range []struct {
 		name      string
-		planned   fault
-		exists    bool // before the write
+		fault     fault
+		exists    bool // the key exists before the write
 		deletes   bool // the write is a deletion
 		then      func(t *testing.T, other *Client)
 		succeeded bool
-		value     string // under the key in the end, late requests included
+		value     string // final value of the key, after the delivery of delayed requests
 	}{
-		{"create, ran", faultLostAnswer, false, false, nil, true, "mine"},
-		{"create, did not run", faultUnsent, false, false, nil, true, "mine"},
-		{"create, runs late", faultLate, false, false, nil, true, "mine"},
-		{"create, ran, then overwritten", faultLostAnswer, false, false, overwrite, true, "other"},
-		{"create, ran, then deleted", faultLostAnswer, false, false, remove, true, ""},
-		{"create, runs late, other was first", faultLate, false, false, overwrite, false, "other"},
-		{"create, runs late, other created and deleted", faultLate, false, false, createAndRemove, true, "mine"},
-		{"change, ran", faultLostAnswer, true, false, nil, true, "mine"},
-		{"change, runs late", faultLate, true, false, nil, true, "mine"},
-		{"change, ran, then overwritten", faultLostAnswer, true, false, overwrite, true, "other"},
-		{"change, ran, then deleted", faultLostAnswer, true, false, remove, true, ""},
-		{"change, runs late, other was first", faultLate, true, false, overwrite, false, "other"},
-		{"change, runs late, other deleted", faultLate, true, false, remove, false, ""},
-		{"delete, ran", faultLostAnswer, true, true, nil, true, ""},
-		{"delete, ran, then created again", faultLostAnswer, true, true, overwrite, true, "other"},
-		{"delete, runs late, other deleted", faultLate, true, true, remove, false, ""},
+		{"create, ran", faultLostResponse, false, false, nil, true, "mine"},
+		{"create, did not run", faultNotSent, false, false, nil, true, "mine"},
+		{"create, runs late", faultDelayed, false, false, nil, true, "mine"},
+		{"create, ran, then overwritten", faultLostResponse, false, false, overwrite, true, "other"},
+		{"create, ran, then deleted", faultLostResponse, false, false, remove, true, ""},
+		{"create, runs late, other was first", faultDelayed, false, false, overwrite, false, "other"},
+		{"create, runs late, other created and deleted", faultDelayed, false, false, createAndRemove, true, "mine"},
+		{"change, ran", faultLostResponse, true, false, nil, true, "mine"},
+		{"change, runs late", faultDelayed, true, false, nil, true, "mine"},
+		{"change, ran, then overwritten", faultLostResponse, true, false, overwrite, true, "other"},
+		{"change, ran, then deleted", faultLostResponse, true, false, remove, true, ""},
+		{"change, runs late, other was first", faultDelayed, true, false, overwrite, false, "other"},
+		{"change, runs late, other deleted", faultDelayed, true, false, remove, false, ""},
+		{"delete, ran", faultLostResponse, true, true, nil, true, ""},
+		{"delete, ran, then created again", faultLostResponse, true, true, overwrite, true, "other"},
+		{"delete, runs late, other deleted", faultDelayed, true, true, remove, false, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				server := newStandIn()
+				server := newSimulatedStore()
 				client, transport := newTestClient(t, server, 1)
 				other, _ := newTestClient(t, server, 2)
 				if test.exists {
-					writeBy(t, other, key, "before")
+					writeWith(t, other, key, "before")
 				}
 				ctx := testContext(t, time.Minute)
 				read, err := client.Get(ctx, key)
 				is.NoErr(err)
-				transport.set(onceOn(pathTxn, test.planned))
+				transport.setFault(failFirstRequest(pathTxn, test.fault))
 				if test.then != nil {
 					go func() {
-						time.Sleep(time.Millisecond) // well before the first retry
+						time.Sleep(time.Millisecond) // long before the first retry
 						test.then(t, other)
 					}()
 				}
-				txn := Transaction{WriteID: "mine", Conditions: []Condition{read.Unchanged()}, Puts: []Put{{Key: key, Value: []byte("mine")}}}
+				txn := Transaction{WriteID: "mine", Conditions: []Condition{read.UnchangedCondition()}, Puts: []Put{{Key: key, Value: []byte("mine")}}}
 				if test.deletes {
 					txn = deletion(&read, "mine")
 				}
 				revision, err := client.Commit(ctx, txn)
-				transport.releaseLate()
+				transport.deliverDelayed()
 				if test.succeeded {
 					is.NoErr(err)
 					is.True(revision > read.ReadRevision)
@@ -137,47 +137,47 @@
 	}
 }
 
-func overwrite(t *testing.T, other *Client) { writeBy(t, other, "/robinpulley/k", "other") }
+func overwrite(t *testing.T, other *Client) { writeWith(t, other, "/robinpulley/k", "other") }
 
-func remove(t *testing.T, other *Client) { deleteBy(t, other, "/robinpulley/k", "other-delete") }
+func remove(t *testing.T, other *Client) { deleteWith(t, other, "/robinpulley/k", "other-delete") }
 
 func createAndRemove(t *testing.T, other *Client) {
 	overwrite(t, other)
 	remove(t, other)
 }
 
-// TestLateCreateDoesNotUndoDeletion: the create is retried with success, then
-// another deletes the key, and only then the first copy arrives.
-func TestLateCreateDoesNotUndoDeletion(t *testing.T) {
+// TestDelayedCreateDoesNotUndoDeletion delays the first copy of a create. The retry succeeds, then
+// the key is deleted, and only then does the first copy arrive. It must not create the key again.
+func TestDelayedCreateDoesNotUndoDeletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		client, transport := newTestClient(t, newStandIn(), 1)
+		client, transport := newTestClient(t, newSimulatedStore(), 1)
 		ctx := testContext(t, time.Minute)
-		transport.set(onceOn(pathTxn, faultLate))
+		transport.setFault(failFirstRequest(pathTxn, faultDelayed))
 		read, err := client.Get(ctx, "/robinpulley/k")
 		is.NoErr(err)
 		_, err = client.CompareAndSwap(ctx, &read, []byte("mine"), "mine", 0)
 		is.NoErr(err)
 		remove(t, client)
-		transport.releaseLate()
+		transport.deliverDelayed()
 		final, err := client.Get(ctx, "/robinpulley/k")
 		is.NoErr(err)
 		is.True(!final.Exists())
 	})
 }
 
-// TestWriteIDMayBeUsedAgain commits a transaction again after one that was
-// resolved as not run, which left a fence.
-func TestWriteIDMayBeUsedAgain(t *testing.T) {
+// TestWriteIDMayBeReused commits a transaction with the same WriteID after an earlier one that was
+// resolved as not executed. The fence key of the earlier one must not block the new one.
+func TestWriteIDMayBeReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server := newStandIn()
+		server := newSimulatedStore()
 		client, transport := newTestClient(t, server, 1)
 		other, _ := newTestClient(t, server, 2)
 		ctx := testContext(t, time.Minute)
 		read, err := client.Get(ctx, "/robinpulley/k")
 		is.NoErr(err)
-		transport.set(onceOn(pathTxn, faultLate))
+		transport.setFault(failFirstRequest(pathTxn, faultDelayed))
 		go func() {
 			time.Sleep(time.Millisecond)
 			overwrite(t, other)
@@ -192,20 +192,20 @@
 	})
 }
 
-func TestUnresolvedLossIsUnknownAndNeverSuccess(t *testing.T) {
+func TestUnresolvedLossReturnsUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server := newStandIn()
+		server := newSimulatedStore()
 		client, transport := newTestClient(t, server, 1)
-		old := writeBy(t, client, "/robinpulley/k", "before")
+		old := writeWith(t, client, "/robinpulley/k", "before")
 		lost := false
-		transport.set(func(path string) fault {
+		transport.setFault(func(path string) fault {
 			if path == pathTxn && !lost {
 				lost = true
-				return faultLostAnswer
+				return faultLostResponse
 			}
 			if lost {
-				return faultUnsent // an outage from then on
+				return faultNotSent // the store is unreachable from then on
 			}
 			return faultNone
 		})
@@ -215,18 +215,18 @@
 	})
 }
 
-func TestLossWithCompactedHistoryIsUnknown(t *testing.T) {
+func TestLossWithCompactedHistoryReturnsUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server := newStandIn()
+		server := newSimulatedStore()
 		client, transport := newTestClient(t, server, 1)
 		other, _ := newTestClient(t, server, 2)
-		old := writeBy(t, client, "/robinpulley/k", "before")
-		transport.set(onceOn(pathTxn, faultLostAnswer))
+		old := writeWith(t, client, "/robinpulley/k", "before")
+		transport.setFault(failFirstRequest(pathTxn, faultLostResponse))
 		go func() {
 			time.Sleep(time.Millisecond)
 			overwrite(t, other)
-			last := writeBy(t, other, "/robinpulley/k", "another")
+			last := writeWith(t, other, "/robinpulley/k", "another")
 			is.NoErr(server.Store().Compact(last.ModRevision))
 		}()
 		_, err := client.CompareAndSwap(testContext(t, time.Minute), &old, []byte("mine"), "mine", 0)
@@ -235,13 +235,13 @@
 	})
 }
 
-func TestSlowStoreIsResolved(t *testing.T) {
+func TestLateResponsesAreResolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server := newStandIn()
+		server := newSimulatedStore()
 		client, _ := newTestClient(t, server, 1)
-		old := writeBy(t, client, "/robinpulley/k", "before")
-		setDelay(server, client.settings.Timeout+time.Second) // every answer comes too late
+		old := writeWith(t, client, "/robinpulley/k", "before")
+		setDelay(server, client.settings.Timeout+time.Second) // every response arrives after the timeout
 		go func() {
 			time.Sleep(20 * time.Second)
 			setDelay(server, 0)
@@ -252,31 +252,31 @@
 	})
 }
 
-func TestLeaseHolderThatWasPausedCannotWrite(t *testing.T) {
+func TestPausedLeaseHolderCannotWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server := newStandIn()
+		server := newSimulatedStore()
 		first, _ := newTestClient(t, server, 1)
 		second, _ := newTestClient(t, server, 2)
 		ctx := testContext(t, time.Hour)
 		held, err := first.Acquire(ctx, "/robinpulley/leases/a", "first", 5*time.Second)
 		is.NoErr(err)
 		_, err = second.Acquire(ctx, "/robinpulley/leases/a", "second", 5*time.Second)
-		is.True(errors.Is(err, ErrConflict)) // held
+		is.True(errors.Is(err, ErrConflict)) // the first client holds the lease
 		time.Sleep(3 * time.Second)
 		is.NoErr(first.KeepAlive(ctx, held))
 		time.Sleep(3 * time.Second)
-		read := writeBy(t, second, "/robinpulley/k", "before")
-		txn := Transaction{WriteID: "m", Conditions: []Condition{read.Unchanged()}, Puts: []Put{{Key: read.Key, Value: []byte("m")}}}
+		read := writeWith(t, second, "/robinpulley/k", "before")
+		txn := Transaction{WriteID: "m", Conditions: []Condition{read.UnchangedCondition()}, Puts: []Put{{Key: read.Key, Value: []byte("m")}}}
 		_, err = first.CommitAsHolder(ctx, held, txn)
 		is.NoErr(err)
 
-		time.Sleep(6 * time.Second) // the holder is paused; it does not notice
+		time.Sleep(6 * time.Second) // the holder is paused and does not notice that the lease expires
 		next, err := second.Acquire(ctx, "/robinpulley/leases/a", "second", 5*time.Second)
 		is.NoErr(err)
 		read, err = second.Get(ctx, "/robinpulley/k")
 		is.NoErr(err)
-		txn = Transaction{WriteID: "n", Conditions: []Condition{read.Unchanged()}, Puts: []Put{{Key: read.Key, Value: []byte("n")}}}
+		txn = Transaction{WriteID: "n", Conditions: []Condition{read.UnchangedCondition()}, Puts: []Put{{Key: read.Key, Value: []byte("n")}}}
 		_, err = first.CommitAsHolder(ctx, held, txn)
 		is.True(errors.Is(err, ErrLeaseLost))
 		is.True(errors.Is(first.KeepAlive(ctx, held), ErrLeaseLost))
--- a/internal/store/transport_test.go
+++ b/internal/store/transport_test.go
@@ -17,24 +17,25 @@
 	"robinpulley.example/robinpulley/internal/lab/storesim"
 )
 
-// fault is what happens to one request on its way.
+// fault is what the test transport does with one request.
 type fault int
 
 const (
-	faultNone       fault = iota
-	faultUnsent           // no connection
-	faultLostAnswer       // runs, without an answer
-	faultLate             // no answer, and runs only when released
+	faultNone         fault = iota
+	faultNotSent            // the connection fails, so the store does not execute the request
+	faultLostResponse       // the store executes the request, but the response is lost
+	faultDelayed            // no response; the store executes the request in deliverDelayed
 )
 
-var errLost = errors.New("connection reset")
+var errConnectionLost = errors.New("connection reset")
 
-// testTransport calls a handler in the same process, so that tests run in a synctest bubble.
+// testTransport calls an HTTP handler in the same process, so that tests can run in a synctest
+// bubble.
 type testTransport struct {
 	handler http.Handler
 	mutex   sync.Mutex
 	fault   func(path string) fault // nil: none
-	late    []*http.Request
+	delayed []*http.Request
 	paths   []string
 }
 
@@ -48,40 +49,40 @@
 	if transport.fault != nil {
 		planned = transport.fault(request.URL.Path)
 	}
-	if planned == faultLate {
+	if planned == faultDelayed {
 		late := httptest.NewRequest(request.Method, request.URL.Path, nil)
 		late.Body = io.NopCloser(bytes.NewReader(body))
-		transport.late = append(transport.late, late)
+		transport.delayed = append(transport.delayed, late)
 	}
 	transport.mutex.Unlock()
-	if planned == faultUnsent {
-		return nil, errLost
+	if planned == faultNotSent {
+		return nil, errConnectionLost
 	}
 	if trace := httptrace.ContextClientTrace(request.Context()); trace != nil && trace.GotConn != nil {
 		trace.GotConn(httptrace.GotConnInfo{})
 	}
 	switch planned {
-	case faultLate:
-		return nil, errLost
-	case faultLostAnswer:
+	case faultDelayed:
+		return nil, errConnectionLost
+	case faultLostResponse:
 		transport.handler.ServeHTTP(httptest.NewRecorder(), copied)
-		return nil, errLost
+		return nil, errConnectionLost
 	}
-	return serve(transport.handler, copied)
+	return serveInProcess(transport.handler, copied)
 }
 
-// releaseLate runs the requests that were held back.
-func (transport *testTransport) releaseLate() {
+// deliverDelayed passes the delayed requests to the handler.
+func (transport *testTransport) deliverDelayed() {
 	transport.mutex.Lock()
-	late := transport.late
-	transport.late = nil
+	late := transport.delayed
+	transport.delayed = nil
 	transport.mutex.Unlock()
 	for _, request := range late {
 		transport.handler.ServeHTTP(httptest.NewRecorder(), request)
 	}
 }
 
-func (transport *testTransport) set(fault func(path string) fault) {
+func (transport *testTransport) setFault(fault func(path string) fault) {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
 	transport.fault = fault
@@ -93,7 +94,8 @@
 	return len(transport.paths)
 }
 
-// streamWriter gives an answer while it is being written.
+// streamWriter is an http.ResponseWriter whose body can be read while the handler is still writing
+// it.
 type streamWriter struct {
 	header http.Header
 	pipe   *io.PipeWriter
@@ -112,7 +114,9 @@
 	return writer.pipe.Write(data)
 }
 
-func serve(handler http.Handler, request *http.Request) (*http.Response, error) {
+// serveInProcess calls the handler and returns the response as soon as the handler writes its
+// header.
+func serveInProcess(handler http.Handler, request *http.Request) (*http.Response, error) {
 	reader, pipe := io.Pipe()
 	writer := &streamWriter{header: http.Header{}, pipe: pipe, status: make(chan int, 1)}
 	aborted := make(chan struct{})
@@ -133,13 +137,13 @@
 	case status := <-writer.status:
 		return &http.Response{StatusCode: status, Header: writer.header, Body: reader}, nil
 	case <-aborted:
-		return nil, errLost
+		return nil, errConnectionLost
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// newTestClient gives a client of a stand-in in the same process.
+// newTestClient returns a client of a server in the same process, and the transport between them.
 func newTestClient(t *testing.T, server http.Handler, seed uint64) (*Client, *testTransport) {
 	t.Helper()
 	transport := &testTransport{handler: server}
@@ -152,10 +156,11 @@
 	return client, transport
 }
 
-func newStandIn() *storesim.Server { return storesim.NewServer(storesim.Faults{}, 1) }
+func newSimulatedStore() *storesim.Server { return storesim.NewServer(storesim.Faults{}, 1) }
 
-// onceOn gives a fault for the first request to the path.
-func onceOn(path string, planned fault) func(string) fault {
+// failFirstRequest returns a fault function that injects the fault into the first request to the
+// path.
+func failFirstRequest(path string, planned fault) func(string) fault {
 	done := false
 	return func(requested string) fault {
 		if done || requested != path {
@@ -166,7 +171,8 @@
 	}
 }
 
-// randomFaults gives faults with the given shares in hundredths, on writes only.
+// randomFaults returns a fault function that injects each kind of fault into the given percentage
+// of the transactions.
 func randomFaults(seed uint64, unsent, lost, late int) func(string) fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(path string) fault {
@@ -175,11 +181,11 @@
 		}
 		switch drawn := random.IntN(100); {
 		case drawn < unsent:
-			return faultUnsent
+			return faultNotSent
 		case drawn < unsent+lost:
-			return faultLostAnswer
+			return faultLostResponse
 		case drawn < unsent+lost+late:
-			return faultLate
+			return faultDelayed
 		}
 		return faultNone
 	}
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -5,22 +5,23 @@
 	"strconv"
 )
 
-// integer is a 64-bit integer of the gateway: a string in JSON (proto3 JSON mapping).
+// integer is a 64-bit integer in the gateway's format, which encodes it as a string (proto3 JSON
+// mapping).
 type integer int64
 
-// MarshalJSON writes the integer as a string.
+// MarshalJSON encodes the integer as a string.
 func (value integer) MarshalJSON() ([]byte, error) {
 	return []byte(strconv.Quote(strconv.FormatInt(int64(value), 10))), nil
 }
 
-// UnmarshalJSON reads the integer from a string or a number.
+// UnmarshalJSON decodes the integer from a string or a number.
 func (value *integer) UnmarshalJSON(text []byte) error {
 	parsed, err := strconv.ParseInt(string(bytes.Trim(text, `"`)), 10, 64)
 	*value = integer(parsed)
 	return err
 }
 
-// Paths of the gateway.
+// Paths of the gateway's methods.
 const (
 	pathRange     = "/v3/kv/range"
 	pathTxn       = "/v3/kv/txn"
@@ -43,6 +44,7 @@
 	Lease          integer `json:"lease"`
 }
 
+// keyValue converts the key as read at the given store revision.
 func (kv *wireKeyValue) keyValue(revision int64) KeyValue {
 	return KeyValue{
 		Key:            string(kv.Key),
@@ -77,7 +79,7 @@
 	Key []byte `json:"key"`
 }
 
-// Targets and results of conditions.
+// Comparison targets and results of transaction conditions.
 const (
 	targetCreate = "CREATE"
 	targetMod    = "MOD"
@@ -154,13 +156,13 @@
 	Events          []wireEvent `json:"events"`
 }
 
-// watchMessage is one message of a watch stream; Error ends the stream.
+// watchMessage is one message of a watch stream. A message with Error ends the stream.
 type watchMessage struct {
 	Result watchResponse `json:"result"`
 	Error  *gatewayError `json:"error"`
 }
 
-// Codes of gRPC that are told apart.
+// gRPC status codes that the client handles differently from other errors.
 const (
 	codeResourceExhausted = 8
 	codeOutOfRange        = 11
@@ -172,8 +174,8 @@
 	Message string `json:"message"`
 }
 
-// rangeEnd gives the end of the range of keys that begin with prefix: the
-// prefix with its last byte raised, as etcd's clients do.
+// rangeEnd returns the exclusive end of the range of keys that begin with prefix. It is the prefix
+// with its last byte incremented, as in etcd's own clients.
 func rangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for index := len(end) - 1; index >= 0; index-- {
@@ -182,5 +184,5 @@
 			return end[:index+1]
 		}
 	}
-	return []byte{0} // all keys
+	return []byte{0} // no upper bound: the prefix is empty or has only 0xff bytes
 }
