--- a/internal/catalog/derive.go
+++ b/internal/catalog/derive.go
@@ -8,28 +8,30 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// DesiredBackend is a back end that the operators want a service to have.
+// DesiredBackend is a back end that a service should have according to the configuration.
 type DesiredBackend struct {
 	Backend Backend
-	// State is active, or draining where the operators drain the back end or evacuate its zone.
+	// State is BackendActive, or BackendDraining if operators have drained the back end or
+	// evacuated its zone.
 	State lb.BackendState
 }
 
-// Desired is what the operators want of one service. A back end placed before
-// and listed here neither in Backends nor in Unknown is to leave.
+// Desired is the desired state of one service according to the configuration. A back end that is in
+// the service's placement but neither in Backends nor in Unknown must be removed from the
+// placement.
 type Desired struct {
 	Name lb.ServiceName
-	// Presence: Absent means the service is to be deleted; Unknown means
-	// that its placement, if there is one, is to be left as it is.
+	// Presence is Absent if the service must be deleted, and Unknown if its placement, if there is
+	// one, must not be changed.
 	Presence Presence
-	Service  Service          // valid when Present
-	Backends []DesiredBackend // sorted by name
-	// Unknown lists back ends whose document exists but was never seen
-	// valid, sorted: where placed, they stay as they are.
+	Service  Service          // valid only if Presence is Present
+	Backends []DesiredBackend // sorted by name; valid only if Presence is Present
+	// Unknown lists, in sorted order, the back ends that have a document of which no valid version
+	// has been read. If they are in the placement, they must stay there unchanged.
 	Unknown []lb.BackendName
 }
 
-// Desired derives what the operators want of the named service.
+// Desired returns the desired state of the named service.
 func (index *Index) Desired(name lb.ServiceName) Desired {
 	desired := Desired{Name: name, Presence: index.presence(name)}
 	if desired.Presence != Present {
@@ -46,15 +48,15 @@
 	return desired
 }
 
-// Derive gives what the operators want of every service, sorted by name, from
-// all documents at once. Invalid ones are left out of it and listed as problems.
-func Derive(services []Service, backends []Backend) ([]Desired, []Problem) {
+// DeriveAll returns the desired state of every service, sorted by name, for the given documents.
+// Invalid documents are ignored and returned as problems.
+func DeriveAll(services []Service, backends []Backend) ([]Desired, []Problem) {
 	index := NewIndex()
 	for _, backend := range backends {
-		_, _ = index.PutBackend(backend) // the error is kept as a problem
+		_, _ = index.PutBackend(backend) // the index records the error as a problem
 	}
 	for _, service := range services {
-		_, _ = index.PutService(service) // the error is kept as a problem
+		_, _ = index.PutService(service) // the index records the error as a problem
 	}
 	names := index.ServiceNames()
 	all := make([]Desired, len(names))
@@ -64,6 +66,7 @@
 	return all, index.Problems()
 }
 
+// desiredState returns the state that the back end should have in all placements.
 func (index *Index) desiredState(backend *Backend) lb.BackendState {
 	if backend.Drain || index.Evacuated(backend.Zone) {
 		return lb.BackendDraining
@@ -71,6 +74,7 @@
 	return lb.BackendActive
 }
 
+// presence reports whether the service has a document and whether a valid version of it is known.
 func (index *Index) presence(name lb.ServiceName) Presence {
 	if index.services[name] != nil {
 		return Present
@@ -81,10 +85,12 @@
 	return Absent
 }
 
+// unknownBackends returns, in sorted order, the back ends that have a document of which no valid
+// version has been read.
 func (index *Index) unknownBackends() []lb.BackendName {
 	var names []lb.BackendName
 	for key, problem := range index.problems {
-		if name, found := strings.CutPrefix(key, BackendPrefix); found && !problem.Kept {
+		if name, found := strings.CutPrefix(key, BackendPrefix); found && !problem.PreviousInUse {
 			names = append(names, lb.BackendName(name))
 		}
 	}
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -12,17 +12,17 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// FrontendPrefix holds one key per front end, whose value is the name of the
-// service that has it. It is written in the same transaction as the service's
-// document, so that two operators cannot give one front end to two services.
+// FrontendPrefix is the prefix of the keys that assign front ends to services. There is one key per
+// front end, and its value is the name of the service. It is written in the same transaction as the
+// service's document, so that two operators cannot assign a front end to two services.
 const FrontendPrefix = "/robinpulley/frontends/"
 
-// LastChangeKey holds the operators' last change. It is written in the
-// transaction of every change, so that its revision is that of the last one,
-// deletions included.
+// LastChangeKey is the key of the LastChange document. Every transaction that changes the
+// configuration writes it, so that its revision is the revision of the last change, including
+// deletions.
 const LastChangeKey = "/robinpulley/last-change"
 
-// LastChange says who changed which document.
+// LastChange records who made the last change of the configuration, and which document it changed.
 type LastChange struct {
 	WriteID string   `json:"write_id"`
 	By      string   `json:"by"`
@@ -31,30 +31,30 @@
 	Fields  []string `json:"fields,omitempty"`
 }
 
-// IsConfiguration tells whether the key is of an operators' document: a service,
-// a back end or an evacuated zone.
+// IsConfiguration reports whether the key is the key of a configuration document: of a service, a
+// back end or an evacuated zone.
 func IsConfiguration(key string) bool {
 	return strings.HasPrefix(key, ServicePrefix) || strings.HasPrefix(key, BackendPrefix) || strings.HasPrefix(key, ZonePrefix)
 }
 
-// ServiceKey is the store key of a service's document.
+// ServiceKey returns the store key of a service's document.
 func ServiceKey(name lb.ServiceName) string { return ServicePrefix + string(name) }
 
-// BackendKey is the store key of a back end's document.
+// BackendKey returns the store key of a back end's document.
 func BackendKey(name lb.BackendName) string { return BackendPrefix + string(name) }
 
-// PlacementKey is the store key of a service's placement.
+// PlacementKey returns the store key of a service's placement.
 func PlacementKey(name lb.ServiceName) string { return PlacementPrefix + string(name) }
 
-// StatusKey is the store key of a zone's report.
+// StatusKey returns the store key of a zone's status report.
 func StatusKey(zone lb.Zone) string { return StatusPrefix + string(zone) }
 
-// FrontendKey is the store key that says which service has the front end.
+// FrontendKey returns the store key that assigns the front end to a service.
 func FrontendKey(frontend lb.Frontend) string {
 	return FrontendPrefix + frontend.Protocol.String() + "/" + frontend.Address.String()
 }
 
-// DecodeService reads and validates the document under key.
+// DecodeService decodes and validates the service document under key.
 func DecodeService(key string, value []byte) (Service, error) {
 	var service Service
 	if err := decodeStrictly(key, value, &service); err != nil {
@@ -66,7 +66,7 @@
 	return service, service.Validate()
 }
 
-// DecodeBackend reads and validates the document under key.
+// DecodeBackend decodes and validates the back-end document under key.
 func DecodeBackend(key string, value []byte) (Backend, error) {
 	var backend Backend
 	if err := decodeStrictly(key, value, &backend); err != nil {
@@ -78,7 +78,7 @@
 	return backend, backend.Validate()
 }
 
-// DecodeZoneStatus reads the zone report under key.
+// DecodeZoneStatus decodes the zone status report under key.
 func DecodeZoneStatus(key string, value []byte) (ZoneStatus, error) {
 	var status ZoneStatus
 	if err := decodeStrictly(key, value, &status); err != nil {
@@ -87,7 +87,7 @@
 	return status, checkName(key, StatusPrefix, string(status.Zone))
 }
 
-// EncodeService validates the service and gives its document.
+// EncodeService validates the service and returns its encoded document.
 func EncodeService(service *Service) ([]byte, error) {
 	if err := service.Validate(); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	return encode(ServiceKey(service.Name), service)
 }
 
-// EncodeBackend validates the back end and gives its document.
+// EncodeBackend validates the back end and returns its encoded document.
 func EncodeBackend(backend *Backend) ([]byte, error) {
 	if err := backend.Validate(); err != nil {
 		return nil, err
@@ -103,21 +103,21 @@
 	return encode(BackendKey(backend.Name), backend)
 }
 
-// EncodeZoneStatus gives the document of a zone's report.
+// EncodeZoneStatus returns the encoded status report of a zone.
 func EncodeZoneStatus(status *ZoneStatus) ([]byte, error) {
 	return encode(StatusKey(status.Zone), status)
 }
 
-// DecodeLastChange reads the document under LastChangeKey.
+// DecodeLastChange decodes the document under LastChangeKey.
 func DecodeLastChange(value []byte) (LastChange, error) {
 	var change LastChange
 	return change, decodeStrictly(LastChangeKey, value, &change)
 }
 
-// EncodeLastChange gives the document under LastChangeKey.
+// EncodeLastChange returns the encoded document for LastChangeKey.
 func EncodeLastChange(change *LastChange) ([]byte, error) { return encode(LastChangeKey, change) }
 
-// ParseFrontend reads a front end written as tcp://192.0.2.1:443.
+// ParseFrontend parses a front end in the form tcp://192.0.2.1:443.
 func ParseFrontend(text string) (lb.Frontend, error) {
 	scheme, rest, found := strings.Cut(text, "://")
 	if !found {
@@ -139,7 +139,7 @@
 	return value, errors.Wrapf(err, "%s: encode", key)
 }
 
-// decodeStrictly reads exactly one JSON object without unknown fields.
+// decodeStrictly decodes value, which must contain exactly one JSON object and no unknown fields.
 func decodeStrictly(key string, value []byte, document any) error {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.DisallowUnknownFields()
@@ -152,6 +152,7 @@
 	return nil
 }
 
+// checkName returns a *ValidationError if the name in a document differs from the name in its key.
 func checkName(key, prefix, name string) error {
 	if expected := strings.TrimPrefix(key, prefix); expected != name {
 		return &ValidationError{Key: key, Fields: []FieldError{{
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -9,79 +9,83 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Presence says what the catalog knows of an object.
+// Presence reports whether an object has a document and whether a valid version of it is known.
 type Presence uint8
 
-// What may be known of an object.
+// Values of Presence.
 const (
-	// Absent: there is no document.
+	// Absent means that there is no document.
 	Absent Presence = iota
-	// Unknown: there is a document, but it is invalid and no valid one was
-	// seen before. Whoever publishes leaves what is placed as it is.
+	// Unknown means that there is a document, but no valid version of it has been read. The
+	// object's placement must not be changed.
 	Unknown
-	// Present: there is a valid document, or a valid one was seen before.
+	// Present means that the document is valid or that an earlier valid version of it has been
+	// read.
 	Present
 )
 
-// label is one key and value; equality terms are indexed by it.
+// label is a label key with a value.
 type label struct{ key, value string }
 
+// serviceEntry is the last valid document of a service and the back ends that its selector matches.
 type serviceEntry struct {
-	service  Service
-	selector Selector
-	anchors  []label // a matching back end has one of these; none: no such term
-	backends map[lb.BackendName]struct{}
+	service        Service
+	selector       Selector
+	requiredLabels []label // every matching back end has at least one of these; nil if the selector has no such term
+	backends       map[lb.BackendName]struct{}
 }
 
+// backendEntry is the last valid document of a back end and the services whose selectors match it.
 type backendEntry struct {
 	backend  Backend
 	services map[lb.ServiceName]struct{}
 }
 
-// Problem is a document that could not be taken in.
+// Problem describes a document that the index has rejected.
 type Problem struct {
 	Key   string
 	Cause error
-	// Kept tells whether an earlier valid document is still used.
-	Kept bool
+	// PreviousInUse reports whether an earlier valid version of the document is still used.
+	PreviousInUse bool
 }
 
-// Index holds all services and back ends and knows which back end serves
-// which service. It is updated document by document; each update costs the
-// services and back ends that it can concern, not all of them. An invalid
-// document is reported by Problems and the last valid one is kept. It is not
-// safe for concurrent use.
+// Index holds the documents of all services, back ends and evacuated zones, and maintains which
+// back ends each service selects. Documents are added and deleted one by one. The cost of an update
+// depends only on the number of services and back ends that it may affect, not on the total number.
+// If a document is invalid, Problems lists it and the index continues to use its last valid
+// version. An Index is not safe for concurrent use.
 type Index struct {
-	services   map[lb.ServiceName]*serviceEntry
-	backends   map[lb.BackendName]*backendEntry
-	frontends  map[lb.Frontend]lb.ServiceName
-	byLabel    map[label]map[lb.BackendName]struct{}
-	byAnchor   map[label]map[lb.ServiceName]struct{}
-	unanchored map[lb.ServiceName]struct{}
-	evacuated  map[lb.Zone]struct{}
-	problems   map[string]Problem
-	// conflicted holds valid services that want a front end of another one.
-	conflicted map[lb.ServiceName]Service
-}
-
-// NewIndex gives an empty index.
+	services             map[lb.ServiceName]*serviceEntry
+	backends             map[lb.BackendName]*backendEntry
+	frontends            map[lb.Frontend]lb.ServiceName
+	backendsByLabel      map[label]map[lb.BackendName]struct{}
+	servicesByLabel      map[label]map[lb.ServiceName]struct{}
+	servicesWithoutLabel map[lb.ServiceName]struct{}
+	evacuated            map[lb.Zone]struct{}
+	problems             map[string]Problem
+	// frontendConflicts holds services with valid documents that were rejected because another
+	// service has one of their front ends.
+	frontendConflicts map[lb.ServiceName]Service
+}
+
+// NewIndex returns an empty index.
 func NewIndex() *Index {
 	return &Index{
-		services:   map[lb.ServiceName]*serviceEntry{},
-		backends:   map[lb.BackendName]*backendEntry{},
-		frontends:  map[lb.Frontend]lb.ServiceName{},
-		byLabel:    map[label]map[lb.BackendName]struct{}{},
-		byAnchor:   map[label]map[lb.ServiceName]struct{}{},
-		unanchored: map[lb.ServiceName]struct{}{},
-		evacuated:  map[lb.Zone]struct{}{},
-		problems:   map[string]Problem{},
-		conflicted: map[lb.ServiceName]Service{},
+		services:             map[lb.ServiceName]*serviceEntry{},
+		backends:             map[lb.BackendName]*backendEntry{},
+		frontends:            map[lb.Frontend]lb.ServiceName{},
+		backendsByLabel:      map[label]map[lb.BackendName]struct{}{},
+		servicesByLabel:      map[label]map[lb.ServiceName]struct{}{},
+		servicesWithoutLabel: map[lb.ServiceName]struct{}{},
+		evacuated:            map[lb.Zone]struct{}{},
+		problems:             map[string]Problem{},
+		frontendConflicts:    map[lb.ServiceName]Service{},
 	}
 }
 
-// PutDocument takes in the document under key, as read from the store, and
-// gives the services whose Desired may differ now, sorted. Keys for which
-// IsConfiguration is false are ignored.
+// PutDocument adds or replaces the document under key, as read from the store. It returns the
+// services whose result of Desired may have changed, sorted. It ignores keys for which
+// IsConfiguration returns false.
 func (index *Index) PutDocument(key string, value []byte) ([]lb.ServiceName, error) {
 	switch {
 	case strings.HasPrefix(key, ServicePrefix):
@@ -106,7 +110,8 @@
 	return nil, nil
 }
 
-// DeleteDocument forgets the document under key and gives the services concerned.
+// DeleteDocument removes the document under key and returns the services whose desired state may
+// have changed.
 func (index *Index) DeleteDocument(key string) []lb.ServiceName {
 	if name, found := strings.CutPrefix(key, ServicePrefix); found {
 		return index.DeleteService(lb.ServiceName(name))
@@ -120,14 +125,15 @@
 	return nil
 }
 
-// reject records the problem. An invalid document of a zone evacuates nothing
-// anew. A back end that was never valid may be placed
-// anywhere, so every service is concerned by it.
+// reject records that the document under key is invalid and returns the services whose desired
+// state may have changed. An invalid document does not change whether a zone is evacuated. A back
+// end without any valid version may be in the placement of any service, so all services are
+// affected.
 func (index *Index) reject(key string, cause error) ([]lb.ServiceName, error) {
-	delete(index.conflicted, lb.ServiceName(strings.TrimPrefix(key, ServicePrefix)))
-	kept := index.has(key)
+	delete(index.frontendConflicts, lb.ServiceName(strings.TrimPrefix(key, ServicePrefix)))
+	kept := index.hasValid(key)
 	_, known := index.problems[key]
-	index.problems[key] = Problem{Key: key, Cause: cause, Kept: kept}
+	index.problems[key] = Problem{Key: key, Cause: cause, PreviousInUse: kept}
 	if kept || known || strings.HasPrefix(key, ZonePrefix) {
 		return nil, cause
 	}
@@ -137,7 +143,8 @@
 	return index.ServiceNames(), cause
 }
 
-func (index *Index) has(key string) bool {
+// hasValid reports whether the index has a valid version of the document under key.
+func (index *Index) hasValid(key string) bool {
 	if name, found := strings.CutPrefix(key, ServicePrefix); found {
 		return index.services[lb.ServiceName(name)] != nil
 	}
@@ -147,7 +154,8 @@
 	return index.backends[lb.BackendName(strings.TrimPrefix(key, BackendPrefix))] != nil
 }
 
-// PutService takes in a service and gives the services concerned.
+// PutService adds or replaces a service and returns the services whose desired state may have
+// changed.
 func (index *Index) PutService(service Service) ([]lb.ServiceName, error) {
 	key := ServiceKey(service.Name)
 	if err := service.Validate(); err != nil {
@@ -155,7 +163,7 @@
 	}
 	if err := index.checkFrontends(&service); err != nil {
 		affected, err := index.reject(key, err)
-		index.conflicted[service.Name] = service
+		index.frontendConflicts[service.Name] = service
 		return affected, err
 	}
 	selector, err := ParseSelector(service.Selector)
@@ -164,29 +172,30 @@
 	}
 	index.removeService(service.Name)
 	delete(index.problems, key)
-	delete(index.conflicted, service.Name)
+	delete(index.frontendConflicts, service.Name)
 	entry := &serviceEntry{
-		service:  service,
-		selector: selector,
-		anchors:  selectorAnchors(selector),
-		backends: map[lb.BackendName]struct{}{},
+		service:        service,
+		selector:       selector,
+		requiredLabels: requiredLabels(selector),
+		backends:       map[lb.BackendName]struct{}{},
 	}
 	index.addService(entry)
-	return append([]lb.ServiceName{service.Name}, index.retryConflicted()...), nil
+	return append([]lb.ServiceName{service.Name}, index.retryFrontendConflicts()...), nil
 }
 
-// checkFrontends gives an error when another service has one of the front ends.
+// checkFrontends returns a *ValidationError if another service has one of the front ends.
 func (index *Index) checkFrontends(service *Service) error {
-	var found problems
+	var invalid fieldErrors
 	for _, frontend := range service.Frontends {
 		if owner, taken := index.frontends[frontend]; taken && owner != service.Name {
-			found.add("frontends", frontend.String(), "belongs to service "+string(owner))
+			invalid.add("frontends", frontend.String(), "belongs to service "+string(owner))
 		}
 	}
-	return found.result(ServiceKey(service.Name))
+	return invalid.result(ServiceKey(service.Name))
 }
 
-// PutBackend takes in a back end and gives the services concerned, sorted.
+// PutBackend adds or replaces a back end and returns the services whose desired state may have
+// changed, sorted.
 func (index *Index) PutBackend(backend Backend) ([]lb.ServiceName, error) {
 	key := BackendKey(backend.Name)
 	if err := backend.Validate(); err != nil {
@@ -202,15 +211,16 @@
 	return sortedUnion(affected, entry.services), nil
 }
 
-// DeleteService forgets a service and gives the services concerned.
+// DeleteService removes a service and returns the services whose desired state may have changed.
 func (index *Index) DeleteService(name lb.ServiceName) []lb.ServiceName {
 	delete(index.problems, ServiceKey(name))
-	delete(index.conflicted, name)
+	delete(index.frontendConflicts, name)
 	index.removeService(name)
-	return append([]lb.ServiceName{name}, index.retryConflicted()...)
+	return append([]lb.ServiceName{name}, index.retryFrontendConflicts()...)
 }
 
-// DeleteBackend forgets a back end and gives the services concerned, sorted.
+// DeleteBackend removes a back end and returns the services whose desired state may have changed,
+// sorted.
 func (index *Index) DeleteBackend(name lb.BackendName) []lb.ServiceName {
 	affected := index.removeBackend(name)
 	if _, wasUnknown := index.problems[BackendKey(name)]; wasUnknown && affected == nil {
@@ -220,19 +230,20 @@
 	return sortedUnion(affected, nil)
 }
 
-// Problems lists the documents that could not be taken in, by key.
+// Problems returns the documents that the index has rejected, sorted by key.
 func (index *Index) Problems() []Problem {
 	list := slices.Collect(maps.Values(index.problems))
 	slices.SortFunc(list, func(a, b Problem) int { return cmp.Compare(a.Key, b.Key) })
 	return list
 }
 
-// ServiceNames lists the services with a valid document, sorted.
+// ServiceNames returns the names of the services that have a valid document, sorted.
 func (index *Index) ServiceNames() []lb.ServiceName {
 	return slices.Sorted(maps.Keys(index.services))
 }
 
-// Backend gives the last valid document of a back end.
+// Backend returns the last valid document of a back end. The second result reports whether there is
+// one.
 func (index *Index) Backend(name lb.BackendName) (Backend, bool) {
 	entry, found := index.backends[name]
 	if !found {
@@ -241,7 +252,7 @@
 	return entry.backend, true
 }
 
-// Backends lists the last valid documents of all back ends, by name.
+// Backends returns the last valid documents of all back ends, sorted by name.
 func (index *Index) Backends() []Backend {
 	list := make([]Backend, 0, len(index.backends))
 	for _, name := range slices.Sorted(maps.Keys(index.backends)) {
--- a/internal/catalog/index_test.go
+++ b/internal/catalog/index_test.go
@@ -27,10 +27,10 @@
 	return Backend{Name: lb.BackendName(fmt.Sprintf("b%d", number)), Host: host, Zone: "a", Labels: labels}
 }
 
-// TestIndexAgreesWithEvaluationOfAllSelectors changes documents at random and
-// compares every service with a plain evaluation, and the services reported
-// as affected with those that differ.
-func TestIndexAgreesWithEvaluationOfAllSelectors(t *testing.T) {
+// TestIndexMatchesDirectEvaluation makes random changes of documents. After each change
+// it compares the desired state of every service with a direct evaluation of its selector, and
+// checks that every service whose desired state has changed was returned as affected.
+func TestIndexMatchesDirectEvaluation(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	selectors := []string{"app=a", "app=b,tier!=x", "app in (a,b)", "!app", "tier", "tier notin (x)", "app=c", "app=a,app in (a,b,c)"}
@@ -78,23 +78,26 @@
 		for number := range 12 {
 			name := testService(number, "").Name
 			desired := index.Desired(name)
-			is.Equal(desired, evaluate(name, services, backends, evacuated))
+			is.Equal(desired, evaluateDirectly(name, services, backends, evacuated))
 			if !slices.Contains(affected, name) {
-				is.Equal(desired, orAbsent(previous, name)) // changed without being reported
+				is.Equal(desired, desiredOrAbsent(previous, name)) // a changed service must be among the affected ones
 			}
 			previous[name] = desired
 		}
 	}
 }
 
-func orAbsent(known map[lb.ServiceName]Desired, name lb.ServiceName) Desired {
-	if desired, found := known[name]; found {
+// desiredOrAbsent returns the previous desired state of the service, or Absent if there is none.
+func desiredOrAbsent(previous map[lb.ServiceName]Desired, name lb.ServiceName) Desired {
+	if desired, found := previous[name]; found {
 		return desired
 	}
 	return Desired{Name: name}
 }
 
-func evaluate(name lb.ServiceName, services map[int]Service, backends map[int]Backend, evacuated map[lb.Zone]bool) Desired {
+// evaluateDirectly computes the desired state of a service by matching its selector against every
+// back end.
+func evaluateDirectly(name lb.ServiceName, services map[int]Service, backends map[int]Backend, evacuated map[lb.Zone]bool) Desired {
 	for _, service := range services {
 		if service.Name != name {
 			continue
@@ -118,7 +121,7 @@
 	return Desired{Name: name}
 }
 
-func TestInvalidDocumentKeepsTheLastValidOne(t *testing.T) {
+func TestInvalidDocumentKeepsLastValidVersion(t *testing.T) {
 	is := is.New(t)
 	index := NewIndex()
 	_, err := index.PutService(testService(1, "app=a"))
@@ -135,25 +138,26 @@
 	is.Equal(index.Desired("s1"), before)
 	problems := index.Problems()
 	is.Equal(len(problems), 2)
-	is.True(problems[0].Kept && problems[1].Kept)
+	is.True(problems[0].PreviousInUse && problems[1].PreviousInUse)
 
 	affected, err := index.PutDocument(BackendKey("b2"), []byte(`{}`))
 	is.True(err != nil)
 	is.Equal(affected, []lb.ServiceName{"s1"})
-	is.Equal(index.Desired("s1").Unknown, []lb.BackendName{"b2"}) // never valid: left as placed
+	is.Equal(index.Desired("s1").Unknown, []lb.BackendName{"b2"}) // never valid, so its placement must not change
 	_, err = index.PutDocument(ServiceKey("s2"), []byte(`{}`))
 	is.True(err != nil)
-	is.Equal(index.Desired("s2").Presence, Unknown) // not absent: it must not be deleted
+	is.Equal(index.Desired("s2").Presence, Unknown) // not Absent, because the service must not be deleted
 
 	affected, err = index.PutBackend(testBackend(2, nil))
 	is.NoErr(err)
 	is.Equal(affected, []lb.ServiceName{"s1"})
 	is.Equal(index.DeleteDocument(ServiceKey("s2")), []lb.ServiceName{"s2"})
 	is.Equal(index.Desired("s2").Presence, Absent)
-	is.Equal(len(index.Problems()), 2) // s1 and b1 are still invalid in the store
+	is.Equal(len(index.Problems()), 2) // the documents of s1 and b1 in the store are still invalid
 }
 
-// TestInvalidZoneDocument evacuates nothing, and restores nothing that is evacuated.
+// TestInvalidZoneDocument checks that an invalid document neither evacuates a zone nor ends an
+// evacuation.
 func TestInvalidZoneDocument(t *testing.T) {
 	is := is.New(t)
 	index := NewIndex()
@@ -165,13 +169,13 @@
 	_, err = index.PutDocument(ZoneKey("a"), []byte(`no JSON`))
 	is.True(err != nil)
 	is.Equal(index.EvacuatedZones(), []lb.Zone{"a"})
-	is.True(index.Problems()[0].Kept)
+	is.True(index.Problems()[0].PreviousInUse)
 	index.DeleteDocument(ZoneKey("a"))
 	is.Equal(len(index.EvacuatedZones()), 0)
 	is.Equal(len(index.Problems()), 0)
 }
 
-func TestFrontendConflictIsReportedAndHeals(t *testing.T) {
+func TestFrontendConflictIsReportedAndResolved(t *testing.T) {
 	is := is.New(t)
 	index := NewIndex()
 	first, second := testService(1, "app=a"), testService(2, "app=a")
@@ -186,36 +190,37 @@
 	is.Equal(len(index.Problems()), 0)
 }
 
-// Sizes of the catalog benchmark: those of the largest installation planned for.
+// Sizes of the catalog in benchmarks, which equal the largest installation that the load balancer
+// is designed for.
 const (
-	benchServices = 3300
-	benchBackends = 4800
+	benchmarkServices = 3300
+	benchmarkBackends = 4800
 )
 
-func benchCatalog() ([]Service, []Backend) {
+func benchmarkCatalog() ([]Service, []Backend) {
 	var services []Service
-	for number := range benchServices {
+	for number := range benchmarkServices {
 		services = append(services, testService(number, fmt.Sprintf("app=app%d, !canary", number)))
 	}
 	var backends []Backend
-	for number := range benchBackends {
-		labels := map[string]string{"app": fmt.Sprintf("app%d", number%benchServices), "tier": "a"}
+	for number := range benchmarkBackends {
+		labels := map[string]string{"app": fmt.Sprintf("app%d", number%benchmarkServices), "tier": "a"}
 		backends = append(backends, testBackend(number, labels))
 	}
 	return services, backends
 }
 
 func BenchmarkDerive(b *testing.B) {
-	services, backends := benchCatalog()
+	services, backends := benchmarkCatalog()
 	for b.Loop() {
-		if desired, problems := Derive(services, backends); len(desired) != benchServices || len(problems) != 0 {
+		if desired, problems := DeriveAll(services, backends); len(desired) != benchmarkServices || len(problems) != 0 {
 			b.Fatal(len(desired), problems)
 		}
 	}
 }
 
 func BenchmarkPutBackend(b *testing.B) {
-	services, backends := benchCatalog()
+	services, backends := benchmarkCatalog()
 	index := NewIndex()
 	for _, backend := range backends {
 		_, _ = index.PutBackend(backend)
@@ -225,8 +230,8 @@
 	}
 	number := 0
 	for b.Loop() {
-		backend := backends[number%benchBackends]
-		backend.Labels = map[string]string{"app": fmt.Sprintf("app%d", number%benchServices)}
+		backend := backends[number%benchmarkBackends]
+		backend.Labels = map[string]string{"app": fmt.Sprintf("app%d", number%benchmarkServices)}
 		affected, err := index.PutBackend(backend)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/catalog/labels.go
+++ b/internal/catalog/labels.go
@@ -8,18 +8,19 @@
 
 // Limits of names and labels (Kubernetes, "Labels and Selectors", syntax and character set).
 const (
-	// MaxNameLength is the longest name of a service, back end or zone, in bytes.
+	// MaxNameLength is the maximum length of the name of a service, back end or zone, in bytes.
 	MaxNameLength = 63
-	// MaxLabelNameLength is the longest name part of a label key, in bytes.
+	// MaxLabelNameLength is the maximum length of the name part of a label key, in bytes.
 	MaxLabelNameLength = 63
-	// MaxLabelPrefixLength is the longest prefix of a label key (a DNS subdomain), in bytes.
+	// MaxLabelPrefixLength is the maximum length of the prefix of a label key (a DNS subdomain), in
+	// bytes.
 	MaxLabelPrefixLength = 253
-	// MaxLabelValueLength is the longest label value, in bytes.
+	// MaxLabelValueLength is the maximum length of a label value, in bytes.
 	MaxLabelValueLength = 63
 )
 
-// ValidateName checks the name of a service, back end or zone: lower-case
-// letters, digits, '-' and '.', beginning and ending with a letter or digit.
+// ValidateName checks the name of a service, back end or zone. It must consist of lower-case
+// letters, digits, '-' and '.', and begin and end with a letter or digit.
 func ValidateName(name string) error {
 	if name == "" {
 		return errors.New("must not be empty")
@@ -38,7 +39,8 @@
 	return nil
 }
 
-// ValidateLabelKey checks a label key: an optional DNS subdomain and '/', then a name.
+// ValidateLabelKey checks a label key, which is a name with an optional prefix. The prefix is a DNS
+// subdomain followed by '/'.
 func ValidateLabelKey(key string) error {
 	prefix, name, found := strings.Cut(key, "/")
 	if !found {
@@ -50,7 +52,7 @@
 	return errors.Wrapf(validateQualifiedName(name, MaxLabelNameLength), "name %q", name)
 }
 
-// ValidateLabelValue checks a label value, which may be empty.
+// ValidateLabelValue checks a label value. The empty value is valid.
 func ValidateLabelValue(value string) error {
 	if value == "" {
 		return nil
@@ -58,6 +60,7 @@
 	return validateQualifiedName(value, MaxLabelValueLength)
 }
 
+// validateQualifiedName checks the name part of a label key, or a label value that is not empty.
 func validateQualifiedName(name string, limit int) error {
 	if name == "" {
 		return errors.New("must not be empty")
@@ -76,6 +79,7 @@
 	return nil
 }
 
+// validateSubdomain checks the prefix of a label key.
 func validateSubdomain(subdomain string) error {
 	if len(subdomain) > MaxLabelPrefixLength {
 		return errors.Newf("is longer than %d bytes", MaxLabelPrefixLength)
--- a/internal/catalog/selector.go
+++ b/internal/catalog/selector.go
@@ -8,8 +8,8 @@
 // Operator is the operator of one requirement of a selector.
 type Operator string
 
-// The operators, with their Kubernetes names. NotEquals and NotIn also match
-// when the label is absent, as in Kubernetes.
+// Operators with their Kubernetes names. As in Kubernetes, NotEquals and NotIn also match if the
+// label is absent.
 const (
 	OperatorEquals    Operator = "="
 	OperatorNotEquals Operator = "!="
@@ -19,14 +19,14 @@
 	OperatorNotExists Operator = "!"
 )
 
-// Requirement is one term of a selector.
+// Requirement is one term of a selector: a condition on one label.
 type Requirement struct {
 	Key      string
 	Operator Operator
-	Values   []string // sorted, without duplicates; one for Equals and NotEquals, none for Exists and NotExists
+	Values   []string // sorted and distinct; exactly one for Equals and NotEquals, none for Exists and NotExists
 }
 
-// Matches tells whether the labels meet the requirement.
+// Matches reports whether the labels meet the requirement.
 func (requirement *Requirement) Matches(labels map[string]string) bool {
 	value, present := labels[requirement.Key]
 	switch requirement.Operator {
@@ -42,7 +42,7 @@
 	return false
 }
 
-// String prints the requirement so that ParseSelector reads it back.
+// String returns the requirement in the syntax of ParseSelector.
 func (requirement *Requirement) String() string {
 	switch requirement.Operator {
 	case OperatorExists:
@@ -54,18 +54,18 @@
 	}
 	values := strings.Join(requirement.Values, ",")
 	if values == "" {
-		values = "," // one empty value; "()" would be none
+		values = "," // the only value is empty, and "()" is not valid
 	}
 	return requirement.Key + " " + string(requirement.Operator) + " (" + values + ")"
 }
 
-// Selector is a conjunction of requirements. One without requirements matches
-// everything; services may not have one (Service.Validate).
+// Selector is a conjunction of requirements. A selector without requirements matches all labels.
+// Service.Validate rejects such a selector.
 type Selector struct {
 	Requirements []Requirement
 }
 
-// Matches tells whether the labels meet every requirement.
+// Matches reports whether the labels meet all requirements.
 func (selector Selector) Matches(labels map[string]string) bool {
 	for index := range selector.Requirements {
 		if !selector.Requirements[index].Matches(labels) {
@@ -75,7 +75,7 @@
 	return true
 }
 
-// String prints the selector so that ParseSelector reads it back.
+// String returns the selector in the syntax of ParseSelector.
 func (selector Selector) String() string {
 	terms := make([]string, len(selector.Requirements))
 	for index := range selector.Requirements {
--- a/internal/catalog/selector_parse.go
+++ b/internal/catalog/selector_parse.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// SelectorError says where and why a selector could not be read.
+// SelectorError is a syntax error in a selector.
 type SelectorError struct {
 	Selector string
-	Position int    // in bytes, from 1
-	Found    string // the offending text; empty at the end of the selector
+	Position int    // byte position, starting at 1
+	Token    string // the invalid token; empty at the end of the selector
 	Problem  string
 }
 
-// Error names the position, the offending text and the problem.
+// Error returns the selector, the position, the invalid token and the problem.
 func (err *SelectorError) Error() string {
-	found := "the end"
-	if err.Found != "" {
-		found = fmt.Sprintf("%q", err.Found)
+	token := "the end"
+	if err.Token != "" {
+		token = fmt.Sprintf("%q", err.Token)
 	}
-	return fmt.Sprintf("selector %q: at position %d, %s: %s", err.Selector, err.Position, found, err.Problem)
+	return fmt.Sprintf("selector %q: at position %d, %s: %s", err.Selector, err.Position, token, err.Problem)
 }
 
-// ParseSelector reads a selector in the Kubernetes form: terms joined by
-// commas, each key=value, key==value, key!=value, key in (a, b),
-// key notin (a, b), key or !key. The error is a *SelectorError.
+// ParseSelector parses a selector in Kubernetes syntax: terms separated by commas, each in one of
+// the forms key=value, key==value, key!=value, key in (a, b), key notin (a, b), key and !key.
+// Errors are of type *SelectorError.
 func ParseSelector(text string) (Selector, error) {
 	parser := selectorParser{text: text}
 	parser.advance()
@@ -36,10 +36,10 @@
 	return selector, nil
 }
 
-// selectorToken is one word or symbol; its text is empty at the end.
+// selectorToken is a word or symbol in a selector. Its text is empty at the end of the selector.
 type selectorToken struct {
 	text     string
-	position int // byte offset
+	position int // byte offset, starting at 0
 	word     bool
 }
 
@@ -54,7 +54,7 @@
 	selectorSymbols = "=!(),"
 )
 
-// advance reads the next token.
+// advance reads the next token into parser.token.
 func (parser *selectorParser) advance() {
 	for parser.offset < len(parser.text) && strings.IndexByte(selectorSpace, parser.text[parser.offset]) >= 0 {
 		parser.offset++
@@ -73,6 +73,7 @@
 	parser.token = selectorToken{text: rest[:length], position: start, word: word}
 }
 
+// symbolLength returns the length of the symbol at the beginning of rest.
 func symbolLength(rest string) int {
 	if strings.HasPrefix(rest, "==") || strings.HasPrefix(rest, "!=") {
 		return 2
@@ -80,10 +81,12 @@
 	return 1
 }
 
+// fail returns a *SelectorError for the token.
 func (parser *selectorParser) fail(token selectorToken, problem string) error {
-	return &SelectorError{Selector: parser.text, Position: token.position + 1, Found: token.text, Problem: problem}
+	return &SelectorError{Selector: parser.text, Position: token.position + 1, Token: token.text, Problem: problem}
 }
 
+// parse parses the whole selector. The first token must have been read.
 func (parser *selectorParser) parse() (Selector, error) {
 	var selector Selector
 	if parser.token.text == "" {
@@ -105,6 +108,7 @@
 	}
 }
 
+// parseRequirement parses one term.
 func (parser *selectorParser) parseRequirement() (Requirement, error) {
 	if parser.token.text == "!" {
 		parser.advance()
@@ -131,6 +135,7 @@
 	return Requirement{}, parser.fail(operator, "expected one of =, ==, !=, in, notin, ',' or the end")
 }
 
+// parseKey parses and validates a label key.
 func (parser *selectorParser) parseKey() (string, error) {
 	token := parser.token
 	if !token.word {
@@ -143,13 +148,15 @@
 	return token.text, nil
 }
 
+// parseEquality parses the value after an equality operator, which is the current token.
 func (parser *selectorParser) parseEquality(key string, operator Operator) (Requirement, error) {
 	parser.advance()
 	value, err := parser.parseValue()
 	return Requirement{Key: key, Operator: operator, Values: []string{value}}, err
 }
 
-// parseValue reads one value, which is empty when a ',' , ')' or the end comes next.
+// parseValue parses and validates one value. The value is empty if the current token is ',' or ')'
+// or the end of the selector.
 func (parser *selectorParser) parseValue() (string, error) {
 	token := parser.token
 	if !token.word {
@@ -165,6 +172,7 @@
 	return token.text, nil
 }
 
+// parseValues parses a list of values in parentheses.
 func (parser *selectorParser) parseValues() ([]string, error) {
 	if parser.token.text != "(" {
 		return nil, parser.fail(parser.token, "expected '('")
--- a/internal/catalog/selector_test.go
+++ b/internal/catalog/selector_test.go
@@ -42,16 +42,16 @@
 			is.Equal(selector.Matches(labels), test.want)
 			again, err := ParseSelector(selector.String())
 			is.NoErr(err)
-			is.Equal(again, selector) // printed form reads back
+			is.Equal(again, selector) // parsing the printed form returns the same selector
 		})
 	}
 }
 
-func TestSelectorErrorsNamePositionAndText(t *testing.T) {
+func TestSelectorErrorsContainPositionAndToken(t *testing.T) {
 	for _, test := range []struct {
 		selector string
 		position int
-		found    string
+		token    string
 	}{
 		{"app=wallet,", 12, ""},
 		{"=a", 1, "="},
@@ -75,7 +75,7 @@
 			var parseError *SelectorError
 			is.True(errors.As(err, &parseError))
 			is.Equal(parseError.Position, test.position)
-			is.Equal(parseError.Found, test.found)
+			is.Equal(parseError.Token, test.token)
 		})
 	}
 }
--- a/internal/catalog/types.go
+++ b/internal/catalog/types.go
@@ -1,6 +1,7 @@
-// Package catalog holds the operators' configuration: services, back ends,
-// labels and selectors, one document per object in the store, validated
-// before it is accepted.
+// Package catalog defines the configuration that operators write: services and back ends with their
+// labels and selectors, and evacuated zones. Each object is one document in the store and is
+// validated before it is accepted. An Index holds the documents and computes the desired state of
+// each service.
 package catalog
 
 import (
@@ -14,43 +15,46 @@
 	ServicePrefix   = "/robinpulley/services/"
 	BackendPrefix   = "/robinpulley/backends/"
 	PlacementPrefix = "/robinpulley/placements/"
-	StatusPrefix    = "/robinpulley/status/" // one lb zone report per zone
+	StatusPrefix    = "/robinpulley/status/" // one status report per zone
 	LeasePrefix     = "/robinpulley/leases/"
 )
 
-// Service is an operator's service document.
+// Service is the configuration document of a service.
 type Service struct {
 	Name      lb.ServiceName `json:"name"`
 	Frontends []lb.Frontend  `json:"frontends"`
-	// Selector says which back ends serve it, e.g. "app=wallet, tier in (a, b), !canary".
+	// Selector selects the service's back ends by their labels, e.g. "app=wallet, tier in (a, b),
+	// !canary".
 	Selector string `json:"selector"`
-	// OpensPerSecond limits new flows per second; 0 is unlimited.
+	// OpensPerSecond limits the rate of new flows. 0 means no limit.
 	OpensPerSecond uint32 `json:"opens_per_second,omitempty"`
 	WriteID        string `json:"write_id"`
 }
 
-// Backend is an operator's back-end document.
+// Backend is the configuration document of a back end.
 type Backend struct {
 	Name   lb.BackendName    `json:"name"`
-	Host   netip.AddrPort    `json:"host"` // Geneve endpoint (UDP)
+	Host   netip.AddrPort    `json:"host"` // Geneve endpoint of the host (UDP)
 	Zone   lb.Zone           `json:"zone"`
 	Labels map[string]string `json:"labels"`
-	// Probe is the host's health and load endpoint (HTTP URL by IP number); empty: not probed.
+	// Probe is the URL of the host's health and load endpoint, an http URL with an IP address and
+	// port. If it is empty, the back end is not probed.
 	Probe string `json:"probe,omitempty"`
-	// Weight is the operator's share, 1..1000, default 100; health and load scale it down only.
+	// Weight is the back end's relative share of new flows, from 1 to 1000. 0 means the default of
+	// 100. Health and load can only reduce the effective weight.
 	Weight uint16 `json:"weight,omitempty"`
-	// Drain takes new flows away while it is set, whatever the selectors say.
+	// Drain stops new flows to the back end while it is set, regardless of the selectors.
 	Drain   bool   `json:"drain,omitempty"`
 	WriteID string `json:"write_id"`
 }
 
-// ZoneStatus is the report of what is in force in one zone, written by the
-// zone's reporter and read by robinctl.
+// ZoneStatus reports which part of the configuration is in force in one zone. The zone's reporter
+// node writes it, and robinctl reads it.
 type ZoneStatus struct {
 	Zone   lb.Zone   `json:"zone"`
 	Writer lb.NodeID `json:"writer"`
-	// ConfigRevision: every configuration change up to this store revision
-	// is in force at every live node of the zone.
+	// ConfigRevision is the highest store revision such that every configuration change up to it is
+	// in force at every live node of the zone.
 	ConfigRevision int64 `json:"config_revision"`
 	Nodes          int   `json:"nodes"`
 	Behind         int   `json:"behind"`
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -11,31 +11,31 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Limits and defaults of a back end's weight.
+// Default and limit of a back end's weight.
 const (
 	DefaultWeight uint16 = 100
 	MaxWeight     uint16 = 1000
 )
 
-// FieldError names one bad field of a document.
+// FieldError is an invalid field of a document.
 type FieldError struct {
 	Field   string // e.g. "frontends[1].address"
 	Value   string
 	Problem string
 }
 
-// Error gives field, value and problem in one line.
+// Error returns the field, its value and the problem in one line.
 func (err FieldError) Error() string {
 	return fmt.Sprintf("%s %q: %s", err.Field, err.Value, err.Problem)
 }
 
-// ValidationError holds every bad field of one document.
+// ValidationError lists all invalid fields of one document.
 type ValidationError struct {
 	Key    string // the document's key in the store
 	Fields []FieldError
 }
 
-// Error lists all bad fields.
+// Error returns the key and all invalid fields.
 func (err *ValidationError) Error() string {
 	lines := make([]string, len(err.Fields))
 	for index, field := range err.Fields {
@@ -44,76 +44,81 @@
 	return err.Key + ": " + strings.Join(lines, "; ")
 }
 
-// problems collects the bad fields of one document.
-type problems []FieldError
+// fieldErrors collects the invalid fields of one document.
+type fieldErrors []FieldError
 
-func (list *problems) add(field, value, problem string) {
+// add appends an invalid field.
+func (list *fieldErrors) add(field, value, problem string) {
 	*list = append(*list, FieldError{Field: field, Value: value, Problem: problem})
 }
 
-func (list *problems) check(field, value string, err error) {
+// check appends the field as invalid if err is not nil.
+func (list *fieldErrors) check(field, value string, err error) {
 	if err != nil {
 		list.add(field, value, err.Error())
 	}
 }
 
-func (list problems) result(key string) error {
+// result returns a *ValidationError with all invalid fields, or nil if there are none.
+func (list fieldErrors) result(key string) error {
 	if len(list) == 0 {
 		return nil
 	}
 	return &ValidationError{Key: key, Fields: list}
 }
 
-// Validate checks the service by itself and gives all errors at once, as a *ValidationError.
+// Validate checks the document without regard to other documents. It returns all errors together as
+// a *ValidationError.
 func (service *Service) Validate() error {
-	var found problems
-	found.check("name", string(service.Name), ValidateName(string(service.Name)))
+	var invalid fieldErrors
+	invalid.check("name", string(service.Name), ValidateName(string(service.Name)))
 	if len(service.Frontends) == 0 {
-		found.add("frontends", "", "at least one is needed")
+		invalid.add("frontends", "", "at least one is required")
 	}
 	seen := make(map[lb.Frontend]bool, len(service.Frontends))
 	for index, frontend := range service.Frontends {
 		field := fmt.Sprintf("frontends[%d]", index)
-		found.checkAddress(field+".address", frontend.Address)
+		invalid.checkAddress(field+".address", frontend.Address)
 		if frontend.Protocol != lb.TCP && frontend.Protocol != lb.UDP {
-			found.add(field+".protocol", frontend.Protocol.String(), "must be tcp or udp")
+			invalid.add(field+".protocol", frontend.Protocol.String(), "must be tcp or udp")
 		}
 		if seen[frontend] {
-			found.add(field, frontend.String(), "is given twice")
+			invalid.add(field, frontend.String(), "is listed twice")
 		}
 		seen[frontend] = true
 	}
 	selector, err := ParseSelector(service.Selector)
-	found.check("selector", service.Selector, err)
+	invalid.check("selector", service.Selector, err)
 	if err == nil && len(selector.Requirements) == 0 {
-		found.add("selector", service.Selector, "must have at least one term")
+		invalid.add("selector", service.Selector, "must have at least one term")
 	}
-	return found.result(ServiceKey(service.Name))
+	return invalid.result(ServiceKey(service.Name))
 }
 
-// Validate checks the back end by itself and gives all errors at once, as a *ValidationError.
+// Validate checks the document without regard to other documents. It returns all errors together as
+// a *ValidationError.
 func (backend *Backend) Validate() error {
-	var found problems
-	found.check("name", string(backend.Name), ValidateName(string(backend.Name)))
-	found.checkAddress("host", backend.Host)
-	found.check("zone", string(backend.Zone), ValidateName(string(backend.Zone)))
+	var invalid fieldErrors
+	invalid.check("name", string(backend.Name), ValidateName(string(backend.Name)))
+	invalid.checkAddress("host", backend.Host)
+	invalid.check("zone", string(backend.Zone), ValidateName(string(backend.Zone)))
 	for _, key := range slices.Sorted(maps.Keys(backend.Labels)) {
-		found.check("labels key", key, ValidateLabelKey(key))
+		invalid.check("labels key", key, ValidateLabelKey(key))
 		value := backend.Labels[key]
-		found.check("labels["+key+"]", value, ValidateLabelValue(value))
+		invalid.check("labels["+key+"]", value, ValidateLabelValue(value))
 	}
 	if backend.Probe != "" {
 		if problem := probeProblem(backend.Probe); problem != "" {
-			found.add("probe", backend.Probe, problem)
+			invalid.add("probe", backend.Probe, problem)
 		}
 	}
 	if backend.Weight > MaxWeight {
-		found.add("weight", fmt.Sprint(backend.Weight), fmt.Sprintf("must be 1 to %d", MaxWeight))
+		invalid.add("weight", fmt.Sprint(backend.Weight), fmt.Sprintf("must be 1 to %d", MaxWeight))
 	}
-	return found.result(BackendKey(backend.Name))
+	return invalid.result(BackendKey(backend.Name))
 }
 
-// EffectiveWeight is the operator's weight, or the default where none is given.
+// EffectiveWeight returns the configured weight, or the default if none is configured.
 func (backend *Backend) EffectiveWeight() uint16 {
 	if backend.Weight == 0 {
 		return DefaultWeight
@@ -121,7 +126,8 @@
 	return backend.Weight
 }
 
-func (list *problems) checkAddress(field string, address netip.AddrPort) {
+// checkAddress appends the field as invalid if packets cannot be sent to the address.
+func (list *fieldErrors) checkAddress(field string, address netip.AddrPort) {
 	if problem := addressProblem(address); problem != "" {
 		text := ""
 		if address.IsValid() {
@@ -131,7 +137,8 @@
 	}
 }
 
-// addressProblem says what is wrong with an address that packets are sent to; loopback is allowed.
+// addressProblem returns the reason why packets cannot be sent to the address, or "". Loopback
+// addresses are valid.
 func addressProblem(address netip.AddrPort) string {
 	ip := address.Addr()
 	switch {
@@ -151,6 +158,7 @@
 	return ""
 }
 
+// probeProblem returns the reason why the probe URL is invalid, or "".
 func probeProblem(probe string) string {
 	parsed, err := url.Parse(probe)
 	if err != nil {
--- a/internal/catalog/validate_test.go
+++ b/internal/catalog/validate_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestValidationGivesAllErrorsAtOnce(t *testing.T) {
+func TestValidationReturnsAllErrors(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		decode func() error
@@ -71,14 +71,14 @@
 	}
 }
 
-func TestDecodeNamesUnknownFieldAndKey(t *testing.T) {
+func TestDecodeErrorsContainUnknownFieldAndKey(t *testing.T) {
 	is := is.New(t)
 	_, err := DecodeBackend(BackendPrefix+"b", []byte(`{"name":"b","hots":"127.0.0.1:1"}`))
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), `"hots"`))
 	is.True(strings.Contains(err.Error(), BackendPrefix+"b"))
 	_, err = DecodeBackend(BackendPrefix+"b", []byte(`{"name":"b","host":"127.0.0.1:1","zone":"a","labels":{}}{}`))
-	is.True(err != nil) // data after the document
+	is.True(err != nil) // data after the document is an error
 	_, err = DecodeBackend(BackendPrefix+"b", []byte(`{"name":"b","host":"127.0.0.1:1","zone":"a","labels":{}}`))
-	is.NoErr(err) // loopback is allowed
+	is.NoErr(err) // loopback addresses are valid
 }
--- a/internal/catalog/zone.go
+++ b/internal/catalog/zone.go
@@ -7,20 +7,21 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// ZonePrefix holds one document for each evacuated zone.
+// ZonePrefix is the prefix of the keys of evacuated zones. There is one document per evacuated
+// zone.
 const ZonePrefix = "/robinpulley/zones/"
 
-// EvacuatedZone is the operators' word that the back ends of a zone take no new
-// flows, as long as the document exists.
+// EvacuatedZone is the document by which operators evacuate a zone: as long as it exists, the back
+// ends of the zone get no new flows.
 type EvacuatedZone struct {
 	Name    lb.Zone `json:"name"`
 	WriteID string  `json:"write_id"`
 }
 
-// ZoneKey is the store key of an evacuated zone's document.
+// ZoneKey returns the store key of an evacuated zone's document.
 func ZoneKey(name lb.Zone) string { return ZonePrefix + string(name) }
 
-// DecodeZone reads and validates the document under key.
+// DecodeZone decodes and validates the document of an evacuated zone under key.
 func DecodeZone(key string, value []byte) (EvacuatedZone, error) {
 	var zone EvacuatedZone
 	if err := decodeStrictly(key, value, &zone); err != nil {
@@ -32,7 +33,7 @@
 	return zone, zone.Validate()
 }
 
-// EncodeZone validates the zone and gives its document.
+// EncodeZone validates the document of an evacuated zone and returns it encoded.
 func EncodeZone(zone *EvacuatedZone) ([]byte, error) {
 	if err := zone.Validate(); err != nil {
 		return nil, err
@@ -40,14 +41,15 @@
 	return encode(ZoneKey(zone.Name), zone)
 }
 
-// Validate checks the document by itself; its error is a *ValidationError.
+// Validate checks the document without regard to other documents. Its error is a *ValidationError.
 func (zone *EvacuatedZone) Validate() error {
-	var found problems
-	found.check("name", string(zone.Name), ValidateName(string(zone.Name)))
-	return found.result(ZoneKey(zone.Name))
+	var invalid fieldErrors
+	invalid.check("name", string(zone.Name), ValidateName(string(zone.Name)))
+	return invalid.result(ZoneKey(zone.Name))
 }
 
-// PutZone takes in that a zone is evacuated and gives the services concerned, sorted.
+// PutZone records that a zone is evacuated and returns the services whose desired state may have
+// changed, sorted.
 func (index *Index) PutZone(zone EvacuatedZone) ([]lb.ServiceName, error) {
 	key := ZoneKey(zone.Name)
 	if err := zone.Validate(); err != nil {
@@ -58,25 +60,26 @@
 	return index.servicesIn(zone.Name), nil
 }
 
-// DeleteZone takes in that a zone is restored and gives the services concerned, sorted.
+// DeleteZone records that a zone is no longer evacuated and returns the services whose desired
+// state may have changed, sorted.
 func (index *Index) DeleteZone(name lb.Zone) []lb.ServiceName {
 	delete(index.problems, ZoneKey(name))
 	delete(index.evacuated, name)
 	return index.servicesIn(name)
 }
 
-// Evacuated tells whether back ends of the zone take no new flows.
+// Evacuated reports whether the zone is evacuated.
 func (index *Index) Evacuated(name lb.Zone) bool {
 	_, evacuated := index.evacuated[name]
 	return evacuated
 }
 
-// EvacuatedZones gives the zones whose back ends take no new flows, sorted.
+// EvacuatedZones returns the evacuated zones, sorted.
 func (index *Index) EvacuatedZones() []lb.Zone {
 	return append([]lb.Zone{}, slices.Sorted(maps.Keys(index.evacuated))...)
 }
 
-// servicesIn gives the services with back ends in a zone, sorted.
+// servicesIn returns the services that have back ends in the zone, sorted.
 func (index *Index) servicesIn(zone lb.Zone) []lb.ServiceName {
 	services := make(map[lb.ServiceName]struct{})
 	for _, entry := range index.backends {
--- a/internal/store/request_policy.go
+++ b/internal/store/request_policy.go
@@ -58,9 +58,9 @@
 	random              *rand.Rand
 	stats               Stats
 	consecutiveFailures int // consecutive failed requests
-	// consecutiveOutages counts the failures since the last success that opened the circuit or kept
+	// circuitOpenings counts the failures since the last success that opened the circuit or kept
 	// it open. It determines the delay before the next probe.
-	consecutiveOutages int
+	circuitOpenings int
 	nextProbe          time.Time
 	// blockedUntil is set after a rejection by the store's rate limit: no request is sent earlier.
 	blockedUntil time.Time
@@ -133,7 +133,7 @@
 // the mutex.
 func (policy *requestPolicy) recordReachable() {
 	policy.consecutiveFailures = 0
-	policy.consecutiveOutages = 0
+	policy.circuitOpenings = 0
 	policy.stats.Circuit = CircuitClosed
 }
 
@@ -195,8 +195,8 @@
 		return
 	}
 	policy.stats.Circuit = CircuitOpen
-	policy.nextProbe = time.Now().Add(policy.backoff(policy.consecutiveOutages))
-	policy.consecutiveOutages++
+	policy.nextProbe = time.Now().Add(policy.backoff(policy.circuitOpenings))
+	policy.circuitOpenings++
 }
 
 // recordCanceled records that the caller canceled a request before a response arrived, which is no
