--- a/internal/operator/apply.go
+++ b/internal/operator/apply.go
@@ -15,14 +15,14 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Objects is a set of services and back ends, as in a file of apply and export.
+// Objects is a set of services and back ends, as in the files of the commands apply and export.
 type Objects struct {
 	Services []catalog.Service `json:"services"`
 	Backends []catalog.Backend `json:"backends"`
 }
 
-// ReadObjects reads one or more YAML documents, each with the lists services
-// and backends, and validates every object. All errors are given at once.
+// ReadObjects reads one or more YAML documents, each with the lists services and backends, and
+// validates every object. It returns all validation errors together.
 func ReadObjects(reader io.Reader) (Objects, error) {
 	var all Objects
 	decoder := yaml.NewDecoder(reader)
@@ -44,7 +44,8 @@
 	}
 }
 
-// toObjects takes the way over JSON, whose field names the documents have.
+// toObjects converts a YAML document to objects. It converts the document to JSON first, because
+// the field names of the objects are defined as JSON tags.
 func toObjects(document any) (Objects, error) {
 	var objects Objects
 	if document == nil {
@@ -52,13 +53,14 @@
 	}
 	text, err := json.Marshal(document)
 	if err != nil {
-		return objects, errors.Wrap(err, "keys must be texts")
+		return objects, errors.Wrap(err, "keys must be strings")
 	}
 	strict := json.NewDecoder(bytes.NewReader(text))
 	strict.DisallowUnknownFields()
 	return objects, strict.Decode(&objects)
 }
 
+// validate checks every object, and that no object and no front end occurs twice.
 func (objects *Objects) validate() error {
 	var all error
 	services, backends := map[lb.ServiceName]bool{}, map[lb.BackendName]bool{}
@@ -91,9 +93,9 @@
 	return badInput(all)
 }
 
-// Apply makes the objects as given, back ends first, each by its own
-// compare-and-swap; others are left alone. It ends at the first error and
-// gives what was done before. Applying again changes only what differs.
+// Apply creates or replaces the given objects, back ends first, each with its own compare-and-swap.
+// It does not change other objects. It stops at the first error and returns the changes that it
+// made before. A repeated Apply changes only objects that differ.
 func (operator *Operator) Apply(ctx context.Context, objects Objects) ([]Change, error) {
 	if err := objects.validate(); err != nil {
 		return nil, err
@@ -116,7 +118,8 @@
 	return changes, nil
 }
 
-// replace puts the document in place of whatever is there, valid or not.
+// replace replaces the document with the given one, whether the stored document is valid, invalid
+// or missing.
 func replace[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string, document Document) (Change, error) {
 	read, err := operator.client.Get(ctx, kind.key(name))
 	if err != nil {
@@ -131,7 +134,8 @@
 	return write(ctx, operator, kind, name, old, &document)
 }
 
-// Export reads all valid objects, sorted by name, without write ids; invalid ones are an error.
+// Export returns all valid objects, sorted by name and without write IDs. If there are invalid
+// documents, it returns an error as well.
 func (operator *Operator) Export(ctx context.Context) (Objects, error) {
 	configuration, err := operator.readConfiguration(ctx)
 	if err != nil {
@@ -153,13 +157,13 @@
 	return objects, all
 }
 
-// WriteObjects writes the objects as YAML that ReadObjects reads back.
+// WriteObjects writes the objects as YAML that ReadObjects can read.
 func WriteObjects(writer io.Writer, objects Objects) error {
 	text, err := json.Marshal(objects)
 	if err != nil {
 		return err
 	}
-	var document yaml.Node // JSON is YAML; a node keeps the order of fields
+	var document yaml.Node // JSON is valid YAML, and a node preserves the order of fields
 	if err := yaml.Unmarshal(text, &document); err != nil {
 		return err
 	}
@@ -172,9 +176,10 @@
 	return encoder.Close()
 }
 
-// useBlockStyle writes one item a line, with quotes where they are needed.
+// useBlockStyle sets the style so that each item is on its own line and strings are quoted only
+// where necessary.
 func useBlockStyle(node *yaml.Node) {
-	if !slices.Contains(oldBooleans, strings.ToLower(node.Value)) {
+	if !slices.Contains(yaml11Booleans, strings.ToLower(node.Value)) {
 		node.Style = 0
 	}
 	for _, child := range node.Content {
@@ -182,5 +187,5 @@
 	}
 }
 
-// oldBooleans are texts that YAML 1.1 takes for booleans, so that they stay quoted.
-var oldBooleans = []string{"y", "yes", "n", "no", "on", "off"}
+// yaml11Booleans are strings that YAML 1.1 parsers read as booleans, so they must stay quoted.
+var yaml11Booleans = []string{"y", "yes", "n", "no", "on", "off"}
--- a/internal/operator/conflict.go
+++ b/internal/operator/conflict.go
@@ -12,42 +12,45 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// LostRaceError says that another change came first, and which.
-type LostRaceError struct {
+// ConcurrentChangeError reports that another operator changed a document after it was read, and
+// describes that change.
+type ConcurrentChangeError struct {
 	Key string
-	// By is the other operator; empty where it is not known.
+	// By is the identity of the other operator; empty if unknown.
 	By string
-	// Revision of the other change; 0 where it is not known (a deletion).
+	// Revision is the store revision of the other change; 0 if unknown, which is possible only for
+	// deletions.
 	Revision int64
 	Deleted  bool
-	Fields   []string // what the other change differs in
+	Fields   []string // fields that the other change modified
 	cause    error
 }
 
-// Error names the document, the other operator and the fields.
-func (err *LostRaceError) Error() string {
-	by := "someone"
+// Error names the document, the other operator and the modified fields.
+func (err *ConcurrentChangeError) Error() string {
+	changedBy := "someone"
 	if err.By != "" {
-		by = err.By
+		changedBy = err.By
 	}
-	what := "was changed by " + by
+	change := "was changed by " + changedBy
 	if err.Deleted {
-		what = "was deleted by " + by
+		change = "was deleted by " + changedBy
 	}
 	if err.Revision > 0 {
-		what += fmt.Sprintf(" at revision %d", err.Revision)
+		change += fmt.Sprintf(" at revision %d", err.Revision)
 	}
 	if len(err.Fields) > 0 {
-		what += " (" + strings.Join(err.Fields, ", ") + ")"
+		change += " (" + strings.Join(err.Fields, ", ") + ")"
 	}
-	return fmt.Sprintf("conflict: %s %s since it was read; nothing was written", err.Key, what)
+	return fmt.Sprintf("conflict: %s %s since it was read; nothing was written", err.Key, change)
 }
 
-// Unwrap gives the store's error.
-func (err *LostRaceError) Unwrap() error { return err.cause }
+// Unwrap returns the store's error.
+func (err *ConcurrentChangeError) Unwrap() error { return err.cause }
 
-// explain turns the store's conflict into one that names the other change.
-func (operator *Operator) explain(ctx context.Context, err error, read *store.KeyValue) error {
+// explainConflict converts a conflict error of the store into an error that describes the other
+// change. It returns other errors unchanged.
+func (operator *Operator) explainConflict(ctx context.Context, err error, read *store.KeyValue) error {
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
@@ -56,27 +59,28 @@
 	if frontend, found := strings.CutPrefix(key, catalog.FrontendPrefix); found {
 		return errors.Wrapf(err, "front end %s belongs to service %q", frontend, current.Value)
 	}
-	lost := &LostRaceError{Key: key, Revision: current.ModRevision, Deleted: !current.Exists(), cause: err}
+	conflicting := &ConcurrentChangeError{Key: key, Revision: current.ModRevision, Deleted: !current.Exists(), cause: err}
 	if current.Exists() {
-		lost.By = writerOf(current.Value)
-		lost.Fields = differingFields(read.Value, current.Value)
-		return lost
+		conflicting.By = writerOf(current.Value)
+		conflicting.Fields = differingFields(read.Value, current.Value)
+		return conflicting
 	}
-	lost.By, lost.Revision = operator.deleterOf(ctx, key)
-	return lost
+	conflicting.By, conflicting.Revision = operator.deleterOf(ctx, key)
+	return conflicting
 }
 
-// writerOf gives the identity in a document's write id.
+// writerOf returns the identity in a document's write ID.
 func writerOf(value []byte) string {
 	var document struct {
 		WriteID string `json:"write_id"`
 	}
-	_ = json.Unmarshal(value, &document) // an invalid document has no writer
+	_ = json.Unmarshal(value, &document) // the identity of an invalid document is empty
 	identity, _, _ := strings.Cut(document.WriteID, "/")
 	return identity
 }
 
-// deleterOf gives who deleted the key, if that was the last change of all.
+// deleterOf returns the identity of the operator who deleted the key and the revision of the
+// deletion. Both are zero unless this deletion was the last change of the whole configuration.
 func (operator *Operator) deleterOf(ctx context.Context, key string) (string, int64) {
 	read, err := operator.client.Get(ctx, catalog.LastChangeKey)
 	if err != nil || !read.Exists() {
--- a/internal/operator/load.go
+++ b/internal/operator/load.go
@@ -17,76 +17,76 @@
 	"robinpulley.example/robinpulley/internal/loadreport"
 )
 
-// ErrNoAnswer: a balancer did not answer, or not with what was asked for.
-var ErrNoAnswer = errors.New("no answer of a balancer")
+// ErrNoAnswer means that a balancer did not respond or returned an invalid report.
+var ErrNoAnswer = errors.New("no answer from a balancer")
 
-// Bounds of what is read of one balancer.
+// Limits for requests of load reports.
 const (
-	loadTimeout = 3 * time.Second
-	loadBytes   = 8 << 20 // 4,096 services in 12 zones with a few priorities
-	loadPath    = "/load"
-	// loadAtOnce is how many balancers are asked at a time.
-	loadAtOnce = 32
+	reportTimeout  = 3 * time.Second
+	maxReportBytes = 8 << 20 // enough for 4,096 services in 12 zones with a few priorities
+	reportPath     = "/load"
+	// maxConcurrentRequests is the maximum number of concurrent requests.
+	maxConcurrentRequests = 32
 )
 
-// Load is what balancers tell of load.
+// Load is the load that balancers report.
 type Load struct {
 	Rows []loadreport.Row `json:"rows"`
-	// Missing are the balancers that did not answer, and why.
+	// Missing lists the balancers that sent no valid report, with the reason.
 	Missing []MissingLoad `json:"missing,omitempty"`
 }
 
-// MissingLoad is a balancer that did not answer.
+// MissingLoad is a balancer that sent no valid report.
 type MissingLoad struct {
 	Address string `json:"address"`
 	Error   string `json:"error"`
 }
 
-// LoadFilter says what of the load is wanted; empty: all.
+// LoadFilter selects rows of the load by service and zone. An empty field selects all.
 type LoadFilter struct {
 	Service lb.ServiceName
 	Zone    lb.Zone
 }
 
-// ReadLoad asks balancers at their admin addresses, HOST:PORT or a base URL each, and makes
-// one table of what they tell. It gives the table also with ErrNoAnswer, when some have not
-// answered.
+// ReadLoad requests the load reports of the balancers at the given admin addresses, each of which
+// is HOST:PORT or a base URL, and combines them into one table. If some balancers do not respond,
+// it returns the table of the others together with ErrNoAnswer.
 func ReadLoad(ctx context.Context, addresses []string, filter LoadFilter) (*Load, error) {
-	urls, err := loadURLs(addresses)
+	urls, err := reportURLs(addresses)
 	if err != nil {
 		return nil, err
 	}
 	reports := make([]*loadreport.Report, len(urls))
 	failures := make([]error, len(urls))
-	var asked sync.WaitGroup
-	places := make(chan struct{}, loadAtOnce)
+	var requests sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentRequests)
 	for index := range urls {
-		asked.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+		requests.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			reports[index], failures[index] = readReport(ctx, urls[index])
 		})
 	}
-	asked.Wait()
+	requests.Wait()
 	load := &Load{}
-	var answered []loadreport.Report
+	var received []loadreport.Report
 	for index, report := range reports {
 		if failures[index] != nil {
 			load.Missing = append(load.Missing, MissingLoad{Address: addresses[index], Error: failures[index].Error()})
 			continue
 		}
-		answered = append(answered, *report)
+		received = append(received, *report)
 	}
-	load.Rows = slices.DeleteFunc(loadreport.Rows(answered), func(row loadreport.Row) bool {
+	load.Rows = slices.DeleteFunc(loadreport.Rows(received), func(row loadreport.Row) bool {
 		return filter.Service != "" && row.Service != filter.Service || filter.Zone != "" && row.Zone != filter.Zone
 	})
-	return load, load.check(len(addresses), filter)
+	return load, load.checkComplete(len(addresses), filter)
 }
 
-// check names what is not there.
-func (l *Load) check(asked int, filter LoadFilter) error {
+// checkComplete returns an error if reports are missing or if no row matches the filter.
+func (l *Load) checkComplete(requested int, filter LoadFilter) error {
 	if len(l.Missing) > 0 {
-		return errors.Wrapf(ErrNoAnswer, "%d of %d balancers; the first is %s: %s", len(l.Missing), asked, l.Missing[0].Address, l.Missing[0].Error)
+		return errors.Wrapf(ErrNoAnswer, "%d of %d balancers; the first is %s: %s", len(l.Missing), requested, l.Missing[0].Address, l.Missing[0].Error)
 	}
 	if len(l.Rows) == 0 && filter != (LoadFilter{}) {
 		return errors.Wrapf(ErrNotFound, "service %q in zone %q (empty: any)", filter.Service, filter.Zone)
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// loadURLs gives where each balancer tells its load.
-func loadURLs(addresses []string) ([]string, error) {
+// reportURLs returns the URL of each balancer's load report.
+func reportURLs(addresses []string) ([]string, error) {
 	if len(addresses) == 0 {
 		return nil, errors.Mark(errors.New("no admin address of a balancer is given"), ErrBadInput)
 	}
@@ -109,37 +109,37 @@
 		if err != nil || parsed.Scheme != "http" && parsed.Scheme != "https" || parsed.Hostname() == "" {
 			return nil, errors.Mark(errors.Newf("admin address %q: want IP:PORT or a base URL, such as http://127.0.0.1:9600", address), ErrBadInput)
 		}
-		urls[index] = parsed.JoinPath(loadPath).String()
+		urls[index] = parsed.JoinPath(reportPath).String()
 	}
 	return urls, nil
 }
 
-// readReport asks one balancer.
+// readReport requests the load report of one balancer.
 func readReport(ctx context.Context, address string) (*loadreport.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "request")
+		return nil, errors.Wrap(err, "build the request")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask")
+		return nil, errors.Wrap(err, "send the request")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, errors.Newf("status %s: a balancer with affinity token of this version has %s", response.Status, loadPath)
+		return nil, errors.Newf("status %s: only balancers of this version in affinity token mode serve %s", response.Status, reportPath)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, loadBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "answer")
+		return nil, errors.Wrap(err, "read the answer")
 	}
-	if len(body) > loadBytes {
-		return nil, errors.Newf("the answer is longer than %d bytes", loadBytes)
+	if len(body) > maxReportBytes {
+		return nil, errors.Newf("the answer exceeds %d bytes", maxReportBytes)
 	}
 	report := &loadreport.Report{}
 	if err := json.Unmarshal(body, report); err != nil {
-		return nil, errors.Wrap(err, "answer")
+		return nil, errors.Wrap(err, "decode the answer")
 	}
-	return report, errors.Wrap(report.Validate(), "answer")
+	return report, errors.Wrap(report.Validate(), "invalid answer")
 }
--- a/internal/operator/objects.go
+++ b/internal/operator/objects.go
@@ -12,7 +12,7 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// Kinds of objects, as in Change.Kind.
+// Values of Change.Kind.
 const (
 	KindService = "service"
 	KindBackend = "backend"
@@ -20,43 +20,43 @@
 )
 
 var serviceKind = &kind[catalog.Service]{
-	noun:       KindService,
-	key:        func(name string) string { return catalog.ServiceKey(lb.ServiceName(name)) },
-	decode:     catalog.DecodeService,
-	encode:     catalog.EncodeService,
-	setWriteID: func(service *catalog.Service, id string) { service.WriteID = id },
-	related:    claimFrontends,
+	name:         KindService,
+	key:          func(name string) string { return catalog.ServiceKey(lb.ServiceName(name)) },
+	decode:       catalog.DecodeService,
+	encode:       catalog.EncodeService,
+	setWriteID:   func(service *catalog.Service, id string) { service.WriteID = id },
+	linkedWrites: claimFrontends,
 }
 
 var backendKind = &kind[catalog.Backend]{
-	noun:       KindBackend,
-	key:        func(name string) string { return catalog.BackendKey(lb.BackendName(name)) },
-	decode:     catalog.DecodeBackend,
-	encode:     catalog.EncodeBackend,
-	setWriteID: func(backend *catalog.Backend, id string) { backend.WriteID = id },
-	related:    nothingRelated[catalog.Backend],
+	name:         KindBackend,
+	key:          func(name string) string { return catalog.BackendKey(lb.BackendName(name)) },
+	decode:       catalog.DecodeBackend,
+	encode:       catalog.EncodeBackend,
+	setWriteID:   func(backend *catalog.Backend, id string) { backend.WriteID = id },
+	linkedWrites: noLinkedWrites[catalog.Backend],
 }
 
 var zoneKind = &kind[catalog.EvacuatedZone]{
-	noun:       KindZone,
-	key:        func(name string) string { return catalog.ZoneKey(lb.Zone(name)) },
-	decode:     catalog.DecodeZone,
-	encode:     catalog.EncodeZone,
-	setWriteID: func(zone *catalog.EvacuatedZone, id string) { zone.WriteID = id },
-	related:    nothingRelated[catalog.EvacuatedZone],
+	name:         KindZone,
+	key:          func(name string) string { return catalog.ZoneKey(lb.Zone(name)) },
+	decode:       catalog.DecodeZone,
+	encode:       catalog.EncodeZone,
+	setWriteID:   func(zone *catalog.EvacuatedZone, id string) { zone.WriteID = id },
+	linkedWrites: noLinkedWrites[catalog.EvacuatedZone],
 }
 
-// nothingRelated is kind.related of documents that change by themselves.
-func nothingRelated[Document any](context.Context, *Operator, string, *Document, *Document) (related, error) {
-	return related{}, nil
+// noLinkedWrites implements kind.related for documents that change without any other key.
+func noLinkedWrites[Document any](context.Context, *Operator, string, *Document, *Document) (linkedWrites, error) {
+	return linkedWrites{}, nil
 }
 
-// claimFrontends gives the writes by which the service's front ends become
-// its own, and those it no longer has become free.
-func claimFrontends(ctx context.Context, operator *Operator, name string, old, new *catalog.Service) (related, error) {
-	var result related
-	if old == nil && new == nil { // an invalid document is deleted
-		return result, operator.releaseAll(ctx, name, &result)
+// claimFrontends returns the writes that claim the new front ends of the service and release the
+// ones that it no longer has.
+func claimFrontends(ctx context.Context, operator *Operator, name string, old, new *catalog.Service) (linkedWrites, error) {
+	var result linkedWrites
+	if old == nil && new == nil { // the deleted document is invalid, so its front ends are unknown
+		return result, operator.releaseAllFrontends(ctx, name, &result)
 	}
 	var had, wanted []lb.Frontend
 	if old != nil {
@@ -70,7 +70,7 @@
 	}
 	for _, frontend := range wanted {
 		if err := operator.claimFrontend(ctx, frontend, name, &result); err != nil {
-			return related{}, err
+			return linkedWrites{}, err
 		}
 	}
 	for _, frontend := range had {
@@ -78,13 +78,15 @@
 			continue
 		}
 		if err := operator.releaseFrontend(ctx, frontend, name, &result); err != nil {
-			return related{}, err
+			return linkedWrites{}, err
 		}
 	}
 	return result, nil
 }
 
-func (operator *Operator) claimFrontend(ctx context.Context, frontend lb.Frontend, name string, result *related) error {
+// claimFrontend adds the write that claims the front end for the named service. A claim of a
+// service that no longer exists is replaced.
+func (operator *Operator) claimFrontend(ctx context.Context, frontend lb.Frontend, name string, result *linkedWrites) error {
 	claim, err := operator.client.Get(ctx, catalog.FrontendKey(frontend))
 	if err != nil {
 		return err
@@ -108,62 +110,64 @@
 	return nil
 }
 
-func (operator *Operator) releaseFrontend(ctx context.Context, frontend lb.Frontend, owner string, result *related) error {
+// releaseFrontend adds the deletion of the owner's claim on the front end.
+func (operator *Operator) releaseFrontend(ctx context.Context, frontend lb.Frontend, owner string, result *linkedWrites) error {
 	claim, err := operator.client.Get(ctx, catalog.FrontendKey(frontend))
 	if err != nil {
 		return err
 	}
-	result.release(&claim, owner)
+	result.addRelease(&claim, owner)
 	return nil
 }
 
-// releaseAll frees every front end of the service, also where its document cannot tell them.
-func (operator *Operator) releaseAll(ctx context.Context, owner string, result *related) error {
+// releaseAllFrontends adds the deletion of all claims of the owner. It finds them by listing the
+// claims, so it works for a service whose document is invalid.
+func (operator *Operator) releaseAllFrontends(ctx context.Context, owner string, result *linkedWrites) error {
 	listing, err := operator.client.List(ctx, catalog.FrontendPrefix)
 	if err != nil {
 		return err
 	}
 	for index := range listing.KeyValues {
-		result.release(&listing.KeyValues[index], owner)
+		result.addRelease(&listing.KeyValues[index], owner)
 	}
 	return nil
 }
 
-// release deletes the claim if it is the owner's.
-func (result *related) release(claim *store.KeyValue, owner string) {
+// addRelease adds the deletion of the claim if it belongs to the owner.
+func (result *linkedWrites) addRelease(claim *store.KeyValue, owner string) {
 	if claim.Exists() && string(claim.Value) == owner {
 		result.conditions = append(result.conditions, claim.UnchangedCondition())
 		result.deletes = append(result.deletes, claim.Key)
 	}
 }
 
-// CreateService adds a service.
+// CreateService creates a service.
 func (operator *Operator) CreateService(ctx context.Context, service catalog.Service) (Change, error) {
 	return create(ctx, operator, serviceKind, string(service.Name), service)
 }
 
-// EditService changes a service.
+// EditService applies change to a service.
 func (operator *Operator) EditService(ctx context.Context, name lb.ServiceName, change func(*catalog.Service) error) (Change, error) {
 	return edit(ctx, operator, serviceKind, string(name), change)
 }
 
-// DeleteService deletes a service and frees its front ends.
+// DeleteService deletes a service and releases its front ends.
 func (operator *Operator) DeleteService(ctx context.Context, name lb.ServiceName) (Change, error) {
 	return remove(ctx, operator, serviceKind, string(name))
 }
 
-// Service reads one service.
+// Service returns the named service.
 func (operator *Operator) Service(ctx context.Context, name lb.ServiceName) (catalog.Service, error) {
 	found, err := load(ctx, operator, serviceKind, string(name))
 	return found.document, err
 }
 
-// CreateBackend adds a back end.
+// CreateBackend creates a back end.
 func (operator *Operator) CreateBackend(ctx context.Context, backend catalog.Backend) (Change, error) {
 	return create(ctx, operator, backendKind, string(backend.Name), backend)
 }
 
-// EditBackend changes a back end.
+// EditBackend applies change to a back end.
 func (operator *Operator) EditBackend(ctx context.Context, name lb.BackendName, change func(*catalog.Backend) error) (Change, error) {
 	return edit(ctx, operator, backendKind, string(name), change)
 }
@@ -173,13 +177,13 @@
 	return remove(ctx, operator, backendKind, string(name))
 }
 
-// Backend reads one back end.
+// Backend returns the named back end.
 func (operator *Operator) Backend(ctx context.Context, name lb.BackendName) (catalog.Backend, error) {
 	found, err := load(ctx, operator, backendKind, string(name))
 	return found.document, err
 }
 
-// Evacuate takes new flows away from all back ends of a zone.
+// Evacuate stops new flows to all back ends of a zone.
 func (operator *Operator) Evacuate(ctx context.Context, zone lb.Zone) (Change, error) {
 	return replace(ctx, operator, zoneKind, string(zone), catalog.EvacuatedZone{Name: zone})
 }
@@ -189,7 +193,7 @@
 	return remove(ctx, operator, zoneKind, string(zone))
 }
 
-// Drain sets or ends the draining of a back end.
+// Drain starts or ends the draining of a back end.
 func (operator *Operator) Drain(ctx context.Context, name lb.BackendName, drain bool) (Change, error) {
 	return operator.EditBackend(ctx, name, func(backend *catalog.Backend) error {
 		backend.Drain = drain
@@ -197,7 +201,7 @@
 	})
 }
 
-// Label changes labels of a back end: "key=value" sets one, "key-" takes it away.
+// Label changes labels of a back end: "key=value" sets a label, "key-" removes it.
 func (operator *Operator) Label(ctx context.Context, name lb.BackendName, changes []string) (Change, error) {
 	return operator.EditBackend(ctx, name, func(backend *catalog.Backend) error {
 		if backend.Labels == nil {
@@ -212,14 +216,15 @@
 	})
 }
 
+// applyLabel applies one change of the form "key=value" or "key-" to the labels.
 func applyLabel(labels map[string]string, change string) error {
 	if key, value, found := strings.Cut(change, "="); found {
 		labels[key] = value
-		return nil // checked with the whole document
+		return nil // the label is validated with the whole document
 	}
 	key, found := strings.CutSuffix(change, "-")
 	if !found {
-		return errors.Newf("label %q: must be key=value, or key- to take it away", change)
+		return errors.Newf("label %q: must be key=value, or key- to remove it", change)
 	}
 	if err := catalog.ValidateLabelKey(key); err != nil {
 		return errors.Wrapf(err, "label key %q", key)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,7 +1,7 @@
-// Package operator carries out the operators' commands: it reads and changes
-// the configuration in the store, tells what is in force, and waits for it.
-// Each change is one compare-and-swap on the document as it was read; a lost
-// race is an error that names the other change, never a success.
+// Package operator implements the commands of operators: it reads and changes the configuration in
+// the store, reports which revision is in force, and waits until a revision is in force. Each
+// change is a compare-and-swap on the document as it was read. If another operator changed the
+// document in the meantime, nothing is written, and the error names the other change.
 package operator
 
 import (
@@ -15,29 +15,29 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// Errors of commands, to be told apart with errors.Is; those of the store are
-// in package store.
+// Errors of commands, which callers distinguish with errors.Is. Commands also return the errors
+// of package store.
 var (
-	// ErrBadInput: the command's own input is invalid.
+	// ErrBadInput means that the input of the command is invalid.
 	ErrBadInput = errors.New("bad input")
-	// ErrNotFound: the named object does not exist.
+	// ErrNotFound means that the named object does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrExists: an object of that name exists already.
+	// ErrExists means that an object of this name exists already.
 	ErrExists = errors.New("exists already")
-	// ErrWaitTimeout: the change was not in force everywhere in time.
+	// ErrWaitTimeout means that the revision was not in force in every zone in time.
 	ErrWaitTimeout = errors.New("not in force in time")
 )
 
-// Operator changes the configuration in the name of one person.
+// Operator changes the configuration on behalf of one person.
 type Operator struct {
 	client *store.Client
-	// identity names the person, e.g. "ana@desk-7".
+	// identity identifies the person, e.g. "ana@desk-7".
 	identity string
-	// newID gives the unique part of write ids.
+	// newID returns the unique part of a write ID.
 	newID func() string
 }
 
-// New gives an operator. Each call of newID gives another text.
+// New returns an operator. Each call of newID must return a different text.
 func New(client *store.Client, identity string, newID func() string) *Operator {
 	return &Operator{client: client, identity: identity, newID: newID}
 }
@@ -47,11 +47,11 @@
 	Kind   string `json:"kind"` // "service", "backend" or "zone"
 	Name   string `json:"name"`
 	Action string `json:"action"` // "created", "changed", "deleted" or "unchanged"
-	// Revision of the store at which the object became as it is.
+	// Revision is the store revision of the object's last change.
 	Revision int64 `json:"revision"`
 }
 
-// Actions of a Change.
+// Values of Change.Action.
 const (
 	ActionCreated   = "created"
 	ActionChanged   = "changed"
@@ -59,32 +59,33 @@
 	ActionUnchanged = "unchanged"
 )
 
-// kind is how one kind of document is handled.
+// kind describes how one kind of document is stored.
 type kind[Document any] struct {
-	noun       string
+	name       string
 	key        func(name string) string
 	decode     func(key string, value []byte) (Document, error)
 	encode     func(document *Document) ([]byte, error)
 	setWriteID func(document *Document, id string)
-	// related gives the conditions and writes that go with changing the
-	// document from old to new; nil is one that does not exist or is invalid.
-	related func(ctx context.Context, operator *Operator, name string, old, new *Document) (related, error)
+	// linkedWrites returns the conditions and writes that must be part of the transaction that
+	// changes the document from old to new. old and new are nil if the document does not exist or
+	// is invalid.
+	linkedWrites func(ctx context.Context, operator *Operator, name string, old, new *Document) (linkedWrites, error)
 }
 
-// related is part of a transaction.
-type related struct {
+// linkedWrites is the part of a transaction that concerns keys other than the document's.
+type linkedWrites struct {
 	conditions []store.Condition
 	puts       []store.Put
 	deletes    []string
 }
 
-// stored is a document as it was read.
+// stored is a document with its state in the store when it was read.
 type stored[Document any] struct {
 	document Document
 	read     store.KeyValue
 }
 
-// load reads and decodes one document.
+// load reads and decodes the document of the named object.
 func load[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string) (stored[Document], error) {
 	var result stored[Document]
 	read, err := operator.client.Get(ctx, kind.key(name))
@@ -92,13 +93,13 @@
 		return result, err
 	}
 	if !read.Exists() {
-		return result, errors.Wrapf(ErrNotFound, "%s %q", kind.noun, name)
+		return result, errors.Wrapf(ErrNotFound, "%s %q", kind.name, name)
 	}
 	document, err := kind.decode(read.Key, read.Value)
-	return stored[Document]{document: document, read: read}, errors.Wrapf(err, "stored %s %q is invalid", kind.noun, name)
+	return stored[Document]{document: document, read: read}, errors.Wrapf(err, "stored %s %q is invalid", kind.name, name)
 }
 
-// create adds a document that must not exist.
+// create writes a document that must not exist yet.
 func create[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string, document Document) (Change, error) {
 	if _, err := kind.encode(&document); err != nil {
 		return Change{}, badInput(err)
@@ -108,18 +109,18 @@
 		return Change{}, err
 	}
 	if read.Exists() {
-		return Change{}, errors.Wrapf(ErrExists, "%s %q, since revision %d", kind.noun, name, read.CreateRevision)
+		return Change{}, errors.Wrapf(ErrExists, "%s %q, since revision %d", kind.name, name, read.CreateRevision)
 	}
 	return write(ctx, operator, kind, name, stored[Document]{read: read}, &document)
 }
 
-// edit changes a document that exists.
+// edit applies change to a document that must exist.
 func edit[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string, change func(*Document) error) (Change, error) {
 	old, err := load(ctx, operator, kind, name)
 	if err != nil {
 		return Change{}, err
 	}
-	edited, err := kind.decode(old.read.Key, old.read.Value) // a copy that shares nothing
+	edited, err := kind.decode(old.read.Key, old.read.Value) // a deep copy
 	if err != nil {
 		return Change{}, err
 	}
@@ -129,7 +130,7 @@
 	return write(ctx, operator, kind, name, old, &edited)
 }
 
-// write puts the document in place of the one that was read, if there was one.
+// write replaces the document that was read with the new one, or creates it if it did not exist.
 func write[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string, old stored[Document], document *Document) (Change, error) {
 	id := operator.writeID()
 	kind.setWriteID(document, id)
@@ -146,73 +147,77 @@
 	}
 	fields := differingFields(old.read.Value, value)
 	if old.read.Exists() && len(fields) == 0 {
-		return Change{Kind: kind.noun, Name: name, Action: ActionUnchanged, Revision: old.read.ModRevision}, nil
+		return Change{Kind: kind.name, Name: name, Action: ActionUnchanged, Revision: old.read.ModRevision}, nil
 	}
-	extra, err := kind.related(ctx, operator, name, before, document)
+	linked, err := kind.linkedWrites(ctx, operator, name, before, document)
 	if err != nil {
 		return Change{}, err
 	}
-	extra.puts = append([]store.Put{{Key: old.read.Key, Value: value}}, extra.puts...)
-	note := catalog.LastChange{WriteID: id, By: operator.identity, Action: action, Key: old.read.Key, Fields: fields}
-	revision, err := operator.commit(ctx, &old.read, &note, extra)
-	return Change{Kind: kind.noun, Name: name, Action: action, Revision: revision}, err
+	linked.puts = append([]store.Put{{Key: old.read.Key, Value: value}}, linked.puts...)
+	lastChange := catalog.LastChange{WriteID: id, By: operator.identity, Action: action, Key: old.read.Key, Fields: fields}
+	revision, err := operator.commit(ctx, &old.read, &lastChange, linked)
+	return Change{Kind: kind.name, Name: name, Action: action, Revision: revision}, err
 }
 
-// remove deletes a document, valid or not.
+// remove deletes a document, whether it is valid or not.
 func remove[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string) (Change, error) {
 	read, err := operator.client.Get(ctx, kind.key(name))
 	if err != nil {
 		return Change{}, err
 	}
 	if !read.Exists() {
-		return Change{}, errors.Wrapf(ErrNotFound, "%s %q", kind.noun, name)
+		return Change{}, errors.Wrapf(ErrNotFound, "%s %q", kind.name, name)
 	}
 	var old *Document
 	if document, err := kind.decode(read.Key, read.Value); err == nil {
 		old = &document
 	}
-	extra, err := kind.related(ctx, operator, name, old, nil)
+	linked, err := kind.linkedWrites(ctx, operator, name, old, nil)
 	if err != nil {
 		return Change{}, err
 	}
-	extra.deletes = append(extra.deletes, read.Key)
-	note := catalog.LastChange{WriteID: operator.writeID(), By: operator.identity, Action: ActionDeleted, Key: read.Key}
-	revision, err := operator.commit(ctx, &read, &note, extra)
-	return Change{Kind: kind.noun, Name: name, Action: ActionDeleted, Revision: revision}, err
+	linked.deletes = append(linked.deletes, read.Key)
+	lastChange := catalog.LastChange{WriteID: operator.writeID(), By: operator.identity, Action: ActionDeleted, Key: read.Key}
+	revision, err := operator.commit(ctx, &read, &lastChange, linked)
+	return Change{Kind: kind.name, Name: name, Action: ActionDeleted, Revision: revision}, err
 }
 
-// commit runs the transaction on the document as it was read. The note of the
-// change is the last put, so that the first one is the document's, if there is one.
-func (operator *Operator) commit(ctx context.Context, read *store.KeyValue, note *catalog.LastChange, extra related) (int64, error) {
-	value, err := catalog.EncodeLastChange(note)
+// commit commits the writes on the condition that the document is unchanged since it was read. The
+// put of LastChangeKey comes last, because the first put must be the document's. If the transaction
+// deletes the document, the put of LastChangeKey is the only one.
+func (operator *Operator) commit(ctx context.Context, read *store.KeyValue, lastChange *catalog.LastChange, linked linkedWrites) (int64, error) {
+	value, err := catalog.EncodeLastChange(lastChange)
 	if err != nil {
 		return 0, err
 	}
-	noted := store.Put{Key: catalog.LastChangeKey, Value: value}
-	puts := append(extra.puts, noted)
-	if len(extra.deletes) > 0 && slices.Contains(extra.deletes, read.Key) {
-		puts = []store.Put{noted}
+	lastChangePut := store.Put{Key: catalog.LastChangeKey, Value: value}
+	puts := append(linked.puts, lastChangePut)
+	if len(linked.deletes) > 0 && slices.Contains(linked.deletes, read.Key) {
+		puts = []store.Put{lastChangePut}
 	}
 	revision, err := operator.client.Commit(ctx, store.Transaction{
-		WriteID:    note.WriteID,
-		Conditions: append([]store.Condition{read.UnchangedCondition()}, extra.conditions...),
+		WriteID:    lastChange.WriteID,
+		Conditions: append([]store.Condition{read.UnchangedCondition()}, linked.conditions...),
 		Puts:       puts,
-		Deletes:    extra.deletes,
+		Deletes:    linked.deletes,
 	})
-	return revision, operator.explain(ctx, err, read)
+	return revision, operator.explainConflict(ctx, err, read)
 }
 
+// writeID returns a new write ID, which contains the operator's identity.
 func (operator *Operator) writeID() string { return operator.identity + "/" + operator.newID() }
 
+// badInput marks err as ErrBadInput.
 func badInput(err error) error { return errors.Mark(err, ErrBadInput) }
 
-// writeIDField is the field that differs in every write.
+// writeIDField is the name of the field that contains the write ID and therefore differs in every
+// write.
 const writeIDField = "write_id"
 
-// differingFields names the top-level fields in which two documents differ.
+// differingFields returns the names of the top-level fields in which two documents differ, sorted.
 func differingFields(old, new []byte) []string {
 	var before, after map[string]json.RawMessage
-	_ = json.Unmarshal(old, &before) // one that is no object has no fields
+	_ = json.Unmarshal(old, &before) // a value that is not a JSON object counts as having no fields
 	_ = json.Unmarshal(new, &after)
 	var names []string
 	for name, value := range after {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -21,7 +21,7 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// beforeRequest runs a function once, before the first request to the path is sent.
+// beforeRequest is a transport that calls run once, before it sends the first request to the path.
 type beforeRequest struct {
 	path string
 	once sync.Once
@@ -35,24 +35,25 @@
 	return http.DefaultTransport.RoundTrip(request)
 }
 
-// standIn starts a store.
-func standIn(t *testing.T) (*storesim.Server, string) {
+// startStore starts a simulated store and returns it with its URL.
+func startStore(t *testing.T) (*storesim.Server, string) {
 	server := storesim.NewServer(storesim.Faults{}, 1)
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
 	return server, listener.URL
 }
 
-// newOperator gives an operator; before runs before its first transaction.
+// newOperator returns an operator that calls before once, before its first transaction.
 func newOperator(t *testing.T, url, identity string, before func()) *Operator {
 	t.Helper()
 	if before == nil {
 		before = func() {}
 	}
-	return newOperatorOver(t, url, identity, &beforeRequest{path: "/v3/kv/txn", run: before})
+	return newOperatorWithTransport(t, url, identity, &beforeRequest{path: "/v3/kv/txn", run: before})
 }
 
-func newOperatorOver(t *testing.T, url, identity string, transport http.RoundTripper) *Operator {
+// newOperatorWithTransport returns an operator whose client sends its requests over the transport.
+func newOperatorWithTransport(t *testing.T, url, identity string, transport http.RoundTripper) *Operator {
 	t.Helper()
 	settings := store.DefaultSettings([]string{url}, 1)
 	settings.RequestsPerSecond, settings.Burst = 10_000, 10_000
@@ -67,7 +68,7 @@
 	return New(client, identity, func() string { return fmt.Sprint(ids.Add(1)) })
 }
 
-func wallet(port uint16) catalog.Service {
+func walletService(port uint16) catalog.Service {
 	address := netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), port)
 	return catalog.Service{
 		Name:      "wallet",
@@ -76,7 +77,7 @@
 	}
 }
 
-func web(number int) catalog.Backend {
+func webBackend(number int) catalog.Backend {
 	return catalog.Backend{
 		Name:   lb.BackendName(fmt.Sprintf("web-%d", number)),
 		Host:   netip.MustParseAddrPort("127.0.0.1:6081"),
@@ -85,7 +86,7 @@
 	}
 }
 
-func TestLostRaceNamesTheOtherChange(t *testing.T) {
+func TestConflictDescribesTheOtherChange(t *testing.T) {
 	ctx := t.Context()
 	for _, test := range []struct {
 		name  string
@@ -109,14 +110,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			_, url := standIn(t)
+			_, url := startStore(t)
 			ben := newOperator(t, url, "ben@b", nil)
-			_, err := ben.CreateBackend(ctx, web(1))
+			_, err := ben.CreateBackend(ctx, webBackend(1))
 			is.NoErr(err)
 			ana := newOperator(t, url, "ana@a", func() { is.NoErr(test.other(ben)) })
 			_, err = ana.Drain(ctx, "web-1", true)
-			var lost *LostRaceError
-			is.True(errors.As(err, &lost))
+			var conflicting *ConcurrentChangeError
+			is.True(errors.As(err, &conflicting))
 			is.True(errors.Is(err, store.ErrConflict))
 			for _, part := range test.want {
 				is.True(strings.Contains(err.Error(), part))
@@ -130,48 +131,48 @@
 func TestFrontendBelongsToOneService(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	_, url := standIn(t)
+	_, url := startStore(t)
 	ben := newOperator(t, url, "ben@b", nil)
-	second := wallet(443)
+	second := walletService(443)
 	second.Name = "second"
-	// Both see the front end as free; the other one commits first.
+	// Both operators read that the front end is free, and ben commits first.
 	ana := newOperator(t, url, "ana@a", func() {
 		_, err := ben.CreateService(ctx, second)
 		is.NoErr(err)
 	})
-	_, err := ana.CreateService(ctx, wallet(443))
+	_, err := ana.CreateService(ctx, walletService(443))
 	is.True(errors.Is(err, store.ErrConflict))
 	is.True(strings.Contains(err.Error(), `"second"`))
-	_, err = ana.CreateService(ctx, wallet(443))
+	_, err = ana.CreateService(ctx, walletService(443))
 	is.True(errors.Is(err, store.ErrConflict))
 
 	_, err = ben.EditService(ctx, "second", func(service *catalog.Service) error {
-		service.Frontends = wallet(444).Frontends
+		service.Frontends = walletService(444).Frontends
 		return nil
 	})
-	is.NoErr(err) // 443 is free now
-	_, err = ana.CreateService(ctx, wallet(443))
+	is.NoErr(err) // this releases port 443
+	_, err = ana.CreateService(ctx, walletService(443))
 	is.NoErr(err)
 	_, err = ben.DeleteService(ctx, "second")
 	is.NoErr(err)
 	_, err = ana.EditService(ctx, "wallet", func(service *catalog.Service) error {
-		service.Frontends = append(service.Frontends, wallet(444).Frontends...)
+		service.Frontends = append(service.Frontends, walletService(444).Frontends...)
 		return nil
 	})
 	is.NoErr(err)
-	_, err = ana.CreateService(ctx, wallet(443))
+	_, err = ana.CreateService(ctx, walletService(443))
 	is.True(errors.Is(err, ErrExists))
 }
 
-func TestClaimOfVanishedServiceIsTakenOver(t *testing.T) {
+func TestFrontendClaimOfDeletedServiceIsReplaced(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	_, url := standIn(t)
+	_, url := startStore(t)
 	ana := newOperator(t, url, "ana@a", nil)
-	claim := store.KeyValue{Key: catalog.FrontendKey(wallet(443).Frontends[0])}
+	claim := store.KeyValue{Key: catalog.FrontendKey(walletService(443).Frontends[0])}
 	_, err := ana.client.CompareAndSwap(ctx, &claim, []byte("gone"), "x", 0)
 	is.NoErr(err)
-	_, err = ana.CreateService(ctx, wallet(443))
+	_, err = ana.CreateService(ctx, walletService(443))
 	is.NoErr(err)
 	_, err = ana.DeleteService(ctx, "wallet")
 	is.NoErr(err)
@@ -183,9 +184,9 @@
 func TestEditsAndBadInput(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	_, url := standIn(t)
+	_, url := startStore(t)
 	ana := newOperator(t, url, "ana@a", nil)
-	created, err := ana.CreateBackend(ctx, web(1))
+	created, err := ana.CreateBackend(ctx, webBackend(1))
 	is.NoErr(err)
 	is.Equal(created.Action, ActionCreated)
 	changed, err := ana.Label(ctx, "web-1", []string{"tier=a", "app-"})
@@ -208,9 +209,9 @@
 func TestApplyAndExportAreInverse(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	_, url := standIn(t)
+	_, url := startStore(t)
 	ana := newOperator(t, url, "ana@a", nil)
-	objects := Objects{Services: []catalog.Service{wallet(443)}, Backends: []catalog.Backend{web(1), web(2)}}
+	objects := Objects{Services: []catalog.Service{walletService(443)}, Backends: []catalog.Backend{webBackend(1), webBackend(2)}}
 	objects.Backends[0].Labels = map[string]string{"app": "yes", "on": "123", "x": "true", "y": "", "z": "0x10", "w": "1e3"}
 	changes, err := ana.Apply(ctx, objects)
 	is.NoErr(err)
@@ -230,7 +231,7 @@
 	}
 }
 
-func TestReadObjectsGivesAllErrors(t *testing.T) {
+func TestReadObjectsReturnsAllErrors(t *testing.T) {
 	is := is.New(t)
 	_, err := ReadObjects(strings.NewReader(`
 backends:
@@ -248,19 +249,20 @@
 	is.True(strings.Contains(err.Error(), "nmae"))
 }
 
-// TestRacingOperatorsLoseAndRevertNothing lets operators change labels of one
-// back end at the same time, over a store that loses answers. Each repeats a
-// change that lost its race. Every label must only ever go up in the history.
-func TestRacingOperatorsLoseAndRevertNothing(t *testing.T) {
+// TestConcurrentOperatorsLoseNoChange has several operators change labels of one back end
+// concurrently, with a store that loses responses. Each operator increments its own label and
+// repeats a change after a conflict. In the history of the back end, every label must only
+// increase, and only by one.
+func TestConcurrentOperatorsLoseNoChange(t *testing.T) {
 	const operators, changes = 4, 25
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	server, url := standIn(t)
-	watching := newOperator(t, url, "watch", nil)
-	_, err := watching.CreateBackend(ctx, web(1))
+	server, url := startStore(t)
+	watcher := newOperator(t, url, "watch", nil)
+	_, err := watcher.CreateBackend(ctx, webBackend(1))
 	is.NoErr(err)
-	batches := watching.client.Watch(ctx, catalog.BackendPrefix, 0)
+	batches := watcher.client.Watch(ctx, catalog.BackendPrefix, 0)
 	server.SetFaults(storesim.Faults{LostAnswers: 200})
 	var group sync.WaitGroup
 	for number := range operators {
@@ -278,12 +280,12 @@
 			}
 		})
 	}
-	seen := map[string]int{}
+	lastValues := map[string]int{}
 	finished := 0
 	for finished < operators && !t.Failed() {
 		batch, open := <-batches
 		if !open {
-			t.Fatalf("watch ended; seen %v", seen)
+			t.Fatalf("watch ended; labels so far: %v", lastValues)
 		}
 		for _, event := range batch.Events {
 			backend, err := catalog.DecodeBackend(event.KeyValue.Key, event.KeyValue.Value)
@@ -293,10 +295,10 @@
 				name := fmt.Sprintf("op%d", number)
 				value := 0
 				_, _ = fmt.Sscan(backend.Labels[name], &value)
-				if value < seen[name] || value > seen[name]+1 {
-					t.Errorf("%s went from %d to %d", name, seen[name], value)
+				if value < lastValues[name] || value > lastValues[name]+1 {
+					t.Errorf("%s changed from %d to %d", name, lastValues[name], value)
 				}
-				seen[name] = value
+				lastValues[name] = value
 				if value == changes {
 					finished++
 				}
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -12,45 +12,46 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// Phase says what a service's placement is doing (docs/DESIGN.md, "Placement").
+// Phase is the state of a service's placement (docs/DESIGN.md, "Placement").
 type Phase string
 
-// The phases.
+// Values of Phase.
 const (
 	PhaseUnplaced  Phase = "unplaced"  // no placement has been published yet
-	PhaseSteady    Phase = "steady"    // no bucket in motion or with history
-	PhasePreparing Phase = "preparing" // a change is announced and waits for every zone
-	PhaseMoving    Phase = "moving"    // flows of earlier generations may be alive
-	PhaseClearing  Phase = "clearing"  // some flows are still away from the base
+	PhaseSteady    Phase = "steady"    // no bucket is being moved, and none has a history
+	PhasePreparing Phase = "preparing" // a change is published and must reach every zone before it takes effect
+	PhaseMoving    Phase = "moving"    // flows of earlier generations may still exist
+	PhaseClearing  Phase = "clearing"  // some buckets may still have flows at back ends other than their base back end
 	PhaseDeleted   Phase = "deleted"
 )
 
-// ZoneReport is what one zone last said.
+// ZoneReport is the last status report of one zone with its age.
 type ZoneReport struct {
 	catalog.ZoneStatus
 	AgeMillis int64 `json:"age_ms"`
 	Fresh     bool  `json:"fresh"`
 }
 
-// BackendReport is one back end of a service as placed.
+// BackendReport is the state of one back end in a service's placement.
 type BackendReport struct {
 	Name  lb.BackendName  `json:"name"`
 	State lb.BackendState `json:"state"`
 }
 
-// ServiceReport is what is known of one service.
+// ServiceReport is the state of one service's configuration and placement.
 type ServiceReport struct {
 	Name    lb.ServiceName `json:"name"`
 	Version lb.Version     `json:"version"`
 	Phase   Phase          `json:"phase"`
-	// ConfigRevision is the store revision of the configuration it was placed by.
+	// ConfigRevision is the store revision of the configuration that the placement implements.
 	ConfigRevision int64           `json:"config_revision"`
 	Backends       []BackendReport `json:"backends"`
-	// Selected is how many back ends the selector takes now.
+	// Selected is the number of back ends that the selector matches at present.
 	Selected int `json:"selected"`
-	// Generations is how many are in motion, beside the base.
+	// Generations is the number of generations in addition to the base generation.
 	Generations int `json:"generations_in_motion"`
-	// HistoryBuckets is how many buckets may have flows away from the base.
+	// HistoryBuckets is the number of buckets that may have flows at back ends other than their
+	// base back end.
 	HistoryBuckets int `json:"history_buckets"`
 }
 
@@ -60,24 +61,24 @@
 	Cause string `json:"cause"`
 }
 
-// Status is what is in force and what is under way.
+// Status reports which configuration is in force and which changes are in progress.
 type Status struct {
 	LastChange int64        `json:"last_change"` // store revision
 	Zones      []ZoneReport `json:"zones"`
-	// Evacuated are the zones whose back ends take no new flows.
+	// Evacuated lists the zones that are evacuated.
 	Evacuated []lb.Zone       `json:"evacuated_zones"`
 	Services  []ServiceReport `json:"services"`
 	Problems  []ProblemReport `json:"problems"`
 }
 
-// configuration is all documents as listed.
+// configuration is the content of all configuration documents.
 type configuration struct {
 	index      *catalog.Index
 	lastChange int64
-	revisions  map[string]int64 // of the documents, by key
+	revisions  map[string]int64 // revision of each document's last change, by key
 }
 
-// readConfiguration lists all documents.
+// readConfiguration reads all configuration documents.
 func (operator *Operator) readConfiguration(ctx context.Context) (*configuration, error) {
 	result := &configuration{index: catalog.NewIndex(), revisions: map[string]int64{}}
 	last, err := operator.client.Get(ctx, catalog.LastChangeKey)
@@ -91,7 +92,7 @@
 			return nil, err
 		}
 		for _, kv := range listing.KeyValues {
-			_, _ = result.index.PutDocument(kv.Key, kv.Value) // the index lists it as a problem
+			_, _ = result.index.PutDocument(kv.Key, kv.Value) // the index records the error as a problem
 			result.revisions[kv.Key] = kv.ModRevision
 			result.lastChange = max(result.lastChange, kv.ModRevision)
 		}
@@ -99,7 +100,8 @@
 	return result, nil
 }
 
-// Status reads what is in force. A zone's report is fresh up to freshFor.
+// Status returns the current status. A zone's report counts as fresh if its age is at most
+// freshFor.
 func (operator *Operator) Status(ctx context.Context, freshFor time.Duration) (*Status, error) {
 	configuration, err := operator.readConfiguration(ctx)
 	if err != nil {
@@ -133,12 +135,13 @@
 	status.Problems = append(status.Problems, ProblemReport{Key: key, Cause: cause.Error()})
 }
 
+// zoneReport returns the zone's status with its age.
 func zoneReport(zone catalog.ZoneStatus, now time.Time, freshFor time.Duration) ZoneReport {
 	age := now.Sub(time.UnixMilli(zone.UnixMillis))
 	return ZoneReport{ZoneStatus: zone, AgeMillis: age.Milliseconds(), Fresh: age <= freshFor}
 }
 
-// addServices reports the services that are configured or placed.
+// addServices adds a report for each service that has a valid document or a placement.
 func (status *Status) addServices(index *catalog.Index, placements []store.KeyValue) {
 	reports := map[lb.ServiceName]ServiceReport{}
 	for _, name := range index.ServiceNames() {
@@ -163,6 +166,7 @@
 	})
 }
 
+// placementReport returns the report of a placement, except for Selected.
 func placementReport(placement *lb.Placement) ServiceReport {
 	report := ServiceReport{
 		Name:           placement.Service,
@@ -180,6 +184,7 @@
 	return report
 }
 
+// phaseOf returns the phase of a placement.
 func phaseOf(placement *lb.Placement, report *ServiceReport) Phase {
 	switch {
 	case placement.Deleted:
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -11,16 +11,16 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// InForce is the result of a wait.
+// InForce is the result of Wait.
 type InForce struct {
 	Revision int64 `json:"revision"`
-	// Zones in which the revision is in force.
+	// Zones lists the zones in which the revision is in force.
 	Zones []lb.Zone `json:"zones"`
-	// Stale zones have given no report for some time and were not waited for.
+	// Stale lists the zones whose last report is too old. Wait does not wait for them.
 	Stale []lb.Zone `json:"stale"`
 }
 
-// WaitTimeoutError says which zones were still missing when the time was over.
+// WaitTimeoutError reports the zones in which the revision was not in force when the time ended.
 type WaitTimeoutError struct {
 	Revision int64
 	Missing  []ZoneReport
@@ -28,7 +28,7 @@
 	cause    error
 }
 
-// Error names the missing zones and how far they are.
+// Error names these zones with their revisions and numbers of nodes.
 func (err *WaitTimeoutError) Error() string {
 	if len(err.Missing) == 0 {
 		return fmt.Sprintf("revision %d: no zone has given a report lately (stale: %v)", err.Revision, err.Stale)
@@ -40,13 +40,13 @@
 	return fmt.Sprintf("revision %d is not in force in every zone: %s", err.Revision, strings.Join(zones, "; "))
 }
 
-// Unwrap gives ErrWaitTimeout.
+// Unwrap returns ErrWaitTimeout.
 func (err *WaitTimeoutError) Unwrap() error { return err.cause }
 
-// staleCheckInterval is how often reports are looked at for their age.
+// staleCheckInterval is the interval at which Wait checks whether reports have become stale.
 const staleCheckInterval = time.Second
 
-// LastChange gives the store revision of the last change of any document.
+// LastChange returns the store revision of the last change of any configuration document.
 func (operator *Operator) LastChange(ctx context.Context) (int64, error) {
 	configuration, err := operator.readConfiguration(ctx)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return configuration.lastChange, nil
 }
 
-// LastChangeOf gives the store revision of the last change of the service's
-// document, of a back end that it selects, or of the evacuation of its zone.
+// LastChangeOf returns the highest store revision of the last changes of the service's document, of
+// the back ends that it selects, and of the evacuations of their zones.
 func (operator *Operator) LastChangeOf(ctx context.Context, name lb.ServiceName) (int64, error) {
 	if _, err := operator.Service(ctx, name); err != nil {
 		return 0, err
@@ -73,9 +73,8 @@
 	return revision, nil
 }
 
-// Wait waits until the revision is in force in every zone whose report is
-// younger than freshFor, and in at least one. The end of ctx gives a
-// *WaitTimeoutError.
+// Wait waits until the revision is in force in every zone whose report is at most freshFor old, and
+// in at least one zone. If ctx ends first, Wait returns a *WaitTimeoutError.
 func (operator *Operator) Wait(ctx context.Context, revision int64, freshFor time.Duration) (*InForce, error) {
 	watchContext, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -88,7 +87,7 @@
 		select {
 		case batch, open := <-batches:
 			if !open {
-				return nil, missing(reports, revision, freshFor)
+				return nil, timeoutError(reports, revision, freshFor)
 			}
 			listed = true
 			if batch.Reset {
@@ -97,13 +96,13 @@
 			for _, event := range batch.Events {
 				delete(reports, event.KeyValue.Key)
 				status, err := catalog.DecodeZoneStatus(event.KeyValue.Key, event.KeyValue.Value)
-				if !event.Deleted && err == nil { // an invalid report is none
+				if !event.Deleted && err == nil { // an invalid report counts as missing
 					reports[event.KeyValue.Key] = status
 				}
 			}
 		case <-ticker.C:
 		case <-ctx.Done():
-			return nil, missing(reports, revision, freshFor)
+			return nil, timeoutError(reports, revision, freshFor)
 		}
 		if result := inForce(reports, revision, freshFor); listed && result != nil {
 			return result, nil
@@ -111,7 +110,8 @@
 	}
 }
 
-// inForce gives the result if the revision is in force, or nil.
+// inForce returns the result of Wait if the revision is in force in every zone with a fresh report
+// and in at least one zone. Otherwise it returns nil.
 func inForce(reports map[string]catalog.ZoneStatus, revision int64, freshFor time.Duration) *InForce {
 	result := &InForce{Revision: revision}
 	for _, status := range reports {
@@ -133,7 +133,8 @@
 	return result
 }
 
-func missing(reports map[string]catalog.ZoneStatus, revision int64, freshFor time.Duration) error {
+// timeoutError returns a *WaitTimeoutError for the current reports.
+func timeoutError(reports map[string]catalog.ZoneStatus, revision int64, freshFor time.Duration) error {
 	err := &WaitTimeoutError{Revision: revision, cause: ErrWaitTimeout}
 	for _, status := range reports {
 		report := zoneReport(status, time.Now(), freshFor)
--- a/internal/operator/wait_test.go
+++ b/internal/operator/wait_test.go
@@ -15,8 +15,8 @@
 
 const testFreshFor = time.Minute
 
-// put writes a document as the nodes do.
-func put(t *testing.T, operator *Operator, key string, document any) {
+// putDocument writes a document without validation, as a node would.
+func putDocument(t *testing.T, operator *Operator, key string, document any) {
 	t.Helper()
 	value, err := json.Marshal(document)
 	if err != nil {
@@ -31,32 +31,32 @@
 	}
 }
 
-func putZone(t *testing.T, operator *Operator, zone lb.Zone, revision int64, age time.Duration) {
+func putZoneStatus(t *testing.T, operator *Operator, zone lb.Zone, revision int64, age time.Duration) {
 	t.Helper()
-	put(t, operator, catalog.StatusKey(zone), catalog.ZoneStatus{
+	putDocument(t, operator, catalog.StatusKey(zone), catalog.ZoneStatus{
 		Zone: zone, ConfigRevision: revision, Nodes: 3, Behind: 1, UnixMillis: time.Now().Add(-age).UnixMilli(),
 	})
 }
 
-// waitUntilListed waits until the reports have been read; the watch that
-// follows the listing ends the time to wait.
+// waitUntilListed calls Wait and cancels it as soon as it has read the listing of the reports, when
+// it opens the watch stream.
 func waitUntilListed(t *testing.T, url string, revision int64) error {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	waiting := newOperatorOver(t, url, "wait", &beforeRequest{path: "/v3/watch", run: cancel})
+	waiting := newOperatorWithTransport(t, url, "wait", &beforeRequest{path: "/v3/watch", run: cancel})
 	_, err := waiting.Wait(ctx, revision, testFreshFor)
 	return err
 }
 
-func TestWaitEndsWhenEveryFreshZoneHasTheRevision(t *testing.T) {
+func TestWaitReturnsWhenRevisionIsInForceInEveryFreshZone(t *testing.T) {
 	is := is.New(t)
-	_, url := standIn(t)
+	_, url := startStore(t)
 	ana := newOperator(t, url, "ana@a", nil)
-	change, err := ana.CreateBackend(t.Context(), web(1))
+	change, err := ana.CreateBackend(t.Context(), webBackend(1))
 	is.NoErr(err)
-	putZone(t, ana, "a", change.Revision, 0)
-	putZone(t, ana, "b", change.Revision-1, 0)
-	putZone(t, ana, "c", change.Revision-1, time.Hour)
+	putZoneStatus(t, ana, "a", change.Revision, 0)
+	putZoneStatus(t, ana, "b", change.Revision-1, 0)
+	putZoneStatus(t, ana, "c", change.Revision-1, time.Hour)
 
 	err = waitUntilListed(t, url, change.Revision)
 	var timeout *WaitTimeoutError
@@ -74,37 +74,37 @@
 		}
 		results <- result
 	}()
-	putZone(t, ana, "b", change.Revision, 0)
+	putZoneStatus(t, ana, "b", change.Revision, 0)
 	result := <-results
 	is.Equal(result.Zones, []lb.Zone{"a", "b"})
 	is.Equal(result.Stale, []lb.Zone{"c"})
 }
 
-func TestWaitNeedsAZone(t *testing.T) {
+func TestWaitRequiresAFreshZone(t *testing.T) {
 	is := is.New(t)
-	_, url := standIn(t)
+	_, url := startStore(t)
 	ana := newOperator(t, url, "ana@a", nil)
-	putZone(t, ana, "a", 100, time.Hour)
+	putZoneStatus(t, ana, "a", 100, time.Hour)
 	is.True(errors.Is(waitUntilListed(t, url, 1), ErrWaitTimeout))
 }
 
-func TestLastChangeCountsDeletionsAndServicesCountTheirBackends(t *testing.T) {
+func TestLastChangeIncludesDeletionsAndBackends(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	_, url := standIn(t)
+	_, url := startStore(t)
 	ana := newOperator(t, url, "ana@a", nil)
-	service, err := ana.CreateService(ctx, wallet(443))
+	service, err := ana.CreateService(ctx, walletService(443))
 	is.NoErr(err)
-	backend, err := ana.CreateBackend(ctx, web(1))
+	backend, err := ana.CreateBackend(ctx, webBackend(1))
 	is.NoErr(err)
-	other := web(2)
+	other := webBackend(2)
 	other.Labels = map[string]string{"app": "other"}
 	_, err = ana.CreateBackend(ctx, other)
 	is.NoErr(err)
-	of, err := ana.LastChangeOf(ctx, "wallet")
+	lastChange, err := ana.LastChangeOf(ctx, "wallet")
 	is.NoErr(err)
-	is.Equal(of, backend.Revision)
-	is.True(of > service.Revision)
+	is.Equal(lastChange, backend.Revision)
+	is.True(lastChange > service.Revision)
 	deleted, err := ana.DeleteBackend(ctx, "web-2")
 	is.NoErr(err)
 	last, err := ana.LastChange(ctx)
@@ -114,14 +114,14 @@
 
 func TestStatusReportsZonesPhasesAndInvalidDocuments(t *testing.T) {
 	is := is.New(t)
-	_, url := standIn(t)
+	_, url := startStore(t)
 	ana := newOperator(t, url, "ana@a", nil)
-	_, err := ana.CreateService(t.Context(), wallet(443))
+	_, err := ana.CreateService(t.Context(), walletService(443))
 	is.NoErr(err)
-	_, err = ana.CreateBackend(t.Context(), web(1))
+	_, err = ana.CreateBackend(t.Context(), webBackend(1))
 	is.NoErr(err)
-	putZone(t, ana, "a", 2, time.Hour)
-	put(t, ana, catalog.BackendKey("bad"), struct{}{})
+	putZoneStatus(t, ana, "a", 2, time.Hour)
+	putDocument(t, ana, catalog.BackendKey("bad"), struct{}{})
 	two := []lb.Generation{{Version: 1}, {Version: 2}}
 	for _, placement := range []lb.Placement{
 		{Service: "preparing", Generations: two, Current: 0},
@@ -130,7 +130,7 @@
 		{Service: "steady", Generations: two[:1], Backends: []lb.PlacedBackend{{Name: "web-1", State: lb.BackendDraining}}},
 		{Service: "deleted", Deleted: true},
 	} {
-		put(t, ana, catalog.PlacementKey(placement.Service), placement)
+		putDocument(t, ana, catalog.PlacementKey(placement.Service), placement)
 	}
 	status, err := ana.Status(t.Context(), testFreshFor)
 	is.NoErr(err)
