--- a/internal/operator/objects.go
+++ b/internal/operator/objects.go
@@ -20,7 +20,7 @@
 )
 
 var serviceKind = &kind[catalog.Service]{
-	name:         KindService,
+	kindName:     KindService,
 	key:          func(name string) string { return catalog.ServiceKey(lb.ServiceName(name)) },
 	decode:       catalog.DecodeService,
 	encode:       catalog.EncodeService,
@@ -29,7 +29,7 @@
 }
 
 var backendKind = &kind[catalog.Backend]{
-	name:         KindBackend,
+	kindName:     KindBackend,
 	key:          func(name string) string { return catalog.BackendKey(lb.BackendName(name)) },
 	decode:       catalog.DecodeBackend,
 	encode:       catalog.EncodeBackend,
@@ -38,7 +38,7 @@
 }
 
 var zoneKind = &kind[catalog.EvacuatedZone]{
-	name:         KindZone,
+	kindName:     KindZone,
 	key:          func(name string) string { return catalog.ZoneKey(lb.Zone(name)) },
 	decode:       catalog.DecodeZone,
 	encode:       catalog.EncodeZone,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -61,7 +61,7 @@
 
 // kind describes how one kind of document is stored.
 type kind[Document any] struct {
-	name       string
+	kindName   string
 	key        func(name string) string
 	decode     func(key string, value []byte) (Document, error)
 	encode     func(document *Document) ([]byte, error)
@@ -93,10 +93,10 @@
 		return result, err
 	}
 	if !read.Exists() {
-		return result, errors.Wrapf(ErrNotFound, "%s %q", kind.name, name)
+		return result, errors.Wrapf(ErrNotFound, "%s %q", kind.kindName, name)
 	}
 	document, err := kind.decode(read.Key, read.Value)
-	return stored[Document]{document: document, read: read}, errors.Wrapf(err, "stored %s %q is invalid", kind.name, name)
+	return stored[Document]{document: document, read: read}, errors.Wrapf(err, "stored %s %q is invalid", kind.kindName, name)
 }
 
 // create writes a document that must not exist yet.
@@ -109,7 +109,7 @@
 		return Change{}, err
 	}
 	if read.Exists() {
-		return Change{}, errors.Wrapf(ErrExists, "%s %q, since revision %d", kind.name, name, read.CreateRevision)
+		return Change{}, errors.Wrapf(ErrExists, "%s %q, since revision %d", kind.kindName, name, read.CreateRevision)
 	}
 	return write(ctx, operator, kind, name, stored[Document]{read: read}, &document)
 }
@@ -147,7 +147,7 @@
 	}
 	fields := differingFields(old.read.Value, value)
 	if old.read.Exists() && len(fields) == 0 {
-		return Change{Kind: kind.name, Name: name, Action: ActionUnchanged, Revision: old.read.ModRevision}, nil
+		return Change{Kind: kind.kindName, Name: name, Action: ActionUnchanged, Revision: old.read.ModRevision}, nil
 	}
 	linked, err := kind.linkedWrites(ctx, operator, name, before, document)
 	if err != nil {
@@ -156,7 +156,7 @@
 	linked.puts = append([]store.Put{{Key: old.read.Key, Value: value}}, linked.puts...)
 	lastChange := catalog.LastChange{WriteID: id, By: operator.identity, Action: action, Key: old.read.Key, Fields: fields}
 	revision, err := operator.commit(ctx, &old.read, &lastChange, linked)
-	return Change{Kind: kind.name, Name: name, Action: action, Revision: revision}, err
+	return Change{Kind: kind.kindName, Name: name, Action: action, Revision: revision}, err
 }
 
 // remove deletes a document, whether it is valid or not.
@@ -166,7 +166,7 @@
 		return Change{}, err
 	}
 	if !read.Exists() {
-		return Change{}, errors.Wrapf(ErrNotFound, "%s %q", kind.name, name)
+		return Change{}, errors.Wrapf(ErrNotFound, "%s %q", kind.kindName, name)
 	}
 	var old *Document
 	if document, err := kind.decode(read.Key, read.Value); err == nil {
@@ -179,7 +179,7 @@
 	linked.deletes = append(linked.deletes, read.Key)
 	lastChange := catalog.LastChange{WriteID: operator.writeID(), By: operator.identity, Action: ActionDeleted, Key: read.Key}
 	revision, err := operator.commit(ctx, &read, &lastChange, linked)
-	return Change{Kind: kind.name, Name: name, Action: ActionDeleted, Revision: revision}, err
+	return Change{Kind: kind.kindName, Name: name, Action: ActionDeleted, Revision: revision}, err
 }
 
 // commit commits the writes on the condition that the document is unchanged since it was read. The
--- a/internal/packet/build.go
+++ b/internal/packet/build.go
@@ -11,12 +11,12 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// timeToLive is the TTL or hop limit of the packets built here (RFC 1700
-// recommends 64).
-const timeToLive = 64
+// defaultTTL is the TTL or hop limit of the packets that this package builds (the value that RFC
+// 1700 recommends).
+const defaultTTL = 64
 
-// BuildTCP appends to dst an inner IP packet with the TCP segment, with
-// correct checksums. Both addresses must be of one IP version.
+// BuildTCP appends to dst an inner IP packet that contains the TCP segment, with correct checksums.
+// Both addresses must have the same IP version.
 func BuildTCP(dst []byte, source, destination netip.AddrPort, segment *Segment) ([]byte, error) {
 	builder := builders.Get().(*builder)
 	defer builders.Put(builder)
@@ -27,8 +27,8 @@
 	return append(dst, builder.buffer.Bytes()...), nil
 }
 
-// BuildUDP appends to dst an inner IP packet with the UDP payload, with
-// correct checksums. Both addresses must be of one IP version.
+// BuildUDP appends to dst an inner IP packet that contains the UDP payload, with correct checksums.
+// Both addresses must have the same IP version.
 func BuildUDP(dst []byte, source, destination netip.AddrPort, payload []byte) ([]byte, error) {
 	builder := builders.Get().(*builder)
 	defer builders.Put(builder)
@@ -41,7 +41,8 @@
 
 var builders = sync.Pool{New: func() any { return newBuilder() }}
 
-// builder holds the buffers and layers with which one inner packet is built.
+// builder holds the buffers and layers for building one inner packet. Builders are pooled to avoid
+// allocations.
 type builder struct {
 	buffer        gopacket.SerializeBuffer
 	payload       gopacket.Payload
@@ -102,14 +103,14 @@
 	return builder.serialize(&builder.udp, payload)
 }
 
-// setNetwork prepares the IP layer for the addresses.
+// setNetwork sets up the IP layer for the addresses.
 func (builder *builder) setNetwork(
 	source, destination netip.Addr, protocol layers.IPProtocol,
 ) (gopacket.NetworkLayer, error) {
 	source = source.Unmap()
 	destination = destination.Unmap()
 	if !source.IsValid() || source.BitLen() != destination.BitLen() {
-		return nil, errors.Newf("source %s and destination %s are not of one IP version", source, destination)
+		return nil, errors.Newf("source %s and destination %s have different IP versions", source, destination)
 	}
 	if source.Is4() {
 		return builder.setIPv4(source, destination, protocol), nil
@@ -125,7 +126,7 @@
 	builder.ipv4 = layers.IPv4{
 		Version:  ipv4Version,
 		Flags:    layers.IPv4DontFragment,
-		TTL:      timeToLive,
+		TTL:      defaultTTL,
 		Protocol: protocol,
 		SrcIP:    builder.source[:len(sourceBytes)],
 		DstIP:    builder.destination[:len(destinationBytes)],
@@ -140,7 +141,7 @@
 	builder.ipv6 = layers.IPv6{
 		Version:    ipv6Version,
 		NextHeader: protocol,
-		HopLimit:   timeToLive,
+		HopLimit:   defaultTTL,
 		SrcIP:      builder.source[:],
 		DstIP:      builder.destination[:],
 	}
@@ -148,7 +149,7 @@
 	return &builder.ipv6
 }
 
-// serialize writes IP header, transport and payload into the buffer.
+// serialize writes the IP header, the transport header and the payload into the buffer.
 func (builder *builder) serialize(transport gopacket.SerializableLayer, payload []byte) error {
 	builder.payload = payload
 	builder.serializables = [...]gopacket.SerializableLayer{builder.network, transport, &builder.payload}
@@ -156,7 +157,7 @@
 	return errors.Wrap(err, "build a packet")
 }
 
-// flowAddresses gives both ends of a key, as they are in a packet's addresses.
+// flowAddresses returns the source and destination of a flow key as they appear in a packet.
 func flowAddresses(key *lb.FlowKey) (source, destination netip.AddrPort) {
 	source = netip.AddrPortFrom(netip.AddrFrom16(key.Source).Unmap(), key.SourcePort)
 	destination = netip.AddrPortFrom(netip.AddrFrom16(key.Destination).Unmap(), key.DestinationPort)
--- a/internal/packet/cause.go
+++ b/internal/packet/cause.go
@@ -6,53 +6,60 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Cause says why a datagram was not decoded. It is the error that Decode
-// gives, so that dropped datagrams are counted by cause; its String labels
-// the metric. Returning a Cause allocates nothing.
+// Cause is the reason why a datagram could not be decoded. It is the error type of Decode. Dropped
+// datagrams are counted by Cause, and its String is the label in the metric. Returning a Cause does
+// not allocate memory.
 type Cause uint8
 
-// The causes.
+// Values of Cause.
 const (
-	// CauseTruncated: a header or a stated length goes beyond the bytes received.
+	// CauseTruncated means that a header or a length field exceeds the received bytes.
 	CauseTruncated Cause = iota + 1
-	// CauseGeneveVersion: the Geneve version is not 0 (RFC 8926, section 3.4).
+	// CauseGeneveVersion means that the Geneve version is not 0 (RFC 8926, section 3.4).
 	CauseGeneveVersion
-	// CauseControlPacket: the Geneve O bit is set; control packets carry no payload to forward.
+	// CauseControlPacket means that the Geneve O bit is set. Control packets have no payload to
+	// forward.
 	CauseControlPacket
-	// CausePayloadType: the Geneve protocol type is neither IPv4 nor IPv6.
+	// CausePayloadType means that the Geneve protocol type is neither IPv4 nor IPv6.
 	CausePayloadType
-	// CauseOptionLength: an option goes beyond the options of its header.
+	// CauseOptionLength means that an option exceeds the options field of the Geneve header.
 	CauseOptionLength
-	// CauseCriticalOption: an unknown option is marked critical (RFC 8926, section 3.5).
+	// CauseCriticalOption means that an unknown option is marked as critical (RFC 8926, section
+	// 3.5).
 	CauseCriticalOption
-	// CauseRelayOption: the relay option has an unknown format or value, or is there twice.
+	// CauseRelayOption means that the relay option has an unknown format or an invalid value, or
+	// occurs twice.
 	CauseRelayOption
-	// CauseRefusalOption: the refusal option has an unknown format or value, or is there twice.
+	// CauseRefusalOption means that the refusal option has an unknown format or an invalid value,
+	// or occurs twice.
 	CauseRefusalOption
-	// CauseIPVersion: the inner IP version is not the one of the Geneve protocol type.
+	// CauseIPVersion means that the inner IP version differs from the Geneve protocol type.
 	CauseIPVersion
-	// CauseIPHeader: the inner IP header has lengths that contradict each other.
+	// CauseIPHeader means that the length fields of the inner IP header are inconsistent.
 	CauseIPHeader
-	// CauseIPChecksum: the inner IPv4 header checksum is wrong.
+	// CauseIPChecksum means that the checksum of the inner IPv4 header is wrong.
 	CauseIPChecksum
-	// CauseSourceRoute: the inner IPv4 header names a source route (RFC 7126, sections 4.3 and 4.4).
+	// CauseSourceRoute means that the inner IPv4 header has a source route option (RFC 7126,
+	// sections 4.3 and 4.4).
 	CauseSourceRoute
-	// CauseFragment: the inner packet is an IP fragment.
+	// CauseFragment means that the inner packet is an IP fragment.
 	CauseFragment
-	// CauseExtensionHeader: the inner IPv6 packet has an extension header.
+	// CauseExtensionHeader means that the inner IPv6 packet has an extension header.
 	CauseExtensionHeader
-	// CauseProtocol: the inner protocol is not TCP, UDP or an ICMP error about one of them.
+	// CauseProtocol means that the inner protocol is neither TCP nor UDP nor the ICMP of its IP
+	// version.
 	CauseProtocol
-	// CauseTransportHeader: the TCP or UDP header has impossible lengths or flags.
+	// CauseTransportHeader means that the TCP or UDP header has invalid lengths or flags.
 	CauseTransportHeader
-	// CauseICMP: the ICMP message is no error message, or holds no header that names a flow.
+	// CauseICMP means that the ICMP message is not an error message, or does not quote a packet
+	// that identifies a flow.
 	CauseICMP
 
-	causeEnd
+	causeLimit
 )
 
-// CauseCount is one more than the highest Cause: the size of an array indexed by Cause.
-const CauseCount = int(causeEnd)
+// CauseCount is the size of an array that is indexed by Cause: one more than the highest Cause.
+const CauseCount = int(causeLimit)
 
 var causeNames = [CauseCount]string{
 	CauseTruncated:       "truncated",
@@ -74,18 +81,18 @@
 	CauseICMP:            "icmp",
 }
 
-// String gives the name used in metrics.
+// String returns the label for metrics.
 func (cause Cause) String() string {
-	if cause == 0 || cause >= causeEnd {
+	if cause == 0 || cause >= causeLimit {
 		return fmt.Sprintf("cause(%d)", uint8(cause))
 	}
 	return causeNames[cause]
 }
 
-// Error says that the datagram is malformed, and the cause.
+// Error returns a message that contains the label of the cause.
 func (cause Cause) Error() string { return "malformed packet: " + cause.String() }
 
-// CauseOf gives the Cause in an error of Decode; false if it holds none.
+// CauseOf returns the Cause in the chain of err. The second result reports whether there is one.
 func CauseOf(err error) (Cause, bool) {
 	var cause Cause
 	found := errors.As(err, &cause)
--- a/internal/packet/fuzz_test.go
+++ b/internal/packet/fuzz_test.go
@@ -10,9 +10,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// FuzzDecode checks that whatever arrives gives a Cause, or a packet that is
-// whole: encoded again it decodes to the same, and it can be refused. More
-// seeds are in testdata/fuzz/FuzzDecode.
+// FuzzDecode checks that every datagram either fails with a Cause or decodes to a consistent
+// packet: encoding it and decoding it again returns the same packet, and a refusal can be built for
+// it. More seeds are in testdata/fuzz/FuzzDecode.
 func FuzzDecode(f *testing.F) {
 	for _, inner := range [][]byte{
 		tcpPacket(f, caller4, service4, opening),
@@ -29,8 +29,8 @@
 			requireCause(t, err)
 			return
 		}
-		requireWhole(t, first, len(datagram))
-		requireSameAgain(t, first)
+		requireConsistent(t, first, len(datagram))
+		requireRoundTrip(t, first)
 		requireRefusable(t, first)
 	})
 }
@@ -38,12 +38,12 @@
 func requireCause(t *testing.T, err error) {
 	t.Helper()
 	cause, found := CauseOf(err)
-	if !found || cause == 0 || cause >= causeEnd {
-		t.Fatalf("error %v is no cause", err)
+	if !found || cause == 0 || cause >= causeLimit {
+		t.Fatalf("error %v is not a valid Cause", err)
 	}
 }
 
-func requireWhole(t *testing.T, packet *Packet, length int) {
+func requireConsistent(t *testing.T, packet *Packet, length int) {
 	t.Helper()
 	is := is.New(t)
 	is.True(packet.Kind >= core.PacketOpening && packet.Kind <= core.PacketUnmarked)
@@ -54,7 +54,7 @@
 	is.Equal((packet.Kind == core.PacketUnmarked), (packet.Key.Protocol == lb.UDP))
 }
 
-func requireSameAgain(t *testing.T, first *Packet) {
+func requireRoundTrip(t *testing.T, first *Packet) {
 	t.Helper()
 	is := is.New(t)
 	header := Header{VNI: first.VNI, Relay: first.Relay, Refusal: first.Refusal}
@@ -77,5 +77,5 @@
 	answer := decode(t, datagram)
 	is.Equal(answer.Refusal, testRefusal)
 	is.Equal(answer.Destination(), packet.Source())
-	is.True(answer.Reset() || answer.Prohibited())
+	is.True(answer.Reset() || answer.AdminProhibited())
 }
--- a/internal/packet/geneve.go
+++ b/internal/packet/geneve.go
@@ -17,32 +17,32 @@
 	optionHeaderLength = 4
 	optionUnit         = 4
 
-	optionsLengthMask = 0x3f // low six bits of the first byte
-	optionLengthMask  = 0x1f // low five bits of an option's fourth byte
+	optionsLengthMask = 0x3f // lower six bits of the first byte
+	optionLengthMask  = 0x1f // lower five bits of an option's fourth byte
 )
 
-// MaxOverhead is the most that Encode puts before an inner packet, in bytes:
-// the fixed header and both options.
+// MaxOverhead is the maximum number of bytes that Encode adds before an inner packet: the fixed
+// header and both options.
 const MaxOverhead = fixedHeaderLength +
 	optionHeaderLength + relayOptionLength +
 	optionHeaderLength + refusalOptionLength
 
-// maxVNI is the highest virtual network identifier.
+// maxVNI is the maximum virtual network identifier.
 const maxVNI = 1<<24 - 1
 
-// decodeGeneve reads the Geneve header and gives the payload.
+// decodeGeneve decodes the Geneve header and returns the payload.
 //
-// The fixed header is read by gopacket; the options are not: its decoder
-// allocates twice for each option, accepts an option that goes beyond its
-// header, and counts in eight bits where options may take 252 bytes.
+// It uses gopacket only for the fixed header. gopacket's decoder for options allocates twice per
+// option, accepts an option that exceeds its header, and counts the length in eight bits although
+// options may take up to 252 bytes.
 func (packet *Packet) decodeGeneve(datagram []byte) ([]byte, error) {
 	if len(datagram) < fixedHeaderLength {
 		return nil, CauseTruncated
 	}
-	copy(packet.fixed[:], datagram)
-	optionsLength := int(packet.fixed[0]&optionsLengthMask) * optionUnit
-	packet.fixed[0] &^= optionsLengthMask
-	err := packet.geneve.DecodeFromBytes(packet.fixed[:], &packet.feedback)
+	copy(packet.fixedHeader[:], datagram)
+	optionsLength := int(packet.fixedHeader[0]&optionsLengthMask) * optionUnit
+	packet.fixedHeader[0] &^= optionsLengthMask
+	err := packet.geneve.DecodeFromBytes(packet.fixedHeader[:], &packet.feedback)
 	if err := packet.feedback.cause(err, CauseTruncated); err != nil {
 		return nil, err
 	}
@@ -63,6 +63,7 @@
 	return rest[optionsLength:], nil
 }
 
+// decodeOptions decodes all options of the Geneve header.
 func (packet *Packet) decodeOptions(options []byte) error {
 	for len(options) > 0 {
 		if len(options) < optionHeaderLength {
@@ -82,9 +83,10 @@
 	return nil
 }
 
+// decodeOption decodes one option.
 func (packet *Packet) decodeOption(class uint16, kind optionType, data []byte) error {
 	if class != optionClass {
-		return unknownOption(kind)
+		return checkUnknownOption(kind)
 	}
 	switch kind {
 	case optionRelay:
@@ -92,18 +94,19 @@
 	case optionRefusal:
 		return decodeRefusal(data, &packet.Refusal)
 	}
-	return unknownOption(kind)
+	return checkUnknownOption(kind)
 }
 
-// unknownOption refuses a critical option and ignores any other one.
-func unknownOption(kind optionType) error {
+// checkUnknownOption returns CauseCriticalOption if the option is critical. Other unknown options
+// are ignored.
+func checkUnknownOption(kind optionType) error {
 	if kind&optionCritical != 0 {
 		return CauseCriticalOption
 	}
 	return nil
 }
 
-// Header is what Encode puts before an inner packet.
+// Header contains the values that Encode writes into the Geneve header.
 type Header struct {
 	// VNI is the virtual network identifier, 24 bits.
 	VNI uint32
@@ -113,13 +116,13 @@
 	Refusal lb.Refusal
 }
 
-// Encode appends to dst the Geneve header and the inner IP packet. It fails
-// when inner is not an IP packet or the VNI exceeds 24 bits; dst is then given
-// back as it was. It allocates nothing when dst has room.
+// Encode appends to dst the Geneve header and the inner IP packet. If inner is not an IP packet or
+// the VNI exceeds 24 bits, it returns dst unchanged and an error. It does not allocate memory if
+// dst has enough capacity.
 func Encode(dst, inner []byte, header *Header) ([]byte, error) {
 	encoder := encoders.Get().(*encoder)
 	defer encoders.Put(encoder)
-	encoded, err := encoder.header(inner, header)
+	encoded, err := encoder.encodeHeader(inner, header)
 	if err != nil {
 		return dst, err
 	}
@@ -129,7 +132,7 @@
 
 var encoders = sync.Pool{New: func() any { return newEncoder() }}
 
-// encoder holds the buffers of one Encode.
+// encoder holds the buffers for one call of Encode. Encoders are pooled to avoid allocations.
 type encoder struct {
 	buffer      gopacket.SerializeBuffer
 	geneve      layers.Geneve
@@ -155,8 +158,8 @@
 	return encoder
 }
 
-// header encodes the Geneve header; the bytes hold until the next call.
-func (encoder *encoder) header(inner []byte, header *Header) ([]byte, error) {
+// encodeHeader encodes the Geneve header. The returned bytes are valid until the next call.
+func (encoder *encoder) encodeHeader(inner []byte, header *Header) ([]byte, error) {
 	protocol, err := payloadType(inner)
 	if err != nil {
 		return nil, err
@@ -183,7 +186,7 @@
 	return encoder.buffer.Bytes(), nil
 }
 
-// payloadType gives the Geneve protocol type of an inner packet, by its IP version.
+// payloadType returns the Geneve protocol type for the IP version of an inner packet.
 func payloadType(inner []byte) (layers.EthernetType, error) {
 	if len(inner) == 0 {
 		return 0, errors.New("inner packet is empty")
--- a/internal/packet/icmp.go
+++ b/internal/packet/icmp.go
@@ -9,19 +9,18 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// portsLength is the size of the two ports that begin a TCP or UDP header.
-// An ICMP message holds at least that of the packet it is about (RFC 792).
+// portsLength is the size of the source and destination ports at the beginning of a TCP or UDP
+// header. An ICMP error quotes at least this part of the packet that it refers to (RFC 792).
 const portsLength = 4
 
-// icmpv6UnusedLength is the size of what follows type, code and checksum in
-// an ICMPv6 error before the packet that it is about (RFC 4443, section 3).
+// icmpv6UnusedLength is the size of the field between the checksum of an ICMPv6 error and the
+// quoted packet (RFC 4443, section 3).
 const icmpv6UnusedLength = 4
 
-// decodeICMP reads an ICMP error. Routers on the way from a back end to a
-// caller send them to the service's address, for instance "packet too big";
-// they belong to the back end that has the flow. The key is the one of the
-// flow in the direction in which the ICMP message travels, so that the core
-// treats the message like any packet of the flow.
+// decodeICMP decodes an ICMP error. Routers between a back end and a caller send such errors, for
+// instance "packet too big", to the service's address, and they must reach the back end that has
+// the flow. decodeICMP therefore sets the key to the flow's key in the direction of the ICMP
+// message, so that the core handles the message like any other packet of the flow.
 func (packet *Packet) decodeICMP(protocol layers.IPProtocol, payload []byte) error {
 	if protocol == layers.IPProtocolICMPv4 {
 		return packet.decodeICMPv4(payload)
@@ -35,14 +34,14 @@
 	if err := packet.feedback.cause(err, CauseICMP); err != nil {
 		return err
 	}
-	if !icmpv4ErrorType(icmp.TypeCode.Type()) {
+	if !isICMPv4Error(icmp.TypeCode.Type()) {
 		return CauseICMP
 	}
 	quoted := icmp.Payload
 	if len(quoted) == 0 || ipVersion(quoted) != ipv4Version {
 		return CauseICMP
 	}
-	if packet.ipv4Header(quoted) != nil || packet.ipv4.FragOffset != 0 {
+	if packet.decodeIPv4Header(quoted) != nil || packet.ipv4.FragOffset != 0 {
 		return CauseICMP
 	}
 	packet.ICMP = ICMPError{Type: icmp.TypeCode.Type(), Code: icmp.TypeCode.Code()}
@@ -50,7 +49,8 @@
 	return packet.setICMPFlow(packet.ipv4.Protocol, packet.ipv4.SrcIP, packet.ipv4.Payload)
 }
 
-func icmpv4ErrorType(kind uint8) bool {
+// isICMPv4Error reports whether the ICMP type is an error about another packet.
+func isICMPv4Error(kind uint8) bool {
 	switch kind {
 	case layers.ICMPv4TypeDestinationUnreachable,
 		layers.ICMPv4TypeTimeExceeded,
@@ -66,11 +66,11 @@
 	if err := packet.feedback.cause(err, CauseICMP); err != nil {
 		return err
 	}
-	if !icmpv6ErrorType(icmp.TypeCode.Type()) || len(icmp.Payload) <= icmpv6UnusedLength {
+	if !isICMPv6Error(icmp.TypeCode.Type()) || len(icmp.Payload) <= icmpv6UnusedLength {
 		return CauseICMP
 	}
 	quoted := icmp.Payload[icmpv6UnusedLength:]
-	if ipVersion(quoted) != ipv6Version || packet.ipv6Header(quoted) != nil {
+	if ipVersion(quoted) != ipv6Version || packet.decodeIPv6Header(quoted) != nil {
 		return CauseICMP
 	}
 	packet.ICMP = ICMPError{Type: icmp.TypeCode.Type(), Code: icmp.TypeCode.Code()}
@@ -78,7 +78,8 @@
 	return packet.setICMPFlow(packet.ipv6.NextHeader, packet.ipv6.SrcIP, packet.ipv6.Payload)
 }
 
-func icmpv6ErrorType(kind uint8) bool {
+// isICMPv6Error reports whether the ICMPv6 type is an error about another packet.
+func isICMPv6Error(kind uint8) bool {
 	switch kind {
 	case layers.ICMPv6TypeDestinationUnreachable,
 		layers.ICMPv6TypePacketTooBig,
@@ -89,9 +90,9 @@
 	return false
 }
 
-// setICMPFlow sets the key and kind from the packet that the message is
-// about: its source must be where the message goes to. The source of the
-// message itself is any router, so the key's source is the other end.
+// setICMPFlow sets the key and kind from the quoted packet, whose source must be the destination of
+// the ICMP message. The message may come from any router, so the key's source is the destination of
+// the quoted packet.
 func (packet *Packet) setICMPFlow(protocol layers.IPProtocol, source []byte, transport []byte) error {
 	if address16(source) != packet.Key.Destination || len(transport) < portsLength {
 		return CauseICMP
--- a/internal/packet/inner.go
+++ b/internal/packet/inner.go
@@ -17,13 +17,13 @@
 	ipv6Version = 6
 )
 
-// IPv4 options that name a source route (RFC 791, section 3.1).
+// IPv4 options that contain a source route (RFC 791, section 3.1).
 const (
 	optionLooseSourceRoute  = 131
 	optionStrictSourceRoute = 137
 )
 
-// decodeInner reads the inner packet of the type that the Geneve header states.
+// decodeInner decodes the inner packet according to the protocol type in the Geneve header.
 func (packet *Packet) decodeInner(payload []byte) error {
 	if len(payload) == 0 {
 		return CauseTruncated
@@ -37,15 +37,16 @@
 	return CausePayloadType
 }
 
-// ipVersion gives the version of an IP header, which must have one byte at least.
+// ipVersion returns the version of an IP header, which must have at least one byte.
 func ipVersion(header []byte) uint8 { return header[0] >> 4 }
 
+// decodeIPv4 decodes an inner IPv4 packet.
 func (packet *Packet) decodeIPv4(payload []byte) error {
 	ip := &packet.ipv4
 	if ipVersion(payload) != ipv4Version {
 		return CauseIPVersion
 	}
-	if err := packet.ipv4Header(payload); err != nil {
+	if err := packet.decodeIPv4Header(payload); err != nil {
 		return err
 	}
 	if packet.feedback.truncated {
@@ -62,16 +63,16 @@
 	return packet.decodeTransport(ip.Protocol, layers.IPProtocolICMPv4, ip.Payload)
 }
 
-// ipv4Header reads an IPv4 header whose packet may be cut off behind it, as
-// in an ICMP message.
-func (packet *Packet) ipv4Header(data []byte) error {
+// decodeIPv4Header decodes an IPv4 header. The payload after it may be truncated, as in an ICMP
+// error.
+func (packet *Packet) decodeIPv4Header(data []byte) error {
 	ip := &packet.ipv4
 	err := ip.DecodeFromBytes(data, &packet.feedback)
 	if err != nil {
 		return packet.feedback.cause(err, CauseIPHeader)
 	}
-	if totalLength(data) == 0 {
-		return CauseIPHeader // gopacket takes zero as "all there is"
+	if ipv4TotalLength(data) == 0 {
+		return CauseIPHeader // gopacket interprets zero as "the rest of the data"
 	}
 	for index := range ip.Options {
 		switch ip.Options[index].OptionType {
@@ -82,15 +83,16 @@
 	return nil
 }
 
-// totalLength is the length field of an IPv4 header.
-func totalLength(header []byte) int { return int(header[2])<<8 | int(header[3]) }
+// ipv4TotalLength returns the total length field of an IPv4 header.
+func ipv4TotalLength(header []byte) int { return int(header[2])<<8 | int(header[3]) }
 
+// decodeIPv6 decodes an inner IPv6 packet.
 func (packet *Packet) decodeIPv6(payload []byte) error {
 	ip := &packet.ipv6
 	if ipVersion(payload) != ipv6Version {
 		return CauseIPVersion
 	}
-	if err := packet.ipv6Header(payload); err != nil {
+	if err := packet.decodeIPv6Header(payload); err != nil {
 		return err
 	}
 	if packet.feedback.truncated {
@@ -101,8 +103,8 @@
 	return packet.decodeTransport(ip.NextHeader, layers.IPProtocolICMPv6, ip.Payload)
 }
 
-// ipv6Header reads an IPv6 header whose packet may be cut off behind it.
-func (packet *Packet) ipv6Header(data []byte) error {
+// decodeIPv6Header decodes an IPv6 header. The payload after it may be truncated.
+func (packet *Packet) decodeIPv6Header(data []byte) error {
 	ip := &packet.ipv6
 	err := ip.DecodeFromBytes(data, &packet.feedback)
 	if len(data) < ipv6HeaderLength {
@@ -111,7 +113,7 @@
 	if ip.NextHeader == layers.IPProtocolIPv6Fragment {
 		return CauseFragment
 	}
-	if extensionHeader(ip.NextHeader) {
+	if isExtensionHeader(ip.NextHeader) {
 		return CauseExtensionHeader
 	}
 	if err != nil {
@@ -123,9 +125,9 @@
 // ipv6HeaderLength is the size of an IPv6 header in bytes (RFC 8200, section 3).
 const ipv6HeaderLength = 40
 
-// extensionHeader tells the IPv6 extension headers (RFC 8200, section 4, and
-// the IANA registry of extension header types).
-func extensionHeader(protocol layers.IPProtocol) bool {
+// isExtensionHeader reports whether the next-header value denotes an IPv6 extension header (RFC
+// 8200, section 4, and the IANA registry of extension header types).
+func isExtensionHeader(protocol layers.IPProtocol) bool {
 	const (
 		mobility      layers.IPProtocol = 135
 		hostIdentity  layers.IPProtocol = 139
@@ -147,13 +149,14 @@
 	packet.Key.Destination = address16(destination)
 }
 
+// address16 returns the address in 16 bytes; IPv4 addresses are mapped to IPv6.
 func address16(ip net.IP) [16]byte {
 	address, _ := netip.AddrFromSlice(ip)
 	return address.As16()
 }
 
-// decodeTransport reads what the IP header is followed by; icmp is the
-// protocol number of ICMP in this IP version.
+// decodeTransport decodes the payload of the IP header. icmp is the protocol number of ICMP for
+// this IP version.
 func (packet *Packet) decodeTransport(protocol, icmp layers.IPProtocol, payload []byte) error {
 	switch protocol {
 	case layers.IPProtocolTCP:
@@ -166,6 +169,7 @@
 	return CauseProtocol
 }
 
+// decodeTCP decodes a TCP segment.
 func (packet *Packet) decodeTCP(payload []byte) error {
 	tcp := &packet.tcp
 	err := tcp.DecodeFromBytes(payload, &packet.feedback)
@@ -185,24 +189,26 @@
 	return packet.setTCPKind()
 }
 
+// tcpFlags returns the control bits of the TCP header.
 func tcpFlags(tcp *layers.TCP) TCPFlags {
-	return tcpFlag(tcp.FIN, FlagFIN) |
-		tcpFlag(tcp.SYN, FlagSYN) |
-		tcpFlag(tcp.RST, FlagRST) |
-		tcpFlag(tcp.PSH, FlagPSH) |
-		tcpFlag(tcp.ACK, FlagACK)
+	return tcpFlagIf(tcp.FIN, FlagFIN) |
+		tcpFlagIf(tcp.SYN, FlagSYN) |
+		tcpFlagIf(tcp.RST, FlagRST) |
+		tcpFlagIf(tcp.PSH, FlagPSH) |
+		tcpFlagIf(tcp.ACK, FlagACK)
 }
 
-func tcpFlag(set bool, bit TCPFlags) TCPFlags {
+// tcpFlagIf returns bit if set is true, otherwise 0.
+func tcpFlagIf(set bool, bit TCPFlags) TCPFlags {
 	if set {
 		return bit
 	}
 	return 0
 }
 
-// setTCPKind says what the control bits tell about the flow. SYN with FIN or
-// RST is no valid segment: no TCP sends it, and it would be both an opening
-// and a closing.
+// setTCPKind sets the kind from the control bits. It rejects SYN in combination with FIN or RST: no
+// TCP implementation sends such a segment, and it would be an opening and a closing at the same
+// time.
 func (packet *Packet) setTCPKind() error {
 	flags := packet.Segment.Flags
 	closing := flags&(FlagFIN|FlagRST) != 0
@@ -221,6 +227,7 @@
 	return nil
 }
 
+// decodeUDP decodes a UDP datagram.
 func (packet *Packet) decodeUDP(payload []byte) error {
 	udp := &packet.udp
 	err := udp.DecodeFromBytes(payload, &packet.feedback)
@@ -228,7 +235,7 @@
 		return err
 	}
 	if udp.Length == 0 {
-		return CauseTransportHeader // jumbograms do not fit a datagram
+		return CauseTransportHeader // a length of zero denotes a jumbogram, which does not fit into a datagram
 	}
 	packet.Segment = Segment{Payload: udp.Payload}
 	packet.Key.Protocol = lb.UDP
--- a/internal/packet/option.go
+++ b/internal/packet/option.go
@@ -7,22 +7,22 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// optionClass is the class of this project's options, from the range for
-// experimental use (RFC 8926, section 7).
+// optionClass is the class of this project's Geneve options, from the range for experimental use
+// (RFC 8926, section 7).
 const optionClass uint16 = 0xff52
 
-// optionType is the type of a Geneve option; its high bit marks it critical.
+// optionType is the type of a Geneve option. Its highest bit marks the option as critical.
 type optionType uint8
 
-// The options' types. A receiver that does not know Relay must drop the
-// packet; one that does not know Refusal can still deliver the answer.
+// Types of this project's options. A receiver that does not support Relay must drop the packet. A
+// receiver that does not support Refusal can still deliver the inner packet.
 const (
 	optionCritical optionType = 0x80
 	optionRelay               = optionCritical | 0x01
 	optionRefusal  optionType = 0x02
 )
 
-// The relay option's data, format 1, in network byte order:
+// Data of the relay option, format 1, in network byte order:
 //
 //	0      format
 //	1      hop
@@ -37,7 +37,7 @@
 	relayFormat       = 1
 )
 
-// The flags of the relay option.
+// Flags of the relay option.
 const (
 	relayKnown uint8 = 1 << iota
 	relayRefuse
@@ -48,31 +48,34 @@
 	relayFlags = relayKnown | relayRefuse | relayVouched | relayEstablished | relayRerouted
 )
 
+// encodeRelay writes the data of the relay option.
 func encodeRelay(data []byte, relay *lb.Relay) {
 	clear(data)
 	data[0] = relayFormat
 	data[1] = uint8(relay.Hop)
-	data[2] = flag(relay.Known, relayKnown) |
-		flag(relay.Refuse, relayRefuse) |
-		flag(relay.Vouched, relayVouched) |
-		flag(relay.Established, relayEstablished) |
-		flag(relay.Rerouted, relayRerouted)
+	data[2] = flagIf(relay.Known, relayKnown) |
+		flagIf(relay.Refuse, relayRefuse) |
+		flagIf(relay.Vouched, relayVouched) |
+		flagIf(relay.Established, relayEstablished) |
+		flagIf(relay.Rerouted, relayRerouted)
 	binary.BigEndian.PutUint16(data[4:], uint16(relay.Proposal))
 	binary.BigEndian.PutUint64(data[8:], uint64(relay.Ingress))
 	binary.BigEndian.PutUint64(data[16:], uint64(relay.Version))
 }
 
-func flag(set bool, bit uint8) uint8 {
+// flagIf returns bit if set is true, otherwise 0.
+func flagIf(set bool, bit uint8) uint8 {
 	if set {
 		return bit
 	}
 	return 0
 }
 
-// decodeRelay reads the option into relay, which must be zero before.
+// decodeRelay decodes the option into relay. If relay is not zero, the packet has a second relay
+// option, which is an error.
 func decodeRelay(data []byte, relay *lb.Relay) error {
 	if relay.Hop != lb.HopIngress {
-		return CauseRelayOption // there twice
+		return CauseRelayOption // the option occurs twice
 	}
 	if len(data) != relayOptionLength || data[0] != relayFormat {
 		return CauseRelayOption
@@ -99,36 +102,39 @@
 	return nil
 }
 
-// The refusal option's data, format 1, in network byte order:
+// Data of the refusal option, format 1, in network byte order:
 //
 //	0    format
 //	1    verdict
 //	2..3 zero
-//	4..7 time to come back, in milliseconds
+//	4..7 time until the sender may retry, in milliseconds
 const (
 	refusalOptionLength = 8
 	refusalFormat       = 1
 )
 
-// encodeRefusal rounds the time to come back up to milliseconds, so that no
-// caller comes back too early, and cuts it at the highest the option holds.
+// encodeRefusal writes the data of the refusal option. It rounds the retry time up to milliseconds,
+// so that no sender retries too early, and limits it to the maximum of the field.
 func encodeRefusal(data []byte, refusal *lb.Refusal) {
 	clear(data)
 	data[0] = refusalFormat
 	data[1] = uint8(refusal.Verdict)
-	binary.BigEndian.PutUint32(data[4:], millisecondsUp(refusal.RetryAfter))
+	binary.BigEndian.PutUint32(data[4:], ceilMilliseconds(refusal.RetryAfter))
 }
 
-func millisecondsUp(duration time.Duration) uint32 {
-	const highest = 1<<32 - 1
+// ceilMilliseconds returns the duration in milliseconds, rounded up and limited to the range of
+// uint32.
+func ceilMilliseconds(duration time.Duration) uint32 {
+	const maxValue = 1<<32 - 1
 	milliseconds := (duration + time.Millisecond - 1) / time.Millisecond
-	return uint32(min(max(milliseconds, 0), highest))
+	return uint32(min(max(milliseconds, 0), maxValue))
 }
 
-// decodeRefusal reads the option into refusal, which must be zero before.
+// decodeRefusal decodes the option into refusal. If refusal is not zero, the packet has a second
+// refusal option, which is an error.
 func decodeRefusal(data []byte, refusal *lb.Refusal) error {
 	if refusal.Verdict != 0 {
-		return CauseRefusalOption // there twice
+		return CauseRefusalOption // the option occurs twice
 	}
 	if len(data) != refusalOptionLength || data[0] != refusalFormat {
 		return CauseRefusalOption
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -1,13 +1,13 @@
-// Package packet reads and writes the packets of the data path: an inner IPv4
-// or IPv6 packet with TCP, UDP or an ICMP error, in Geneve over UDP (RFC
-// 8926). The layers of gopacket are the codec.
+// Package packet decodes and encodes the packets of the data path: an inner IPv4 or IPv6 packet
+// with TCP, UDP or an ICMP error, encapsulated in Geneve over UDP (RFC 8926). It uses the layers of
+// gopacket for the protocol headers.
 //
-// A balancer forwards the bytes of the inner packet as it got them. Two
-// options of its own travel in the Geneve header: Relay, between balancers,
-// and Refusal, from a balancer to the fabric.
+// A balancer forwards the bytes of the inner packet without changes. Two Geneve options are
+// specific to this project: Relay is sent between balancers, and Refusal is sent by a balancer to
+// the fabric.
 //
-// Decode allocates nothing for a well-formed packet. Exceptions are TCP
-// options of Multipath TCP, for which gopacket allocates.
+// Decode does not allocate memory for a well-formed packet, except for Multipath TCP options, for
+// which gopacket allocates.
 package packet
 
 import (
@@ -20,31 +20,32 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Packet is one decoded datagram. It is reused from packet to packet, and its
-// slices point into the datagram it was decoded from.
+// Packet is one decoded datagram. Decode overwrites it, so it can be reused for many datagrams. Its
+// slices refer to the memory of the datagram.
 type Packet struct {
-	// Packet is what the core needs to know.
+	// Packet contains the fields that the core evaluates.
 	core.Packet
-	// Inner is the inner IP packet, without bytes behind its stated length.
+	// Inner is the inner IP packet, without any bytes after the length in its header.
 	Inner []byte
 	// VNI is the virtual network identifier, 24 bits.
 	VNI uint32
-	// Refusal is set in answers to the fabric; its Verdict is zero in all others.
+	// Refusal is set in a refusal that a balancer sends to the fabric. In all other packets its
+	// Verdict is zero.
 	Refusal lb.Refusal
-	// ICMP is the type and code of an ICMP error; zero for TCP and UDP.
+	// ICMP is the type and code of an ICMP error. It is zero for TCP and UDP.
 	ICMP ICMPError
 	// Segment is the transport header and payload of a TCP or UDP packet.
 	Segment Segment
 
-	feedback decodeFeedback
-	fixed    [fixedHeaderLength]byte
-	geneve   layers.Geneve
-	ipv4     layers.IPv4
-	ipv6     layers.IPv6
-	tcp      layers.TCP
-	udp      layers.UDP
-	icmpv4   layers.ICMPv4
-	icmpv6   layers.ICMPv6
+	feedback    decodeFeedback
+	fixedHeader [fixedHeaderLength]byte
+	geneve      layers.Geneve
+	ipv4        layers.IPv4
+	ipv6        layers.IPv6
+	tcp         layers.TCP
+	udp         layers.UDP
+	icmpv4      layers.ICMPv4
+	icmpv6      layers.ICMPv6
 }
 
 // ICMPError is the type and code of an ICMP or ICMPv6 error message.
@@ -53,10 +54,10 @@
 	Code uint8
 }
 
-// TCPFlags are the control bits of a TCP header (RFC 9293, section 3.1).
+// TCPFlags is the set of control bits of a TCP header (RFC 9293, section 3.1).
 type TCPFlags uint8
 
-// The control bits that matter to a balancer.
+// Control bits that a balancer evaluates.
 const (
 	FlagFIN TCPFlags = 1 << iota
 	FlagSYN
@@ -65,10 +66,10 @@
 	FlagACK
 )
 
-// Has tells whether all the given bits are set.
+// Has reports whether all the given bits are set.
 func (flags TCPFlags) Has(bits TCPFlags) bool { return flags&bits == bits }
 
-// Segment is the transport header and payload. A UDP packet has a payload only.
+// Segment is the transport header and payload of a packet. For UDP, only Payload is set.
 type Segment struct {
 	Flags           TCPFlags
 	Sequence        uint32
@@ -77,8 +78,8 @@
 	Payload         []byte
 }
 
-// Length is the space that the segment takes in the sequence numbers
-// (SEG.LEN of RFC 9293, section 3.4).
+// Length returns the number of sequence numbers that the segment occupies (SEG.LEN in RFC 9293,
+// section 3.4).
 func (segment *Segment) Length() uint32 {
 	length := uint32(len(segment.Payload))
 	if segment.Flags.Has(FlagSYN) {
@@ -90,23 +91,23 @@
 	return length
 }
 
-// Source is the address and port that sent the packet.
+// Source returns the source address and port of the inner packet.
 func (packet *Packet) Source() netip.AddrPort {
 	source, _ := flowAddresses(&packet.Key)
 	return source
 }
 
-// Destination is the address and port that the packet is for.
+// Destination returns the destination address and port of the inner packet.
 func (packet *Packet) Destination() netip.AddrPort {
 	_, destination := flowAddresses(&packet.Key)
 	return destination
 }
 
-// Relayed tells whether another balancer relayed the packet.
+// Relayed reports whether another balancer relayed the packet.
 func (packet *Packet) Relayed() bool { return packet.Relay.Hop != lb.HopIngress }
 
-// Decode reads a datagram into the packet. The error is always a Cause; the
-// packet's fields are not to be used then.
+// Decode decodes a datagram into packet. Errors are always of type Cause. After an error, the
+// fields of the packet are undefined.
 func Decode(datagram []byte, packet *Packet) error {
 	packet.reset()
 	payload, err := packet.decodeGeneve(datagram)
@@ -116,6 +117,7 @@
 	return packet.decodeInner(payload)
 }
 
+// reset clears all fields that Decode does not always set.
 func (packet *Packet) reset() {
 	packet.Packet = core.Packet{}
 	packet.Inner = nil
@@ -126,7 +128,7 @@
 	packet.feedback.truncated = false
 }
 
-// decodeFeedback takes gopacket's word that a layer is truncated.
+// decodeFeedback records whether gopacket has found a layer to be truncated.
 type decodeFeedback struct{ truncated bool }
 
 var _ gopacket.DecodeFeedback = (*decodeFeedback)(nil)
@@ -134,14 +136,14 @@
 // SetTruncated implements gopacket.DecodeFeedback.
 func (feedback *decodeFeedback) SetTruncated() { feedback.truncated = true }
 
-// cause gives CauseTruncated when a layer was truncated, else the given
-// cause when the layer failed, else nil. gopacket's errors have no types.
-func (feedback *decodeFeedback) cause(err error, otherwise Cause) error {
+// cause returns CauseTruncated if a layer was truncated. Otherwise it returns the given cause if
+// err is not nil, or nil. gopacket's errors have no types that could be distinguished.
+func (feedback *decodeFeedback) cause(err error, failureCause Cause) error {
 	if feedback.truncated {
 		return CauseTruncated
 	}
 	if err != nil {
-		return otherwise
+		return failureCause
 	}
 	return nil
 }
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -18,7 +18,7 @@
 	caller6  = netip.MustParseAddrPort("[2001:db8::7]:40001")
 	service6 = netip.MustParseAddrPort("[2001:db8:1::1]:443")
 
-	// testRelay has no zero field, which TestRelayOptionCarriesEveryField checks.
+	// testRelay has no zero field; TestRelayOptionCarriesEveryField checks this.
 	testRelay = lb.Relay{
 		Hop:         lb.HopTail,
 		Ingress:     0x0102030405060708,
@@ -133,23 +133,24 @@
 	}
 }
 
-// TestRelayOptionCarriesEveryField fails when a field is added to lb.Relay
-// that the option does not carry.
+// TestRelayOptionCarriesEveryField fails if lb.Relay gets a new field that the option does not
+// contain.
 func TestRelayOptionCarriesEveryField(t *testing.T) {
 	is := is.New(t)
 	fields := reflect.ValueOf(testRelay)
 	for index := range fields.NumField() {
-		is.True(!fields.Field(index).IsZero()) // testRelay leaves a field out
+		is.True(!fields.Field(index).IsZero()) // testRelay must set every field
 	}
 	inner := tcpPacket(t, caller4, service4, opening)
 	packet := decode(t, wrap(t, inner, Header{Relay: testRelay}))
 	is.Equal(packet.Relay, testRelay)
 }
 
-// TestRelayIsMarkedCritical looks at the bytes: a host that knows no Relay must drop it.
-func TestRelayIsMarkedCritical(t *testing.T) {
+// TestRelayOptionIsCritical checks the encoded bits, because a host that does not support Relay
+// must drop the packet.
+func TestRelayOptionIsCritical(t *testing.T) {
 	is := is.New(t)
-	const criticalBit = 0x40 // of the header's second byte
+	const criticalBit = 0x40 // in the second byte of the header
 	inner := tcpPacket(t, caller4, service4, opening)
 	relayed := wrap(t, inner, Header{Relay: testRelay, Refusal: testRefusal})
 	is.Equal(relayed[1], uint8(criticalBit))
@@ -158,8 +159,8 @@
 	is.Equal(wrap(t, inner, Header{})[1], uint8(0))
 }
 
-// TestRelayFlagsAreApart sets each flag alone.
-func TestRelayFlagsAreApart(t *testing.T) {
+// TestRelayFlagsAreIndependent checks each flag separately.
+func TestRelayFlagsAreIndependent(t *testing.T) {
 	inner := tcpPacket(t, caller4, service4, opening)
 	for _, relay := range []lb.Relay{
 		{Hop: lb.HopHead},
@@ -174,7 +175,7 @@
 	}
 }
 
-func TestBytesBehindTheInnerPacketAreCutOff(t *testing.T) {
+func TestBytesAfterInnerPacketAreDiscarded(t *testing.T) {
 	for _, inner := range [][]byte{
 		tcpPacket(t, caller4, service4, opening),
 		tcpPacket(t, caller6, service6, opening),
@@ -217,7 +218,7 @@
 	}
 }
 
-func TestEncodeRefusesBadInput(t *testing.T) {
+func TestEncodeRejectsInvalidInput(t *testing.T) {
 	is := is.New(t)
 	inner := tcpPacket(t, caller4, service4, opening)
 	before := []byte("before")
@@ -234,18 +235,18 @@
 		is.Equal(after, before)
 	}
 	_, err := BuildUDP(nil, caller4, service6, nil)
-	is.True(err != nil) // mixed IP versions
+	is.True(err != nil) // the addresses have different IP versions
 }
 
-func TestOverheadIsBounded(t *testing.T) {
+func TestMaxOverhead(t *testing.T) {
 	is := is.New(t)
 	inner := tcpPacket(t, caller4, service4, opening)
 	header := Header{Relay: testRelay, Refusal: lb.Refusal{Verdict: lb.NotRun}}
 	is.Equal(len(wrap(t, inner, header))-len(inner), MaxOverhead)
 }
 
-// TestDecodeAndEncodeAllocateNothing goes past the pool of encoders, which
-// drops entries at random under the race detector.
+// TestDecodeAndEncodeAllocateNothing uses its own encoder, because the pool of encoders drops
+// entries at random under the race detector.
 func TestDecodeAndEncodeAllocateNothing(t *testing.T) {
 	is := is.New(t)
 	datagram := wrap(t, tcpPacket(t, caller4, service4, opening), Header{Relay: testRelay})
@@ -255,6 +256,6 @@
 	is.Equal(testing.AllocsPerRun(100, func() {
 		_ = Decode(datagram, packet)
 		header.Relay = packet.Relay
-		_, _ = encoder.header(packet.Inner, header)
+		_, _ = encoder.encodeHeader(packet.Inner, header)
 	}), 0.0)
 }
--- a/internal/packet/answer.go
+++ b/internal/packet/refusal.go
@@ -8,20 +8,19 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// ErrNoAnswer says that a packet must not be answered: it is an RST (RFC
-// 9293, section 3.10.7.1) or an ICMP message (RFC 1122, section 3.2.2), or its
-// source is no address of one host.
+// ErrNoAnswer means that a packet must not be answered, because it is an RST (RFC 9293, section
+// 3.10.7.1) or an ICMP message (RFC 1122, section 3.2.2), or because one of its addresses does not
+// identify a single host.
 var ErrNoAnswer = errors.New("packet must not be answered")
 
-// Codes of "administratively prohibited" (RFC 1812, section 5.2.7.1; RFC
-// 4443, section 3.1).
+// Codes for "administratively prohibited" (RFC 1812, section 5.2.7.1; RFC 4443, section 3.1).
 const (
 	icmpv4AdministrativelyProhibited = layers.ICMPv4CodeCommAdminProhibited
 	icmpv6AdministrativelyProhibited = layers.ICMPv6CodeAdminProhibited
 )
 
-// The most that an ICMP error may measure, IP header included (RFC 1812,
-// section 4.3.2.3; RFC 4443, section 2.4).
+// Maximum length of an ICMP error, including the IP header (RFC 1812, section 4.3.2.3; RFC 4443,
+// section 2.4).
 const (
 	icmpv4MaxLength = 576
 	icmpv6MaxLength = 1280
@@ -30,14 +29,13 @@
 // Header sizes in bytes.
 const (
 	ipv4HeaderLength = 20
-	icmpHeaderLength = 8 // both versions, for errors
+	icmpHeaderLength = 8 // of an ICMP or ICMPv6 error, including the unused field
 )
 
-// AppendRefusal appends to dst the datagram that tells the caller of the
-// packet about its refusal: a TCP RST, or for UDP an ICMP error
-// "administratively prohibited", in Geneve with the refusal as option. It goes
-// to the fabric, which delivers the inner packet to the caller. The error is
-// ErrNoAnswer when the packet must not be answered; dst is then unchanged.
+// AppendRefusal appends to dst the datagram that reports the refusal of the packet to its sender: a
+// TCP RST, or for UDP an ICMP error "administratively prohibited", in Geneve with the refusal as an
+// option. The datagram goes to the fabric, which delivers the inner packet to the sender. If the
+// packet must not be answered, AppendRefusal returns dst unchanged and ErrNoAnswer.
 func AppendRefusal(dst []byte, packet *Packet, refusal lb.Refusal) ([]byte, error) {
 	if !answerable(packet) {
 		return dst, ErrNoAnswer
@@ -52,6 +50,7 @@
 	return Encode(dst, builder.buffer.Bytes(), &header)
 }
 
+// answerable reports whether the packet may be answered; see ErrNoAnswer.
 func answerable(packet *Packet) bool {
 	if packet.ICMP != (ICMPError{}) || packet.Segment.Flags.Has(FlagRST) {
 		return false
@@ -64,15 +63,16 @@
 	return true
 }
 
+// buildRefusal builds the inner packet of a refusal.
 func (builder *builder) buildRefusal(packet *Packet) error {
 	if packet.Key.Protocol == lb.TCP {
 		return builder.buildReset(packet)
 	}
-	return builder.buildProhibited(packet)
+	return builder.buildAdminProhibited(packet)
 }
 
-// buildReset builds the RST that RFC 9293, section 3.10.7.1, has a closed
-// port send: the caller takes it at once, whatever the state of its flow.
+// buildReset builds the RST that a closed port sends according to RFC 9293, section 3.10.7.1. The
+// sender accepts it immediately in every state of its connection.
 func (builder *builder) buildReset(packet *Packet) error {
 	source, destination := flowAddresses(&packet.Key)
 	segment := &packet.Segment
@@ -86,9 +86,9 @@
 	return builder.buildTCP(destination, source, &reset)
 }
 
-// buildProhibited builds the ICMP error, which quotes as much of the packet
-// as it may.
-func (builder *builder) buildProhibited(packet *Packet) error {
+// buildAdminProhibited builds the ICMP error, which quotes as many bytes of the packet as its
+// maximum length allows.
+func (builder *builder) buildAdminProhibited(packet *Packet) error {
 	source, destination := flowAddresses(&packet.Key)
 	if source.Addr().Is4() {
 		return builder.buildICMPv4(packet)
@@ -105,13 +105,14 @@
 		return errors.Wrap(err, "build an ICMPv6 packet")
 	}
 	builder.quote = append(builder.quote[:0], icmpv6Unused[:]...)
-	builder.quote = append(builder.quote, quoted(packet.Inner, icmpv6MaxLength-ipv6HeaderLength-icmpHeaderLength)...)
+	builder.quote = append(builder.quote, quotedPart(packet.Inner, icmpv6MaxLength-ipv6HeaderLength-icmpHeaderLength)...)
 	return builder.serialize(&builder.icmpv6, builder.quote)
 }
 
-// icmpv6Unused stands between an ICMPv6 error's checksum and the packet it quotes.
+// icmpv6Unused is the unused field of an ICMPv6 error, between the checksum and the quoted packet.
 var icmpv6Unused [icmpv6UnusedLength]byte
 
+// buildICMPv4 builds the ICMP error for IPv4.
 func (builder *builder) buildICMPv4(packet *Packet) error {
 	source, destination := flowAddresses(&packet.Key)
 	_, err := builder.setNetwork(destination.Addr(), source.Addr(), layers.IPProtocolICMPv4)
@@ -122,15 +123,15 @@
 		TypeCode: layers.CreateICMPv4TypeCode(
 			layers.ICMPv4TypeDestinationUnreachable, icmpv4AdministrativelyProhibited),
 	}
-	quote := quoted(packet.Inner, icmpv4MaxLength-ipv4HeaderLength-icmpHeaderLength)
+	quote := quotedPart(packet.Inner, icmpv4MaxLength-ipv4HeaderLength-icmpHeaderLength)
 	return builder.serialize(&builder.icmpv4, quote)
 }
 
-func quoted(inner []byte, most int) []byte { return inner[:min(len(inner), most)] }
+// quotedPart returns the part of the inner packet that an ICMP error quotes.
+func quotedPart(inner []byte, maxLength int) []byte { return inner[:min(len(inner), maxLength)] }
 
-// Prohibited tells whether the packet is the ICMP error with which a balancer
-// refuses UDP.
-func (packet *Packet) Prohibited() bool {
+// AdminProhibited reports whether the packet is the ICMP error with which a balancer refuses UDP.
+func (packet *Packet) AdminProhibited() bool {
 	switch packet.ICMP {
 	case ICMPError{Type: layers.ICMPv4TypeDestinationUnreachable, Code: icmpv4AdministrativelyProhibited}:
 		return packet.Source().Addr().Is4()
@@ -140,7 +141,7 @@
 	return false
 }
 
-// Reset tells whether the packet is a TCP RST.
+// Reset reports whether the packet is a TCP RST.
 func (packet *Packet) Reset() bool {
 	return packet.Kind == core.PacketClosing && packet.Segment.Flags.Has(FlagRST)
 }
--- a/internal/packet/answer_test.go
+++ b/internal/packet/refusal_test.go
@@ -16,6 +16,8 @@
 
 var testRefusal = lb.Refusal{Verdict: lb.NotRun, RetryAfter: 700 * time.Millisecond}
 
+// refuse returns the decoded refusal of a packet with the given inner packet, after checking the
+// fields that all refusals have in common.
 func refuse(t *testing.T, inner []byte) *Packet {
 	t.Helper()
 	packet := decode(t, wrap(t, inner, Header{VNI: testVNI, Relay: testRelay}))
@@ -34,7 +36,7 @@
 	return answer
 }
 
-// verifyChecksums checks every checksum by gopacket's full decoder.
+// verifyChecksums checks all checksums of the inner packet with gopacket's full decoder.
 func verifyChecksums(t *testing.T, inner []byte) {
 	t.Helper()
 	first := gopacket.Decoder(layers.LayerTypeIPv4)
@@ -62,7 +64,7 @@
 	}
 }
 
-// TestResetSequence has the cases of RFC 9293, section 3.10.7.1.
+// TestResetSequence covers the cases of RFC 9293, section 3.10.7.1.
 func TestResetSequence(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -101,7 +103,7 @@
 				is := is.New(t)
 				answer := refuse(t, tcpPacket(t, ends[0], ends[1], test.segment))
 				is.True(answer.Reset())
-				is.True(!answer.Prohibited())
+				is.True(!answer.AdminProhibited())
 				answer.Segment.Payload = nil
 				is.Equal(answer.Segment, test.reset)
 			})
@@ -109,28 +111,28 @@
 	}
 }
 
-func TestProhibited(t *testing.T) {
+func TestUDPIsRefusedByAdminProhibited(t *testing.T) {
 	for _, payload := range []string{"", "query", strings.Repeat("x", 1301)} {
 		for _, ends := range [][2]netip.AddrPort{{caller4, service4}, {caller6, service6}} {
 			is := is.New(t)
 			inner := udpPacket(t, ends[0], ends[1], payload)
 			answer := refuse(t, inner)
-			is.True(answer.Prohibited())
+			is.True(answer.AdminProhibited())
 			is.True(!answer.Reset())
 			is.Equal(answer.Key, lb.NewFlowKey(ends[1], ends[0], lb.UDP))
 			headers := ipv4HeaderLength + icmpHeaderLength
-			most := icmpv4MaxLength
+			maxLength := icmpv4MaxLength
 			if ends[0].Addr().Is6() {
 				headers = ipv6HeaderLength + icmpHeaderLength
-				most = icmpv6MaxLength
+				maxLength = icmpv6MaxLength
 			}
 			quote := answer.Inner[headers:]
-			is.Equal(quote, inner[:min(len(inner), most-headers)])
+			is.Equal(quote, inner[:min(len(inner), maxLength-headers)])
 		}
 	}
 }
 
-func TestNoAnswer(t *testing.T) {
+func TestUnanswerablePackets(t *testing.T) {
 	multicast := netip.MustParseAddrPort("224.0.0.9:443")
 	prohibited := refuse(t, udpPacket(t, caller4, service4, "query"))
 	for _, inner := range [][]byte{
@@ -150,9 +152,9 @@
 	}
 }
 
-// TestICMPErrorBelongsToItsFlow has a router tell the service that a packet to
-// the caller was too big: the balancer must see the caller's flow.
-func TestICMPErrorBelongsToItsFlow(t *testing.T) {
+// TestICMPErrorHasKeyOfItsFlow has a router report to the service that a packet to the caller was
+// too big. The ICMP error must get the key of the caller's flow.
+func TestICMPErrorHasKeyOfItsFlow(t *testing.T) {
 	is := is.New(t)
 	router := netip.MustParseAddr("203.0.113.1")
 	quote := tcpPacket(t, service4, caller4, Segment{Flags: FlagACK, Payload: make([]byte, 1400)})
@@ -161,22 +163,22 @@
 	builder := newBuilder()
 	_, err := builder.setNetwork(router, service4.Addr(), layers.IPProtocolICMPv4)
 	is.NoErr(err)
-	is.NoErr(builder.serialize(&icmp, quote[:ipv4HeaderLength+8])) // the least that RFC 792 asks for
+	is.NoErr(builder.serialize(&icmp, quote[:ipv4HeaderLength+8])) // the minimum that RFC 792 requires
 	packet := decode(t, wrap(t, builder.buffer.Bytes(), Header{}))
 	is.Equal(packet.Key, lb.NewFlowKey(caller4, service4, lb.TCP))
 	is.Equal(packet.Kind, core.PacketMiddle)
 	is.Equal(packet.ICMP, ICMPError{Type: 3, Code: 4})
-	is.True(!packet.Prohibited())
+	is.True(!packet.AdminProhibited())
 
 	_, err = builder.setNetwork(router, caller4.Addr(), layers.IPProtocolICMPv4)
 	is.NoErr(err)
 	is.NoErr(builder.serialize(&icmp, quote))
 	err = Decode(wrap(t, builder.buffer.Bytes(), Header{}), new(Packet))
-	is.Equal(err, CauseICMP) // sent to another host than the quoted packet's source
+	is.Equal(err, CauseICMP) // the destination is not the source of the quoted packet
 }
 
-// TestICMPv6ErrorBelongsToItsFlow does the same with "packet too big" of IPv6.
-func TestICMPv6ErrorBelongsToItsFlow(t *testing.T) {
+// TestICMPv6ErrorHasKeyOfItsFlow is the same test for ICMPv6 "packet too big" and UDP.
+func TestICMPv6ErrorHasKeyOfItsFlow(t *testing.T) {
 	is := is.New(t)
 	quote := udpPacket(t, service6, caller6, strings.Repeat("x", 1400))
 	tooBig := append(make([]byte, icmpv6UnusedLength), quote[:1200]...)
