--- a/internal/operator/objects.go
+++ b/internal/operator/objects.go
@@ -46,7 +46,7 @@
 	linkedWrites: noLinkedWrites[catalog.EvacuatedZone],
 }
 
-// noLinkedWrites implements kind.related for documents that change without any other key.
+// noLinkedWrites implements kind.linkedWrites for documents that change without any other key.
 func noLinkedWrites[Document any](context.Context, *Operator, string, *Document, *Document) (linkedWrites, error) {
 	return linkedWrites{}, nil
 }
--- a/internal/packet/bench_test.go
+++ b/internal/packet/bench_test.go
@@ -4,6 +4,7 @@
 	"testing"
 )
 
+// BenchmarkDecode measures decoding for each transport and IP version.
 func BenchmarkDecode(b *testing.B) {
 	tcp := tcpPacket(b, caller4, service4, Segment{Flags: FlagACK, Payload: make([]byte, 512)})
 	cases := []struct {
@@ -28,6 +29,7 @@
 	}
 }
 
+// BenchmarkEncode measures encoding with and without the relay option.
 func BenchmarkEncode(b *testing.B) {
 	inner := tcpPacket(b, caller4, service4, Segment{Flags: FlagACK, Payload: make([]byte, 512)})
 	cases := []struct {
@@ -50,6 +52,7 @@
 	}
 }
 
+// BenchmarkAppendRefusal measures building both kinds of refusal.
 func BenchmarkAppendRefusal(b *testing.B) {
 	cases := []struct {
 		name  string
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -136,8 +136,8 @@
 // SetTruncated implements gopacket.DecodeFeedback.
 func (feedback *decodeFeedback) SetTruncated() { feedback.truncated = true }
 
-// cause returns CauseTruncated if a layer was truncated. Otherwise it returns the given cause if
-// err is not nil, or nil. gopacket's errors have no types that could be distinguished.
+// cause returns CauseTruncated if a layer was truncated. Otherwise it returns failureCause if err
+// is not nil, and nil if err is nil. gopacket's errors have no types that could be distinguished.
 func (feedback *decodeFeedback) cause(err error, failureCause Cause) error {
 	if feedback.truncated {
 		return CauseTruncated
--- a/internal/store/call.go
+++ b/internal/store/call.go
@@ -45,7 +45,8 @@
 var errTimeout = errors.New("no response within the timeout")
 
 // send sends one request and returns the response if its status is 200. In this case the caller
-// must report the outcome to the request policy. In all other cases send has reported it already.
+// must report the outcome to the request policy. If send returns an error, it has done everything
+// that the request policy requires.
 func (client *Client) send(ctx context.Context, path string, request any) (*http.Response, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -101,8 +101,8 @@
 		start := time.Now()
 		callers.Wait()
 		is.Equal(client.Stats().Circuit, CircuitOpen)
-		// At most 20 concurrent requests before the circuit opens, then at most one probe per
-		// second.
+		// Before the circuit opens there are at most 20 concurrent requests, then at most one probe
+		// per second.
 		is.True(transport.requests() <= 20+int(time.Since(start).Seconds()))
 		server.SetFaults(storesim.Faults{})
 		time.Sleep(3 * time.Second) // longer than the maximum delay before a probe
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -71,7 +71,7 @@
 func mayHaveRunError(cause error) *Error { return &Error{Verdict: lb.MayHaveRun, Cause: cause} }
 
 // asError returns the *Error in the chain of err. If there is none, it returns an error with the
-// verdict MayHaveRun, which assumes the least.
+// verdict MayHaveRun, because it is not certain that the store has not executed the request.
 func asError(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/internal/store/transport_test.go
+++ b/internal/store/transport_test.go
@@ -45,23 +45,23 @@
 	copied.Body = io.NopCloser(bytes.NewReader(body))
 	transport.mutex.Lock()
 	transport.paths = append(transport.paths, request.URL.Path)
-	planned := faultNone
+	injected := faultNone
 	if transport.fault != nil {
-		planned = transport.fault(request.URL.Path)
+		injected = transport.fault(request.URL.Path)
 	}
-	if planned == faultDelayed {
-		late := httptest.NewRequest(request.Method, request.URL.Path, nil)
-		late.Body = io.NopCloser(bytes.NewReader(body))
-		transport.delayed = append(transport.delayed, late)
+	if injected == faultDelayed {
+		delayedRequest := httptest.NewRequest(request.Method, request.URL.Path, nil)
+		delayedRequest.Body = io.NopCloser(bytes.NewReader(body))
+		transport.delayed = append(transport.delayed, delayedRequest)
 	}
 	transport.mutex.Unlock()
-	if planned == faultNotSent {
+	if injected == faultNotSent {
 		return nil, errConnectionLost
 	}
 	if trace := httptrace.ContextClientTrace(request.Context()); trace != nil && trace.GotConn != nil {
 		trace.GotConn(httptrace.GotConnInfo{})
 	}
-	switch planned {
+	switch injected {
 	case faultDelayed:
 		return nil, errConnectionLost
 	case faultLostResponse:
@@ -74,10 +74,10 @@
 // deliverDelayed passes the delayed requests to the handler.
 func (transport *testTransport) deliverDelayed() {
 	transport.mutex.Lock()
-	late := transport.delayed
+	delayed := transport.delayed
 	transport.delayed = nil
 	transport.mutex.Unlock()
-	for _, request := range late {
+	for _, request := range delayed {
 		transport.handler.ServeHTTP(httptest.NewRecorder(), request)
 	}
 }
@@ -160,31 +160,31 @@
 
 // failFirstRequest returns a fault function that injects the fault into the first request to the
 // path.
-func failFirstRequest(path string, planned fault) func(string) fault {
+func failFirstRequest(path string, injected fault) func(string) fault {
 	done := false
 	return func(requested string) fault {
 		if done || requested != path {
 			return faultNone
 		}
 		done = true
-		return planned
+		return injected
 	}
 }
 
-// randomFaults returns a fault function that injects each kind of fault into the given percentage
-// of the transactions.
-func randomFaults(seed uint64, unsent, lost, late int) func(string) fault {
+// randomFaults returns a fault function that injects faults into transactions. The parameters are
+// the percentages of transactions that get each kind of fault.
+func randomFaults(seed uint64, notSent, lostResponse, delayed int) func(string) fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(path string) fault {
 		if path != pathTxn {
 			return faultNone
 		}
-		switch drawn := random.IntN(100); {
-		case drawn < unsent:
+		switch percentile := random.IntN(100); {
+		case percentile < notSent:
 			return faultNotSent
-		case drawn < unsent+lost:
+		case percentile < notSent+lostResponse:
 			return faultLostResponse
-		case drawn < unsent+lost+late:
+		case percentile < notSent+lostResponse+delayed:
 			return faultDelayed
 		}
 		return faultNone
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -31,10 +31,12 @@
 	pathWatch     = "/v3/watch"
 )
 
+// wireHeader is the header of a response, with the store's current revision.
 type wireHeader struct {
 	Revision integer `json:"revision"`
 }
 
+// wireKeyValue is a key with its value in the gateway's format.
 type wireKeyValue struct {
 	Key            []byte  `json:"key"`
 	Value          []byte  `json:"value"`
@@ -86,6 +88,7 @@
 	resultEqual  = "EQUAL"
 )
 
+// compare is a condition of a transaction in the gateway's format.
 type compare struct {
 	Result         string   `json:"result"`
 	Target         string   `json:"target"`
@@ -94,18 +97,22 @@
 	ModRevision    *integer `json:"mod_revision,omitempty"`
 }
 
+// requestOp is one operation of a transaction; exactly one field is set.
 type requestOp struct {
 	Range  *rangeRequest  `json:"request_range,omitempty"`
 	Put    *putRequest    `json:"request_put,omitempty"`
 	Delete *deleteRequest `json:"request_delete_range,omitempty"`
 }
 
+// txnRequest is a transaction. The store executes Success if all conditions in Compare hold,
+// otherwise Failure.
 type txnRequest struct {
 	Compare []compare   `json:"compare,omitempty"`
 	Success []requestOp `json:"success,omitempty"`
 	Failure []requestOp `json:"failure,omitempty"`
 }
 
+// responseOp is the result of one operation. The client evaluates only the results of ranges.
 type responseOp struct {
 	Range *rangeResponse `json:"response_range"`
 }
@@ -116,6 +123,7 @@
 	Responses []responseOp `json:"responses"`
 }
 
+// leaseRequest is a request to create, renew or revoke a lease.
 type leaseRequest struct {
 	ID  integer `json:"ID,omitempty"`
 	TTL integer `json:"TTL,omitempty"`
@@ -134,6 +142,7 @@
 	Create watchCreate `json:"create_request"`
 }
 
+// watchCreate contains the parameters of a new watch.
 type watchCreate struct {
 	Key            []byte  `json:"key"`
 	RangeEnd       []byte  `json:"range_end,omitempty"`
@@ -148,6 +157,8 @@
 	KeyValue wireKeyValue `json:"kv"`
 }
 
+// watchResponse is the result in one message of a watch stream. CompactRevision is set if the
+// requested history has been compacted.
 type watchResponse struct {
 	Header          wireHeader  `json:"header"`
 	Created         bool        `json:"created"`
@@ -169,6 +180,7 @@
 	codeUnavailable       = 14
 )
 
+// gatewayError is the body of an error response.
 type gatewayError struct {
 	Code    int    `json:"code"`
 	Message string `json:"message"`
