--- a/internal/operator/apply.go
+++ b/internal/operator/apply.go
@@ -121,13 +121,13 @@
 // replace replaces the document with the given one, whether the stored document is valid, invalid
 // or missing.
 func replace[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string, document Document) (Change, error) {
-	read, err := operator.client.Get(ctx, kind.key(name))
+	current, err := operator.client.Get(ctx, kind.key(name))
 	if err != nil {
 		return Change{}, err
 	}
-	old := stored[Document]{read: read}
-	if read.Exists() {
-		if valid, err := kind.decode(read.Key, read.Value); err == nil {
+	old := stored[Document]{keyValue: current}
+	if current.Exists() {
+		if valid, err := kind.decode(current.Key, current.Value); err == nil {
 			old.document = valid
 		}
 	}
--- a/internal/operator/conflict.go
+++ b/internal/operator/conflict.go
@@ -50,7 +50,7 @@
 
 // explainConflict converts a conflict error of the store into an error that describes the other
 // change. It returns other errors unchanged.
-func (operator *Operator) explainConflict(ctx context.Context, err error, read *store.KeyValue) error {
+func (operator *Operator) explainConflict(ctx context.Context, err error, previous *store.KeyValue) error {
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
@@ -62,7 +62,7 @@
 	conflicting := &ConcurrentChangeError{Key: key, Revision: current.ModRevision, Deleted: !current.Exists(), cause: err}
 	if current.Exists() {
 		conflicting.By = writerOf(current.Value)
-		conflicting.Fields = differingFields(read.Value, current.Value)
+		conflicting.Fields = differingFields(previous.Value, current.Value)
 		return conflicting
 	}
 	conflicting.By, conflicting.Revision = operator.deleterOf(ctx, key)
@@ -82,13 +82,13 @@
 // deleterOf returns the identity of the operator who deleted the key and the revision of the
 // deletion. Both are zero unless this deletion was the last change of the whole configuration.
 func (operator *Operator) deleterOf(ctx context.Context, key string) (string, int64) {
-	read, err := operator.client.Get(ctx, catalog.LastChangeKey)
-	if err != nil || !read.Exists() {
+	current, err := operator.client.Get(ctx, catalog.LastChangeKey)
+	if err != nil || !current.Exists() {
 		return "", 0
 	}
-	last, err := catalog.DecodeLastChange(read.Value)
+	last, err := catalog.DecodeLastChange(current.Value)
 	if err != nil || last.Key != key {
 		return "", 0
 	}
-	return last.By, read.ModRevision
+	return last.By, current.ModRevision
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -82,21 +82,21 @@
 // stored is a document with its state in the store when it was read.
 type stored[Document any] struct {
 	document Document
-	read     store.KeyValue
+	keyValue store.KeyValue
 }
 
 // load reads and decodes the document of the named object.
 func load[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string) (stored[Document], error) {
 	var result stored[Document]
-	read, err := operator.client.Get(ctx, kind.key(name))
+	current, err := operator.client.Get(ctx, kind.key(name))
 	if err != nil {
 		return result, err
 	}
-	if !read.Exists() {
+	if !current.Exists() {
 		return result, errors.Wrapf(ErrNotFound, "%s %q", kind.kindName, name)
 	}
-	document, err := kind.decode(read.Key, read.Value)
-	return stored[Document]{document: document, read: read}, errors.Wrapf(err, "stored %s %q is invalid", kind.kindName, name)
+	document, err := kind.decode(current.Key, current.Value)
+	return stored[Document]{document: document, keyValue: current}, errors.Wrapf(err, "stored %s %q is invalid", kind.kindName, name)
 }
 
 // create writes a document that must not exist yet.
@@ -104,14 +104,14 @@
 	if _, err := kind.encode(&document); err != nil {
 		return Change{}, badInput(err)
 	}
-	read, err := operator.client.Get(ctx, kind.key(name))
+	current, err := operator.client.Get(ctx, kind.key(name))
 	if err != nil {
 		return Change{}, err
 	}
-	if read.Exists() {
-		return Change{}, errors.Wrapf(ErrExists, "%s %q, since revision %d", kind.kindName, name, read.CreateRevision)
+	if current.Exists() {
+		return Change{}, errors.Wrapf(ErrExists, "%s %q, since revision %d", kind.kindName, name, current.CreateRevision)
 	}
-	return write(ctx, operator, kind, name, stored[Document]{read: read}, &document)
+	return write(ctx, operator, kind, name, stored[Document]{keyValue: current}, &document)
 }
 
 // edit applies change to a document that must exist.
@@ -120,7 +120,7 @@
 	if err != nil {
 		return Change{}, err
 	}
-	edited, err := kind.decode(old.read.Key, old.read.Value) // a deep copy
+	edited, err := kind.decode(old.keyValue.Key, old.keyValue.Value) // a deep copy
 	if err != nil {
 		return Change{}, err
 	}
@@ -140,68 +140,68 @@
 	}
 	action := ActionChanged
 	var before *Document
-	if !old.read.Exists() {
+	if !old.keyValue.Exists() {
 		action = ActionCreated
 	} else {
 		before = &old.document
 	}
-	fields := differingFields(old.read.Value, value)
-	if old.read.Exists() && len(fields) == 0 {
-		return Change{Kind: kind.kindName, Name: name, Action: ActionUnchanged, Revision: old.read.ModRevision}, nil
+	fields := differingFields(old.keyValue.Value, value)
+	if old.keyValue.Exists() && len(fields) == 0 {
+		return Change{Kind: kind.kindName, Name: name, Action: ActionUnchanged, Revision: old.keyValue.ModRevision}, nil
 	}
 	linked, err := kind.linkedWrites(ctx, operator, name, before, document)
 	if err != nil {
 		return Change{}, err
 	}
-	linked.puts = append([]store.Put{{Key: old.read.Key, Value: value}}, linked.puts...)
-	lastChange := catalog.LastChange{WriteID: id, By: operator.identity, Action: action, Key: old.read.Key, Fields: fields}
-	revision, err := operator.commit(ctx, &old.read, &lastChange, linked)
+	linked.puts = append([]store.Put{{Key: old.keyValue.Key, Value: value}}, linked.puts...)
+	lastChange := catalog.LastChange{WriteID: id, By: operator.identity, Action: action, Key: old.keyValue.Key, Fields: fields}
+	revision, err := operator.commit(ctx, &old.keyValue, &lastChange, linked)
 	return Change{Kind: kind.kindName, Name: name, Action: action, Revision: revision}, err
 }
 
 // remove deletes a document, whether it is valid or not.
 func remove[Document any](ctx context.Context, operator *Operator, kind *kind[Document], name string) (Change, error) {
-	read, err := operator.client.Get(ctx, kind.key(name))
+	current, err := operator.client.Get(ctx, kind.key(name))
 	if err != nil {
 		return Change{}, err
 	}
-	if !read.Exists() {
+	if !current.Exists() {
 		return Change{}, errors.Wrapf(ErrNotFound, "%s %q", kind.kindName, name)
 	}
 	var old *Document
-	if document, err := kind.decode(read.Key, read.Value); err == nil {
+	if document, err := kind.decode(current.Key, current.Value); err == nil {
 		old = &document
 	}
 	linked, err := kind.linkedWrites(ctx, operator, name, old, nil)
 	if err != nil {
 		return Change{}, err
 	}
-	linked.deletes = append(linked.deletes, read.Key)
-	lastChange := catalog.LastChange{WriteID: operator.writeID(), By: operator.identity, Action: ActionDeleted, Key: read.Key}
-	revision, err := operator.commit(ctx, &read, &lastChange, linked)
+	linked.deletes = append(linked.deletes, current.Key)
+	lastChange := catalog.LastChange{WriteID: operator.writeID(), By: operator.identity, Action: ActionDeleted, Key: current.Key}
+	revision, err := operator.commit(ctx, &current, &lastChange, linked)
 	return Change{Kind: kind.kindName, Name: name, Action: ActionDeleted, Revision: revision}, err
 }
 
 // commit commits the writes on the condition that the document is unchanged since it was read. The
 // put of LastChangeKey comes last, because the first put must be the document's. If the transaction
 // deletes the document, the put of LastChangeKey is the only one.
-func (operator *Operator) commit(ctx context.Context, read *store.KeyValue, lastChange *catalog.LastChange, linked linkedWrites) (int64, error) {
+func (operator *Operator) commit(ctx context.Context, current *store.KeyValue, lastChange *catalog.LastChange, linked linkedWrites) (int64, error) {
 	value, err := catalog.EncodeLastChange(lastChange)
 	if err != nil {
 		return 0, err
 	}
 	lastChangePut := store.Put{Key: catalog.LastChangeKey, Value: value}
 	puts := append(linked.puts, lastChangePut)
-	if len(linked.deletes) > 0 && slices.Contains(linked.deletes, read.Key) {
+	if len(linked.deletes) > 0 && slices.Contains(linked.deletes, current.Key) {
 		puts = []store.Put{lastChangePut}
 	}
 	revision, err := operator.client.Commit(ctx, store.Transaction{
 		WriteID:    lastChange.WriteID,
-		Conditions: append([]store.Condition{read.UnchangedCondition()}, linked.conditions...),
+		Conditions: append([]store.Condition{current.UnchangedCondition()}, linked.conditions...),
 		Puts:       puts,
 		Deletes:    linked.deletes,
 	})
-	return revision, operator.explainConflict(ctx, err, read)
+	return revision, operator.explainConflict(ctx, err, current)
 }
 
 // writeID returns a new write ID, which contains the operator's identity.
--- a/internal/store/request_policy.go
+++ b/internal/store/request_policy.go
@@ -61,7 +61,7 @@
 	// circuitOpenings counts the failures since the last success that opened the circuit or kept
 	// it open. It determines the delay before the next probe.
 	circuitOpenings int
-	nextProbe          time.Time
+	nextProbe       time.Time
 	// blockedUntil is set after a rejection by the store's rate limit: no request is sent earlier.
 	blockedUntil time.Time
 	// consecutiveThrottles counts rejections by the store's rate limit since the last success.
