--- a/internal/packet/fuzz_test.go
+++ b/internal/packet/fuzz_test.go
@@ -77,5 +77,5 @@
 	answer := decode(t, datagram)
 	is.Equal(answer.Refusal, testRefusal)
 	is.Equal(answer.Destination(), packet.Source())
-	is.True(answer.Reset() || answer.AdminProhibited())
+	is.True(answer.Reset() || answer.IsAdminProhibited())
 }
--- a/internal/packet/refusal.go
+++ b/internal/packet/refusal.go
@@ -130,8 +130,8 @@
 // quotedPart returns the part of the inner packet that an ICMP error quotes.
 func quotedPart(inner []byte, maxLength int) []byte { return inner[:min(len(inner), maxLength)] }
 
-// AdminProhibited reports whether the packet is the ICMP error with which a balancer refuses UDP.
-func (packet *Packet) AdminProhibited() bool {
+// IsAdminProhibited reports whether the packet is the ICMP error with which a balancer refuses UDP.
+func (packet *Packet) IsAdminProhibited() bool {
 	switch packet.ICMP {
 	case ICMPError{Type: layers.ICMPv4TypeDestinationUnreachable, Code: icmpv4AdministrativelyProhibited}:
 		return packet.Source().Addr().Is4()
--- a/internal/packet/refusal_test.go
+++ b/internal/packet/refusal_test.go
@@ -103,7 +103,7 @@
 				is := is.New(t)
 				answer := refuse(t, tcpPacket(t, ends[0], ends[1], test.segment))
 				is.True(answer.Reset())
-				is.True(!answer.AdminProhibited())
+				is.True(!answer.IsAdminProhibited())
 				answer.Segment.Payload = nil
 				is.Equal(answer.Segment, test.reset)
 			})
@@ -117,7 +117,7 @@
 			is := is.New(t)
 			inner := udpPacket(t, ends[0], ends[1], payload)
 			answer := refuse(t, inner)
-			is.True(answer.AdminProhibited())
+			is.True(answer.IsAdminProhibited())
 			is.True(!answer.Reset())
 			is.Equal(answer.Key, lb.NewFlowKey(ends[1], ends[0], lb.UDP))
 			headers := ipv4HeaderLength + icmpHeaderLength
@@ -168,7 +168,7 @@
 	is.Equal(packet.Key, lb.NewFlowKey(caller4, service4, lb.TCP))
 	is.Equal(packet.Kind, core.PacketMiddle)
 	is.Equal(packet.ICMP, ICMPError{Type: 3, Code: 4})
-	is.True(!packet.AdminProhibited())
+	is.True(!packet.IsAdminProhibited())
 
 	_, err = builder.setNetwork(router, caller4.Addr(), layers.IPProtocolICMPv4)
 	is.NoErr(err)
