--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -5,22 +5,23 @@
 	"strconv"
 )
 
-// integer is a 64-bit integer of the gateway: a string in JSON (proto3 JSON mapping).
+// integer is a 64-bit integer in the gateway's format, which encodes it as a string (proto3 JSON
+// mapping).
 type integer int64
 
-// MarshalJSON writes the integer as a string.
+// MarshalJSON encodes the integer as a string.
 func (value integer) MarshalJSON() ([]byte, error) {
 	return []byte(strconv.Quote(strconv.FormatInt(int64(value), 10))), nil
 }
 
-// UnmarshalJSON reads the integer from a string or a number.
+// UnmarshalJSON decodes the integer from a string or a number.
 func (value *integer) UnmarshalJSON(text []byte) error {
 	parsed, err := strconv.ParseInt(string(bytes.Trim(text, `"`)), 10, 64)
 	*value = integer(parsed)
 	return err
 }
 
-// Paths of the gateway.
+// Paths of the gateway's methods.
 const (
 	pathRange     = "/v3/kv/range"
 	pathTxn       = "/v3/kv/txn"
@@ -30,10 +31,12 @@
 	pathWatch     = "/v3/watch"
 )
 
+// wireHeader is the header of a response, with the store's current revision.
 type wireHeader struct {
 	Revision integer `json:"revision"`
 }
 
+// wireKeyValue is a key with its value in the gateway's format.
 type wireKeyValue struct {
 	Key            []byte  `json:"key"`
 	Value          []byte  `json:"value"`
@@ -43,6 +46,7 @@
 	Lease          integer `json:"lease"`
 }
 
+// keyValue converts the key as read at the given store revision.
 func (kv *wireKeyValue) keyValue(revision int64) KeyValue {
 	return KeyValue{
 		Key:            string(kv.Key),
@@ -77,13 +81,14 @@
 	Key []byte `json:"key"`
 }
 
-// Targets and results of conditions.
+// Comparison targets and results of transaction conditions.
 const (
 	targetCreate = "CREATE"
 	targetMod    = "MOD"
 	resultEqual  = "EQUAL"
 )
 
+// compare is a condition of a transaction in the gateway's format.
 type compare struct {
 	Result         string   `json:"result"`
 	Target         string   `json:"target"`
@@ -92,18 +97,22 @@
 	ModRevision    *integer `json:"mod_revision,omitempty"`
 }
 
+// requestOp is one operation of a transaction; exactly one field is set.
 type requestOp struct {
 	Range  *rangeRequest  `json:"request_range,omitempty"`
 	Put    *putRequest    `json:"request_put,omitempty"`
 	Delete *deleteRequest `json:"request_delete_range,omitempty"`
 }
 
+// txnRequest is a transaction. The store executes Success if all conditions in Compare hold,
+// otherwise Failure.
 type txnRequest struct {
 	Compare []compare   `json:"compare,omitempty"`
 	Success []requestOp `json:"success,omitempty"`
 	Failure []requestOp `json:"failure,omitempty"`
 }
 
+// responseOp is the result of one operation. The client evaluates only the results of ranges.
 type responseOp struct {
 	Range *rangeResponse `json:"response_range"`
 }
@@ -114,6 +123,7 @@
 	Responses []responseOp `json:"responses"`
 }
 
+// leaseRequest is a request to create, renew or revoke a lease.
 type leaseRequest struct {
 	ID  integer `json:"ID,omitempty"`
 	TTL integer `json:"TTL,omitempty"`
@@ -132,6 +142,7 @@
 	Create watchCreate `json:"create_request"`
 }
 
+// watchCreate contains the parameters of a new watch.
 type watchCreate struct {
 	Key            []byte  `json:"key"`
 	RangeEnd       []byte  `json:"range_end,omitempty"`
@@ -146,6 +157,8 @@
 	KeyValue wireKeyValue `json:"kv"`
 }
 
+// watchResponse is the result in one message of a watch stream. CompactRevision is set if the
+// requested history has been compacted.
 type watchResponse struct {
 	Header          wireHeader  `json:"header"`
 	Created         bool        `json:"created"`
@@ -154,26 +167,27 @@
 	Events          []wireEvent `json:"events"`
 }
 
-// watchMessage is one message of a watch stream; Error ends the stream.
+// watchMessage is one message of a watch stream. A message with Error ends the stream.
 type watchMessage struct {
 	Result watchResponse `json:"result"`
 	Error  *gatewayError `json:"error"`
 }
 
-// Codes of gRPC that are told apart.
+// gRPC status codes that the client handles differently from other errors.
 const (
 	codeResourceExhausted = 8
 	codeOutOfRange        = 11
 	codeUnavailable       = 14
 )
 
+// gatewayError is the body of an error response.
 type gatewayError struct {
 	Code    int    `json:"code"`
 	Message string `json:"message"`
 }
 
-// rangeEnd gives the end of the range of keys that begin with prefix: the
-// prefix with its last byte raised, as etcd's clients do.
+// rangeEnd returns the exclusive end of the range of keys that begin with prefix. It is the prefix
+// with its last byte incremented, as in etcd's own clients.
 func rangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for index := len(end) - 1; index >= 0; index-- {
@@ -182,5 +196,5 @@
 			return end[:index+1]
 		}
 	}
-	return []byte{0} // all keys
+	return []byte{0} // no upper bound: the prefix is empty or has only 0xff bytes
 }
