--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -1,11 +1,10 @@
-// Package controller decides what placements are published: it takes the
-// operators' documents, the placements in the store, reports of what is in
-// force, of clean buckets and of load, and gives writes. It does no I/O and has
-// no clock. Every watcher of the store runs one; they do not agree on who
-// publishes, and safety rests on three rules alone: a write is compare-and-swap
-// on the mod revision of the placement it was derived from; it also expects the
-// epoch (EpochKey) that its writer has seen; and no publisher writes over a
-// placement derived from a later configuration than it has seen.
+// Package controller decides which placements are published. Its inputs are the operators'
+// documents, the placements in the store, and reports of versions in force, of clean buckets and
+// of load; its outputs are writes to the store. It does no I/O and reads no clock. Every watcher
+// of the store runs a controller. The watchers do not elect a publisher; safety rests on three
+// rules alone: a write is a compare-and-swap on the mod revision of the placement from which it
+// was derived; a write also expects the epoch (EpochKey) that its writer has seen; and no
+// publisher overwrites a placement derived from a later configuration than the publisher has seen.
 // See docs/DESIGN.md, "Placement".
 package controller
 
@@ -19,50 +18,54 @@
 	"robinpulley.example/robinpulley/internal/weight"
 )
 
-// Settings are the controller's parameters. Zero values are not valid; see DefaultSettings.
+// Settings holds the controller's parameters. Zero values are not valid; see DefaultSettings.
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// Run distinguishes this run of the process in write ids.
+	// Run is the part of write IDs that distinguishes this run of the process from others.
 	Run string
-	// IdleTimeout ends flows without packets; it must not be below core.Settings.IdleTimeout.
+	// IdleTimeout is the time after which a flow without packets ends. It must not be below
+	// core.Settings.IdleTimeout.
 	IdleTimeout time.Duration
-	// SettleMargin is waited beyond IdleTimeout before a generation becomes the base.
+	// SettleMargin is the delay, in addition to IdleTimeout, before a committed generation becomes
+	// the base.
 	SettleMargin time.Duration
-	// PrepareLimit is the longest wait for acknowledgements of a prepared version.
+	// PrepareLimit is the maximum wait for acknowledgements of a prepared version.
 	PrepareLimit time.Duration
-	// TakeOverDelay is the advance that a service's publisher has before the next one acts.
-	TakeOverDelay time.Duration
-	// RestoreDelay is waited before what the store seems to have lost is
-	// written again: normally the watch shows it soon.
+	// TakeoverDelay is the delay between successive publishers of a service, in takeover order:
+	// each one acts this much later than the one before it.
+	TakeoverDelay time.Duration
+	// RestoreDelay is the delay before a placement that the store seems to have lost is written
+	// again. Usually the watch delivers the placement within this time.
 	RestoreDelay time.Duration
-	// RetryDelay is waited after a write that failed.
+	// RetryDelay is the delay after a failed write.
 	RetryDelay time.Duration
-	// WriteTimeout is the longest wait for a write's result before it is read back.
+	// WriteTimeout is the maximum wait for the result of a write before the placement is read back.
 	WriteTimeout time.Duration
-	// ReadRetry is waited after a read back that failed.
+	// ReadRetry is the delay after a failed read of a placement.
 	ReadRetry time.Duration
-	// ClearInterval gathers reports of clean buckets.
+	// ClearInterval is the time for which reports of clean buckets are collected into one write.
 	ClearInterval time.Duration
-	// WeightInterval is the least time between two weight steps of a service.
+	// WeightInterval is the minimum time between two weight steps of a service.
 	WeightInterval time.Duration
-	// MovedPerMinute bounds the buckets of a service that weight steps move.
+	// MovedPerMinute is the maximum number of a service's buckets that weight steps move per minute.
 	MovedPerMinute int
-	// FailedHold is how long a failed back end stays out at least.
+	// FailedHold is the minimum time for which a failed back end gets no flows.
 	FailedHold time.Duration
-	// MaxOutstanding bounds the writes without a result, MaxBackground those
-	// that are not for an operator's change.
+	// MaxOutstanding bounds the number of writes without a result. Background writes, which do not
+	// carry out an operator's change, start only while fewer than MaxBackground are outstanding.
 	MaxOutstanding int
 	MaxBackground  int
-	// StatusInterval is the least time between two reports of the zone's state.
+	// StatusInterval is the minimum time between two reports of the zone's state.
 	StatusInterval time.Duration
-	// InForce, when set, gives the placement that this node has in force for a
-	// service, or nil: from a peer, it may be newer than what the store has kept.
+	// InForce, if set, returns the placement that is in force at this node for a service, or nil.
+	// It may come from a peer and be newer than the placement in the store.
 	InForce func(lb.ServiceName) *lb.Placement
 	Weights weight.Settings
 }
 
-// DefaultSettings gives the defaults for a node. Run is random, chosen once per process.
+// DefaultSettings returns the default settings of a node. The caller passes a random run, which
+// stays the same for the life of the process.
 func DefaultSettings(self lb.NodeID, zone lb.Zone, run string) Settings {
 	return Settings{
 		Self:           self,
@@ -71,7 +74,7 @@
 		IdleTimeout:    300 * time.Second,
 		SettleMargin:   10 * time.Second,
 		PrepareLimit:   1500 * time.Millisecond,
-		TakeOverDelay:  500 * time.Millisecond,
+		TakeoverDelay:  500 * time.Millisecond,
 		RestoreDelay:   time.Second,
 		RetryDelay:     200 * time.Millisecond,
 		WriteTimeout:   10 * time.Second,
@@ -87,20 +90,21 @@
 	}
 }
 
-// Event is one input. Exactly one field is set.
+// Event is one input of the controller. Exactly one field is set.
 type Event struct {
 	Documents *Documents
 	Result    *WriteResult
 	ReadBack  *ReadBack
 	Store     StoreChange
-	Members   []core.Member // all nodes thought alive, self included
+	Members   []core.Member // all nodes considered alive, this node included
 	InForce   *message.InForce
 	Clean     *CleanReport
 	Load      *message.Load
-	Tick      bool // at least every core.TickInterval
+	Tick      bool // sent at least every core.TickInterval
 }
 
-// Document is one key of the store, of any of the prefixes in package catalog.
+// Document is one key of the store with its value. The key has any of the prefixes that package
+// catalog defines.
 type Document struct {
 	Key         string
 	Value       []byte // ignored when Deleted
@@ -108,74 +112,75 @@
 	Deleted     bool
 }
 
-// Documents is what a list or a watch of the store gave. One watch must cover
-// services, back ends, placements and EpochKey: all changes up to Revision are
-// taken as seen. Documents of other prefixes are ignored.
+// Documents is the result of a list, or a batch of a watch, of the store. One watch must cover
+// services, back ends, placements and EpochKey: the controller assumes that it has seen all
+// changes up to Revision. Documents with other prefixes are ignored.
 type Documents struct {
-	// Complete: Changes holds every document (a list), not only the changed ones.
+	// Complete is true for a list: Changes holds every document, not only the changed ones.
 	Complete bool
 	Revision int64
 	Changes  []Document
 }
 
-// WriteOutcome is what is known of a write.
+// WriteOutcome says whether a write took effect.
 type WriteOutcome uint8
 
 // The outcomes of a write.
 const (
-	// WriteDone: it took effect, with the ModRevision given.
+	// WriteDone means that the write took effect, with the result's ModRevision.
 	WriteDone WriteOutcome = iota + 1
-	// WriteConflict: another write was first; it had no effect.
+	// WriteConflict means that another write came first; this one had no effect.
 	WriteConflict
-	// WriteUnknown: the answer was lost; it may have taken effect or still may.
+	// WriteUnknown means that the response was lost: the write may have taken effect, or may still
+	// take effect.
 	WriteUnknown
-	// WriteNotRun: it was not tried, and had no effect.
+	// WriteNotRun means that the write was not sent to the store and had no effect.
 	WriteNotRun
 )
 
-// WriteResult tells the outcome of one Write.
+// WriteResult is the outcome of one Write.
 type WriteResult struct {
 	Service     lb.ServiceName
 	WriteID     string
 	Outcome     WriteOutcome
-	ModRevision int64 // when WriteDone
+	ModRevision int64 // set with WriteDone
 }
 
-// ReadBack answers one read of a placement. Failed: it could not be read.
+// ReadBack is the result of one read of a placement. Failed is true if the read failed.
 type ReadBack struct {
 	Service  lb.ServiceName
 	Failed   bool
-	Document Document // ModRevision 0 when there is none
+	Document Document // its ModRevision is 0 if the store has no such document
 }
 
-// StoreChange tells of the store's loss and return.
+// StoreChange is a change of the store's availability.
 type StoreChange uint8
 
-// Changes of the store.
+// The changes of the store's availability.
 const (
 	StoreUnchanged StoreChange = iota
 	StoreDown
 	StoreUp
 )
 
-// CleanReport is a Clean message and its sender.
+// CleanReport is a Clean message with its sender.
 type CleanReport struct {
 	From lb.NodeID
 	message.Clean
 }
 
-// Write asks for a compare-and-swap of a service's placement: it must take
-// effect only if the key's mod revision is ExpectedModRevision and that of
-// EpochKey is ExpectedEpoch (0: no key). Where either differs, the outcome is
-// WriteConflict. Its result must be given as an event.
+// Write requests a compare-and-swap of a service's placement: the write must take effect only if
+// the key's mod revision is ExpectedModRevision and the mod revision of EpochKey is ExpectedEpoch
+// (0: the key does not exist). If either differs, the outcome is WriteConflict. The caller must
+// pass the result to the controller as an event.
 type Write struct {
-	Placement           *lb.Placement // must not be changed
+	Placement           *lb.Placement // must not be modified
 	ExpectedModRevision int64
 	ExpectedEpoch       int64
 	Kind                Kind
 }
 
-// Kind says what a write is for; it labels metrics and logs.
+// Kind is the purpose of a write; it is a label of metrics and a field of logs.
 type Kind string
 
 // The kinds of writes.
@@ -191,23 +196,24 @@
 	KindWeights Kind = "weights"
 )
 
-// Problem is something that operators should see in the log.
+// Problem is an error that must appear in the log for operators.
 type Problem struct {
-	Key   string // store key concerned
+	Key   string // the store key that the problem concerns
 	Cause error
 }
 
-// Effects is filled by one Step. The caller reuses it; Step resets it first.
+// Effects holds the outputs of one call of Step. The caller may reuse it; Step resets it first.
 type Effects struct {
 	Writes []Write
-	// Reads asks for the placements of services, to be given as ReadBack events.
+	// Reads lists the services whose placements the caller must read and return as ReadBack events.
 	Reads []lb.ServiceName
-	// Placements are newly known to be in the store: to be adopted and passed on.
+	// Placements lists placements that were newly found in the store, for this node to adopt and
+	// disseminate.
 	Placements []*lb.Placement
-	// Epoch, when set, is to be put at EpochKey, whatever is there. No result is
-	// expected: the watch shows it, and it is asked for again until then.
+	// Epoch, if set, must be written to EpochKey unconditionally. The caller returns no result: the
+	// write is requested again until the watch shows a change of the key.
 	Epoch string
-	// Status, when set, is to be written to the store as the zone's report.
+	// Status, if set, must be written to the store as the zone's status report.
 	Status   *catalog.ZoneStatus
 	Problems []Problem
 }
--- a/internal/controller/benchmark_test.go
+++ b/internal/controller/benchmark_test.go
@@ -13,13 +13,14 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// The sizes of the fleet that the costs are stated for.
+// The size of the fleet that the benchmarks simulate.
 const (
 	fleetServices = 3300
 	fleetHosts    = 4800
 )
 
-// fleetDocuments gives the store's content: each host serves one service.
+// fleetDocuments returns the store's content for a whole fleet, in which each host serves one
+// service.
 func fleetDocuments(b *testing.B) []Document {
 	b.Helper()
 	var documents []Document
@@ -48,89 +49,89 @@
 	return documents
 }
 
-// fleet gives one publisher of a whole fleet, with everything placed.
-func fleet(b *testing.B) *world {
+// newFleet returns a cluster with one publisher for a whole fleet, after all services were placed.
+func newFleet(b *testing.B) *cluster {
 	b.Helper()
 	documents := fleetDocuments(b)
-	w := newWorld(1, nil)
+	c := newCluster(1, nil)
 	for _, document := range documents {
-		w.store.values[document.Key] = document
+		c.store.values[document.Key] = document
 	}
-	w.store.revision = int64(len(documents))
-	w.publishers[0].list()
-	for w.store.revision < int64(len(documents)+fleetServices) {
-		w.publishers[0].round()
-		w.now += 10 * time.Millisecond
+	c.store.revision = int64(len(documents))
+	c.publishers[0].list()
+	for c.store.revision < int64(len(documents)+fleetServices) {
+		c.publishers[0].runOnce()
+		c.now += 10 * time.Millisecond
 	}
-	w.run(time.Second)
-	return w
+	c.run(time.Second)
+	return c
 }
 
-// BenchmarkChange is one relabelled back end, which changes two services: all
-// events up to both commits, with the encoding and decoding of the documents.
+// BenchmarkChange measures the relabelling of one back end, which changes two services: all events
+// up to both commits, with the encoding and decoding of the documents.
 func BenchmarkChange(b *testing.B) {
-	w := fleet(b)
-	p := w.publishers[0]
-	p.controller.settings.WeightInterval = 1000 * time.Hour // only the change itself
-	before := p.controller.writes
+	c := newFleet(b)
+	p := c.publishers[0]
+	p.controller.settings.WeightInterval = 1000 * time.Hour // no weight steps
+	before := p.controller.writeCount
 	number := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		number++
 		host := number % fleetHosts
-		w.putBackend(host, fmt.Sprintf("app-%d", number%fleetServices))
-		p.round()
-		w.now += 3 * time.Second // the prepared version waits for its limit
-		p.round()
-		p.round()
+		c.putBackend(host, fmt.Sprintf("app-%d", number%fleetServices))
+		p.runOnce()
+		c.now += 3 * time.Second // no zone acknowledges, so the commit waits for PrepareLimit
+		p.runOnce()
+		p.runOnce()
 	}
-	b.ReportMetric(float64(p.controller.writes-before)/float64(b.N), "writes/op")
+	b.ReportMetric(float64(p.controller.writeCount-before)/float64(b.N), "writes/op")
 }
 
-// BenchmarkLoad is one zone's report on 100 back ends.
+// BenchmarkLoad measures the processing of one zone's load report for 100 back ends.
 func BenchmarkLoad(b *testing.B) {
-	w := fleet(b)
-	p := w.publishers[0]
+	c := newFleet(b)
+	p := c.publishers[0]
 	load := &message.Load{Zone: "zone-0"}
 	for number := range 100 {
 		load.Backends = append(load.Backends, message.BackendLoad{Backend: backendName(number), Healthy: true, Load: 300})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.step(&Event{Load: load})
+		p.deliver(&Event{Load: load})
 	}
 }
 
-// BenchmarkTick is a tick with nothing to do.
+// BenchmarkTick measures a tick at which no write is due.
 func BenchmarkTick(b *testing.B) {
-	w := fleet(b)
+	c := newFleet(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		w.publishers[0].step(&Event{Tick: true})
+		c.publishers[0].deliver(&Event{Tick: true})
 	}
 }
 
-// BenchmarkMemory reports the heap that a controller holds for a whole fleet,
-// placements included, which it shares with the other parts of a node.
+// BenchmarkMemory reports the heap that a controller uses for a whole fleet, including the
+// placements, which it shares with the other parts of a node.
 func BenchmarkMemory(b *testing.B) {
 	documents := fleetDocuments(b)
 	for b.Loop() {
-		w := newWorld(1, nil)
+		c := newCluster(1, nil)
 		for _, document := range documents {
-			w.store.values[document.Key] = document
+			c.store.values[document.Key] = document
 		}
-		w.store.revision = int64(len(documents))
+		c.store.revision = int64(len(documents))
 		before := liveHeap()
-		w.publishers[0].list()
-		for len(w.publishers[0].adopted) < fleetServices {
-			w.publishers[0].round()
-			w.now += 10 * time.Millisecond
+		c.publishers[0].list()
+		for len(c.publishers[0].adopted) < fleetServices {
+			c.publishers[0].runOnce()
+			c.now += 10 * time.Millisecond
 		}
-		w.store = newFakeStore()
-		w.publishers[0].kinds = nil
+		c.store = newFakeStore()
+		c.publishers[0].kinds = nil
 		held := liveHeap()
 		b.ReportMetric(float64(held-before)/1e6, "MB")
-		runtime.KeepAlive(w)
+		runtime.KeepAlive(c)
 	}
 }
 
--- a/internal/controller/world_test.go
+++ b/internal/controller/cluster_test.go
@@ -19,17 +19,17 @@
 	"robinpulley.example/robinpulley/internal/rapidseed"
 )
 
-// TestMain fixes the seed of the property tests, so that every run has the same verdict.
+// TestMain fixes the seed of the property tests, so that every run has the same result.
 func TestMain(m *testing.M) { os.Exit(rapidseed.Run(m)) }
 
-// fakeStore is a key-value store with revisions; every change stays in its log.
+// fakeStore is a key-value store with revisions. Its log holds every change.
 type fakeStore struct {
 	revision int64
 	values   map[string]Document
 	log      []Document
 	decoded  map[int64]*lb.Placement // by mod revision
-	keep     *[]Document             // when set, is given the log
-	// ignoreRevision and ignoreEpoch switch off the conditions of writes.
+	logCopy  *[]Document             // if set, receives the log after each put
+	// ignoreRevision and ignoreEpoch disable the conditions of writes.
 	ignoreRevision, ignoreEpoch bool
 }
 
@@ -46,8 +46,8 @@
 	document := Document{Key: key, Value: encoded, ModRevision: store.revision}
 	store.values[key] = document
 	store.log = append(store.log, document)
-	if store.keep != nil {
-		*store.keep = store.log
+	if store.logCopy != nil {
+		*store.logCopy = store.log
 	}
 }
 
@@ -57,7 +57,8 @@
 	store.log = append(store.log, Document{Key: key, ModRevision: store.revision, Deleted: true})
 }
 
-// swap executes the write if what it expects is so.
+// swap executes the write if the mod revisions that it expects are the current ones. It reports
+// whether it did.
 func (store *fakeStore) swap(write Write) bool {
 	key := catalog.PlacementKey(write.Placement.Service)
 	if store.values[key].ModRevision != write.ExpectedModRevision && !store.ignoreRevision {
@@ -70,7 +71,7 @@
 	return true
 }
 
-// placement gives what the store has, or nil.
+// placement returns the stored placement of the service, or nil.
 func (store *fakeStore) placement(name lb.ServiceName) *lb.Placement {
 	document, found := store.values[catalog.PlacementKey(name)]
 	if !found {
@@ -87,11 +88,11 @@
 	return decoded
 }
 
-// publisher is one controller with what is under way to and from it.
+// publisher is one controller with its inputs and outputs that are in flight.
 type publisher struct {
 	controller *Controller
-	world      *world
-	cursor     int // log entries delivered
+	cluster    *cluster
+	cursor     int // number of log entries delivered
 	writes     []Write
 	reads      []lb.ServiceName
 	epochs     []string
@@ -99,21 +100,21 @@
 	problems   []Problem
 	adopted    map[lb.ServiceName]*lb.Placement
 	status     *catalog.ZoneStatus
-	stopped    bool // takes and gives nothing (paused or dead)
+	paused     bool // paused or dead: gets no events
 }
 
-// world joins publishers, one zone each, over one store in virtual time.
-type world struct {
-	store      *fakeStore
-	now        time.Duration
-	publishers []*publisher
-	silent     bool // zones do not acknowledge
-	// shuffle, when set, changes the order of lists, which must not matter.
+// cluster simulates publishers, one in each zone, with a common store in virtual time.
+type cluster struct {
+	store           *fakeStore
+	now             time.Duration
+	publishers      []*publisher
+	unacknowledging bool // zones do not acknowledge
+	// shuffle, if set, changes the order of documents in lists, which must not matter.
 	shuffle func([]Document)
 }
 
-func newWorld(count int, adjust func(*Settings)) *world {
-	w := &world{store: newFakeStore()}
+func newCluster(count int, adjust func(*Settings)) *cluster {
+	c := &cluster{store: newFakeStore()}
 	var members []core.Member
 	for number := range count {
 		id, zone := lb.NodeID(fmt.Sprintf("node-%d", number)), lb.Zone(fmt.Sprintf("zone-%d", number))
@@ -122,23 +123,23 @@
 		if adjust != nil {
 			adjust(&settings)
 		}
-		w.publishers = append(w.publishers, &publisher{
+		c.publishers = append(c.publishers, &publisher{
 			controller: New(settings),
-			world:      w,
+			cluster:    c,
 			adopted:    make(map[lb.ServiceName]*lb.Placement),
 		})
 	}
-	for _, p := range w.publishers {
-		p.step(&Event{Members: members})
-		p.step(&Event{Store: StoreUp})
+	for _, p := range c.publishers {
+		p.deliver(&Event{Members: members})
+		p.deliver(&Event{Store: StoreUp})
 		p.list()
 	}
-	return w
+	return c
 }
 
-func (p *publisher) step(event *Event) {
+func (p *publisher) deliver(event *Event) {
 	var effects Effects
-	p.controller.Step(p.world.now, event, &effects)
+	p.controller.Step(p.cluster.now, event, &effects)
 	p.writes = append(p.writes, effects.Writes...)
 	p.reads = append(p.reads, effects.Reads...)
 	p.problems = append(p.problems, effects.Problems...)
@@ -156,60 +157,60 @@
 	}
 }
 
-// list gives the controller everything in the store.
+// list delivers a complete list of the store.
 func (p *publisher) list() {
-	event := &Documents{Complete: true, Revision: p.world.store.revision}
-	for _, key := range slices.Sorted(maps.Keys(p.world.store.values)) {
-		event.Changes = append(event.Changes, p.world.store.values[key])
+	event := &Documents{Complete: true, Revision: p.cluster.store.revision}
+	for _, key := range slices.Sorted(maps.Keys(p.cluster.store.values)) {
+		event.Changes = append(event.Changes, p.cluster.store.values[key])
 	}
-	if p.world.shuffle != nil {
-		p.world.shuffle(event.Changes)
+	if p.cluster.shuffle != nil {
+		p.cluster.shuffle(event.Changes)
 	}
-	p.cursor = len(p.world.store.log)
-	p.step(&Event{Documents: event})
+	p.cursor = len(p.cluster.store.log)
+	p.deliver(&Event{Documents: event})
 }
 
 // watch delivers up to count entries of the log.
 func (p *publisher) watch(count int) {
-	for ; count > 0 && p.cursor < len(p.world.store.log); count-- {
-		document := p.world.store.log[p.cursor]
+	for ; count > 0 && p.cursor < len(p.cluster.store.log); count-- {
+		document := p.cluster.store.log[p.cursor]
 		p.cursor++
-		p.step(&Event{Documents: &Documents{Revision: document.ModRevision, Changes: []Document{document}}})
+		p.deliver(&Event{Documents: &Documents{Revision: document.ModRevision, Changes: []Document{document}}})
 	}
 }
 
-// apply executes the write at the store and gives the outcome that it had.
+// apply executes the write at the store and returns its result.
 func (p *publisher) apply(write Write) *WriteResult {
 	result := &WriteResult{Service: write.Placement.Service, WriteID: write.Placement.WriteID, Outcome: WriteConflict}
-	if p.world.store.swap(write) {
+	if p.cluster.store.swap(write) {
 		result.Outcome = WriteDone
-		result.ModRevision = p.world.store.revision
+		result.ModRevision = p.cluster.store.revision
 	}
 	return result
 }
 
-// changeEpoch executes the changes of the epoch that were asked for.
+// changeEpoch executes the requested changes of the epoch.
 func (p *publisher) changeEpoch() {
 	for _, id := range p.epochs {
-		p.world.store.put(EpochKey, id)
+		p.cluster.store.put(EpochKey, id)
 	}
 	p.epochs = nil
 }
 
 func (p *publisher) readBack(name lb.ServiceName) {
-	p.step(&Event{ReadBack: &ReadBack{Service: name, Document: p.world.store.values[catalog.PlacementKey(name)]}})
+	p.deliver(&Event{ReadBack: &ReadBack{Service: name, Document: p.cluster.store.values[catalog.PlacementKey(name)]}})
 }
 
-// round executes all writes and reads, and delivers the whole log.
-func (p *publisher) round() {
-	if p.stopped {
+// runOnce delivers the whole log, executes all writes and reads, and ends with a tick.
+func (p *publisher) runOnce() {
+	if p.paused {
 		return
 	}
-	p.watch(len(p.world.store.log))
+	p.watch(len(p.cluster.store.log))
 	writes := p.writes
 	p.writes = nil
 	for _, write := range writes {
-		p.step(&Event{Result: p.apply(write)})
+		p.deliver(&Event{Result: p.apply(write)})
 	}
 	p.changeEpoch()
 	reads := p.reads
@@ -217,41 +218,41 @@
 	for _, name := range reads {
 		p.readBack(name)
 	}
-	p.step(&Event{Tick: true})
+	p.deliver(&Event{Tick: true})
 }
 
-// acknowledge reports every zone's versions to every publisher.
-func (w *world) acknowledge() {
+// acknowledge reports to every publisher that all prepared versions are in force in every zone.
+func (c *cluster) acknowledge() {
 	var versions []message.ServiceVersion
-	for name := range w.publishers[0].controller.services {
-		if document := w.store.placement(name); document != nil && isPrepared(document) {
+	for name := range c.publishers[0].controller.services {
+		if document := c.store.placement(name); document != nil && isPrepared(document) {
 			versions = append(versions, message.ServiceVersion{Service: name, Version: document.Version})
 		}
 	}
-	for _, from := range w.publishers {
-		for _, to := range w.publishers {
-			if !to.stopped {
-				to.step(&Event{InForce: &message.InForce{Zone: from.controller.settings.Zone, Nodes: 1, Versions: versions}})
+	for _, from := range c.publishers {
+		for _, to := range c.publishers {
+			if !to.paused {
+				to.deliver(&Event{InForce: &message.InForce{Zone: from.controller.settings.Zone, Nodes: 1, Versions: versions}})
 			}
 		}
 	}
 }
 
-// run lets the time pass in small steps.
-func (w *world) run(duration time.Duration) {
+// run advances the time in small steps and runs all publishers at each of them.
+func (c *cluster) run(duration time.Duration) {
 	const step = 100 * time.Millisecond
-	for end := w.now + duration; w.now < end; w.now += step {
-		for _, p := range w.publishers {
-			p.round()
+	for end := c.now + duration; c.now < end; c.now += step {
+		for _, p := range c.publishers {
+			p.runOnce()
 		}
-		if !w.silent {
-			w.acknowledge()
+		if !c.unacknowledging {
+			c.acknowledge()
 		}
 	}
 }
 
-func (w *world) putService(name lb.ServiceName, selector string) {
-	w.store.put(catalog.ServiceKey(name), catalog.Service{
+func (c *cluster) putService(name lb.ServiceName, selector string) {
+	c.store.put(catalog.ServiceKey(name), catalog.Service{
 		Name:      name,
 		Frontends: []lb.Frontend{{Address: netip.MustParseAddrPort("192.0.2.1:443"), Protocol: lb.TCP}},
 		Selector:  selector,
@@ -261,8 +262,8 @@
 
 func backendName(number int) lb.BackendName { return lb.BackendName(fmt.Sprintf("host-%d", number)) }
 
-func (w *world) putBackend(number int, app string) {
-	w.store.put(catalog.BackendKey(backendName(number)), newBackend(number, app))
+func (c *cluster) putBackend(number int, app string) {
+	c.store.put(catalog.BackendKey(backendName(number)), newBackend(number, app))
 }
 
 func newBackend(number int, app string) catalog.Backend {
@@ -275,22 +276,23 @@
 	}
 }
 
-// wallet gives a world with one service of the given number of back ends, placed.
-func wallet(t *testing.T, publishers, backends int, adjust func(*Settings)) *world {
+// newServiceCluster returns a cluster with one service, testService, that has been placed with the
+// given number of back ends.
+func newServiceCluster(t *testing.T, publishers, backends int, adjust func(*Settings)) *cluster {
 	t.Helper()
-	w := newWorld(publishers, adjust)
+	c := newCluster(publishers, adjust)
 	for number := 1; number <= backends; number++ {
-		w.putBackend(number, "wallet")
+		c.putBackend(number, "wallet")
 	}
-	w.putService("wallet-core", "app=wallet")
-	w.run(10 * time.Second)
+	c.putService("wallet-core", "app=wallet")
+	c.run(10 * time.Second)
 	is := is.New(t)
-	is.True(w.store.placement("wallet-core") != nil)
-	is.Equal(len(activeNames(w.store.placement("wallet-core"))), backends)
-	return w
+	is.True(c.store.placement("wallet-core") != nil)
+	is.Equal(len(activeNames(c.store.placement("wallet-core"))), backends)
+	return c
 }
 
-// activeNames gives the back ends that take new flows.
+// activeNames returns the weights of the back ends that get new flows.
 func activeNames(document *lb.Placement) map[lb.BackendName]uint16 {
 	names := make(map[lb.BackendName]uint16)
 	for _, weighted := range currentBackends(document) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,60 +11,62 @@
 // Controller is the publisher of one node. It is not safe for concurrent use.
 type Controller struct {
 	settings Settings
-	off      rules
+	disabled disabledRules
 	now      time.Duration
 	effects  *Effects
 
-	index     *catalog.Index
-	documents map[string]struct{} // keys of the operators' documents
-	seen      int64               // configuration revision up to which everything was taken in
-	listed    bool                // a complete list was taken in
-	storeUp   bool
-	services  map[lb.ServiceName]*service
-	// serving lists the services that want each back end.
-	serving map[lb.BackendName]map[*service]struct{}
-	// lagging services wait for configuration that others have seen.
-	lagging map[*service]struct{}
-	// retired gives the deleted service that still has a front end.
-	retired  map[lb.Frontend]*service
-	owners   map[lb.Frontend]lb.ServiceName // of the services that exist
-	backends map[lb.BackendName]*weight.Backend
+	index           *catalog.Index
+	documentKeys    map[string]struct{} // keys of the operators' documents
+	seenRevision    int64               // configuration revision up to which all changes are applied
+	hasCompleteList bool                // a complete list is applied
+	storeUp         bool
+	services        map[lb.ServiceName]*service
+	// servicesByBackend holds, for each back end, the services whose desired state includes it.
+	servicesByBackend map[lb.BackendName]map[*service]struct{}
+	// awaitingConfig holds the services whose stored placement reflects a later configuration than
+	// this node has seen.
+	awaitingConfig map[*service]struct{}
+	// deletedOwners holds, for each front end, the deleted service that still has it.
+	deletedOwners map[lb.Frontend]*service
+	owners        map[lb.Frontend]lb.ServiceName // existing services by front end
+	backends      map[lb.BackendName]*weight.Backend
 
-	view        view
-	urgent      agenda
-	background  agenda
+	view        membershipView
+	urgent      dueQueue
+	background  dueQueue
 	epoch       epoch
 	outstanding int
-	deadlines   agenda // of outstanding writes
-	writes      uint64 // numbers write ids
+	deadlines   dueQueue // of outstanding writes, by service
+	writeCount  uint64   // used to number write IDs
 
-	// unreflected holds, for each service whose placement does not yet
-	// reflect the configuration, the first revision that it misses.
-	unreflected map[lb.ServiceName]int64
-	published   int64 // what PublishedRevision last gave
-	status      statusReport
+	// unreflected holds, for each service whose placement does not yet reflect the configuration,
+	// the first configuration revision that the placement lacks.
+	unreflected   map[lb.ServiceName]int64
+	lastPublished int64 // last result of PublishedRevision
+	status        statusReport
 }
 
-// New gives a controller that knows nothing yet.
+// New returns a controller with the given settings and no state.
 func New(settings Settings) *Controller {
 	return &Controller{
-		settings:    settings,
-		index:       catalog.NewIndex(),
-		documents:   make(map[string]struct{}),
-		lagging:     make(map[*service]struct{}),
-		services:    make(map[lb.ServiceName]*service),
-		serving:     make(map[lb.BackendName]map[*service]struct{}),
-		retired:     make(map[lb.Frontend]*service),
-		owners:      make(map[lb.Frontend]lb.ServiceName),
-		backends:    make(map[lb.BackendName]*weight.Backend),
-		unreflected: make(map[lb.ServiceName]int64),
-		urgent:      agenda{slot: slotUrgent},
-		background:  agenda{slot: slotBackground},
-		deadlines:   agenda{slot: slotDeadline},
+		settings:          settings,
+		index:             catalog.NewIndex(),
+		documentKeys:      make(map[string]struct{}),
+		awaitingConfig:    make(map[*service]struct{}),
+		services:          make(map[lb.ServiceName]*service),
+		servicesByBackend: make(map[lb.BackendName]map[*service]struct{}),
+		deletedOwners:     make(map[lb.Frontend]*service),
+		owners:            make(map[lb.Frontend]lb.ServiceName),
+		backends:          make(map[lb.BackendName]*weight.Backend),
+		unreflected:       make(map[lb.ServiceName]int64),
+		urgent:            dueQueue{kind: queueUrgent},
+		background:        dueQueue{kind: queueBackground},
+		deadlines:         dueQueue{kind: queueDeadline},
 	}
 }
 
-// Step takes one event at the time now, which never goes back, and fills effects.
+// Step applies one event at the time now and fills effects. A now that is earlier than that of a
+// previous call is raised to it.
 func (c *Controller) Step(now time.Duration, event *Event, effects *Effects) {
 	*effects = Effects{
 		Writes:     effects.Writes[:0],
@@ -74,89 +76,90 @@
 	}
 	c.now = max(now, c.now)
 	c.effects = effects
-	c.take(event)
+	c.dispatch(event)
 	c.expireWrites()
-	c.work()
+	c.processDue()
 	c.effects = nil
 }
 
-// take hands the event to its part.
-func (c *Controller) take(event *Event) {
+// dispatch passes the event to the method that applies it.
+func (c *Controller) dispatch(event *Event) {
 	switch {
 	case event.Documents != nil:
-		c.takeDocuments(event.Documents)
+		c.applyDocuments(event.Documents)
 	case event.Result != nil:
-		c.takeResult(event.Result)
+		c.applyWriteResult(event.Result)
 	case event.ReadBack != nil:
-		c.takeReadBack(event.ReadBack)
+		c.applyReadBack(event.ReadBack)
 	case event.Store == StoreDown:
 		c.storeUp = false
 	case event.Store == StoreUp:
-		c.storeReturned()
+		c.applyStoreUp()
 	case event.Members != nil:
-		c.takeMembers(event.Members)
+		c.applyMembers(event.Members)
 	case event.InForce != nil:
-		c.takeInForce(event.InForce)
+		c.applyInForce(event.InForce)
 	case event.Clean != nil:
-		c.takeClean(event.Clean)
+		c.applyClean(event.Clean)
 	case event.Load != nil:
-		c.takeLoad(event.Load)
+		c.applyLoad(event.Load)
 	}
 }
 
-// work considers the services whose time has come, operators' changes first.
-func (c *Controller) work() {
+// processDue processes the services that are due, those with operators' changes first.
+func (c *Controller) processDue() {
 	if !c.mayPublish() {
 		return
 	}
-	c.confirmEpoch()
+	c.requestEpochChange()
 	for c.outstanding < c.settings.MaxOutstanding {
 		service := c.urgent.pop(c.now)
 		if service == nil {
 			break
 		}
-		c.consider(service, false)
+		c.process(service, false)
 	}
 	for c.outstanding < c.settings.MaxBackground {
 		service := c.background.pop(c.now)
 		if service == nil {
 			break
 		}
-		c.consider(service, true)
+		c.process(service, true)
 	}
 }
 
-// mayPublish tells whether this node is to publish at all.
+// mayPublish reports whether this node may publish placements.
 func (c *Controller) mayPublish() bool {
-	return c.storeUp && c.listed && c.view.publisher
+	return c.storeUp && c.hasCompleteList && c.view.publisher
 }
 
-// consider does what is due for the service, or notes when something will be.
-func (c *Controller) consider(service *service, background bool) {
+// process starts the write that is due for the service, or schedules the service for the time at
+// which its next write will be due.
+func (c *Controller) process(service *service, background bool) {
 	if service.pending != nil {
-		return // its result brings the service back
+		return // the result of the pending write schedules the service again
 	}
-	c.recall(service)
+	c.adoptInForce(service)
 	next, found := c.propose(service)
 	switch {
 	case !found:
 	case next.due > c.now:
-		c.touch(service, next.due, next.background)
+		c.scheduleAt(service, next.due, next.background)
 	case next.background && !background:
-		c.background.put(service, c.now)
+		c.background.schedule(service, c.now)
 	default:
 		c.write(service, next)
 	}
 }
 
-// touch makes sure that the service is considered at the given time.
-func (c *Controller) touch(service *service, at time.Duration, background bool) {
+// scheduleAt schedules the service to be processed no later than the given time.
+func (c *Controller) scheduleAt(service *service, at time.Duration, background bool) {
 	if background {
-		c.background.put(service, at)
+		c.background.schedule(service, at)
 		return
 	}
-	c.urgent.put(service, at)
+	c.urgent.schedule(service, at)
 }
 
-// reconsider makes sure that the service is considered in this step.
-func (c *Controller) reconsider(service *service) { c.urgent.put(service, c.now) }
+// scheduleNow schedules the service to be processed in this step.
+func (c *Controller) scheduleNow(service *service) { c.urgent.schedule(service, c.now) }
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -13,48 +13,48 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// span is the first and the last of some revisions; zero when there are none.
-type span struct{ first, last int64 }
+// revisionRange holds the first and the last of a set of revisions. It is zero for an empty set.
+type revisionRange struct{ first, last int64 }
 
-// extend includes the revision.
-func (s span) extend(revision int64) span {
+// extend returns the range extended to include the revision.
+func (s revisionRange) extend(revision int64) revisionRange {
 	if s.first == 0 || revision < s.first {
 		s.first = revision
 	}
-	return span{first: s.first, last: max(s.last, revision)}
+	return revisionRange{first: s.first, last: max(s.last, revision)}
 }
 
-// takeDocuments takes in a list or a batch of a watch. One from before what was
-// seen already (a store member that lags) is ignored.
-func (c *Controller) takeDocuments(documents *Documents) {
-	if documents.Revision < c.seen && !c.off.noStaleListCheck {
+// applyDocuments applies a list or a batch of a watch. It ignores one with a lower revision than
+// was already seen, which a lagging store member can return.
+func (c *Controller) applyDocuments(documents *Documents) {
+	if documents.Revision < c.seenRevision && !c.disabled.noStaleListCheck {
 		return
 	}
-	affected := make(map[lb.ServiceName]span)
+	affected := make(map[lb.ServiceName]revisionRange)
 	for index := range documents.Changes {
-		c.takeConfiguration(&documents.Changes[index], affected)
+		c.applyConfiguration(&documents.Changes[index], affected)
 	}
 	if documents.Complete {
-		c.dropMissing(documents, affected)
+		c.deleteUnlisted(documents, affected)
 	}
-	c.seen = documents.Revision
+	c.seenRevision = documents.Revision
 	if documents.Complete {
-		c.listed = true
-		c.startEpoch(documents.Revision)
+		c.hasCompleteList = true
+		c.requireEpochChange(documents.Revision)
 	}
 	for _, name := range slices.Sorted(maps.Keys(affected)) {
-		c.refresh(c.service(name), affected[name])
+		c.updateDesired(c.service(name), affected[name])
 	}
 	for index := range documents.Changes {
-		c.takePlacement(&documents.Changes[index])
-		c.takeEpoch(&documents.Changes[index])
+		c.applyPlacement(&documents.Changes[index])
+		c.applyEpoch(&documents.Changes[index])
 	}
-	c.retryLagging()
+	c.retryAwaitingConfig()
 }
 
-// takeConfiguration takes in one operators' document and adds the services
-// that it concerns to affected, with the revisions that concern each.
-func (c *Controller) takeConfiguration(document *Document, affected map[lb.ServiceName]span) {
+// applyConfiguration applies one operators' document. It adds the services that the document
+// concerns to affected, each with the range of revisions that concern it.
+func (c *Controller) applyConfiguration(document *Document, affected map[lb.ServiceName]revisionRange) {
 	if !catalog.IsConfiguration(document.Key) {
 		return
 	}
@@ -62,10 +62,10 @@
 	var err error
 	if document.Deleted {
 		names = c.index.DeleteDocument(document.Key)
-		delete(c.documents, document.Key)
+		delete(c.documentKeys, document.Key)
 	} else {
 		names, err = c.index.PutDocument(document.Key, document.Value)
-		c.documents[document.Key] = struct{}{}
+		c.documentKeys[document.Key] = struct{}{}
 	}
 	if err != nil {
 		c.problem(document.Key, err)
@@ -75,62 +75,62 @@
 	}
 }
 
-// dropMissing forgets what a complete list does not have.
-func (c *Controller) dropMissing(documents *Documents, affected map[lb.ServiceName]span) {
+// deleteUnlisted treats every known document and placement that a complete list lacks as deleted.
+func (c *Controller) deleteUnlisted(documents *Documents, affected map[lb.ServiceName]revisionRange) {
 	listed := make(map[string]struct{}, len(documents.Changes))
 	for index := range documents.Changes {
 		listed[documents.Changes[index].Key] = struct{}{}
 	}
 	if _, found := listed[EpochKey]; !found {
-		c.epoch.revision = 0
+		c.epoch.modRevision = 0
 	}
-	for _, key := range slices.Sorted(maps.Keys(c.documents)) {
+	for _, key := range slices.Sorted(maps.Keys(c.documentKeys)) {
 		if _, found := listed[key]; !found {
-			c.takeConfiguration(&Document{Key: key, ModRevision: c.seen + 1, Deleted: true}, affected)
+			c.applyConfiguration(&Document{Key: key, ModRevision: c.seenRevision + 1, Deleted: true}, affected)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
 		key := catalog.PlacementKey(name)
 		if _, found := listed[key]; !found {
-			c.takePlacement(&Document{Key: key, ModRevision: documents.Revision, Deleted: true})
+			c.applyPlacement(&Document{Key: key, ModRevision: documents.Revision, Deleted: true})
 		}
 	}
 }
 
-// refresh derives anew what the operators want of the service.
-func (c *Controller) refresh(s *service, revisions span) {
-	first := s.changed == 0
-	s.changed = max(s.changed, revisions.last)
-	previous := s.wanted
-	s.wanted = deriveWanted(c.index.Desired(s.name))
-	if excess := len(s.wanted.backends) - placement.MaxActive; excess > 0 {
-		c.problem(catalog.ServiceKey(s.name), errors.Newf("selects %d back ends; the last %d by name take no flows, %d are the most",
-			len(s.wanted.backends), excess, placement.MaxActive))
-		s.wanted.backends = s.wanted.backends[:placement.MaxActive]
-	}
-	c.linkBackends(s, previous.backends)
-	c.noteOwner(s, previous.frontends)
+// updateDesired derives the service's desired state from the operators' documents.
+func (c *Controller) updateDesired(s *service, revisions revisionRange) {
+	first := s.lastChange == 0
+	s.lastChange = max(s.lastChange, revisions.last)
+	previous := s.desired
+	s.desired = deriveDesired(c.index.Desired(s.name))
+	if excess := len(s.desired.backends) - placement.MaxActive; excess > 0 {
+		c.problem(catalog.ServiceKey(s.name), errors.Newf("selects %d back ends; the last %d by name get no flows, the maximum is %d",
+			len(s.desired.backends), excess, placement.MaxActive))
+		s.desired.backends = s.desired.backends[:placement.MaxActive]
+	}
+	c.updateServicesByBackend(s, previous.backends)
+	c.updateOwners(s, previous.frontends)
 	if first {
-		s.relative = s.wanted.backends
+		s.baseWeights = s.desired.backends
 	}
-	c.noteReflection(s, revisions.first)
-	c.reconsider(s)
+	c.updateUnreflected(s, revisions.first)
+	c.scheduleNow(s)
 }
 
-// deriveWanted reduces what the operators want to what placements need.
-func deriveWanted(desired catalog.Desired) wanted {
-	result := wanted{
+// deriveDesired reduces the catalog's desired state to the parts that a placement depends on.
+func deriveDesired(desired catalog.Desired) desiredState {
+	result := desiredState{
 		presence:       desired.Presence,
 		frontends:      desired.Service.Frontends,
 		opensPerSecond: desired.Service.OpensPerSecond,
-		unknown:        desired.Unknown,
+		invalid:        desired.Unknown,
 	}
 	for index := range desired.Backends {
 		backend := &desired.Backends[index]
 		if backend.State != lb.BackendActive {
 			continue
 		}
-		result.backends = append(result.backends, wantedBackend{
+		result.backends = append(result.backends, desiredBackend{
 			name:   backend.Backend.Name,
 			host:   backend.Backend.Host,
 			weight: backend.Backend.EffectiveWeight(),
@@ -139,46 +139,46 @@
 	return result
 }
 
-// linkBackends enters the service at the back ends it wants, and takes it from
-// those that it wanted before and no longer does.
-func (c *Controller) linkBackends(s *service, previous []wantedBackend) {
+// updateServicesByBackend enters the service in the index under the back ends of its desired state,
+// and removes it from the back ends that are no longer part of it.
+func (c *Controller) updateServicesByBackend(s *service, previous []desiredBackend) {
 	for _, backend := range previous {
-		delete(c.serving[backend.name], s)
+		delete(c.servicesByBackend[backend.name], s)
 	}
-	for _, backend := range s.wanted.backends {
-		services := c.serving[backend.name]
+	for _, backend := range s.desired.backends {
+		services := c.servicesByBackend[backend.name]
 		if services == nil {
 			services = make(map[*service]struct{}, 1)
-			c.serving[backend.name] = services
+			c.servicesByBackend[backend.name] = services
 		}
 		services[s] = struct{}{}
 	}
 	for _, backend := range previous {
-		if len(c.serving[backend.name]) == 0 {
-			delete(c.serving, backend.name)
+		if len(c.servicesByBackend[backend.name]) == 0 {
+			delete(c.servicesByBackend, backend.name)
 			delete(c.backends, backend.name)
 		}
 	}
 }
 
-// noteOwner keeps the index of front ends of services that exist, and looks
-// again at deleted services that still have one of them.
-func (c *Controller) noteOwner(s *service, previous []lb.Frontend) {
+// updateOwners updates the index of front ends of existing services. It schedules the deleted
+// services that still have one of the service's front ends.
+func (c *Controller) updateOwners(s *service, previous []lb.Frontend) {
 	for _, frontend := range previous {
 		if c.owners[frontend] == s.name {
 			delete(c.owners, frontend)
 		}
 	}
-	for _, frontend := range s.wanted.frontends {
+	for _, frontend := range s.desired.frontends {
 		c.owners[frontend] = s.name
-		if retired := c.retired[frontend]; retired != nil {
-			c.reconsider(retired)
+		if retired := c.deletedOwners[frontend]; retired != nil {
+			c.scheduleNow(retired)
 		}
 	}
 }
 
-// takePlacement takes in a placement as seen in the store.
-func (c *Controller) takePlacement(document *Document) {
+// applyPlacement applies a placement as seen in the store.
+func (c *Controller) applyPlacement(document *Document) {
 	name, found := strings.CutPrefix(document.Key, catalog.PlacementPrefix)
 	if !found {
 		return
@@ -188,7 +188,7 @@
 		return
 	}
 	if document.Deleted {
-		c.takeLoss(s, document.ModRevision)
+		c.applyPlacementLoss(s, document.ModRevision)
 		return
 	}
 	decoded, err := decodePlacement(document, s.name)
@@ -203,8 +203,8 @@
 	c.resolve(s, decoded)
 }
 
-// takeLoss notes that the store has no placement of the service, as of a revision.
-func (c *Controller) takeLoss(s *service, revision int64) {
+// applyPlacementLoss records that the store has no placement of the service as of the revision.
+func (c *Controller) applyPlacementLoss(s *service, revision int64) {
 	s.unreadable = false
 	if s.modRevision == 0 || revision <= s.modRevision {
 		return
@@ -213,7 +213,7 @@
 	c.markRegressed(s)
 }
 
-// decodePlacement reads and checks a placement.
+// decodePlacement decodes and validates a placement.
 func decodePlacement(document *Document, name lb.ServiceName) (*lb.Placement, error) {
 	decoded := new(lb.Placement)
 	if err := json.Unmarshal(document.Value, decoded); err != nil {
@@ -225,15 +225,16 @@
 	return decoded, placement.Validate(decoded)
 }
 
-// retryLagging reconsiders the services that waited for configuration which this node had not seen.
-func (c *Controller) retryLagging() {
-	for s := range c.lagging {
-		delete(c.lagging, s)
-		c.reconsider(s)
+// retryAwaitingConfig schedules the services that wait for configuration that this node had not
+// seen.
+func (c *Controller) retryAwaitingConfig() {
+	for s := range c.awaitingConfig {
+		delete(c.awaitingConfig, s)
+		c.scheduleNow(s)
 	}
 }
 
-// problem reports something that operators should see.
+// problem adds a problem to the effects.
 func (c *Controller) problem(key string, cause error) {
 	c.effects.Problems = append(c.effects.Problems, Problem{Key: key, Cause: cause})
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -10,11 +10,11 @@
 	"robinpulley.example/robinpulley/internal/weight"
 )
 
-// takeLoad takes in reports of health and load, and reconsiders the services
-// of back ends that do not answer.
-func (c *Controller) takeLoad(load *message.Load) {
+// applyLoad applies one zone's reports of health and load. It schedules the services of
+// unresponsive back ends at once, and the others when their next weight step is due.
+func (c *Controller) applyLoad(load *message.Load) {
 	for _, reported := range load.Backends {
-		services := c.serving[reported.Backend]
+		services := c.servicesByBackend[reported.Backend]
 		if len(services) == 0 {
 			continue
 		}
@@ -24,48 +24,48 @@
 			c.backends[reported.Backend] = backend
 		}
 		backend.Observe(c.now, load.Zone, reported, &c.settings.Weights)
-		failing := backend.Unanswered(c.now, &c.settings.Weights)
+		unresponsive := backend.Unanswered(c.now, &c.settings.Weights)
 		for s := range services {
-			if failing {
-				c.reconsider(s)
+			if unresponsive {
+				c.scheduleNow(s)
 			} else {
-				c.background.put(s, max(c.now, s.weighedAt+c.settings.WeightInterval))
+				c.background.schedule(s, max(c.now, s.weightStepAt+c.settings.WeightInterval))
 			}
 		}
 	}
 }
 
-// failing gives the back ends that take flows and do not answer, up to the
-// number that may be marked as failed together.
-func (c *Controller) failing(s *service) []lb.BackendID {
-	if s.stored == nil || s.stored.Deleted || len(s.wanted.backends) == 0 {
+// backendsToFail returns the unresponsive back ends that get new flows, up to the number that may
+// be marked as failed at the same time.
+func (c *Controller) backendsToFail(s *service) []lb.BackendID {
+	if s.stored == nil || s.stored.Deleted || len(s.desired.backends) == 0 {
 		return nil
 	}
-	room := weight.MaxFailed(len(s.wanted.backends))
+	remaining := weight.MaxFailed(len(s.desired.backends))
 	var ids []lb.BackendID
-	for _, wanted := range s.wanted.backends {
-		placed, found := findPlaced(s.stored, wanted)
+	for _, backend := range s.desired.backends {
+		placed, found := findPlaced(s.stored, backend)
 		if !found {
 			continue
 		}
 		if placed.State == lb.BackendFailed {
-			room--
+			remaining--
 		}
-		if placed.State == lb.BackendActive && currentWeight(s.stored, placed.ID) != 0 && c.isUnanswering(wanted.name) {
+		if placed.State == lb.BackendActive && currentWeight(s.stored, placed.ID) != 0 && c.isUnresponsive(backend.name) {
 			ids = append(ids, placed.ID)
 		}
 	}
-	return ids[:min(len(ids), max(room, 0))]
+	return ids[:min(len(ids), max(remaining, 0))]
 }
 
-// isUnanswering tells whether the data path shows that the back end does not answer.
-func (c *Controller) isUnanswering(name lb.BackendName) bool {
+// isUnresponsive reports whether the data path shows that the back end does not answer.
+func (c *Controller) isUnresponsive(name lb.BackendName) bool {
 	backend := c.backends[name]
 	return backend != nil && backend.Unanswered(c.now, &c.settings.Weights)
 }
 
-// mayReturn tells whether a failed back end may take flows again.
-func (c *Controller) mayReturn(s *service, placed lb.PlacedBackend) bool {
+// mayReinstate reports whether a failed back end may get flows again.
+func (c *Controller) mayReinstate(s *service, placed lb.PlacedBackend) bool {
 	since := c.now
 	for _, known := range s.failures {
 		if known.id == placed.ID {
@@ -82,37 +82,37 @@
 	return !backend.Unanswered(c.now, &c.settings.Weights) && !backend.View(c.now, &c.settings.Weights).Unhealthy
 }
 
-// proposeWeights moves weights towards what health and load ask for: only at
-// the service's first publisher, by bounded steps, and within the budget of
-// moved buckets. It also looks again at failed back ends.
+// proposeWeights proposes a step of the weights towards the values that health and load call for.
+// It does so only at the service's first publisher, by bounded steps, and within the budget of
+// moved buckets. Failed back ends are evaluated again at the same interval.
 func (c *Controller) proposeWeights(s *service) (proposal, bool) {
-	if s.stored.Deleted || c.rank(s) > 0 || !c.reflects(s) {
+	if s.stored.Deleted || c.rank(s) > 0 || !c.reflectsConfiguration(s) {
 		return proposal{}, false
 	}
-	due := s.weighedAt + c.settings.WeightInterval
-	if !c.needsWeighing(s) {
+	due := s.weightStepAt + c.settings.WeightInterval
+	if !c.needsWeightStep(s) {
 		return proposal{}, false
 	}
 	if due > c.now {
-		return keep(s, KindWeights, due), true
+		return proposalAtStoredRevision(s, KindWeights, due), true
 	}
-	s.weighedAt = c.now
-	targets := c.affordableStep(s)
+	s.weightStepAt = c.now
+	targets := c.stepWithinBudget(s)
 	if targets == nil {
-		return keep(s, KindWeights, c.now+c.settings.WeightInterval), true
+		return proposalAtStoredRevision(s, KindWeights, c.now+c.settings.WeightInterval), true
 	}
-	return keep(s, KindWeights, c.now, placement.Prepare(targets), commitUnlessMoving), true
+	return proposalAtStoredRevision(s, KindWeights, c.now, placement.Prepare(targets), commitUnlessMoving), true
 }
 
-// needsWeighing tells whether there is anything to weigh or to wait for.
-func (c *Controller) needsWeighing(s *service) bool {
+// needsWeightStep reports whether the weights may have to change now or later.
+func (c *Controller) needsWeightStep(s *service) bool {
 	if len(s.failures) != 0 {
 		return true
 	}
-	if len(s.wanted.backends) < 2 {
+	if len(s.desired.backends) < 2 {
 		return false
 	}
-	for _, backend := range s.wanted.backends {
+	for _, backend := range s.desired.backends {
 		if c.backends[backend.name] != nil {
 			return true
 		}
@@ -124,18 +124,18 @@
 	return false
 }
 
-// affordableStep gives the next weights, or nil when nothing is to change or the
-// budget of moved buckets does not allow it yet. Where the whole step costs too
-// much, it is the largest single change, halved as long as need be.
-func (c *Controller) affordableStep(s *service) []placement.Target {
-	room := c.moveRoom(s)
-	if room <= 0 {
+// stepWithinBudget returns the targets with the next weights, or nil if no weight has to change or
+// the budget of moved buckets does not allow a step yet. If the whole step moves too many buckets,
+// it is reduced to the largest single change, which is halved until it is within the budget.
+func (c *Controller) stepWithinBudget(s *service) []placement.Target {
+	remaining := c.remainingMoves(s)
+	if remaining <= 0 {
 		return nil
 	}
 	present := placement.Targets(s.stored, s.stored.Current)
 	next := c.steppedTargets(s)
 	for !slices.Equal(next, present) {
-		if c.cost(s, next) <= room {
+		if c.movedBuckets(s, next) <= remaining {
 			return next
 		}
 		next = smallerStep(present, next)
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// smallerStep keeps only the largest change of weight; if there is only one, half of it.
+// smallerStep returns a step with only the largest change of a weight, or half of that change if
+// it is the only one.
 func smallerStep(present, next []placement.Target) []placement.Target {
 	largest, changes := 0, 0
 	for index := range next {
@@ -163,34 +164,34 @@
 	return smaller
 }
 
-// weightChange gives the size of one change of weight.
+// weightChange returns the absolute change of the weight at the index.
 func weightChange(present, next []placement.Target, index int) int {
 	change := int(next[index].Weight) - int(present[index].Weight)
 	return max(change, -change)
 }
 
-// moveWindow is the time over which the budget of moved buckets holds.
+// moveWindow is the time for which the budget of moved buckets, Settings.MovedPerMinute, holds.
 const moveWindow = time.Minute
 
-// moveRoom gives the number of buckets that weight steps may move now. What
-// was moved before this controller knew the service is not known, so there is
-// no room until a whole window has been seen.
-func (c *Controller) moveRoom(s *service) int {
-	if c.now-s.knownSince < moveWindow {
+// remainingMoves returns the number of buckets that weight steps may move now. It is 0 until a
+// whole window has passed since the service's placement was first seen, because the moves before
+// that are not known.
+func (c *Controller) remainingMoves(s *service) int {
+	if c.now-s.firstSeenAt < moveWindow {
 		return 0
 	}
-	room := c.settings.MovedPerMinute
+	remaining := c.settings.MovedPerMinute
 	s.moves = slices.DeleteFunc(s.moves, func(move bucketMove) bool { return c.now-move.at >= moveWindow })
 	for _, move := range s.moves {
-		room -= move.buckets
+		remaining -= move.buckets
 	}
-	return room
+	return remaining
 }
 
-// noteMoves counts the buckets that a weight step moved, whoever committed it.
-func (c *Controller) noteMoves(s *service, before, after *lb.Placement) {
+// recordMoves records the number of buckets that a weight step moved, whichever node committed it.
+func (c *Controller) recordMoves(s *service, before, after *lb.Placement) {
 	if before == nil {
-		s.knownSince = c.now
+		s.firstSeenAt = c.now
 		return
 	}
 	from, to := currentBackends(before), currentBackends(after)
@@ -201,14 +202,14 @@
 	s.moves = append(s.moves, bucketMove{at: c.now, buckets: moved})
 }
 
-// steppedTargets gives the current targets with the next weights.
+// steppedTargets returns the current targets with the next weights.
 func (c *Controller) steppedTargets(s *service) []placement.Target {
 	targets := placement.Targets(s.stored, s.stored.Current)
 	shares := make([]weight.Share, len(targets))
 	operator := make([]uint16, len(targets))
 	for index, target := range targets {
 		operator[index] = s.operatorWeight(target)
-		shares[index].Factor = factorOf(target.Weight, operator[index])
+		shares[index].Factor = weightFactor(target.Weight, operator[index])
 		if backend := c.backends[target.Name]; backend != nil {
 			shares[index].View = backend.View(c.now, &c.settings.Weights)
 		}
@@ -221,25 +222,25 @@
 	return targets
 }
 
-// operatorWeight gives the operator's weight of a target, or its present one
-// when the operator's is not known.
+// operatorWeight returns the operator's weight of a target, or the target's present weight if the
+// operator's is not known.
 func (s *service) operatorWeight(target placement.Target) uint16 {
-	index := slices.IndexFunc(s.wanted.backends, func(backend wantedBackend) bool {
+	index := slices.IndexFunc(s.desired.backends, func(backend desiredBackend) bool {
 		return backend.name == target.Name
 	})
 	if index < 0 {
 		return target.Weight
 	}
-	return s.wanted.backends[index].weight
+	return s.desired.backends[index].weight
 }
 
-// factorOf gives a weight's part of the operator's, in thousandths.
-func factorOf(present, operator uint16) uint16 {
+// weightFactor returns the ratio of a present weight to the operator's weight, in thousandths.
+func weightFactor(present, operator uint16) uint16 {
 	return uint16(min(max(uint32(present)*weight.FullFactor/uint32(operator), 1), weight.FullFactor))
 }
 
-// cost counts the buckets that the targets would move.
-func (c *Controller) cost(s *service, targets []placement.Target) int {
+// movedBuckets returns the number of buckets that the targets would move.
+func (c *Controller) movedBuckets(s *service, targets []placement.Target) int {
 	next, err := placement.Next(s.stored, placement.Stamp{WriteID: "estimate"}, placement.Prepare(targets))
 	if err != nil {
 		return lb.BucketCount
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -13,22 +13,22 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// loaded runs a world whose back ends report once a second.
-type loaded struct {
-	*world
-	report func(number int) message.BackendLoad
-	count  int
-	moved  []bucketMove // by commits
-	last   *lb.Placement
+// loadedCluster is a cluster whose zones report the load of their back ends once per second.
+type loadedCluster struct {
+	*cluster
+	report        func(number int) message.BackendLoad
+	count         int
+	moved         []bucketMove // one entry for each version
+	lastPlacement *lb.Placement
 }
 
-func newLoaded(t *testing.T, count int, report func(int) message.BackendLoad) *loaded {
+func newLoadedCluster(t *testing.T, count int, report func(int) message.BackendLoad) *loadedCluster {
 	t.Helper()
-	return &loaded{world: wallet(t, 2, count, nil), report: report, count: count}
+	return &loadedCluster{cluster: newServiceCluster(t, 2, count, nil), report: report, count: count}
 }
 
-// run lets the time pass; every zone reports each second.
-func (l *loaded) run(duration time.Duration) {
+// run advances the time; every zone reports load once per second.
+func (l *loadedCluster) run(duration time.Duration) {
 	for end := l.now + duration; l.now < end; {
 		for _, p := range l.publishers {
 			for _, zone := range []lb.Zone{"zone-0", "zone-1"} {
@@ -38,21 +38,21 @@
 					reported.Backend = backendName(number)
 					load.Backends = append(load.Backends, reported)
 				}
-				p.step(&Event{Load: load})
+				p.deliver(&Event{Load: load})
 			}
 		}
 		for range 10 {
-			l.world.run(100 * time.Millisecond)
-			l.countMoved()
+			l.cluster.run(100 * time.Millisecond)
+			l.recordMoved()
 		}
 	}
 }
 
-// countMoved notes the buckets that a new version moves.
-func (l *loaded) countMoved() {
-	document := l.store.placement(racedService)
-	if l.last != nil && l.last.Version != document.Version {
-		before, _ := placement.Compile(l.last)
+// recordMoved records the number of buckets that a new version moves.
+func (l *loadedCluster) recordMoved() {
+	document := l.store.placement(testService)
+	if l.lastPlacement != nil && l.lastPlacement.Version != document.Version {
+		before, _ := placement.Compile(l.lastPlacement)
 		after, _ := placement.Compile(document)
 		move := bucketMove{at: l.now}
 		for bucket := range uint16(lb.BucketCount) {
@@ -62,11 +62,11 @@
 		}
 		l.moved = append(l.moved, move)
 	}
-	l.last = document
+	l.lastPlacement = document
 }
 
-// mostMoved gives the most buckets moved within any minute, and all of them.
-func (l *loaded) mostMoved() (most, total int) {
+// maxMoved returns the maximum number of buckets moved within any minute, and the total number.
+func (l *loadedCluster) maxMoved() (maximum, total int) {
 	for index, last := range l.moved {
 		window := 0
 		for _, move := range l.moved[:index+1] {
@@ -74,28 +74,28 @@
 				window += move.buckets
 			}
 		}
-		most = max(most, window)
+		maximum = max(maximum, window)
 		total += last.buckets
 	}
-	return most, total
+	return maximum, total
 }
 
-func (l *loaded) weights() map[lb.BackendName]uint16 {
-	return activeNames(l.store.placement(racedService))
+func (l *loadedCluster) weights() map[lb.BackendName]uint16 {
+	return activeNames(l.store.placement(testService))
 }
 
-// TestSilentHostIsTakenOutAndComesBack: the host calls itself healthy, the
+// TestUnresponsiveHostFailsAndIsReinstated covers a host that reports itself as healthy while the
 // data path shows that it does not answer.
-func TestSilentHostIsTakenOutAndComesBack(t *testing.T) {
+func TestUnresponsiveHostFailsAndIsReinstated(t *testing.T) {
 	is := is.New(t)
-	silent := true
-	l := newLoaded(t, 4, nil)
+	unresponsive := true
+	l := newLoadedCluster(t, 4, nil)
 	l.report = func(number int) message.BackendLoad {
 		reported := message.BackendLoad{Healthy: true, Load: 3 * l.weights()[backendName(number)], Openings: 5}
-		if number == 2 && silent {
+		if number == 2 && unresponsive {
 			reported.UnansweredOpenings = 5
 		}
-		if number == 2 && !silent {
+		if number == 2 && !unresponsive {
 			reported.Openings = 0
 		}
 		return reported
@@ -103,123 +103,128 @@
 	l.run(5 * time.Second)
 	_, serving := l.weights()[backendName(2)]
 	is.True(!serving)
-	document := l.store.placement(racedService)
+	document := l.store.placement(testService)
 	is.Equal(document.Backends[1].State, lb.BackendFailed)
-	is.True(!isPrepared(document)) // at once
+	is.True(!isPrepared(document)) // the failure needs no separate commit
 	for _, p := range l.publishers {
-		is.Equal(p.controller.PublishedRevision(), l.store.revision) // no change of the operators is held up
+		is.Equal(p.controller.PublishedRevision(), l.store.revision) // not delayed by the failure
 	}
-	silent = false
+	unresponsive = false
 	l.run(50 * time.Second)
 	is.Equal(len(l.weights()), 3)
 	l.run(40 * time.Second)
 	is.True(l.weights()[backendName(2)] < catalog.DefaultWeight) // slow start
 	l.run(10 * time.Minute)
-	returned, sum := l.weights()[backendName(2)], uint16(0)
+	reinstated, sum := l.weights()[backendName(2)], uint16(0)
 	for _, weight := range l.weights() {
 		sum += weight
 	}
 	deadband := l.publishers[0].controller.settings.Weights.Deadband
-	is.True(returned >= scale(sum/4, uint16(1000-deadband))) // as loaded as the mean, but for the deadband
+	is.True(reinstated >= scale(sum/4, uint16(1000-deadband))) // mean weight less the deadband
 }
 
-// TestNoMoreThanHalfFailTogether: evidence against most is more likely a fault on this side.
-func TestNoMoreThanHalfFailTogether(t *testing.T) {
+// TestAtMostHalfOfBackendsFailTogether covers reports that all back ends are unresponsive, for which
+// a fault of the balancers or their network is the more likely cause.
+func TestAtMostHalfOfBackendsFailTogether(t *testing.T) {
 	is := is.New(t)
-	l := newLoaded(t, 4, func(int) message.BackendLoad {
+	l := newLoadedCluster(t, 4, func(int) message.BackendLoad {
 		return message.BackendLoad{Healthy: true, Load: 300, Openings: 5, UnansweredOpenings: 5}
 	})
 	l.run(3 * time.Minute)
 	is.Equal(len(l.weights()), 2)
 
-	blind := newLoaded(t, 4, l.report)
-	for _, p := range blind.publishers {
+	withoutReports := newLoadedCluster(t, 4, l.report)
+	for _, p := range withoutReports.publishers {
 		p.controller.settings.Weights.MinOpenings = math.MaxUint32
 	}
-	blind.run(3 * time.Minute)
-	is.Equal(len(blind.weights()), 4) // without evidence nothing tells
+	withoutReports.run(3 * time.Minute)
+	is.Equal(len(withoutReports.weights()), 4) // too few openings to fail a back end
 }
 
-func TestLyingUnhealthyReportStopsAtTheFloor(t *testing.T) {
+func TestFalseUnhealthyReportLowersWeightToFloorOnly(t *testing.T) {
 	is := is.New(t)
-	l := newLoaded(t, 4, func(number int) message.BackendLoad {
+	l := newLoadedCluster(t, 4, func(number int) message.BackendLoad {
 		return message.BackendLoad{Healthy: number != 3, Load: 300, Openings: 50, UnansweredOpenings: 1}
 	})
 	l.run(10 * time.Minute)
 	floor := l.publishers[0].controller.settings.Weights.UnhealthyFloor
 	is.Equal(l.weights()[backendName(3)], scale(catalog.DefaultWeight, floor))
-	is.Equal(l.store.placement(racedService).Backends[2].State, lb.BackendActive)
+	is.Equal(l.store.placement(testService).Backends[2].State, lb.BackendActive)
 }
 
-// TestWeightStepsKeepTheirBudget: loads that always differ move no more buckets than is stated.
-func TestWeightStepsKeepTheirBudget(t *testing.T) {
+// TestWeightStepsStayWithinBudget checks that weight steps move at most MovedPerMinute buckets when
+// the loads of the back ends always differ.
+func TestWeightStepsStayWithinBudget(t *testing.T) {
 	is := is.New(t)
 	budget := DefaultSettings("", "", "").MovedPerMinute
-	most, total := swingingLoads(t, budget)
-	t.Logf("buckets moved in 5 minutes: %d, at most %d within a minute, budget %d", total, most, budget)
+	maximum, total := runOscillatingLoads(t, budget)
+	t.Logf("buckets moved in 5 minutes: %d, at most %d within a minute, budget %d", total, maximum, budget)
 	is.True(total > 0)
-	is.True(most <= budget)
-	most, total = swingingLoads(t, 100*budget)
-	t.Logf("without a budget: %d, at most %d within a minute", total, most)
-	is.True(most > budget) // the rule is what makes the difference
+	is.True(maximum <= budget)
+	maximum, total = runOscillatingLoads(t, 100*budget)
+	t.Logf("without a budget: %d, at most %d within a minute", total, maximum)
+	is.True(maximum > budget) // without the budget more buckets move
 }
 
-// swingingLoads gives the most buckets moved within a minute, and all of them,
-// under loads that always differ.
-func swingingLoads(t *testing.T, budget int) (most, total int) {
+// runOscillatingLoads runs a cluster with loads that always differ. It returns the maximum number
+// of buckets moved within a minute, and the total number.
+func runOscillatingLoads(t *testing.T, budget int) (maximum, total int) {
 	t.Helper()
-	l := newLoaded(t, 14, nil)
+	l := newLoadedCluster(t, 14, nil)
 	for _, p := range l.publishers {
 		p.controller.settings.MovedPerMinute = budget
 	}
 	l.report = func(number int) message.BackendLoad {
-		swing := uint16(l.now/(45*time.Second)) + uint16(number)
-		return message.BackendLoad{Healthy: true, Load: 100 + 300*(swing%3)}
+		phase := uint16(l.now/(45*time.Second)) + uint16(number)
+		return message.BackendLoad{Healthy: true, Load: 100 + 300*(phase%3)}
 	}
-	l.countMoved()
+	l.recordMoved()
 	l.run(5 * time.Minute)
-	return l.mostMoved()
+	return l.maxMoved()
 }
 
-// TestOperatorsGoBeforeWeights: a prepared step of weights gives way to an operator's change.
-func TestOperatorsGoBeforeWeights(t *testing.T) {
+// TestOperatorsChangeReplacesPreparedWeights checks that a prepared step of weights is replaced by
+// an operator's change.
+func TestOperatorsChangeReplacesPreparedWeights(t *testing.T) {
 	is := is.New(t)
-	l := newLoaded(t, 4, func(number int) message.BackendLoad {
+	l := newLoadedCluster(t, 4, func(number int) message.BackendLoad {
 		return message.BackendLoad{Healthy: true, Load: uint16(100 * number)}
 	})
-	l.silent = true // prepared versions wait for their limit
-	for !isPrepared(l.store.placement(racedService)) {
+	l.unacknowledging = true // commits wait for PrepareLimit
+	for !isPrepared(l.store.placement(testService)) {
 		l.run(time.Second)
 	}
-	is.True(isWeightsOnly(l.store.placement(racedService)))
+	is.True(isWeightsOnly(l.store.placement(testService)))
 	l.putBackend(4, "other")
-	l.world.run(time.Second)
-	document := l.store.placement(racedService)
+	l.cluster.run(time.Second)
+	document := l.store.placement(testService)
 	is.True(isPrepared(document))
 	is.True(!isWeightsOnly(document))
 	is.Equal(len(document.Generations[len(document.Generations)-1].Backends), 3)
 }
 
-// TestJoiningBackendStartsSlowly, and the operator's weight is reached in the end.
+// TestJoiningBackendStartsSlowly checks that a joining back end starts with a reduced weight and
+// reaches the operator's weight in the end.
 func TestJoiningBackendStartsSlowly(t *testing.T) {
 	is := is.New(t)
-	w := wallet(t, 1, 3, nil)
-	w.putBackend(4, "wallet")
-	w.run(3 * time.Second)
-	is.Equal(activeNames(w.store.placement(racedService))[backendName(4)], uint16(10))
-	w.run(10 * time.Minute)
-	is.Equal(activeNames(w.store.placement(racedService))[backendName(4)], catalog.DefaultWeight)
+	c := newServiceCluster(t, 1, 3, nil)
+	c.putBackend(4, "wallet")
+	c.run(3 * time.Second)
+	is.Equal(activeNames(c.store.placement(testService))[backendName(4)], uint16(10))
+	c.run(10 * time.Minute)
+	is.Equal(activeNames(c.store.placement(testService))[backendName(4)], catalog.DefaultWeight)
 }
 
-// TestOperatorsWeightTakesHoldAtOnce, in both directions.
-func TestOperatorsWeightTakesHoldAtOnce(t *testing.T) {
+// TestOperatorsWeightAppliesWithoutSteps checks that a change of the operator's weight applies at
+// once, whether the weight rises or falls.
+func TestOperatorsWeightAppliesWithoutSteps(t *testing.T) {
 	is := is.New(t)
-	w := wallet(t, 2, 3, nil)
+	c := newServiceCluster(t, 2, 3, nil)
 	for _, weight := range []uint16{400, 30} {
 		backend := newBackend(2, "wallet")
 		backend.Weight = weight
-		w.store.put(catalog.BackendKey(backend.Name), backend)
-		w.run(3 * time.Second)
-		is.Equal(activeNames(w.store.placement(racedService))[backend.Name], weight)
+		c.store.put(catalog.BackendKey(backend.Name), backend)
+		c.run(3 * time.Second)
+		is.Equal(activeNames(c.store.placement(testService))[backend.Name], weight)
 	}
 }
--- a/internal/controller/racing_test.go
+++ b/internal/controller/racing_test.go
@@ -15,94 +15,95 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-const racedService = lb.ServiceName("wallet-core")
+const testService = lb.ServiceName("wallet-core")
 
-// choose gives a number from 0 up to, not including, count.
+// choose returns a number from 0 to count-1.
 type choose func(count int) int
 
-// race is a world in which publishers act in any order, with the history that
-// the rules are judged by.
-type race struct {
-	*world
-	choose  choose
-	checked int // entries of the log that were judged
-	last    *lb.Placement
-	// wanted gives the back ends that operators wanted at each revision.
-	wanted     []map[lb.BackendName]bool
+// randomSchedule is a cluster whose publishers act in random order, with the history against which
+// the properties are checked.
+type randomSchedule struct {
+	*cluster
+	choose        choose
+	checked       int // number of log entries that were checked
+	lastPlacement *lb.Placement
+	// desired holds the back ends of the operators' configuration at each revision.
+	desired    []map[lb.BackendName]bool
 	lastChange int64                 // revision of the operators' last change
-	written    map[lb.Version]string // write ids
+	written    map[lb.Version]string // write IDs
 	committed  map[lb.Version]time.Duration
-	// claimed is the highest revision that any publisher said is published.
-	claimed int64
+	// published is the highest revision that any publisher reported as published.
+	published int64
 }
 
-func newRace(choose choose, off rules) *race {
-	r := &race{
-		world:     newWorld(3, nil),
+func newRandomSchedule(choose choose, disabled disabledRules) *randomSchedule {
+	s := &randomSchedule{
+		cluster:   newCluster(3, nil),
 		choose:    choose,
-		wanted:    []map[lb.BackendName]bool{{}},
+		desired:   []map[lb.BackendName]bool{{}},
 		written:   make(map[lb.Version]string),
 		committed: make(map[lb.Version]time.Duration),
 	}
-	r.store.ignoreEpoch = off.noEpoch
-	r.shuffle = func(list []Document) {
+	s.store.ignoreEpoch = disabled.noEpoch
+	s.shuffle = func(list []Document) {
 		for index := range list {
 			other := choose(index + 1)
 			list[index], list[other] = list[other], list[index]
 		}
 	}
-	for _, p := range r.publishers {
-		p.controller.off = off
-		p.controller.settings.InForce = r.fromPeers
+	for _, p := range s.publishers {
+		p.controller.disabled = disabled
+		p.controller.settings.InForce = s.gossiped
 	}
-	return r
+	return s
 }
 
-// fromPeers gives what a publisher may have got from another's node by gossip.
-func (r *race) fromPeers(name lb.ServiceName) *lb.Placement {
-	return r.publishers[r.choose(len(r.publishers))].adopted[name]
+// gossiped returns the placement that a random publisher's node adopted: another node may have
+// received it by gossip.
+func (s *randomSchedule) gossiped(name lb.ServiceName) *lb.Placement {
+	return s.publishers[s.choose(len(s.publishers))].adopted[name]
 }
 
-// judge checks every rule against what is new in the store.
-func (r *race) judge() error {
-	for ; r.checked < len(r.store.log); r.checked++ {
-		document := r.store.log[r.checked]
-		r.noteWanted(document)
-		if document.Key != catalog.PlacementKey(racedService) {
+// check checks every property against the new entries of the store's log.
+func (s *randomSchedule) check() error {
+	for ; s.checked < len(s.store.log); s.checked++ {
+		document := s.store.log[s.checked]
+		s.recordDesired(document)
+		if document.Key != catalog.PlacementKey(testService) {
 			continue
 		}
-		decoded, err := decodePlacement(&document, racedService)
+		decoded, err := decodePlacement(&document, testService)
 		if err == nil {
-			err = r.judgePlacement(decoded)
+			err = s.checkPlacement(decoded)
 		}
 		if err != nil {
 			return err
 		}
-		r.last = decoded
-		r.written[decoded.Version] = decoded.WriteID
+		s.lastPlacement = decoded
+		s.written[decoded.Version] = decoded.WriteID
 	}
-	for _, p := range r.publishers {
-		r.claimed = max(r.claimed, p.controller.PublishedRevision())
+	for _, p := range s.publishers {
+		s.published = max(s.published, p.controller.PublishedRevision())
 	}
-	return r.judgeAdopted()
+	return s.checkAdopted()
 }
 
-// judgeAdopted: nodes are given only what is in the store.
-func (r *race) judgeAdopted() error {
-	for _, p := range r.publishers {
-		if adopted := p.adopted[racedService]; adopted != nil && r.written[adopted.Version] != adopted.WriteID {
-			return errors.Newf("version %d of write %s was given to nodes, the store had %q as that version",
-				adopted.Version, adopted.WriteID, r.written[adopted.Version])
+// checkAdopted checks that nodes adopt only placements that were in the store.
+func (s *randomSchedule) checkAdopted() error {
+	for _, p := range s.publishers {
+		if adopted := p.adopted[testService]; adopted != nil && s.written[adopted.Version] != adopted.WriteID {
+			return errors.Newf("nodes adopted version %d of write %s, the store had write %q as that version",
+				adopted.Version, adopted.WriteID, s.written[adopted.Version])
 		}
 	}
 	return nil
 }
 
-// noteWanted keeps what operators want as of the document's revision.
-func (r *race) noteWanted(document Document) {
-	next := maps.Clone(r.wanted[len(r.wanted)-1])
+// recordDesired records the back ends of the operators' configuration as of the document's revision.
+func (s *randomSchedule) recordDesired(document Document) {
+	next := maps.Clone(s.desired[len(s.desired)-1])
 	if catalog.IsConfiguration(document.Key) {
-		r.lastChange = document.ModRevision
+		s.lastChange = document.ModRevision
 	}
 	if name, found := strings.CutPrefix(document.Key, catalog.BackendPrefix); found {
 		delete(next, lb.BackendName(name))
@@ -112,53 +113,53 @@
 			}
 		}
 	}
-	r.wanted = append(r.wanted, next)
+	s.desired = append(s.desired, next)
 }
 
-func (r *race) judgePlacement(document *lb.Placement) error {
-	if r.last != nil && document.Version != r.last.Version+1 {
-		return errors.Newf("version %d after %d", document.Version, r.last.Version)
+func (s *randomSchedule) checkPlacement(document *lb.Placement) error {
+	if s.lastPlacement != nil && document.Version != s.lastPlacement.Version+1 {
+		return errors.Newf("version %d after %d", document.Version, s.lastPlacement.Version)
 	}
-	if r.last != nil && document.ConfigRevision < r.last.ConfigRevision {
-		return errors.Newf("configuration revision %d after %d", document.ConfigRevision, r.last.ConfigRevision)
+	if s.lastPlacement != nil && document.ConfigRevision < s.lastPlacement.ConfigRevision {
+		return errors.Newf("configuration revision %d after %d", document.ConfigRevision, s.lastPlacement.ConfigRevision)
 	}
 	announced := generationNames(document, len(document.Generations)-1)
-	if !maps.Equal(announced, r.wanted[document.ConfigRevision]) {
-		return errors.Newf("version %d places %v; at revision %d operators wanted %v",
-			document.Version, announced, document.ConfigRevision, r.wanted[document.ConfigRevision])
+	if !maps.Equal(announced, s.desired[document.ConfigRevision]) {
+		return errors.Newf("version %d places %v; at revision %d the operators' configuration has %v",
+			document.Version, announced, document.ConfigRevision, s.desired[document.ConfigRevision])
 	}
-	if err := r.judgeBase(document); err != nil {
+	if err := s.checkBase(document); err != nil {
 		return err
 	}
-	return r.judgeClaim(document)
+	return s.checkPublished(document)
 }
 
-// judgeBase: a generation becomes the base no sooner than IdleTimeout after its commit.
-func (r *race) judgeBase(document *lb.Placement) error {
+// checkBase checks that a generation becomes the base no earlier than IdleTimeout after its commit.
+func (s *randomSchedule) checkBase(document *lb.Placement) error {
 	current := document.Generations[document.Current].Version
-	if _, known := r.committed[current]; !known {
-		r.committed[current] = r.now
+	if _, known := s.committed[current]; !known {
+		s.committed[current] = s.now
 	}
 	base := document.Generations[0].Version
-	if r.last == nil || base == r.last.Generations[0].Version || len(r.last.Generations[0].Backends) == 0 {
+	if s.lastPlacement == nil || base == s.lastPlacement.Generations[0].Version || len(s.lastPlacement.Generations[0].Backends) == 0 {
 		return nil
 	}
-	if age := r.now - r.committed[base]; age < 300*time.Second {
+	if age := s.now - s.committed[base]; age < 300*time.Second {
 		return errors.Newf("generation %d became the base %v after its commit", base, age)
 	}
 	return nil
 }
 
-// judgeClaim: what a publisher said is in force is not taken back.
-func (r *race) judgeClaim(document *lb.Placement) error {
+// checkPublished checks that a configuration that a publisher reported as published stays in force.
+func (s *randomSchedule) checkPublished(document *lb.Placement) error {
 	current := generationNames(document, document.Current)
-	for revision := r.claimed; revision < int64(len(r.wanted)); revision++ {
-		if maps.Equal(current, r.wanted[revision]) {
+	for revision := s.published; revision < int64(len(s.desired)); revision++ {
+		if maps.Equal(current, s.desired[revision]) {
 			return nil
 		}
 	}
-	return errors.Newf("version %d has %v in force, from before revision %d, which was said to be published",
-		document.Version, current, r.claimed)
+	return errors.Newf("version %d has %v in force, from before revision %d, which was reported as published",
+		document.Version, current, s.published)
 }
 
 func generationNames(document *lb.Placement, generation int) map[lb.BackendName]bool {
@@ -173,215 +174,217 @@
 	return names
 }
 
-// act does one thing that may happen at any time.
-func (r *race) act() {
-	p := r.publishers[r.choose(len(r.publishers))]
-	backend := r.choose(3) + 1
-	switch r.choose(14) {
+// randomAction performs one random event that may happen at any time.
+func (s *randomSchedule) randomAction() {
+	p := s.publishers[s.choose(len(s.publishers))]
+	backend := s.choose(3) + 1
+	switch s.choose(14) {
 	case 0:
-		r.putBackend(backend, "wallet")
+		s.putBackend(backend, "wallet")
 	case 1:
-		r.putBackend(backend, "other")
+		s.putBackend(backend, "other")
 	case 2:
-		r.store.remove(catalog.BackendKey(backendName(backend)))
+		s.store.remove(catalog.BackendKey(backendName(backend)))
 	case 3, 4:
-		p.watch(r.choose(4) + 1)
+		p.watch(s.choose(4) + 1)
 	case 5:
 		p.list()
 	case 6:
-		r.now += time.Duration(r.choose(3000)+1) * time.Millisecond
-		p.step(&Event{Tick: true})
+		s.now += time.Duration(s.choose(3000)+1) * time.Millisecond
+		p.deliver(&Event{Tick: true})
 	case 7, 8:
-		r.oneWrite(p, true, true)
+		s.completeWrite(p, true, true)
 	case 9:
-		r.oneWrite(p, true, false)
+		s.completeWrite(p, true, false)
 	case 10:
-		r.oneWrite(p, false, false)
+		s.completeWrite(p, false, false)
 	case 11:
-		r.oneRead(p)
+		s.completeRead(p)
 	case 12:
 		p.changeEpoch()
 	case 13:
-		r.rare(p)
+		s.rareAction(p)
 	}
 }
 
-// rare does what is to happen less often.
-func (r *race) rare(p *publisher) {
-	switch r.choose(3) {
+// rareAction performs one of the events that must happen less often.
+func (s *randomSchedule) rareAction(p *publisher) {
+	switch s.choose(3) {
 	case 0:
-		r.now += 150 * time.Second
-	case 1: // a list from a store member that lags
-		p.step(&Event{Documents: &Documents{Complete: true, Revision: 0}})
+		s.now += 150 * time.Second
+	case 1: // a list from a lagging store member
+		p.deliver(&Event{Documents: &Documents{Complete: true, Revision: 0}})
 	case 2:
-		p.step(&Event{Store: StoreDown})
-		p.step(&Event{Store: StoreUp})
+		p.deliver(&Event{Store: StoreDown})
+		p.deliver(&Event{Store: StoreUp})
 	}
 }
 
-// oneWrite takes the publisher's oldest write under way, however old. Without
-// an answer the outcome is unknown to its writer.
-func (r *race) oneWrite(p *publisher, apply, answer bool) {
+// completeWrite ends the publisher's oldest write in flight, whatever its age. If answer is false,
+// the outcome is unknown to the writer.
+func (s *randomSchedule) completeWrite(p *publisher, apply, answer bool) {
 	if len(p.writes) == 0 {
 		return
 	}
 	write := p.writes[0]
 	p.writes = p.writes[1:]
-	result := &WriteResult{Service: racedService, WriteID: write.Placement.WriteID, Outcome: WriteUnknown}
+	result := &WriteResult{Service: testService, WriteID: write.Placement.WriteID, Outcome: WriteUnknown}
 	if apply {
 		if outcome := p.apply(write); answer {
 			result = outcome
 		}
 	}
-	p.step(&Event{Result: result})
+	p.deliver(&Event{Result: result})
 }
 
-func (r *race) oneRead(p *publisher) {
+func (s *randomSchedule) completeRead(p *publisher) {
 	if len(p.reads) == 0 {
 		return
 	}
 	name := p.reads[0]
 	p.reads = p.reads[1:]
-	if r.choose(2) == 0 {
-		p.step(&Event{ReadBack: &ReadBack{Service: name, Failed: true}})
+	if s.choose(2) == 0 {
+		p.deliver(&Event{ReadBack: &ReadBack{Service: name, Failed: true}})
 		return
 	}
 	p.readBack(name)
 }
 
-// run acts a number of times, then lets everything finish. That must end with
-// the last change in force.
-func (r *race) run(actions int) error {
-	r.putService(racedService, "app=wallet")
-	r.putBackend(1, "wallet")
+// run performs a number of random actions and then runs the cluster until it is stable. In the end
+// the last change must be in force.
+func (s *randomSchedule) run(actions int) error {
+	s.putService(testService, "app=wallet")
+	s.putBackend(1, "wallet")
 	for range actions {
-		if err := r.judge(); err != nil {
+		if err := s.check(); err != nil {
 			return err
 		}
-		r.act()
+		s.randomAction()
 	}
-	for _, p := range r.publishers {
+	for _, p := range s.publishers {
 		p.list()
 	}
-	const most, after = 300, 30 // rounds until the end is reached, and how long it must last
-	for left := most; left > 0; left-- {
-		r.world.run(100 * time.Millisecond)
-		if err := r.judge(); err != nil {
+	// Maximum number of rounds until the final state is reached, and rounds for which it must last.
+	const maxRounds, stableRounds = 300, 30
+	for left := maxRounds; left > 0; left-- {
+		s.cluster.run(100 * time.Millisecond)
+		if err := s.check(); err != nil {
 			return err
 		}
-		if left > after && r.judgeEnd() == nil {
-			left = after
+		if left > stableRounds && s.checkFinal() == nil {
+			left = stableRounds
 		}
 	}
-	return r.judgeEnd()
+	return s.checkFinal()
 }
 
-// judgeEnd: the last change is in force, and every publisher says so.
-func (r *race) judgeEnd() error {
-	if r.last == nil {
+// checkFinal checks that the last change is in force and that every publisher reports it as
+// published.
+func (s *randomSchedule) checkFinal() error {
+	if s.lastPlacement == nil {
 		return errors.New("nothing is placed")
 	}
-	final := r.wanted[len(r.wanted)-1]
-	if !maps.Equal(generationNames(r.last, r.last.Current), final) {
-		return errors.Newf("in the end %v are in force; operators want %v", generationNames(r.last, r.last.Current), final)
+	final := s.desired[len(s.desired)-1]
+	if !maps.Equal(generationNames(s.lastPlacement, s.lastPlacement.Current), final) {
+		return errors.Newf("in the end %v are in force; the operators' configuration has %v", generationNames(s.lastPlacement, s.lastPlacement.Current), final)
 	}
-	for index, p := range r.publishers {
-		// Weight steps may still be under way: only the operators' changes count.
-		if p.controller.PublishedRevision() < r.lastChange {
-			return errors.Newf("publisher %d says %d is published, the operators' last change is %d",
-				index, p.controller.PublishedRevision(), r.lastChange)
+	for index, p := range s.publishers {
+		// Weight steps may still be in flight: only the operators' changes count.
+		if p.controller.PublishedRevision() < s.lastChange {
+			return errors.Newf("publisher %d reports revision %d as published, the operators' last change is %d",
+				index, p.controller.PublishedRevision(), s.lastChange)
 		}
 	}
 	return nil
 }
 
-// TestRacingPublishers: with any order of publishers, lost answers, pauses and
-// late lists, versions never go back and no accepted change is lost or taken back.
+// TestRacingPublishers checks that versions never decrease and no accepted change is lost or
+// reverted, with any order of publishers, lost responses, pauses and stale lists.
 func TestRacingPublishers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(count int) int { return rapid.IntRange(0, count-1).Draw(t, "choice") }
-		if err := newRace(draw, rules{}).run(rapid.IntRange(10, 80).Draw(t, "actions")); err != nil {
+		if err := newRandomSchedule(draw, disabledRules{}).run(rapid.IntRange(10, 80).Draw(t, "actions")); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// seededRace runs one race whose choices come from the seed.
-func seededRace(seed uint64, off rules, adjust func(*race)) error {
-	r := newRace(rand.New(rand.NewPCG(seed, 1)).IntN, off)
+// runSeeded runs one random schedule whose choices come from the seed.
+func runSeeded(seed uint64, disabled disabledRules, adjust func(*randomSchedule)) error {
+	s := newRandomSchedule(rand.New(rand.NewPCG(seed, 1)).IntN, disabled)
 	if adjust != nil {
-		adjust(r)
+		adjust(s)
 	}
-	return r.run(80)
+	return s.run(80)
 }
 
-// TestMutants shows that the properties depend on each rule: with it off, a
-// schedule breaches one, and the same schedule with it on does not.
-func TestMutants(t *testing.T) {
+// TestPropertiesDependOnEachRule checks for each rule that some schedule violates a property when
+// the rule is disabled, and that the same schedule violates none when the rule is enabled.
+func TestPropertiesDependOnEachRule(t *testing.T) {
 	const schedules = 2000
-	mutants := []struct {
-		name   string
-		off    rules
-		adjust func(*race)
-		first  uint64 // schedule to begin with, where a breach is rare
+	cases := []struct {
+		name     string
+		disabled disabledRules
+		adjust   func(*randomSchedule)
+		first    uint64 // the first schedule, for rules whose absence rarely violates a property
 	}{
-		{name: "epoch", off: rules{noEpoch: true}},
-		{name: "configuration guard", off: rules{noConfigurationGuard: true}, first: 1300},
-		{name: "fencing write", off: rules{noFencingWrite: true}},
-		{name: "read back", off: rules{noReadBack: true}},
-		{name: "settle wait", off: rules{noSettleWait: true}},
-		{name: "stale lists", off: rules{noStaleListCheck: true}},
-		{name: "compare and swap", adjust: func(r *race) { r.store.ignoreRevision = true }},
-	}
-	for _, mutant := range mutants {
-		t.Run(mutant.name, func(t *testing.T) {
+		{name: "epoch", disabled: disabledRules{noEpoch: true}},
+		{name: "configuration guard", disabled: disabledRules{noConfigurationGuard: true}, first: 1300},
+		{name: "fencing write", disabled: disabledRules{noFencingWrite: true}},
+		{name: "read back", disabled: disabledRules{noReadBack: true}},
+		{name: "settle wait", disabled: disabledRules{noSettleWait: true}},
+		{name: "stale lists", disabled: disabledRules{noStaleListCheck: true}},
+		{name: "compare and swap", adjust: func(s *randomSchedule) { s.store.ignoreRevision = true }},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			for seed := mutant.first; seed < mutant.first+schedules; seed++ {
-				if err := seededRace(seed, mutant.off, mutant.adjust); err != nil {
-					is.NoErr(seededRace(seed, rules{}, nil)) // the rule is what makes the difference
-					t.Logf("caught by schedule %d: %v", seed, err)
+			for seed := test.first; seed < test.first+schedules; seed++ {
+				if err := runSeeded(seed, test.disabled, test.adjust); err != nil {
+					is.NoErr(runSeeded(seed, disabledRules{}, nil)) // no violation with the rule enabled
+					t.Logf("violation found by schedule %d: %v", seed, err)
 					return
 				}
 			}
-			t.Fatalf("not caught in %d schedules", schedules)
+			t.Fatalf("no violation found in %d schedules", schedules)
 		})
 	}
 }
 
-// TestClaimWaitsForAnOlderPlacement is a schedule found by seeded races: a
-// placement derived from an older configuration reaches the store after the
-// list and before the epoch changes, while the claim already waits for a later change.
-func TestClaimWaitsForAnOlderPlacement(t *testing.T) {
+// TestPublishedRevisionAccountsForOlderPlacement covers a placement that is derived from an older
+// configuration and reaches the store after a list but before the epoch changes, while
+// PublishedRevision already waits for a later change. A random schedule found this case.
+func TestPublishedRevisionAccountsForOlderPlacement(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2, nil)
-	writer, claimer := w.publishers[0], w.publishers[1]
-	w.putService(racedService, "app=wallet")
-	w.putBackend(1, "wallet")
-	w.run(10 * time.Second)
-	w.putBackend(3, "wallet")
-	joined := w.store.revision
+	c := newCluster(2, nil)
+	writer, observer := c.publishers[0], c.publishers[1]
+	c.putService(testService, "app=wallet")
+	c.putBackend(1, "wallet")
+	c.run(10 * time.Second)
+	c.putBackend(3, "wallet")
+	joined := c.store.revision
 	writer.watch(1)
-	w.now += time.Second
-	writer.step(&Event{Tick: true})
-	is.Equal(len(writer.writes), 1) // under way: back end 3 joins
-	w.putBackend(3, "other")
-	claimer.list()
-	w.putBackend(3, "wallet")
-	claimer.watch(1)
+	c.now += time.Second
+	writer.deliver(&Event{Tick: true})
+	is.Equal(len(writer.writes), 1) // in flight: back end 3 joins
+	c.putBackend(3, "other")
+	observer.list()
+	c.putBackend(3, "wallet")
+	observer.watch(1)
 	is.Equal(writer.apply(writer.writes[0]).Outcome, WriteDone)
-	claimer.changeEpoch()
-	claimer.watch(2)
-	is.True(claimer.controller.isEpochConfirmed())
-	is.True(claimer.controller.PublishedRevision() <= joined)
+	observer.changeEpoch()
+	observer.watch(2)
+	is.True(observer.controller.isEpochConfirmed())
+	is.True(observer.controller.PublishedRevision() <= joined)
 }
 
-// TestSameEventsGiveSameWrites: the controller is deterministic.
-func TestSameEventsGiveSameWrites(t *testing.T) {
+// TestSameEventsCauseSameWrites checks that the controller is deterministic.
+func TestSameEventsCauseSameWrites(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(20) {
 		var logs [2][]Document
 		for index := range logs {
-			is.NoErr(seededRace(seed, rules{}, func(r *race) { r.store.keep = &logs[index] }))
+			is.NoErr(runSeeded(seed, disabledRules{}, func(s *randomSchedule) { s.store.logCopy = &logs[index] }))
 		}
 		is.Equal(logs[0], logs[1])
 	}
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -10,59 +10,60 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// statusHeartbeat is the longest time between two reports of the zone's state.
+// statusHeartbeat is the maximum time between two reports of the zone's state.
 const statusHeartbeat = 10 * time.Second
 
-// statusReport is the last report of the zone's state.
+// statusReport holds the last report of the zone's state and its time.
 type statusReport struct {
 	at   time.Duration
 	last catalog.ZoneStatus
 	sent bool
 }
 
-// PublishedRevision gives the configuration revision up to which every change
-// is reflected by the committed placements that this node has seen in the
-// store, and has given as effects. It never goes back; it is 0 when nothing is
-// known, and stays what it was while the epoch is not confirmed.
+// PublishedRevision returns the configuration revision up to which every change is reflected by
+// committed placements that this node has seen in the store and returned in Effects. The result
+// never decreases. It is 0 before the first list, and does not change while the epoch is not
+// confirmed.
 func (c *Controller) PublishedRevision() int64 {
-	if !c.listed || !c.isEpochConfirmed() {
-		return c.published
+	if !c.hasCompleteList || !c.isEpochConfirmed() {
+		return c.lastPublished
 	}
-	published := c.seen
+	published := c.seenRevision
 	for _, first := range c.unreflected {
 		published = min(published, first-1)
 	}
-	c.published = max(published, c.published)
-	return c.published
+	c.lastPublished = max(published, c.lastPublished)
+	return c.lastPublished
 }
 
-// IsPublisher tells whether this node is to watch the store and may publish.
+// IsPublisher reports whether this node has to watch the store and may publish.
 func (c *Controller) IsPublisher() bool { return c.view.publisher }
 
-// takeInForce takes in the report of one zone: the versions in it are in force
-// at every live node of the zone.
-func (c *Controller) takeInForce(report *message.InForce) {
+// applyInForce applies the report of one zone: its versions are in force at every live node of the
+// zone.
+func (c *Controller) applyInForce(report *message.InForce) {
 	for _, version := range report.Versions {
-		c.takeAcknowledgement(report.Zone, version)
+		c.applyAcknowledgement(report.Zone, version)
 	}
 	if report.Zone == c.settings.Zone && c.view.reporter {
 		c.reportStatus(report)
 	}
 }
 
-// takeAcknowledgement notes that a zone has a version in force.
-func (c *Controller) takeAcknowledgement(zone lb.Zone, version message.ServiceVersion) {
+// applyAcknowledgement records that a version is in force in a zone.
+func (c *Controller) applyAcknowledgement(zone lb.Zone, version message.ServiceVersion) {
 	s := c.services[version.Service]
-	if s == nil || s.prepared == 0 || s.acknowledged[zone] >= version.Version {
+	if s == nil || s.preparedVersion == 0 || s.acknowledged[zone] >= version.Version {
 		return
 	}
 	s.acknowledged[zone] = version.Version
-	if c.acknowledged(s) {
-		c.reconsider(s)
+	if c.isAcknowledged(s) {
+		c.scheduleNow(s)
 	}
 }
 
-// reportStatus gives the zone's state when it has changed, and once in a while.
+// reportStatus adds the zone's state to the effects if it has changed, at most once per
+// StatusInterval, and otherwise every statusHeartbeat.
 func (c *Controller) reportStatus(report *message.InForce) {
 	status := catalog.ZoneStatus{
 		Zone:           report.Zone,
@@ -82,10 +83,10 @@
 	c.effects.Status = &status
 }
 
-// takeClean takes in a head's report of buckets without flows away from the
-// base. It counts only for the stored version, and from the node that this
-// node's view has as the head of the bucket.
-func (c *Controller) takeClean(report *CleanReport) {
+// applyClean applies a head's report of clean buckets, which have no flows away from the base. The
+// report is accepted only for the stored version, and for a bucket only if its sender is the head
+// of the bucket's chain in this node's view.
+func (c *Controller) applyClean(report *CleanReport) {
 	s := c.services[report.Service]
 	if s == nil || s.stored == nil || report.Version != s.stored.Version {
 		return
@@ -101,13 +102,13 @@
 		if s.clean == nil {
 			s.clean = new(placement.Bitmap)
 			s.cleanSince = c.now
-			c.background.put(s, c.turn(s, c.now+c.settings.ClearInterval))
+			c.background.schedule(s, c.takeoverTime(s, c.now+c.settings.ClearInterval))
 		}
 		s.clean.Set(bucket)
 	}
 }
 
-// isHead tells whether the node is the head of the bucket's chain.
+// isHead reports whether the node is the head of the bucket's chain.
 func (c *Controller) isHead(s *service, bucket uint16, node lb.NodeID) bool {
 	head, _ := rendezvous.Chain(s.key.BucketKey(bucket), c.view.chain)
 	return head >= 0 && c.view.chain[head].ID == node
--- a/internal/controller/service.go
+++ b/internal/controller/service.go
@@ -11,127 +11,127 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// wantedBackend is a back end that the operators want to take new flows.
-type wantedBackend struct {
+// desiredBackend is a back end that gets new flows in the operators' configuration.
+type desiredBackend struct {
 	name   lb.BackendName
 	host   netip.AddrPort
-	weight uint16 // the operator's
+	weight uint16 // the operator's weight
 }
 
-// wanted is what the operators want of a service.
-type wanted struct {
+// desiredState is the state of a service in the operators' configuration.
+type desiredState struct {
 	presence       catalog.Presence
 	frontends      []lb.Frontend
 	opensPerSecond uint32
-	backends       []wantedBackend // sorted by name
-	unknown        []lb.BackendName
+	backends       []desiredBackend // sorted by name
+	invalid        []lb.BackendName // back ends whose documents are invalid
 }
 
-// commitTime says when this controller first saw a generation committed.
+// commitTime is the time at which this controller first saw a generation committed.
 type commitTime struct {
 	generation lb.Version
 	at         time.Duration
 }
 
-// failure says when this controller first saw a back end marked as failed.
+// failure is the time at which this controller first saw a back end marked as failed.
 type failure struct {
 	id lb.BackendID
 	at time.Duration
 }
 
-// condition remembers since when something holds.
+// condition records since when a condition has held without interruption.
 type condition struct {
 	since time.Duration
 	holds bool
 }
 
-// hold notes whether it holds now, and gives that back.
-func (k *condition) hold(holds bool, now time.Duration) bool {
-	if holds && !k.holds {
-		k.since = now
+// update records whether the condition holds now, and returns holds.
+func (c *condition) update(holds bool, now time.Duration) bool {
+	if holds && !c.holds {
+		c.since = now
 	}
-	k.holds = holds
+	c.holds = holds
 	return holds
 }
 
-// bucketMove says how many buckets a weight step moved.
+// bucketMove is the number of buckets that a weight step moved, and the time of the step.
 type bucketMove struct {
 	at      time.Duration
 	buckets int
 }
 
-// pendingWrite is a write whose outcome is not known yet.
+// pendingWrite is a write of which the controller does not know the outcome yet.
 type pendingWrite struct {
 	id        string
 	placement *lb.Placement
-	lost      bool // its outcome is to be read back
+	lost      bool // its outcome has to be read back from the store
 }
 
-// service is what the controller knows of one service.
+// service is the controller's state of one service.
 type service struct {
-	name   lb.ServiceName
-	key    rendezvous.Key
-	places [slotCount]place
+	name         lb.ServiceName
+	key          rendezvous.Key
+	queueEntries [queueCount]queueEntry
 
-	wanted    wanted
-	changed   int64         // revision of the last configuration change that concerns it
-	changedAt time.Duration // when its placement was first found not to reflect the configuration
+	desired          desiredState
+	lastChange       int64         // revision of the last configuration change that concerns the service
+	unreflectedSince time.Duration // when its placement was first found not to reflect the configuration
 
-	// stored is the highest version seen in the store, with the mod revision
-	// that a write over it must expect.
+	// stored is the highest version seen in the store; modRevision is the mod revision that a write
+	// over it must expect.
 	stored      *lb.Placement
 	modRevision int64
 	regressedAt time.Duration
-	regressed   bool // the store holds something lower than stored, or nothing
-	unreadable  bool // the store holds what cannot be read, and nothing better is known
+	regressed   bool // the store has a lower version than stored, or no placement
+	unreadable  bool // the placement in the store cannot be decoded, and stored is nil
 
-	// relative holds the operators' weights that the stored weights go by.
-	relative []wantedBackend
+	// baseWeights holds the operators' weights from which the stored weights were derived.
+	baseWeights []desiredBackend
 
 	pending   *pendingWrite
-	holdUntil time.Duration // not written before
+	notBefore time.Duration // the earliest time of the next write
 
-	prepared     lb.Version // generation that is announced, or 0
-	preparedAt   time.Duration
-	acknowledged map[lb.Zone]lb.Version
-	commits      []commitTime
-	failures     []failure
+	preparedVersion lb.Version // generation that is prepared and not committed, or 0
+	preparedAt      time.Duration
+	acknowledged    map[lb.Zone]lb.Version
+	commits         []commitTime
+	failures        []failure
 
-	ready       condition // the prepared generation is acknowledged
-	failing     condition // there is evidence against a back end
-	releasable  condition // a front end of the deleted service is wanted by another
-	forgettable condition // a back end can be forgotten
+	ready           condition // every zone has acknowledged the prepared generation
+	hasUnresponsive condition // a back end is unresponsive
+	releasable      condition // an existing service has a front end of this deleted service
+	forgettable     condition // a back end can be removed from the document
 
-	clean      *placement.Bitmap // reported for the stored version
+	clean      *placement.Bitmap // buckets reported clean for the stored version
 	cleanSince time.Duration
 
-	weighedAt  time.Duration
-	knownSince time.Duration // when a placement was first seen
-	moves      []bucketMove  // of weight steps, lately
+	weightStepAt time.Duration
+	firstSeenAt  time.Duration // when a placement of the service was first seen
+	moves        []bucketMove  // by weight steps within moveWindow
 }
 
-// service gives the named service, new if it was not known.
+// service returns the named service, and adds it if it does not exist yet.
 func (c *Controller) service(name lb.ServiceName) *service {
 	known, found := c.services[name]
 	if !found {
 		known = &service{name: name, key: rendezvous.NewKey(string(name))}
-		known.weighedAt = c.now
+		known.weightStepAt = c.now
 		c.services[name] = known
 	}
 	return known
 }
 
-// isPrepared tells whether a generation is announced and not committed.
+// isPrepared reports whether the placement has a generation that is prepared and not committed.
 func isPrepared(document *lb.Placement) bool {
 	return document.Current < len(document.Generations)-1
 }
 
-// currentBackends gives the generation by which new flows go.
+// currentBackends returns the back ends of the generation that places new flows.
 func currentBackends(document *lb.Placement) []lb.WeightedBackend {
 	return document.Generations[document.Current].Backends
 }
 
-// currentWeight gives the weight of a back end in the current generation, or 0.
+// currentWeight returns the weight of a back end in the current generation, or 0.
 func currentWeight(document *lb.Placement, id lb.BackendID) uint16 {
 	for _, weighted := range currentBackends(document) {
 		if weighted.ID == id {
@@ -141,8 +141,8 @@
 	return 0
 }
 
-// isWeightsOnly tells whether the announced generation has the same back ends
-// as the current one, so that it changes only weights.
+// isWeightsOnly reports whether the prepared generation has the same back ends as the current one,
+// so that it changes only weights.
 func isWeightsOnly(document *lb.Placement) bool {
 	if !isPrepared(document) {
 		return false
@@ -151,42 +151,42 @@
 	return sameBackends(last, currentBackends(document))
 }
 
-// sameBackends tells whether two generations differ at most in weights.
+// sameBackends reports whether two generations differ at most in weights.
 func sameBackends(a, b []lb.WeightedBackend) bool {
 	return slices.EqualFunc(a, b, func(a, b lb.WeightedBackend) bool { return a.ID == b.ID })
 }
 
-// adopt takes in a placement seen in the store.
+// adopt applies a placement that was seen in the store.
 func (c *Controller) adopt(s *service, document *lb.Placement, modRevision int64) {
 	if modRevision <= s.modRevision {
 		return
 	}
 	s.modRevision = modRevision
 	s.unreadable = false
-	if s.stored != nil && isLower(document, s.stored) && !c.off.noVersionMemory {
+	if s.stored != nil && mustNotReplace(document, s.stored) && !c.disabled.noVersionMemory {
 		c.markRegressed(s)
 		return
 	}
 	s.regressed = false
-	c.noteMoves(s, s.stored, document)
+	c.recordMoves(s, s.stored, document)
 	s.stored = document
 	c.effects.Placements = append(c.effects.Placements, document)
-	c.noteGenerations(s)
-	c.noteFailures(s)
+	c.recordGenerations(s)
+	c.recordFailures(s)
 	s.clean = nil
-	if document.ConfigRevision >= s.changed && !isPrepared(document) {
-		s.relative = s.wanted.backends
+	if document.ConfigRevision >= s.lastChange && !isPrepared(document) {
+		s.baseWeights = s.desired.backends
 	}
-	c.noteRetired(s)
-	c.noteReflection(s, document.ConfigRevision+1)
-	c.reconsider(s)
+	c.updateDeletedOwners(s)
+	c.updateUnreflected(s, document.ConfigRevision+1)
+	c.scheduleNow(s)
 }
 
-// recall takes the placement that is in force at this node where it is newer
-// than what the store is known to have: either this node's watch lags, or the
-// store has lost it. In the first case the write to restore it has no effect.
-func (c *Controller) recall(s *service) {
-	if c.settings.InForce == nil || c.off.noVersionMemory {
+// adoptInForce applies the placement that is in force at this node if it is newer than the one
+// seen in the store. Either this node's watch lags, or the store has lost the placement. If the
+// watch lags, the write that restores the placement has no effect.
+func (c *Controller) adoptInForce(s *service) {
+	if c.settings.InForce == nil || c.disabled.noVersionMemory {
 		return
 	}
 	known := c.settings.InForce(s.name)
@@ -195,31 +195,32 @@
 	}
 	s.stored = known
 	s.unreadable = false
-	c.noteGenerations(s)
-	c.noteFailures(s)
+	c.recordGenerations(s)
+	c.recordFailures(s)
 	s.clean = nil
-	c.noteRetired(s)
-	c.noteReflection(s, known.ConfigRevision+1)
+	c.updateDeletedOwners(s)
+	c.updateUnreflected(s, known.ConfigRevision+1)
 	c.markRegressed(s)
 }
 
-// isLower tells whether document must not take the place of known.
-func isLower(document, known *lb.Placement) bool {
+// mustNotReplace reports whether document must not replace known.
+func mustNotReplace(document, known *lb.Placement) bool {
 	return document.Version < known.Version ||
 		document.Version == known.Version && document.WriteID != known.WriteID
 }
 
-// markRegressed notes that the store lost the stored placement: it is to be written again.
+// markRegressed records that the store lost the stored placement, so that it has to be written
+// again.
 func (c *Controller) markRegressed(s *service) {
 	if !s.regressed {
 		s.regressed = true
 		s.regressedAt = c.now
 	}
-	c.reconsider(s)
+	c.scheduleNow(s)
 }
 
-// noteGenerations keeps the times at which generations were prepared and committed.
-func (c *Controller) noteGenerations(s *service) {
+// recordGenerations records the times at which generations were first seen prepared and committed.
+func (c *Controller) recordGenerations(s *service) {
 	document := s.stored
 	commits := make([]commitTime, 0, document.Current)
 	for _, generation := range document.Generations[1 : document.Current+1] {
@@ -227,20 +228,21 @@
 	}
 	s.commits = commits
 	if !isPrepared(document) {
-		s.prepared = 0
+		s.preparedVersion = 0
 		s.acknowledged = nil
 		return
 	}
 	last := document.Generations[len(document.Generations)-1].Version
-	if s.prepared != last {
-		s.prepared = last
+	if s.preparedVersion != last {
+		s.preparedVersion = last
 		s.preparedAt = c.now
 		s.ready = condition{}
 		s.acknowledged = make(map[lb.Zone]lb.Version)
 	}
 }
 
-// committedAt gives when the generation was first seen committed: now, if not before.
+// committedAt returns the time at which the generation was first seen committed, or now if this is
+// the first time.
 func (c *Controller) committedAt(s *service, generation lb.Version) time.Duration {
 	for _, known := range s.commits {
 		if known.generation == generation {
@@ -250,8 +252,8 @@
 	return c.now
 }
 
-// noteFailures keeps the times at which back ends were seen to have failed.
-func (c *Controller) noteFailures(s *service) {
+// recordFailures records the times at which back ends were first seen marked as failed.
+func (c *Controller) recordFailures(s *service) {
 	known := s.failures
 	s.failures = nil
 	for _, backend := range s.stored.Backends {
@@ -266,28 +268,28 @@
 	}
 }
 
-// noteRetired keeps the index of front ends that deleted services still have.
-func (c *Controller) noteRetired(s *service) {
+// updateDeletedOwners updates the index of front ends that deleted services still have.
+func (c *Controller) updateDeletedOwners(s *service) {
 	for _, frontend := range s.stored.Frontends {
 		switch {
 		case s.stored.Deleted:
-			c.retired[frontend] = s
-		case c.retired[frontend] == s:
-			delete(c.retired, frontend)
+			c.deletedOwners[frontend] = s
+		case c.deletedOwners[frontend] == s:
+			delete(c.deletedOwners, frontend)
 		}
 	}
 }
 
-// noteReflection notes whether the placement reflects the configuration. Where
-// it does not, revision is the first that it may miss.
-func (c *Controller) noteReflection(s *service, revision int64) {
-	if c.reflects(s) {
+// updateUnreflected records whether the placement reflects the configuration. If it does not,
+// revision is the first one that the placement may lack.
+func (c *Controller) updateUnreflected(s *service, revision int64) {
+	if c.reflectsConfiguration(s) {
 		delete(c.unreflected, s.name)
 		return
 	}
 	first, known := c.unreflected[s.name]
 	if !known {
-		s.changedAt = c.now
+		s.unreflectedSince = c.now
 		first = revision
 	}
 	c.unreflected[s.name] = min(first, revision)
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -9,19 +9,19 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// view is what the membership says of publishing.
-type view struct {
+// membershipView holds what the controller derives from the membership.
+type membershipView struct {
 	publisher bool // this node is one of the watchers
 	reporter  bool // this node reports its zone's state
 	watchers  []rendezvous.Candidate
-	chain     []rendezvous.Candidate // nodes that take part in chains
+	chain     []rendezvous.Candidate // nodes that take part in chains: all that are not leaving
 	zones     []lb.Zone              // zones with a live node
 }
 
-// takeMembers derives the view. Publishers are chosen among all nodes alive,
-// so that a node that leaves hands publishing over as it ends.
-func (c *Controller) takeMembers(members []core.Member) {
-	next := view{}
+// applyMembers derives the view from the membership. Watchers are chosen among the nodes that are
+// not leaving, so that a leaving node hands publishing over while it stops.
+func (c *Controller) applyMembers(members []core.Member) {
+	next := membershipView{}
 	var staying []rendezvous.Candidate
 	for _, member := range members {
 		candidate := rendezvous.Candidate{ID: member.ID, Zone: member.Zone, Hash: member.ID.Hash()}
@@ -40,17 +40,17 @@
 	c.view = next
 	if publishersChanged {
 		for _, service := range c.services {
-			c.reconsider(service)
+			c.scheduleNow(service)
 		}
 	}
 }
 
-// isSelf tells whether the candidate is this node.
+// isSelf reports whether the candidate is this node.
 func (c *Controller) isSelf(candidate rendezvous.Candidate) bool {
 	return candidate.ID == c.settings.Self
 }
 
-// isFirstOfZone tells whether this node ranks first of its zone's watchers.
+// isFirstOfZone reports whether this node ranks first among the watchers of its zone.
 func (c *Controller) isFirstOfZone(watchers []rendezvous.Candidate) bool {
 	first := slices.IndexFunc(watchers, func(candidate rendezvous.Candidate) bool {
 		return candidate.Zone == c.settings.Zone
@@ -58,8 +58,8 @@
 	return first >= 0 && c.isSelf(watchers[first])
 }
 
-// rank gives this node's place among the service's publishers, from 0. The
-// order is by rendezvous, so that services are spread over publishers.
+// rank returns this node's position in the takeover order of the service's publishers, from 0. The
+// order comes from rendezvous hashing, which spreads the services over the publishers.
 func (c *Controller) rank(service *service) int {
 	self := rendezvous.Candidate{ID: c.settings.Self, Hash: c.settings.Self.Hash()}
 	rank := 0
@@ -72,9 +72,9 @@
 	return rank
 }
 
-// turn gives the time at which this node acts on what became due at the given
-// time: at once at the service's first publisher, later at the others. It
-// saves writes that would be in vain; nothing else depends on it.
-func (c *Controller) turn(service *service, due time.Duration) time.Duration {
-	return due + time.Duration(c.rank(service))*c.settings.TakeOverDelay
+// takeoverTime returns the time at which this node acts on a write that becomes due at the given
+// time. The service's first publisher acts at once, and the others later by their rank. The delay
+// only avoids writes that would conflict; correctness does not depend on it.
+func (c *Controller) takeoverTime(service *service, due time.Duration) time.Duration {
+	return due + time.Duration(c.rank(service))*c.settings.TakeoverDelay
 }
--- a/internal/controller/writes.go
+++ b/internal/controller/writes.go
@@ -15,22 +15,22 @@
 	document, err := build(s, stamp, next)
 	if err != nil {
 		c.problem(catalog.PlacementKey(s.name), err)
-		s.holdUntil = c.now + c.settings.FailedHold
-		c.touch(s, s.holdUntil, next.background)
+		s.notBefore = c.now + c.settings.FailedHold
+		c.scheduleAt(s, s.notBefore, next.background)
 		return
 	}
 	s.pending = &pendingWrite{id: stamp.WriteID, placement: document}
 	c.outstanding++
-	c.deadlines.put(s, c.now+c.settings.WriteTimeout)
+	c.deadlines.schedule(s, c.now+c.settings.WriteTimeout)
 	c.effects.Writes = append(c.effects.Writes, Write{
 		Placement:           document,
 		ExpectedModRevision: s.modRevision,
-		ExpectedEpoch:       c.epoch.revision,
+		ExpectedEpoch:       c.epoch.modRevision,
 		Kind:                next.kind,
 	})
 }
 
-// build makes the document of a proposal.
+// build returns the placement that results from a proposal.
 func build(s *service, stamp placement.Stamp, next proposal) (*lb.Placement, error) {
 	if s.stored == nil {
 		return placement.New(s.name, stamp, next.changes...)
@@ -38,21 +38,21 @@
 	return placement.Next(s.stored, stamp, next.changes...)
 }
 
-// nextWriteID gives an id that no other write of any process has.
+// nextWriteID returns an ID that no other write of any process has.
 func (c *Controller) nextWriteID() string {
-	c.writes++
-	return fmt.Sprintf("%s/%s/%d", c.settings.Self, c.settings.Run, c.writes)
+	c.writeCount++
+	return fmt.Sprintf("%s/%s/%d", c.settings.Self, c.settings.Run, c.writeCount)
 }
 
-// takeResult takes in the outcome of a write. Where it is not known, the
-// placement is read back: its write id tells.
-func (c *Controller) takeResult(result *WriteResult) {
+// applyWriteResult applies the outcome of a write. If the outcome is unknown, the placement is read
+// back, and its write ID shows whether the write took effect.
+func (c *Controller) applyWriteResult(result *WriteResult) {
 	s := c.services[result.Service]
 	if s == nil || s.pending == nil || s.pending.id != result.WriteID {
 		return
 	}
 	outcome, modRevision := result.Outcome, result.ModRevision
-	if c.off.noReadBack && outcome == WriteUnknown {
+	if c.disabled.noReadBack && outcome == WriteUnknown {
 		outcome, modRevision = WriteDone, s.modRevision+1
 	}
 	switch outcome {
@@ -60,80 +60,79 @@
 		written := s.pending.placement
 		c.finish(s)
 		c.adopt(s, written, modRevision)
-		c.reconsider(s)
+		c.scheduleNow(s)
 	case WriteNotRun:
 		c.finish(s)
-		c.hold(s)
+		c.delayRetry(s)
 	default:
 		s.pending.lost = true
 		c.effects.Reads = append(c.effects.Reads, s.name)
 	}
 }
 
-// takeReadBack takes in a placement read back. A read that failed is repeated
-// after ReadRetry.
-func (c *Controller) takeReadBack(answer *ReadBack) {
+// applyReadBack applies the result of reading a placement back. A failed read is repeated after
+// ReadRetry.
+func (c *Controller) applyReadBack(answer *ReadBack) {
 	s := c.services[answer.Service]
 	if s == nil || s.pending == nil {
 		return
 	}
 	if answer.Failed {
-		c.deadlines.put(s, c.now+c.settings.ReadRetry)
+		c.deadlines.schedule(s, c.now+c.settings.ReadRetry)
 		return
 	}
 	document := answer.Document
 	document.Key = catalog.PlacementKey(s.name)
 	if document.ModRevision == 0 {
-		c.takeLoss(s, s.modRevision+1)
+		c.applyPlacementLoss(s, s.modRevision+1)
 	} else {
-		c.takePlacement(&document)
+		c.applyPlacement(&document)
 	}
 	if s.pending != nil {
 		c.finish(s)
-		c.hold(s)
+		c.delayRetry(s)
 	}
 }
 
-// resolve ends the wait for a result when the placement seen shows that the
-// pending write took effect.
+// resolve ends the pending write if the placement seen in the store shows that it took effect.
 func (c *Controller) resolve(s *service, seen *lb.Placement) {
 	if s.pending != nil && seen != nil && seen.WriteID == s.pending.id {
 		c.finish(s)
-		c.reconsider(s)
+		c.scheduleNow(s)
 	}
 }
 
-// finish ends the pending write.
+// finish removes the pending write.
 func (c *Controller) finish(s *service) {
 	s.pending = nil
 	c.outstanding--
 	c.deadlines.remove(s)
 }
 
-// hold reconsiders the service after a write without effect.
-func (c *Controller) hold(s *service) {
-	s.holdUntil = c.now + c.settings.RetryDelay
-	c.touch(s, s.holdUntil, false)
+// delayRetry schedules the service again after RetryDelay, after a write without effect.
+func (c *Controller) delayRetry(s *service) {
+	s.notBefore = c.now + c.settings.RetryDelay
+	c.scheduleAt(s, s.notBefore, false)
 }
 
-// storeReturned asks at once for everything that the store's absence has kept
-// unknown.
-func (c *Controller) storeReturned() {
+// applyStoreUp records that the store is available again. The change of the epoch and the reads of
+// lost writes become due at once.
+func (c *Controller) applyStoreUp() {
 	c.storeUp = true
 	c.epoch.retryAt = c.now
-	for _, s := range c.deadlines.entries.services {
+	for _, s := range c.deadlines.heap.services {
 		if s.pending.lost {
-			s.places[slotDeadline].at = c.now
+			s.queueEntries[queueDeadline].at = c.now
 		}
 	}
-	heap.Init(&c.deadlines.entries)
+	heap.Init(&c.deadlines.heap)
 }
 
-// expireWrites reads back what has had no result for too long.
+// expireWrites requests a read of the placement for every write whose deadline has passed.
 func (c *Controller) expireWrites() {
 	for s := c.deadlines.pop(c.now); s != nil; s = c.deadlines.pop(c.now) {
 		s.pending.lost = true
 		c.effects.Reads = append(c.effects.Reads, s.name)
-		c.deadlines.put(s, c.now+c.settings.WriteTimeout)
+		c.deadlines.schedule(s, c.now+c.settings.WriteTimeout)
 	}
 }
