--- a/internal/lb/frontend.go
+++ b/internal/lb/frontend.go
@@ -6,14 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FrontendKey is a front end in the form found in a FlowKey; it is a map key.
+// FrontendKey is the comparable form of a front end, used as a map key. It has the same form as the
+// destination in a FlowKey.
 type FrontendKey struct {
 	Address  [16]byte
 	Port     uint16
 	Protocol Protocol
 }
 
-// Key gives the front end as a map key.
+// Key returns the front end as a map key.
 func (frontend *Frontend) Key() FrontendKey {
 	return FrontendKey{
 		Address:  frontend.Address.Addr().As16(),
@@ -22,15 +23,15 @@
 	}
 }
 
-// Frontend gives the front end that the flow goes to.
+// Frontend returns the front end that is the flow's destination.
 func (key *FlowKey) Frontend() FrontendKey {
 	return FrontendKey{Address: key.Destination, Port: key.DestinationPort, Protocol: key.Protocol}
 }
 
-// frontendKeyBytes is the size of the byte form that is hashed.
+// frontendKeyBytes is the size in bytes of the encoded form that is hashed.
 const frontendKeyBytes = 16 + 2 + 1
 
-// Hash hashes the key. It allocates nothing.
+// Hash returns a 64-bit hash of the key. It allocates nothing.
 func (key *FrontendKey) Hash() uint64 {
 	var buffer [frontendKeyBytes]byte
 	copy(buffer[0:16], key.Address[:])
--- a/internal/lb/relay.go
+++ b/internal/lb/relay.go
@@ -6,53 +6,55 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NodeHash is the 64-bit hash of a NodeID, used where a name is too long (the
-// Geneve relay option).
+// NodeHash is the 64-bit hash of a NodeID, used where a name would be too long, as in the Geneve
+// relay option.
 type NodeHash uint64
 
-// Hash gives the node's NodeHash.
+// Hash returns the node's NodeHash.
 func (id NodeID) Hash() NodeHash { return NodeHash(xxhash.Sum64String(string(id))) }
 
-// Hop says in which role the receiver of a relayed packet handles it.
+// Hop is the role in which the receiver of a relayed packet handles it.
 type Hop uint8
 
 // The hops of a packet through the balancers (docs/DESIGN.md, "The chain").
 const (
-	// HopIngress: the packet came from the fabric.
+	// HopIngress: the packet was received from the fabric.
 	HopIngress Hop = iota
-	// HopHead: relayed by an ingress node to the head of the bucket's chain.
+	// HopHead: the packet was relayed by an ingress node to the head of the bucket's chain.
 	HopHead
-	// HopTail: relayed by the head to the tail of the bucket's chain.
+	// HopTail: the packet was relayed by the head to the tail of the bucket's chain.
 	HopTail
-	// HopReturn: returned by the tail to the head, because its answer is not
-	// the head's proposal. Proposal and Refuse are the answer.
+	// HopReturn: the packet was returned by the tail to the head, because the tail's decision
+	// differs from the head's proposal. Proposal and Refuse hold the tail's decision.
 	HopReturn
 )
 
-// Relay travels with a packet that one balancer relays to another (a Geneve option).
+// Relay is the metadata of a packet that one balancer relays to another. It is sent as a Geneve
+// option.
 type Relay struct {
 	Hop     Hop
-	Ingress NodeHash // the node that took the packet from the fabric
+	Ingress NodeHash // the node that received the packet from the fabric
 	Version Version  // placement version of the relaying node
-	// Proposal is the head's choice (HopTail) or the tail's answer (HopReturn);
-	// NoBackend with Refuse set means refusal.
+	// Proposal is the back end that the head proposes (HopTail) or that the tail decided on
+	// (HopReturn). NoBackend with Refuse set means a refusal.
 	Proposal BackendID
-	// Known: the proposal comes from a record confirmed by an earlier tail, not from a table.
+	// Known is true if the proposal comes from a record that an earlier tail confirmed, not from a
+	// placement table.
 	Known bool
-	// Refuse: the head proposes refusal (admission).
+	// Refuse is true if the head proposes to refuse the flow, by admission control.
 	Refuse bool
-	// Vouched: the head has been in this bucket's chain long enough to know
-	// every opening still being retransmitted.
+	// Vouched is true if the head has been in this bucket's chain for so long that it has a record
+	// of every opening that is still being retransmitted.
 	Vouched bool
-	// Established: the ingress node saw this UDP flow before the placement's motion began.
+	// Established is true if the ingress node saw this UDP flow before its bucket was in motion.
 	Established bool
-	// Rerouted (HopHead only): a node that is not the head in its own view
-	// passed the packet on, so that the next one must not do so again.
+	// Rerouted is true if a node that is not the head in its own view relayed the packet again. The
+	// receiver must not do the same, so that packets do not loop. It is used with HopHead only.
 	Rerouted bool
 }
 
-// Refusal tells the fabric and the caller that a request was given up on, at once.
+// Refusal is the immediate response to the fabric and the caller that a request was refused.
 type Refusal struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // when to come back; spread over callers
+	RetryAfter time.Duration // the delay before the caller retries; spread over callers
 }
--- a/internal/lb/slots.go
+++ b/internal/lb/slots.go
@@ -1,6 +1,7 @@
 package lb
 
-// TotalSlots sums up what back ends work on at once, by zone.
+// TotalSlots returns the sum, over all zones, of the slots of back ends. A slot is the capacity for
+// one request at a time.
 func TotalSlots(byZone map[Zone]float64) float64 {
 	total := 0.0
 	for _, slots := range byZone {
--- a/internal/lb/stop.go
+++ b/internal/lb/stop.go
@@ -2,6 +2,6 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrStoppedAtOnce is what a balancer's Run returns when its context ended
-// before the planned stop was finished.
-var ErrStoppedAtOnce = errors.New("stopped at once, before the planned stop was finished")
+// ErrStoppedAtOnce is the error that a balancer's Run returns if its context ends before the
+// planned stop is complete.
+var ErrStoppedAtOnce = errors.New("stopped immediately, before the planned stop was complete")
--- a/internal/lb/types.go
+++ b/internal/lb/types.go
@@ -1,6 +1,6 @@
-// Package lb holds the types that every other package shares: flows, nodes,
-// back ends, placements and verdicts. It has no behaviour beyond parsing,
-// printing and hashing, and imports no other package of this project.
+// Package lb defines the types that all other packages share: flows, nodes, back ends, placements
+// and verdicts. It contains no logic except parsing, formatting, validation and hashing, and
+// imports no other package of this project.
 package lb
 
 import (
@@ -11,20 +11,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BucketCount is the number of buckets in every placement table. It is prime,
-// as the Maglev table needs (Maglev, NSDI 2016, section 3.4).
+// BucketCount is the number of buckets of every placement table. It is prime, as Maglev hashing
+// requires (Maglev, NSDI 2016, section 3.4).
 const BucketCount = 1021
 
 // Protocol is the transport protocol of a flow, as its IP protocol number.
 type Protocol uint8
 
-// The two protocols that are balanced (IANA protocol numbers).
+// The protocols that are balanced, with their IANA protocol numbers.
 const (
 	TCP Protocol = 6
 	UDP Protocol = 17
 )
 
-// String gives the lower-case name used in settings and documents.
+// String returns the lower-case name that settings and documents use.
 func (protocol Protocol) String() string {
 	switch protocol {
 	case TCP:
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("protocol(%d)", uint8(protocol))
 }
 
-// ParseProtocol reads "tcp" or "udp".
+// ParseProtocol parses "tcp" or "udp".
 func ParseProtocol(text string) (Protocol, error) {
 	switch text {
 	case "tcp":
@@ -46,10 +46,10 @@
 	return 0, fmt.Errorf("protocol %q is neither tcp nor udp", text)
 }
 
-// MarshalText writes the protocol's name.
+// MarshalText returns the protocol's name.
 func (protocol Protocol) MarshalText() ([]byte, error) { return []byte(protocol.String()), nil }
 
-// UnmarshalText reads the protocol's name.
+// UnmarshalText parses the protocol's name.
 func (protocol *Protocol) UnmarshalText(text []byte) error {
 	parsed, err := ParseProtocol(string(text))
 	if err != nil {
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// NodeID names one run of one balancer: a restarted balancer may keep its name
-// and then has a higher incarnation in the membership.
+// NodeID identifies a balancer. A restarted balancer may keep its ID; it then has a higher
+// incarnation in the membership.
 type NodeID string
 
 // Zone names a failure domain.
@@ -72,18 +72,17 @@
 // BackendName names a back end; it is the key of its document in the store.
 type BackendName string
 
-// BackendID numbers a back end within the placements of one service. A
-// number is never given to another back end of the same service. Zero means none.
+// BackendID is the number of a back end within the placements of one service. It is never reused
+// for another back end of the same service. Zero means no back end.
 type BackendID uint16
 
-// NoBackend is the BackendID that names no back end.
+// NoBackend is the BackendID that stands for no back end.
 const NoBackend BackendID = 0
 
-// Version numbers the placements of one service; it only grows.
+// Version is the number of a placement of one service; later placements have higher versions.
 type Version uint64
 
-// FlowKey is the inner 5-tuple of a flow; IPv4 addresses are held in their
-// IPv6-mapped form.
+// FlowKey is the inner 5-tuple of a flow. IPv4 addresses are stored in their IPv6-mapped form.
 type FlowKey struct {
 	Source          [16]byte
 	Destination     [16]byte
@@ -92,7 +91,7 @@
 	Protocol        Protocol
 }
 
-// NewFlowKey builds the key of the flow from source to destination.
+// NewFlowKey returns the key of the flow from source to destination.
 func NewFlowKey(source, destination netip.AddrPort, protocol Protocol) FlowKey {
 	return FlowKey{
 		Source:          source.Addr().As16(),
@@ -103,13 +102,13 @@
 	}
 }
 
-// FlowID is the 64-bit hash of a FlowKey; records of flows are kept under it.
+// FlowID is the 64-bit hash of a FlowKey. It is the key of a flow's record.
 type FlowID uint64
 
-// flowKeyBytes is the size of the byte form that is hashed.
+// flowKeyBytes is the size in bytes of the encoded form that is hashed.
 const flowKeyBytes = 16 + 16 + 2 + 2 + 1
 
-// ID hashes the key. It allocates nothing.
+// ID returns the hash of the key. It allocates nothing.
 func (key *FlowKey) ID() FlowID {
 	var buffer [flowKeyBytes]byte
 	copy(buffer[0:16], key.Source[:])
@@ -120,34 +119,34 @@
 	return FlowID(xxhash.Sum64(buffer[:]))
 }
 
-// Bucket gives the bucket of the flow in the table of its service.
+// Bucket returns the flow's bucket in the placement table of its service.
 func (id FlowID) Bucket() uint16 { return uint16(uint64(id) % BucketCount) }
 
-// Frontend is one address that callers use: the virtual address, port and protocol.
+// Frontend is an address to which callers send requests: virtual IP address, port and protocol.
 type Frontend struct {
 	Address  netip.AddrPort `json:"address"`
 	Protocol Protocol       `json:"protocol"`
 }
 
-// String prints the front end as tcp://192.0.2.1:443.
+// String returns the front end as a URL such as tcp://192.0.2.1:443.
 func (frontend Frontend) String() string {
 	return fmt.Sprintf("%s://%s", frontend.Protocol, frontend.Address)
 }
 
-// Verdict says whether a request may have run at a back end.
+// Verdict says whether a request may have run on a back end.
 type Verdict uint8
 
 // The verdicts, from certain refusal to certain delivery.
 const (
-	// NotRun: no copy of the opening packet was forwarded by any balancer, and none will be.
+	// NotRun: no balancer has forwarded a copy of the opening packet, and none will.
 	NotRun Verdict = iota + 1
-	// MayHaveRun: a copy may have been forwarded.
+	// MayHaveRun: a copy of the opening packet may have been forwarded.
 	MayHaveRun
-	// Ran: a copy was forwarded and the back end answered.
+	// Ran: a copy of the opening packet was forwarded and the back end responded.
 	Ran
 )
 
-// String gives the name used in logs, metrics and the Geneve option.
+// String returns the name that logs and metrics use.
 func (verdict Verdict) String() string {
 	switch verdict {
 	case NotRun:
