--- a/internal/adminserver/adminserver.go
+++ b/internal/adminserver/adminserver.go
@@ -1,4 +1,4 @@
-// Package adminserver serves the admin address of a balancer over HTTP.
+// Package adminserver is the HTTP server on the admin address of a balancer.
 package adminserver
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// headerTimeout bounds how long a client may take for its request header.
+// headerTimeout is the maximum time in which a client has to send its request header.
 const headerTimeout = 5 * time.Second
 
-// Server is the admin address of one balancer.
+// Server is the HTTP server on the admin address of one balancer.
 type Server struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// Open listens on the address. Serve must follow, or Close.
+// Open listens on the address. The caller must call Serve or Close afterwards.
 func Open(address netip.AddrPort) (*Server, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -28,15 +28,15 @@
 	return &Server{listener: listener, server: &http.Server{ReadHeaderTimeout: headerTimeout}}, nil
 }
 
-// Pages are what every balancer shows.
+// Pages holds the sources of the pages that every balancer serves.
 type Pages struct {
-	// Ready tells whether the node may be sent packets, and why not.
+	// Ready reports whether the node is ready for packets, and the reason if it is not.
 	Ready func() (ready bool, reason string)
-	// Metrics serves them in the Prometheus text format.
+	// Metrics serves the metrics in the Prometheus text format.
 	Metrics http.Handler
 }
 
-// Serve serves the pages, and further routes of the node's own, until Close.
+// Serve serves the pages and the given routes, to which it adds the pages, until Close is called.
 func (server *Server) Serve(pages Pages, routes *http.ServeMux) error {
 	routes.HandleFunc("GET /healthz", func(response http.ResponseWriter, _ *http.Request) {
 		response.WriteHeader(http.StatusOK)
@@ -51,7 +51,8 @@
 	return errors.Wrap(err, "admin address")
 }
 
-// serveReady answers 200 when the node may be sent packets, else 503 with the reason.
+// serveReady responds with status 200 if the node is ready for packets, and otherwise with status
+// 503 and the reason.
 func (pages Pages) serveReady(response http.ResponseWriter, _ *http.Request) {
 	if ready, reason := pages.Ready(); !ready {
 		http.Error(response, reason, http.StatusServiceUnavailable)
@@ -60,8 +61,8 @@
 	response.WriteHeader(http.StatusOK)
 }
 
-// Close ends Serve.
+// Close stops the server, so that Serve returns.
 func (server *Server) Close() {
-	_ = server.server.Close() // nothing is left to be done about it
+	_ = server.server.Close() // the server is discarded, so the error has no consequence
 	_ = server.listener.Close()
 }
--- a/internal/adminserver/adminserver_test.go
+++ b/internal/adminserver/adminserver_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestPagesOfEveryBalancer: alive, ready or why not, metrics, and a page of its own.
-func TestPagesOfEveryBalancer(t *testing.T) {
+// TestServedPages checks the pages for health, readiness and metrics, and a page of the caller.
+func TestServedPages(t *testing.T) {
 	is := is.New(t)
 	server, err := Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	is.NoErr(err)
@@ -19,10 +19,10 @@
 		Ready:   func() (bool, string) { return reason == "", reason },
 		Metrics: http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(response, "metrics") }),
 	}
-	own := http.NewServeMux()
-	own.HandleFunc("GET /own", func(response http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(response, "own") })
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(pages, own) }()
+	routes := http.NewServeMux()
+	routes.HandleFunc("GET /custom", func(response http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(response, "custom") })
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(pages, routes) }()
 	get := func(path string) (int, string) {
 		response, err := http.Get("http://" + server.listener.Addr().String() + path)
 		is.NoErr(err)
@@ -31,7 +31,7 @@
 		is.NoErr(err)
 		return response.StatusCode, string(body)
 	}
-	for path, want := range map[string]string{"/healthz": "", "/metrics": "metrics", "/own": "own"} {
+	for path, want := range map[string]string{"/healthz": "", "/metrics": "metrics", "/custom": "custom"} {
 		status, body := get(path)
 		is.Equal(status, http.StatusOK)
 		is.Equal(body, want)
@@ -43,5 +43,5 @@
 	status, _ = get("/readyz")
 	is.Equal(status, http.StatusOK)
 	server.Close()
-	is.NoErr(<-ended)
+	is.NoErr(<-served)
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,7 @@
-// Package lifecycle is what the life of every balancer has in common: the planned
-// stop and how it is asked for, the events of the log that tell of it, and the
-// closing of the endpoints. What a node does in a planned stop is its affinity's.
+// Package lifecycle contains the parts of a balancer's lifecycle that do not depend on its
+// affinity: how a planned stop is requested, the log events of starting and stopping, and the
+// closing of the endpoints. The steps of a planned stop depend on the affinity and are implemented
+// by the nodes.
 package lifecycle
 
 import (
@@ -15,34 +16,34 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// Reason says why a planned stop ended, in the log.
+// Reason is the reason for the end of a planned stop, as logged.
 type Reason string
 
-// The reasons.
+// The reasons for the end of a planned stop.
 const (
-	Quiet      Reason = "quiet"       // nothing is left to do, and no packet comes
+	Quiet      Reason = "quiet"       // all work is done and no packets arrive
 	DrainLimit Reason = "drain_limit" // timings.drain_limit has passed
 )
 
-// Life is that of one balancer's process.
+// Life is the lifecycle of one balancer's process.
 type Life struct {
 	logger   zerolog.Logger
 	stopOnce sync.Once
 	stopping chan struct{}
 }
 
-// New gives the life of a balancer that logs to logger.
+// New returns the lifecycle of a balancer that logs to logger.
 func New(logger zerolog.Logger) *Life {
 	return &Life{logger: logger, stopping: make(chan struct{})}
 }
 
-// Stop begins a planned stop.
+// Stop begins the planned stop. Further calls have no effect.
 func (l *Life) Stop() { l.stopOnce.Do(func() { close(l.stopping) }) }
 
-// Stopping is closed when the planned stop begins.
+// Stopping returns a channel that is closed when the planned stop begins.
 func (l *Life) Stopping() <-chan struct{} { return l.stopping }
 
-// IsStopping tells whether the planned stop has begun.
+// IsStopping reports whether the planned stop has begun.
 func (l *Life) IsStopping() bool {
 	select {
 	case <-l.stopping:
@@ -57,21 +58,21 @@
 	l.logger.Info().Str(logging.FieldEvent, string(event)).Send()
 }
 
-// Failed logs that a part of the process has failed, if it has.
+// Failed logs the failure of a part of the process. It does nothing if err is nil.
 func (l *Life) Failed(err error) {
 	if err != nil {
 		l.logger.Error().Err(err).Str(logging.FieldEvent, string(logging.EventFailed)).Send()
 	}
 }
 
-// StoppedAtOnce logs that the process ends without a planned stop, or in the middle
-// of one, and gives lb.ErrStoppedAtOnce.
+// StoppedAtOnce logs that the process ends without a planned stop or before the planned stop is
+// complete, and returns lb.ErrStoppedAtOnce.
 func (l *Life) StoppedAtOnce() error {
 	l.Log(logging.EventStoppedAtOnce)
 	return lb.ErrStoppedAtOnce
 }
 
-// Stopped logs that the planned stop is finished.
+// Stopped logs that the planned stop is complete.
 func (l *Life) Stopped(reason Reason) {
 	l.logger.Info().
 		Str(logging.FieldEvent, string(logging.EventStopped)).
@@ -79,17 +80,17 @@
 		Send()
 }
 
-// Endpoints are those of a balancer; nil: not opened, or not any more.
+// Endpoints holds the network endpoints of a balancer. An endpoint that is not open is nil.
 type Endpoints struct {
 	Admin     *adminserver.Server
 	Transport *transport.Transport
 	Plane     *dataplane.Plane
 }
 
-// Close closes what is open.
+// Close closes the open endpoints.
 func (e *Endpoints) Close() {
 	if e.Plane != nil {
-		_ = e.Plane.Close() // nothing is left to be done about it
+		_ = e.Plane.Close() // the process ends, so the error has no consequence
 	}
 	if e.Transport != nil {
 		_ = e.Transport.Close()
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -17,12 +17,12 @@
 	life := New(zerolog.Nop())
 	is.Equal(life.IsStopping(), false)
 	life.Stop()
-	life.Stop() // a second request changes nothing
+	life.Stop() // a second call has no effect
 	is.True(life.IsStopping())
 	<-life.Stopping()
 }
 
-func TestEventsOfALife(t *testing.T) {
+func TestLifecycleEvents(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	life := New(zerolog.New(&output))
@@ -39,6 +39,6 @@
 	})
 }
 
-func TestEndpointsThatWereNeverOpenedAreClosed(*testing.T) {
+func TestCloseOfUnopenedEndpoints(*testing.T) {
 	(&Endpoints{}).Close()
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging names the log events of a balancer and their fields, and
-// builds its logger: one JSON object a line with stable keys. The names are
-// part of the interface to operators; docs/operations-node.md lists them.
+// Package logging defines the log events of a balancer and their fields, and creates its logger,
+// which writes one JSON object per line with stable keys. The names are part of the interface to
+// operators; docs/operations-node.md lists them.
 package logging
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// Event names what happened; it is the value of FieldEvent.
+// Event is the name of a log event, the value of FieldEvent.
 type Event string
 
 // The log events.
@@ -57,7 +57,7 @@
 	EventReloadIgnored    Event = "reload_ignored"
 )
 
-// Events lists every log event.
+// Events returns all log events.
 func Events() []Event {
 	return []Event{
 		EventStarting, EventReady, EventStopping, EventNotReady, EventHandedOver, EventStopped,
@@ -119,33 +119,32 @@
 	FieldProbes         = "probes"
 
 	FieldAdmission = "admission"
-	// FieldWaiting is what becomes of openings that admission turns away.
+	// FieldWaiting is the mode of the admission queue, as set by the setting of the same name.
 	FieldWaiting = "waiting"
-	// FieldWaited is how long an opening was held before the decision, in milliseconds.
+	// FieldWaited is the time that an opening spent in the admission queue before the decision, in
+	// milliseconds.
 	FieldWaited = "waited_ms"
 )
 
-// timeFormat of log lines: RFC 3339 in milliseconds.
+// timeFormat is the format of times in log lines: RFC 3339 with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Sizes of the queue in front of the log's output.
+// The capacity of the queue before the log's output, and the interval at which it is polled.
 const (
 	queueLines    = 1024
 	queueInterval = 50 * time.Millisecond
 )
 
-// NonBlocking gives a writer in front of output that never blocks: a log
-// consumer that stands still must not hold up packets. What the queue cannot
-// hold is dropped, and the number of lines told by onDropped. Close writes
-// what waits and leaves output open.
+// NonBlocking returns a writer that queues lines for output and never blocks, so that a stalled log
+// consumer does not delay packets. Lines that exceed the queue's capacity are dropped, and their
+// number is passed to onDropped. Close writes the queued lines and leaves output open.
 func NonBlocking(output io.Writer, onDropped func(lines int)) io.WriteCloser {
 	withoutClose := struct{ io.Writer }{output}
 	return diode.NewWriter(withoutClose, queueLines, queueInterval, onDropped)
 }
 
-// New builds a logger that writes to output at the given level (debug, info,
-// warn or error), with the node and its zone in every line. It sets the time
-// format of all loggers of the process.
+// New returns a logger that writes to output at the given level (debug, info, warn or error), with
+// the node and its zone in every line. It also sets the time format of all loggers of the process.
 func New(output io.Writer, level, node, zone string) (zerolog.Logger, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-func TestEveryLineNamesNodeAndZone(t *testing.T) {
+func TestEveryLineHasNodeAndZone(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	logger, err := logging.New(&output, "info", "b1", "za")
@@ -25,7 +25,7 @@
 	is.Equal(line[logging.FieldEvent], "ready")
 }
 
-func TestBadLevel(t *testing.T) {
+func TestUnknownLevelIsRejected(t *testing.T) {
 	is := is.New(t)
 	_, err := logging.New(io.Discard, "loud", "b1", "za")
 	is.True(err != nil)
@@ -43,20 +43,20 @@
 	is.Equal(bytes.Count(output.Bytes(), []byte("\n")), 100)
 }
 
-// stuck is an output whose reader stands still until released.
-type stuck struct{ released chan struct{} }
+// blockedWriter is a writer whose Write blocks until released is closed.
+type blockedWriter struct{ released chan struct{} }
 
-func (output stuck) Write(line []byte) (int, error) {
+func (output blockedWriter) Write(line []byte) (int, error) {
 	<-output.released
 	return len(line), nil
 }
 
-func TestNonBlockingDropsWhileOutputIsStuck(t *testing.T) {
+func TestNonBlockingDropsWhileOutputIsBlocked(t *testing.T) {
 	is := is.New(t)
-	output := stuck{released: make(chan struct{})}
+	output := blockedWriter{released: make(chan struct{})}
 	dropped := 0
 	writer := logging.NonBlocking(output, func(lines int) { dropped += lines })
-	for range 10_000 { // returns although nothing is written
+	for range 10_000 { // Write returns although the output is blocked
 		_, err := writer.Write([]byte("line\n"))
 		is.NoErr(err)
 	}
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -1,6 +1,6 @@
-// Package machines reads the platform's list of live and leaving machines. The
-// list lags, so it only seeds the membership: it adds peers to ask, and its
-// silence about a node proves nothing.
+// Package machines reads the platform's list of live and leaving machines. The list lags, so it is
+// used only to seed the membership: it adds peers to contact, and a node that it lacks is not
+// assumed to be dead.
 package machines
 
 import (
@@ -16,10 +16,10 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// maxListBytes bounds the answer: 10,000 machines of 400 bytes.
+// maxListBytes is the maximum size of the response: 10,000 machines of 400 bytes each.
 const maxListBytes = 4_000_000
 
-// Machine is one entry of the list.
+// Machine is a machine in the platform's list.
 type Machine struct {
 	Node    lb.NodeID
 	Zone    lb.Zone
@@ -28,8 +28,8 @@
 	Leaving bool
 }
 
-// Fetch reads the list at url. An entry without node, zone or address is an
-// error that names it: a list that is not understood is not used in part.
+// Fetch reads the list at url. If an entry lacks its node, zone or an address, Fetch returns an
+// error that names the entry: a list that is invalid in part is not used at all.
 func Fetch(ctx context.Context, client *http.Client, url string) ([]Machine, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -53,8 +53,7 @@
 	return parse(url, body)
 }
 
-// entry is one entry as written by the platform. Fields that are not known
-// are the platform's business.
+// entry is one entry of the list in the platform's JSON format. Other fields are ignored.
 type entry struct {
 	Node    string `json:"node"`
 	Zone    string `json:"zone"`
--- a/internal/machines/machines_test.go
+++ b/internal/machines/machines_test.go
@@ -16,7 +16,7 @@
 		name   string
 		status int
 		body   string
-		want   string // part of the error; empty: none
+		want   string // part of the error message; empty: no error
 	}{
 		{"list", http.StatusOK, `[{"node":"a","zone":"za","control":"127.0.0.1:1","data":"127.0.0.1:2","leaving":true}]`, ""},
 		{"empty", http.StatusOK, `[]`, ""},
