--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -14,24 +14,25 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// maxNameBytes bounds names, which travel in every membership message.
+// maxNameBytes is the maximum length of a node or zone name. Every membership message contains
+// both.
 const maxNameBytes = 63
 
-// checker turns a document into Settings and collects every problem.
+// checker converts a document to Settings and collects all problems.
 type checker struct {
-	places   map[string]place
-	problems Problems
+	positions map[string]sourcePosition
+	problems  Problems
 }
 
-func (checker *checker) report(field, value, format string, arguments ...any) {
+func (checker *checker) addProblem(field, value, format string, arguments ...any) {
 	problem := Problem{Field: field, Value: value, Text: fmt.Sprintf(format, arguments...)}
-	if found, ok := checker.places[field]; ok && found.value == value {
+	if found, ok := checker.positions[field]; ok && found.value == value {
 		problem.Line = found.line
 	}
 	checker.problems = append(checker.problems, problem)
 }
 
-// settings checks the whole document.
+// settings checks the whole document and returns the settings.
 func (checker *checker) settings(raw *document) *Settings {
 	settings := &Settings{
 		Node:                 lb.NodeID(checker.name("node", raw.Node)),
@@ -39,7 +40,7 @@
 		Region:               raw.Region,
 		Affinity:             checker.affinity("affinity", raw.Affinity),
 		Admission:            checker.admission("admission", raw.Admission),
-		Waiting:              checker.waiting("waiting", raw.Waiting),
+		Waiting:              checker.admissionQueue("waiting", raw.Waiting),
 		DataAddress:          checker.address("data_address", raw.DataAddress),
 		ControlAddress:       checker.address("control_address", raw.ControlAddress),
 		AdminAddress:         checker.address("admin_address", raw.AdminAddress),
@@ -56,23 +57,23 @@
 	if raw.MachinesURL != "" {
 		checker.url("machines_url", raw.MachinesURL)
 	}
-	checker.listeners(settings)
+	checker.distinctListeners(settings)
 	return settings
 }
 
-// name checks a node or zone name: letters, digits, '-', '_' and '.'.
+// name checks a node or zone name, which consists of letters, digits, '-', '_' and '.'.
 func (checker *checker) name(field, value string) string {
 	if value == "" {
-		checker.report(field, "", "is missing")
+		checker.addProblem(field, "", "is missing")
 		return ""
 	}
 	if len(value) > maxNameBytes {
-		checker.report(field, value, "is longer than %d bytes", maxNameBytes)
+		checker.addProblem(field, value, "is longer than %d bytes", maxNameBytes)
 		return ""
 	}
 	for _, letter := range value {
 		if !isNameLetter(letter) {
-			checker.report(field, value, "has a character other than letters, digits, '-', '_' and '.'")
+			checker.addProblem(field, value, "has a character other than letters, digits, '-', '_' and '.'")
 			return ""
 		}
 	}
@@ -87,22 +88,23 @@
 	return letter == '-' || letter == '_' || letter == '.'
 }
 
-// address checks an IP:port with a port other than 0 and a specified IP.
+// address checks an IP address and port. The port must not be 0, and the address must not be the
+// unspecified one.
 func (checker *checker) address(field, value string) netip.AddrPort {
 	if value == "" {
-		checker.report(field, "", "is missing")
+		checker.addProblem(field, "", "is missing")
 		return netip.AddrPort{}
 	}
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		checker.report(field, value, "is not an IP address and port")
+		checker.addProblem(field, value, "is not an IP address and port")
 		return netip.AddrPort{}
 	}
 	if address.Port() == 0 {
-		checker.report(field, value, "has port 0")
+		checker.addProblem(field, value, "has port 0")
 	}
 	if address.Addr().IsUnspecified() {
-		checker.report(field, value, "has no particular IP address; peers need one")
+		checker.addProblem(field, value, "is an unspecified IP address; peers need a specific one")
 	}
 	return address
 }
@@ -111,10 +113,10 @@
 	result := make([]netip.AddrPort, 0, len(values))
 	seen := map[netip.AddrPort]bool{}
 	for index, value := range values {
-		item := indexed(field, index)
+		item := elementField(field, index)
 		address := checker.address(item, value)
 		if address.IsValid() && seen[address] {
-			checker.report(item, value, "is a duplicate")
+			checker.addProblem(item, value, "is a duplicate")
 			continue
 		}
 		seen[address] = true
@@ -129,56 +131,56 @@
 	case core.AffinityChain, core.AffinityToken:
 		return affinity
 	}
-	checker.report(field, value, "is neither %s nor %s", core.AffinityChain, core.AffinityToken)
+	checker.addProblem(field, value, "is neither %s nor %s", core.AffinityChain, core.AffinityToken)
 	return ""
 }
 
-// waiting checks the name of a way of waiting.
-func (checker *checker) waiting(field, value string) Waiting {
-	switch waiting := Waiting(value); waiting {
+// admissionQueue checks the mode of the admission queue.
+func (checker *checker) admissionQueue(field, value string) Waiting {
+	switch mode := Waiting(value); mode {
 	case WaitingPriority, WaitingOff:
-		return waiting
+		return mode
 	}
-	checker.report(field, value, "is neither %s nor %s", WaitingPriority, WaitingOff)
+	checker.addProblem(field, value, "is neither %s nor %s", WaitingPriority, WaitingOff)
 	return WaitingOff
 }
 
-// admission checks the name of a way of admission.
+// admission checks the mode of admission control.
 func (checker *checker) admission(field, value string) Admission {
-	switch admission := Admission(value); admission {
+	switch mode := Admission(value); mode {
 	case AdmissionAdaptive, AdmissionOff:
-		return admission
+		return mode
 	}
-	checker.report(field, value, "is neither %s nor %s", AdmissionAdaptive, AdmissionOff)
+	checker.addProblem(field, value, "is neither %s nor %s", AdmissionAdaptive, AdmissionOff)
 	return ""
 }
 
-// replyAddresses checks the fabric's addresses, which only the chain needs.
+// replyAddresses checks the fabric's addresses, which only the affinity "chain" requires.
 func (checker *checker) replyAddresses(field string, raw *document) []netip.AddrPort {
 	if raw.Affinity == string(core.AffinityToken) {
 		return checker.addresses(field, raw.FabricReplyAddresses)
 	}
-	return checker.required(field, raw.FabricReplyAddresses)
+	return checker.requiredAddresses(field, raw.FabricReplyAddresses)
 }
 
-// required checks a list of addresses that may not be empty.
-func (checker *checker) required(field string, values []string) []netip.AddrPort {
+// requiredAddresses checks a list of addresses that may not be empty.
+func (checker *checker) requiredAddresses(field string, values []string) []netip.AddrPort {
 	if len(values) == 0 {
-		checker.report(field, "", "is missing")
+		checker.addProblem(field, "", "is missing")
 	}
 	return checker.addresses(field, values)
 }
 
 func (checker *checker) endpoints(field string, values []string) []string {
 	if len(values) == 0 {
-		checker.report(field, "", "is missing")
+		checker.addProblem(field, "", "is missing")
 	}
 	seen := map[string]bool{}
 	for index, value := range values {
-		item := indexed(field, index)
+		item := elementField(field, index)
 		checker.url(item, value)
 		if seen[value] {
-			checker.report(item, value, "is a duplicate")
+			checker.addProblem(item, value, "is a duplicate")
 		}
 		seen[value] = true
 	}
@@ -188,7 +190,7 @@
 func (checker *checker) url(field, value string) {
 	parsed, err := url.Parse(value)
 	if err != nil || parsed.Host == "" || (parsed.Scheme != "http" && parsed.Scheme != "https") {
-		checker.report(field, value, "is not an http or https URL")
+		checker.addProblem(field, value, "is not an http or https URL")
 	}
 }
 
@@ -197,7 +199,7 @@
 	case zerolog.LevelDebugValue, zerolog.LevelInfoValue, zerolog.LevelWarnValue, zerolog.LevelErrorValue:
 		return value
 	}
-	checker.report(field, value, "is none of debug, info, warn, error")
+	checker.addProblem(field, value, "is none of debug, info, warn, error")
 	return ""
 }
 
@@ -205,23 +207,23 @@
 	checker.positive("limits.control_bytes_per_second", raw.ControlBytesPerSecond)
 	checker.positive("limits.pin_bytes_per_second", raw.PinBytesPerSecond)
 	if raw.PinBytesPerSecond > raw.ControlBytesPerSecond {
-		checker.report("limits.pin_bytes_per_second", strconv.Itoa(raw.PinBytesPerSecond),
+		checker.addProblem("limits.pin_bytes_per_second", strconv.Itoa(raw.PinBytesPerSecond),
 			"exceeds limits.control_bytes_per_second, %d", raw.ControlBytesPerSecond)
 	}
-	checker.notNegative("limits.cold_overage", raw.ColdOverage)
-	checker.notNegative("limits.cold_slack", raw.ColdSlack)
+	checker.nonNegative("limits.cold_overage", raw.ColdOverage)
+	checker.nonNegative("limits.cold_slack", raw.ColdSlack)
 	return Limits(raw)
 }
 
 func (checker *checker) positive(field string, value int) {
 	if value <= 0 {
-		checker.report(field, strconv.Itoa(value), "is not above 0")
+		checker.addProblem(field, strconv.Itoa(value), "is not above 0")
 	}
 }
 
-func (checker *checker) notNegative(field string, value float64) {
+func (checker *checker) nonNegative(field string, value float64) {
 	if !(value >= 0) || math.IsInf(value, 0) {
-		checker.report(field, strconv.FormatFloat(value, 'g', -1, 64), "is not a number of 0 or more")
+		checker.addProblem(field, strconv.FormatFloat(value, 'g', -1, 64), "is not a number of 0 or more")
 	}
 }
 
@@ -258,25 +260,25 @@
 func (checker *checker) duration(field, value string) time.Duration {
 	duration, err := time.ParseDuration(value)
 	if err != nil {
-		checker.report(field, value, "is not a duration such as 300ms or 60s")
+		checker.addProblem(field, value, "is not a duration such as 300ms or 60s")
 		return 0
 	}
 	if duration <= 0 {
-		checker.report(field, value, "is not above 0")
+		checker.addProblem(field, value, "is not above 0")
 		return 0
 	}
 	return duration
 }
 
-// atMost reports a duration above the one that bounds it.
+// atMost adds a problem if the duration exceeds the bound, which is the value of another field.
 func (checker *checker) atMost(field, value string, duration time.Duration, boundField string, bound time.Duration) {
 	if duration > 0 && bound > 0 && duration > bound {
-		checker.report(field, value, "exceeds %s, %s", boundField, bound)
+		checker.addProblem(field, value, "exceeds %s, %s", boundField, bound)
 	}
 }
 
-// listeners reports two endpoints of this node on one address.
-func (checker *checker) listeners(settings *Settings) {
+// distinctListeners reports two endpoints of this node on one address.
+func (checker *checker) distinctListeners(settings *Settings) {
 	seen := map[netip.AddrPort]string{}
 	endpoints := []struct {
 		field   string
@@ -291,12 +293,12 @@
 			continue
 		}
 		if other, taken := seen[endpoint.address]; taken {
-			checker.report(endpoint.field, endpoint.address.String(), "is a duplicate of %s", other)
+			checker.addProblem(endpoint.field, endpoint.address.String(), "is a duplicate of %s", other)
 		}
 		seen[endpoint.address] = endpoint.field
 	}
 }
 
-func indexed(field string, index int) string {
+func elementField(field string, index int) string {
 	return field + "[" + strconv.Itoa(index) + "]"
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 	is.Equal(settings.AdminAddress.String(), config.DefaultAdminAddress)
 }
 
-func TestFlagsAlone(t *testing.T) {
+func TestSettingsFromFlagsAlone(t *testing.T) {
 	is := is.New(t)
 	settings, err := config.Load("", config.Overrides{
 		Node: "b1", Zone: "za", DataAddress: "127.0.0.1:1", ControlAddress: "127.0.0.1:2",
@@ -48,24 +48,24 @@
 	}{
 		{"unknown field", valid + "colour: red\n", []string{`line 7: colour: is not a known field`}},
 		{"unknown nested field", valid + "timings:\n  idle: 1s\n", []string{`line 8: idle: is not a known field`}},
-		{"key given twice", valid + "zone: zb\n", []string{`line 7: zone: is a duplicate of line 2`}},
+		{"duplicate key", valid + "zone: zb\n", []string{`line 7: zone: is a duplicate of line 2`}},
 		{"wrong type", valid + "limits: {pin_bytes_per_second: many}\n", []string{`line 7: "many" is not of type int`}},
 		{"not YAML", "node: [", []string{`line 1: YAML syntax: did not find expected node content`}},
 		{"two documents", valid + "---\nnode: b2\n", []string{`the file holds more than one YAML document`}},
 		{"bad address", valid + "admin_address: localhost\n", []string{`line 7: admin_address: "localhost" is not an IP address and port`}},
 		{"port 0", valid + "admin_address: 127.0.0.1:0\n", []string{`line 7: admin_address: "127.0.0.1:0" has port 0`}},
-		{"any address", valid + "admin_address: 0.0.0.0:80\n", []string{`line 7: admin_address: "0.0.0.0:80" has no particular IP address; peers need one`}},
-		{"shared address", valid + "admin_address: 127.0.0.1:6081\n", []string{`line 7: admin_address: "127.0.0.1:6081" is a duplicate of data_address`}},
-		{"seed twice", valid + "seeds:\n- 127.0.0.1:5\n- 127.0.0.1:5\n", []string{`line 9: seeds[1]: "127.0.0.1:5" is a duplicate`}},
-		{"bad name", valid + "region: tx\nmachines_url: machines\n", []string{`line 8: machines_url: "machines" is not an http or https URL`}},
+		{"unspecified address", valid + "admin_address: 0.0.0.0:80\n", []string{`line 7: admin_address: "0.0.0.0:80" is an unspecified IP address; peers need a specific one`}},
+		{"address of two endpoints", valid + "admin_address: 127.0.0.1:6081\n", []string{`line 7: admin_address: "127.0.0.1:6081" is a duplicate of data_address`}},
+		{"duplicate seed", valid + "seeds:\n- 127.0.0.1:5\n- 127.0.0.1:5\n", []string{`line 9: seeds[1]: "127.0.0.1:5" is a duplicate`}},
+		{"bad URL", valid + "region: tx\nmachines_url: machines\n", []string{`line 8: machines_url: "machines" is not an http or https URL`}},
 		{"log level", valid + "log_level: loud\n", []string{`line 7: log_level: "loud" is none of debug, info, warn, error`}},
-		{"pins above control", valid + "limits: {pin_bytes_per_second: 9000}\n", []string{`line 7: limits.pin_bytes_per_second: "9000" exceeds limits.control_bytes_per_second, 4096`}},
+		{"pin limit above control limit", valid + "limits: {pin_bytes_per_second: 9000}\n", []string{`line 7: limits.pin_bytes_per_second: "9000" exceeds limits.control_bytes_per_second, 4096`}},
 		{"zero limit", valid + "limits: {pin_bytes_per_second: 0}\n", []string{`line 7: limits.pin_bytes_per_second: "0" is not above 0`}},
 		{"duration", valid + "timings: {retry_after: soon}\n", []string{`line 7: timings.retry_after: "soon" is not a duration such as 300ms or 60s`}},
 		{"negative duration", valid + "timings: {retry_after: -1s}\n", []string{`line 7: timings.retry_after: "-1s" is not above 0`}},
-		{"pin outlives flow", valid + "timings: {idle_timeout: 50s, opening_hold: 50s}\n", []string{`timings.pin_lifetime: "1m0s" exceeds timings.idle_timeout, 50s`}},
-		{"slow probes", valid + "health: {interval: 1s, timeout: 2s}\n", []string{`line 7: health.timeout: "2s" exceeds health.interval, 1s`}},
-		{"all at once", "zone: z/a\ndata_address: here\nseeds: [there]\nfoo: 1\n", []string{
+		{"pin lifetime above idle timeout", valid + "timings: {idle_timeout: 50s, opening_hold: 50s}\n", []string{`timings.pin_lifetime: "1m0s" exceeds timings.idle_timeout, 50s`}},
+		{"probe timeout above interval", valid + "health: {interval: 1s, timeout: 2s}\n", []string{`line 7: health.timeout: "2s" exceeds health.interval, 1s`}},
+		{"several problems", "zone: z/a\ndata_address: here\nseeds: [there]\nfoo: 1\n", []string{
 			`line 4: foo: is not a known field`,
 			`node: is missing`,
 			`line 1: zone: "z/a" has a character other than letters, digits, '-', '_' and '.'`,
@@ -108,7 +108,7 @@
 	for _, path := range config.FieldNames() {
 		name := path[strings.LastIndex(path, ".")+1:]
 		if !strings.Contains(string(text), name+":") {
-			t.Errorf("the sample settings lack %s", path)
+			t.Errorf("the sample settings file lacks %s", path)
 		}
 	}
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -6,7 +6,7 @@
 	"robinpulley.example/robinpulley/internal/core"
 )
 
-// document is the settings file as written: text that is not yet checked.
+// document is the content of the settings file, before its values are checked.
 type document struct {
 	Node                 string   `yaml:"node"`
 	Zone                 string   `yaml:"zone"`
@@ -79,7 +79,7 @@
 	DefaultHealthTimeout         = time.Second
 )
 
-// defaultDocument holds the defaults, over which the file is read.
+// defaultDocument returns the default settings, which the settings file overrides.
 func defaultDocument() document {
 	return document{
 		Affinity:     string(core.AffinityChain),
@@ -114,16 +114,16 @@
 	}
 }
 
-// override lays the given flags over the file's values.
+// override replaces the file's values by those of the flags that are set.
 func (raw *document) override(flags Overrides) {
-	overrideText(&raw.Node, flags.Node)
-	overrideText(&raw.Zone, flags.Zone)
-	overrideText(&raw.Region, flags.Region)
-	overrideText(&raw.DataAddress, flags.DataAddress)
-	overrideText(&raw.ControlAddress, flags.ControlAddress)
-	overrideText(&raw.AdminAddress, flags.AdminAddress)
-	overrideText(&raw.MachinesURL, flags.MachinesURL)
-	overrideText(&raw.LogLevel, flags.LogLevel)
+	overrideString(&raw.Node, flags.Node)
+	overrideString(&raw.Zone, flags.Zone)
+	overrideString(&raw.Region, flags.Region)
+	overrideString(&raw.DataAddress, flags.DataAddress)
+	overrideString(&raw.ControlAddress, flags.ControlAddress)
+	overrideString(&raw.AdminAddress, flags.AdminAddress)
+	overrideString(&raw.MachinesURL, flags.MachinesURL)
+	overrideString(&raw.LogLevel, flags.LogLevel)
 	overrideList(&raw.FabricReplyAddresses, flags.FabricReply)
 	overrideList(&raw.StoreEndpoints, flags.StoreEndpoints)
 	overrideList(&raw.Seeds, flags.Seeds)
@@ -132,7 +132,7 @@
 	}
 }
 
-func overrideText(target *string, value string) {
+func overrideString(target *string, value string) {
 	if value != "" {
 		*target = value
 	}
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -13,9 +13,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Load reads the settings file at path, lays the flags over it and checks the
-// result. An empty path means flags only. What is wrong with the settings is
-// returned as Problems.
+// Load reads the settings file at path, overrides its values by the flags and checks the result. If
+// path is empty, the settings come from the flags alone. Invalid settings cause an error of the
+// type Problems.
 func Load(path string, flags Overrides) (*Settings, error) {
 	if path == "" {
 		return Parse(nil, flags)
@@ -27,7 +27,7 @@
 	return Parse(data, flags)
 }
 
-// Parse reads settings from YAML, lays the flags over them and checks the result.
+// Parse parses settings from YAML, overrides them by the flags and checks the result.
 func Parse(data []byte, flags Overrides) (*Settings, error) {
 	raw := defaultDocument()
 	problems, readable := decode(data, &raw)
@@ -35,7 +35,7 @@
 		return nil, problems
 	}
 	raw.override(flags)
-	checker := &checker{places: places(data), problems: problems}
+	checker := &checker{positions: sourcePositions(data), problems: problems}
 	settings := checker.settings(&raw)
 	if len(checker.problems) > 0 {
 		return nil, checker.problems
@@ -43,9 +43,9 @@
 	return settings, nil
 }
 
-// decode fills the document and gives what YAML finds wrong. The document is
-// not readable, so that its values can't be checked, when the text is not
-// YAML or gives a field twice.
+// decode decodes the YAML text into the document and returns the problems that the YAML library
+// finds. The result readable is false if the text is not one YAML document or contains a field
+// twice: the document's values must not be checked then.
 func decode(data []byte, raw *document) (problems Problems, readable bool) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
@@ -65,7 +65,7 @@
 	}
 	readable = true
 	for _, text := range typeError.Errors {
-		if twicePattern.MatchString(text) {
+		if duplicatePattern.MatchString(text) {
 			readable = false
 		}
 		problems = append(problems, yamlProblem(text))
@@ -74,13 +74,13 @@
 }
 
 var (
-	linePattern    = regexp.MustCompile(`^(?:yaml: )?line (\d+): (.*)$`)
-	unknownPattern = regexp.MustCompile(`^field (\S+) not found in type config\.\S+$`)
-	twicePattern   = regexp.MustCompile(`(?:^|: )mapping key "(.*)" already defined at line (\d+)$`)
-	typePattern    = regexp.MustCompile("^cannot unmarshal !!(\\S+) `(.*)` into (\\S+)$")
+	linePattern      = regexp.MustCompile(`^(?:yaml: )?line (\d+): (.*)$`)
+	unknownPattern   = regexp.MustCompile(`^field (\S+) not found in type config\.\S+$`)
+	duplicatePattern = regexp.MustCompile(`(?:^|: )mapping key "(.*)" already defined at line (\d+)$`)
+	typePattern      = regexp.MustCompile("^cannot unmarshal !!(\\S+) `(.*)` into (\\S+)$")
 )
 
-// yamlProblem puts a message of the YAML library into the form of the others.
+// yamlProblem converts a message of the YAML library to a Problem with the wording of this package.
 func yamlProblem(text string) Problem {
 	problem := Problem{Text: text}
 	if match := linePattern.FindStringSubmatch(text); match != nil {
@@ -91,7 +91,7 @@
 		problem.Field = match[1]
 		problem.Text = "is not a known field"
 	}
-	if match := twicePattern.FindStringSubmatch(problem.Text); match != nil {
+	if match := duplicatePattern.FindStringSubmatch(problem.Text); match != nil {
 		problem.Field = match[1]
 		problem.Text = "is a duplicate of line " + match[2]
 	}
@@ -108,8 +108,8 @@
 	return problem
 }
 
-// FieldNames lists the path of every setting, as in timings.idle_timeout, in
-// the order of the file.
+// FieldNames returns the paths of all settings, such as timings.idle_timeout, in the order of the
+// fields of the document.
 func FieldNames() []string {
 	return fieldNames("", reflect.TypeFor[document]())
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -8,15 +8,15 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Problem is one thing wrong with the settings.
+// Problem is one error in the settings.
 type Problem struct {
-	Field string // path, as in timings.idle_timeout or seeds[1]; empty: see Text
-	Value string // as written
+	Field string // path, such as timings.idle_timeout or seeds[1]; empty: no single field
+	Value string // the value as written in the file or flag
 	Line  int    // line in the file; 0: not in the file (missing, or from a flag)
-	Text  string // what is wrong
+	Text  string // description of the error
 }
 
-// String gives one line for an operator.
+// String returns the problem as one line of text.
 func (problem Problem) String() string {
 	var text strings.Builder
 	if problem.Line > 0 {
@@ -32,10 +32,10 @@
 	return text.String()
 }
 
-// Problems is the error that lists everything wrong with the settings.
+// Problems is the error that lists all problems of the settings.
 type Problems []Problem
 
-// Error gives one line per problem.
+// Error returns one line per problem.
 func (problems Problems) Error() string {
 	lines := make([]string, len(problems))
 	for index, problem := range problems {
@@ -44,26 +44,26 @@
 	return strings.Join(lines, "\n")
 }
 
-// place is where a field stands in the file.
-type place struct {
+// sourcePosition is the line of a field in the file, with the field's value.
+type sourcePosition struct {
 	line  int
 	value string
 }
 
-// places maps the path of each field in the file to its place.
-func places(data []byte) map[string]place {
+// sourcePositions returns the position of each field in the file, by the field's path.
+func sourcePositions(data []byte) map[string]sourcePosition {
 	var root yaml.Node
-	found := map[string]place{}
+	found := map[string]sourcePosition{}
 	if yaml.Unmarshal(data, &root) != nil || len(root.Content) == 0 {
 		return found
 	}
-	addPlaces(found, "", root.Content[0])
+	addSourcePositions(found, "", root.Content[0])
 	return found
 }
 
-func addPlaces(found map[string]place, path string, node *yaml.Node) {
+func addSourcePositions(found map[string]sourcePosition, path string, node *yaml.Node) {
 	if path != "" {
-		found[path] = place{line: node.Line, value: node.Value}
+		found[path] = sourcePosition{line: node.Line, value: node.Value}
 	}
 	switch node.Kind {
 	case yaml.MappingNode:
@@ -72,11 +72,11 @@
 			if path != "" {
 				name = path + "." + name
 			}
-			addPlaces(found, name, node.Content[index+1])
+			addSourcePositions(found, name, node.Content[index+1])
 		}
 	case yaml.SequenceNode:
 		for index, item := range node.Content {
-			addPlaces(found, path+"["+strconv.Itoa(index)+"]", item)
+			addSourcePositions(found, path+"["+strconv.Itoa(index)+"]", item)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
-// Package config reads and checks the settings of one balancer: a YAML file
-// whose fields flags may override. Reading is strict. Every problem is
-// reported, at once, with the field, its value and its line.
+// Package config reads and checks the settings of one balancer. They come from a YAML file, whose
+// fields can be overridden by flags. Unknown fields are errors. All problems are reported together,
+// each with the field, its value and its line.
 package config
 
 import (
@@ -17,29 +17,30 @@
 	Zone   lb.Zone
 	Region string
 
-	// Affinity is how later packets of a flow find its back end.
+	// Affinity is the mechanism by which later packets of a flow reach its back end.
 	Affinity core.Affinity
-	// Admission is which openings are let in under overload (AffinityToken).
+	// Admission is the mode of admission control for openings under overload (AffinityToken).
 	Admission Admission
-	// Waiting is what becomes of openings that admission turns away (AffinityToken).
+	// Waiting is the mode of the admission queue for openings that are not admitted at once
+	// (AffinityToken).
 	Waiting Waiting
 
-	// DataAddress receives Geneve over UDP from the fabric and from peers.
+	// DataAddress is the endpoint for Geneve over UDP from the fabric and from peers.
 	DataAddress netip.AddrPort
-	// ControlAddress is the endpoint for peers, UDP and TCP on one port.
+	// ControlAddress is the endpoint for control messages of peers, UDP and TCP on the same port.
 	ControlAddress netip.AddrPort
-	// AdminAddress serves metrics, health and debugging over HTTP.
+	// AdminAddress is the endpoint for metrics, health and debugging over HTTP.
 	AdminAddress netip.AddrPort
-	// FabricReplyAddresses are the fabric's endpoints that take refusals; empty
-	// with AffinityToken, where answers go to the caller.
+	// FabricReplyAddresses are the fabric's endpoints that receive refusals. It is not required with
+	// AffinityToken, where responses are sent to the caller.
 	FabricReplyAddresses []netip.AddrPort
 
-	// StoreEndpoints are base URLs of the store's JSON gateway, or, with
-	// AffinityToken, of the platform's store.
+	// StoreEndpoints are the base URLs of the store's JSON gateway, or, with AffinityToken, of the
+	// platform's store.
 	StoreEndpoints []string
-	// MachinesURL is the platform's list of live and leaving machines; empty: none.
+	// MachinesURL is the URL of the platform's list of live and leaving machines; empty: none.
 	MachinesURL string
-	// Seeds are control addresses of peers to ask first.
+	// Seeds are the control addresses of the peers to contact first.
 	Seeds []netip.AddrPort
 
 	LogLevel            string
@@ -50,77 +51,78 @@
 	Health  Health
 }
 
-// Admission is how openings are let in while back ends have too much work.
+// Admission is the mode of admission control for openings while back ends are overloaded.
 type Admission string
 
-// The ways of admission.
+// The modes of admission control.
 const (
-	// AdmissionAdaptive refuses openings by priority, as package overload does.
+	// AdmissionAdaptive refuses openings by priority; see package overload.
 	AdmissionAdaptive Admission = "adaptive"
-	// AdmissionOff lets in everything.
+	// AdmissionOff admits all openings.
 	AdmissionOff Admission = "off"
 )
 
-// Waiting is what becomes of openings for which there is no room just now.
+// Waiting is the mode of the admission queue, for openings that find no spare capacity.
 type Waiting string
 
-// The ways of waiting.
+// The modes of the admission queue.
 const (
-	// WaitingPriority holds first copies for a part of their objective, as package
-	// waiting does, and lets the more important go first.
+	// WaitingPriority queues the first copy of an opening for a fraction of its objective's target
+	// time, in the order of priorities; see package admissionqueue.
 	WaitingPriority Waiting = "priority"
-	// WaitingOff refuses them at once.
+	// WaitingOff refuses such openings at once.
 	WaitingOff Waiting = "off"
 )
 
-// Limits bound what the balancer sends.
+// Limits bounds the rate at which the balancer sends.
 type Limits struct {
 	// ControlBytesPerSecond bounds all messages to peers.
 	ControlBytesPerSecond int
-	// PinBytesPerSecond bounds pins and confirmations, a part of the former.
+	// PinBytesPerSecond bounds pins and confirmations, which also count for ControlBytesPerSecond.
 	PinBytesPerSecond int
-	// ColdOverage and ColdSlack give what a back end that has just started may get in a
-	// second, over all nodes: what it says it bears times ColdOverage, and ColdSlack new
-	// flows on top (AffinityToken).
+	// ColdOverage and ColdSlack bound the new flows per second, from all nodes together, of a back
+	// end that has just started: the capacity that it reports times ColdOverage, plus ColdSlack
+	// (AffinityToken).
 	ColdOverage float64
 	ColdSlack   float64
 }
 
-// Timings are the times of the protocol (docs/DESIGN.md, "The chain").
+// Timings holds the timeouts and limits of the protocol (docs/DESIGN.md, "The chain").
 type Timings struct {
-	// OpeningHold is how long callers retransmit one opening at most.
+	// OpeningHold is the maximum time for which callers retransmit one opening.
 	OpeningHold time.Duration
-	// IdleTimeout ends flows without packets.
+	// IdleTimeout is the time after which a flow without packets ends.
 	IdleTimeout time.Duration
-	// PinLifetime bounds forwarding by a pin without asking again.
+	// PinLifetime is the maximum time for which a pin is used before it is requested again.
 	PinLifetime time.Duration
-	// PrepareLimit bounds the wait for lagging nodes before a change commits.
+	// PrepareLimit is the maximum wait for lagging nodes before a change is committed.
 	PrepareLimit time.Duration
-	// ChangeLimit is the time in which a change must be in force (AffinityToken).
+	// ChangeLimit is the time within which a change must be in force (AffinityToken).
 	ChangeLimit time.Duration
-	// LeaveLimit is the time after which a back end that leaves gets no new flow (AffinityToken).
+	// LeaveLimit is the time after which a leaving back end gets no new flows (AffinityToken).
 	LeaveLimit time.Duration
-	// EvacuationLimit is the time after which no back end of an evacuated zone gets a new flow (AffinityToken).
+	// EvacuationLimit is the time after which the back ends of an evacuated zone get no new flows
+	// (AffinityToken).
 	EvacuationLimit time.Duration
-	// PauseLimit is the gap between steps after which the node distrusts its view.
+	// PauseLimit is the gap between steps after which the node treats its view as stale.
 	PauseLimit time.Duration
-	// RetryAfter is the base of the time to come back given with refusals.
+	// RetryAfter is the base of the retry delay that refusals contain.
 	RetryAfter time.Duration
-	// DrainGrace is how long the fabric must be silent before a planned stop ends.
+	// DrainGrace is the time without packets from the fabric after which a planned stop ends.
 	DrainGrace time.Duration
-	// DrainLimit ends a planned stop even when the fabric still sends.
+	// DrainLimit is the time after which a planned stop ends even if the fabric still sends packets.
 	DrainLimit time.Duration
 }
 
-// Health sets the probing of back ends.
+// Health holds the settings of the health probes of back ends.
 type Health struct {
 	Enabled  bool
 	Interval time.Duration
 	Timeout  time.Duration
 }
 
-// Overrides are the settings that flags may give; an empty one leaves the
-// file's value alone.
+// Overrides holds the settings that flags can override. An empty one leaves the file's value
+// unchanged.
 type Overrides struct {
 	Node                string
 	Zone                string
