--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -42,16 +42,16 @@
 	RetryDelay time.Duration
 	// WriteTimeout is the maximum wait for the result of a write before the placement is read back.
 	WriteTimeout time.Duration
-	// ReadRetry is the delay after a failed read of a placement.
-	ReadRetry time.Duration
+	// ReadRetryDelay is the delay after a failed read of a placement.
+	ReadRetryDelay time.Duration
 	// ClearInterval is the time for which reports of clean buckets are collected into one write.
 	ClearInterval time.Duration
 	// WeightInterval is the minimum time between two weight steps of a service.
 	WeightInterval time.Duration
-	// MovedPerMinute is the maximum number of a service's buckets that weight steps move per minute.
-	MovedPerMinute int
-	// FailedHold is the minimum time for which a failed back end gets no flows.
-	FailedHold time.Duration
+	// MaxMovedPerMinute is the maximum number of a service's buckets that weight steps move per minute.
+	MaxMovedPerMinute int
+	// MinFailedTime is the minimum time for which a failed back end gets no flows.
+	MinFailedTime time.Duration
 	// MaxOutstanding bounds the number of writes without a result. Background writes, which do not
 	// carry out an operator's change, start only while fewer than MaxBackground are outstanding.
 	MaxOutstanding int
@@ -68,25 +68,25 @@
 // stays the same for the life of the process.
 func DefaultSettings(self lb.NodeID, zone lb.Zone, run string) Settings {
 	return Settings{
-		Self:           self,
-		Zone:           zone,
-		Run:            run,
-		IdleTimeout:    300 * time.Second,
-		SettleMargin:   10 * time.Second,
-		PrepareLimit:   1500 * time.Millisecond,
-		TakeoverDelay:  500 * time.Millisecond,
-		RestoreDelay:   time.Second,
-		RetryDelay:     200 * time.Millisecond,
-		WriteTimeout:   10 * time.Second,
-		ReadRetry:      time.Second,
-		ClearInterval:  10 * time.Second,
-		WeightInterval: 10 * time.Second,
-		MovedPerMinute: 100,
-		FailedHold:     60 * time.Second,
-		MaxOutstanding: 16,
-		MaxBackground:  4,
-		StatusInterval: time.Second,
-		Weights:        weight.DefaultSettings(),
+		Self:              self,
+		Zone:              zone,
+		Run:               run,
+		IdleTimeout:       300 * time.Second,
+		SettleMargin:      10 * time.Second,
+		PrepareLimit:      1500 * time.Millisecond,
+		TakeoverDelay:     500 * time.Millisecond,
+		RestoreDelay:      time.Second,
+		RetryDelay:        200 * time.Millisecond,
+		WriteTimeout:      10 * time.Second,
+		ReadRetryDelay:    time.Second,
+		ClearInterval:     10 * time.Second,
+		WeightInterval:    10 * time.Second,
+		MaxMovedPerMinute: 100,
+		MinFailedTime:     60 * time.Second,
+		MaxOutstanding:    16,
+		MaxBackground:     4,
+		StatusInterval:    time.Second,
+		Weights:           weight.DefaultSettings(),
 	}
 }
 
--- a/internal/controller/benchmark_test.go
+++ b/internal/controller/benchmark_test.go
@@ -58,7 +58,7 @@
 		c.store.values[document.Key] = document
 	}
 	c.store.revision = int64(len(documents))
-	c.publishers[0].list()
+	c.publishers[0].deliverList()
 	for c.store.revision < int64(len(documents)+fleetServices) {
 		c.publishers[0].runOnce()
 		c.now += 10 * time.Millisecond
@@ -122,7 +122,7 @@
 		}
 		c.store.revision = int64(len(documents))
 		before := liveHeap()
-		c.publishers[0].list()
+		c.publishers[0].deliverList()
 		for len(c.publishers[0].adopted) < fleetServices {
 			c.publishers[0].runOnce()
 			c.now += 10 * time.Millisecond
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -105,10 +105,10 @@
 
 // cluster simulates publishers, one in each zone, with a common store in virtual time.
 type cluster struct {
-	store           *fakeStore
-	now             time.Duration
-	publishers      []*publisher
-	unacknowledging bool // zones do not acknowledge
+	store              *fakeStore
+	now                time.Duration
+	publishers         []*publisher
+	noAcknowledgements bool // zones do not acknowledge
 	// shuffle, if set, changes the order of documents in lists, which must not matter.
 	shuffle func([]Document)
 }
@@ -132,7 +132,7 @@
 	for _, p := range c.publishers {
 		p.deliver(&Event{Members: members})
 		p.deliver(&Event{Store: StoreUp})
-		p.list()
+		p.deliverList()
 	}
 	return c
 }
@@ -157,8 +157,8 @@
 	}
 }
 
-// list delivers a complete list of the store.
-func (p *publisher) list() {
+// deliverList delivers a complete list of the store.
+func (p *publisher) deliverList() {
 	event := &Documents{Complete: true, Revision: p.cluster.store.revision}
 	for _, key := range slices.Sorted(maps.Keys(p.cluster.store.values)) {
 		event.Changes = append(event.Changes, p.cluster.store.values[key])
@@ -170,8 +170,8 @@
 	p.deliver(&Event{Documents: event})
 }
 
-// watch delivers up to count entries of the log.
-func (p *publisher) watch(count int) {
+// deliverChanges delivers up to count entries of the log.
+func (p *publisher) deliverChanges(count int) {
 	for ; count > 0 && p.cursor < len(p.cluster.store.log); count-- {
 		document := p.cluster.store.log[p.cursor]
 		p.cursor++
@@ -179,8 +179,8 @@
 	}
 }
 
-// apply executes the write at the store and returns its result.
-func (p *publisher) apply(write Write) *WriteResult {
+// execute executes the write at the store and returns its result.
+func (p *publisher) execute(write Write) *WriteResult {
 	result := &WriteResult{Service: write.Placement.Service, WriteID: write.Placement.WriteID, Outcome: WriteConflict}
 	if p.cluster.store.swap(write) {
 		result.Outcome = WriteDone
@@ -206,11 +206,11 @@
 	if p.paused {
 		return
 	}
-	p.watch(len(p.cluster.store.log))
+	p.deliverChanges(len(p.cluster.store.log))
 	writes := p.writes
 	p.writes = nil
 	for _, write := range writes {
-		p.deliver(&Event{Result: p.apply(write)})
+		p.deliver(&Event{Result: p.execute(write)})
 	}
 	p.changeEpoch()
 	reads := p.reads
@@ -245,7 +245,7 @@
 		for _, p := range c.publishers {
 			p.runOnce()
 		}
-		if !c.unacknowledging {
+		if !c.noAcknowledgements {
 			c.acknowledge()
 		}
 	}
@@ -288,12 +288,12 @@
 	c.run(10 * time.Second)
 	is := is.New(t)
 	is.True(c.store.placement("wallet-core") != nil)
-	is.Equal(len(activeNames(c.store.placement("wallet-core"))), backends)
+	is.Equal(len(activeWeights(c.store.placement("wallet-core"))), backends)
 	return c
 }
 
-// activeNames returns the weights of the back ends that get new flows.
-func activeNames(document *lb.Placement) map[lb.BackendName]uint16 {
+// activeWeights returns the weights of the back ends that get new flows.
+func activeWeights(document *lb.Placement) map[lb.BackendName]uint16 {
 	names := make(map[lb.BackendName]uint16)
 	for _, weighted := range currentBackends(document) {
 		for _, backend := range document.Backends {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -148,7 +148,7 @@
 	case next.background && !background:
 		c.background.schedule(service, c.now)
 	default:
-		c.write(service, next)
+		c.startWrite(service, next)
 	}
 }
 
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -20,7 +20,7 @@
 	before := c.store.placement("wallet-core").Version
 	c.putBackend(4, "other")
 	changed := c.now
-	for len(activeNames(c.store.placement("wallet-core"))) != 3 {
+	for len(activeWeights(c.store.placement("wallet-core"))) != 3 {
 		c.run(100 * time.Millisecond)
 		is.True(c.now-changed < 3*time.Second) // the limit for a leaving back end
 	}
@@ -47,13 +47,13 @@
 	c.run(5 * time.Second)
 	c.store.put(catalog.ZoneKey(zone), catalog.EvacuatedZone{Name: zone})
 	changed := c.now
-	for len(activeNames(c.store.placement("wallet-core"))) != 3 {
+	for len(activeWeights(c.store.placement("wallet-core"))) != 3 {
 		c.run(100 * time.Millisecond)
 		is.True(c.now-changed < 3*time.Second)
 	}
 	c.store.remove(catalog.ZoneKey(zone))
 	changed = c.now
-	for len(activeNames(c.store.placement("wallet-core"))) != 4 {
+	for len(activeWeights(c.store.placement("wallet-core"))) != 4 {
 		c.run(100 * time.Millisecond)
 		is.True(c.now-changed < 3*time.Second)
 	}
@@ -64,7 +64,7 @@
 func TestPrepareLimitBoundsCommit(t *testing.T) {
 	is := is.New(t)
 	c := newServiceCluster(t, 1, 4, nil)
-	c.unacknowledging = true
+	c.noAcknowledgements = true
 	c.putBackend(4, "other")
 	c.run(1500 * time.Millisecond)
 	is.True(isPrepared(c.store.placement("wallet-core")))
@@ -116,7 +116,7 @@
 	c.run(5 * time.Second)
 	document := c.store.placement("wallet-core")
 	is.True(document.Deleted)
-	is.Equal(len(activeNames(document)), 0)
+	is.Equal(len(activeWeights(document)), 0)
 	is.Equal(len(document.Frontends), 1) // its flows continue
 	c.putService("wallet-next", "app=wallet")
 	c.run(2 * time.Second)
@@ -134,7 +134,7 @@
 		c.putBackend(3, []string{"other", "wallet"}[round%2])
 		c.run(20 * time.Second)
 		document := c.store.placement("wallet-core")
-		is.Equal(len(activeNames(document)), 2+round%2)
+		is.Equal(len(activeWeights(document)), 2+round%2)
 		is.True(len(document.Generations) <= placement.MaxGenerations)
 	}
 	is.True(c.store.placement("wallet-core").Generations[0].Version > first)
@@ -150,9 +150,9 @@
 	c.store.put(catalog.BackendKey(backendName(2)), "not a back end")
 	fresh := newCluster(1, nil)
 	fresh.store = c.store
-	fresh.publishers[0].list()
+	fresh.publishers[0].deliverList()
 	fresh.run(5 * time.Second)
-	is.Equal(len(activeNames(c.store.placement("wallet-core"))), 2)
+	is.Equal(len(activeWeights(c.store.placement("wallet-core"))), 2)
 	is.True(len(fresh.publishers[0].problems) > 0)
 }
 
@@ -163,7 +163,7 @@
 	c := newServiceCluster(t, 2, 2, nil)
 	newer, restored := c.restoreOlder()
 	is.True(restored.Version > newer.Version)
-	is.Equal(len(activeNames(restored)), 1)
+	is.Equal(len(activeWeights(restored)), 1)
 	c.store.remove(catalog.PlacementKey(testService))
 	c.run(5 * time.Second)
 	is.True(c.store.placement(testService).Version > restored.Version)
@@ -191,7 +191,7 @@
 			fresh.store.values[key] = c.store.values[key]
 		}
 		fresh.store.revision = c.store.revision
-		fresh.publishers[0].list()
+		fresh.publishers[0].deliverList()
 		fresh.run(5 * time.Second)
 		return fresh.store.placement(testService)
 	}
@@ -220,10 +220,10 @@
 	c := newServiceCluster(t, 1, 3, nil)
 	p := c.publishers[0]
 	c.putBackend(3, "other")
-	p.watch(1)
+	p.deliverChanges(1)
 	write := p.writes[0]
 	p.writes = nil
-	p.apply(write) // the write takes effect, and its response is lost
+	p.execute(write) // the write takes effect, and its response is lost
 	p.deliver(&Event{Store: StoreDown})
 	p.deliver(&Event{Result: &WriteResult{Service: testService, WriteID: write.Placement.WriteID, Outcome: WriteUnknown}})
 	for range 600 {
@@ -238,7 +238,7 @@
 	c.putBackend(2, "other")
 	p.deliver(&Event{Store: StoreUp})
 	c.run(4 * time.Second)
-	is.Equal(len(activeNames(c.store.placement(testService))), 1)
+	is.Equal(len(activeWeights(c.store.placement(testService))), 1)
 	is.Equal(p.controller.PublishedRevision(), c.store.revision)
 }
 
@@ -250,7 +250,7 @@
 	}
 	c.putService(testService, "app=wallet")
 	c.run(5 * time.Second)
-	is.Equal(len(activeNames(c.store.placement(testService))), placement.MaxActive)
+	is.Equal(len(activeWeights(c.store.placement(testService))), placement.MaxActive)
 	is.Equal(len(c.publishers[0].problems), 1)
 	is.Equal(c.publishers[0].controller.PublishedRevision(), c.store.revision)
 }
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -17,11 +17,11 @@
 type revisionRange struct{ first, last int64 }
 
 // extend returns the range extended to include the revision.
-func (s revisionRange) extend(revision int64) revisionRange {
-	if s.first == 0 || revision < s.first {
-		s.first = revision
+func (r revisionRange) extend(revision int64) revisionRange {
+	if r.first == 0 || revision < r.first {
+		r.first = revision
 	}
-	return revisionRange{first: s.first, last: max(s.last, revision)}
+	return revisionRange{first: r.first, last: max(r.last, revision)}
 }
 
 // applyDocuments applies a list or a batch of a watch. It ignores one with a lower revision than
@@ -68,7 +68,7 @@
 		c.documentKeys[document.Key] = struct{}{}
 	}
 	if err != nil {
-		c.problem(document.Key, err)
+		c.addProblem(document.Key, err)
 	}
 	for _, name := range names {
 		affected[name] = affected[name].extend(document.ModRevision)
@@ -104,7 +104,7 @@
 	previous := s.desired
 	s.desired = deriveDesired(c.index.Desired(s.name))
 	if excess := len(s.desired.backends) - placement.MaxActive; excess > 0 {
-		c.problem(catalog.ServiceKey(s.name), errors.Newf("selects %d back ends; the last %d by name get no flows, the maximum is %d",
+		c.addProblem(catalog.ServiceKey(s.name), errors.Newf("selects %d back ends; the last %d by name get no flows, the maximum is %d",
 			len(s.desired.backends), excess, placement.MaxActive))
 		s.desired.backends = s.desired.backends[:placement.MaxActive]
 	}
@@ -171,8 +171,8 @@
 	}
 	for _, frontend := range s.desired.frontends {
 		c.owners[frontend] = s.name
-		if retired := c.deletedOwners[frontend]; retired != nil {
-			c.scheduleNow(retired)
+		if deletedOwner := c.deletedOwners[frontend]; deletedOwner != nil {
+			c.scheduleNow(deletedOwner)
 		}
 	}
 }
@@ -195,12 +195,12 @@
 	if err == nil {
 		c.adopt(s, decoded, document.ModRevision)
 	} else {
-		c.problem(document.Key, err)
+		c.addProblem(document.Key, err)
 		s.modRevision = document.ModRevision
 		s.unreadable = s.stored == nil
 		c.markRegressed(s)
 	}
-	c.resolve(s, decoded)
+	c.resolvePending(s, decoded)
 }
 
 // applyPlacementLoss records that the store has no placement of the service as of the revision.
@@ -234,7 +234,7 @@
 	}
 }
 
-// problem adds a problem to the effects.
-func (c *Controller) problem(key string, cause error) {
+// addProblem adds a problem to the effects.
+func (c *Controller) addProblem(key string, cause error) {
 	c.effects.Problems = append(c.effects.Problems, Problem{Key: key, Cause: cause})
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -72,7 +72,7 @@
 			since = known.at
 		}
 	}
-	if c.now-since < c.settings.FailedHold {
+	if c.now-since < c.settings.MinFailedTime {
 		return false
 	}
 	backend := c.backends[placed.Name]
@@ -170,7 +170,7 @@
 	return max(change, -change)
 }
 
-// moveWindow is the time for which the budget of moved buckets, Settings.MovedPerMinute, holds.
+// moveWindow is the time for which the budget of moved buckets, Settings.MaxMovedPerMinute, holds.
 const moveWindow = time.Minute
 
 // remainingMoves returns the number of buckets that weight steps may move now. It is 0 until a
@@ -180,7 +180,7 @@
 	if c.now-s.firstSeenAt < moveWindow {
 		return 0
 	}
-	remaining := c.settings.MovedPerMinute
+	remaining := c.settings.MaxMovedPerMinute
 	s.moves = slices.DeleteFunc(s.moves, func(move bucketMove) bool { return c.now-move.at >= moveWindow })
 	for _, move := range s.moves {
 		remaining -= move.buckets
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -81,7 +81,7 @@
 }
 
 func (l *loadedCluster) weights() map[lb.BackendName]uint16 {
-	return activeNames(l.store.placement(testService))
+	return activeWeights(l.store.placement(testService))
 }
 
 // TestUnresponsiveHostFailsAndIsReinstated covers a host that reports itself as healthy while the
@@ -133,12 +133,12 @@
 	l.run(3 * time.Minute)
 	is.Equal(len(l.weights()), 2)
 
-	withoutReports := newLoadedCluster(t, 4, l.report)
-	for _, p := range withoutReports.publishers {
+	tooFewOpenings := newLoadedCluster(t, 4, l.report)
+	for _, p := range tooFewOpenings.publishers {
 		p.controller.settings.Weights.MinOpenings = math.MaxUint32
 	}
-	withoutReports.run(3 * time.Minute)
-	is.Equal(len(withoutReports.weights()), 4) // too few openings to fail a back end
+	tooFewOpenings.run(3 * time.Minute)
+	is.Equal(len(tooFewOpenings.weights()), 4) // too few openings to fail a back end
 }
 
 func TestFalseUnhealthyReportLowersWeightToFloorOnly(t *testing.T) {
@@ -152,11 +152,11 @@
 	is.Equal(l.store.placement(testService).Backends[2].State, lb.BackendActive)
 }
 
-// TestWeightStepsStayWithinBudget checks that weight steps move at most MovedPerMinute buckets when
-// the loads of the back ends always differ.
+// TestWeightStepsStayWithinBudget checks that weight steps move at most MaxMovedPerMinute buckets
+// per minute when the loads of the back ends always differ.
 func TestWeightStepsStayWithinBudget(t *testing.T) {
 	is := is.New(t)
-	budget := DefaultSettings("", "", "").MovedPerMinute
+	budget := DefaultSettings("", "", "").MaxMovedPerMinute
 	maximum, total := runOscillatingLoads(t, budget)
 	t.Logf("buckets moved in 5 minutes: %d, at most %d within a minute, budget %d", total, maximum, budget)
 	is.True(total > 0)
@@ -172,7 +172,7 @@
 	t.Helper()
 	l := newLoadedCluster(t, 14, nil)
 	for _, p := range l.publishers {
-		p.controller.settings.MovedPerMinute = budget
+		p.controller.settings.MaxMovedPerMinute = budget
 	}
 	l.report = func(number int) message.BackendLoad {
 		phase := uint16(l.now/(45*time.Second)) + uint16(number)
@@ -190,7 +190,7 @@
 	l := newLoadedCluster(t, 4, func(number int) message.BackendLoad {
 		return message.BackendLoad{Healthy: true, Load: uint16(100 * number)}
 	})
-	l.unacknowledging = true // commits wait for PrepareLimit
+	l.noAcknowledgements = true // commits wait for PrepareLimit
 	for !isPrepared(l.store.placement(testService)) {
 		l.run(time.Second)
 	}
@@ -210,9 +210,9 @@
 	c := newServiceCluster(t, 1, 3, nil)
 	c.putBackend(4, "wallet")
 	c.run(3 * time.Second)
-	is.Equal(activeNames(c.store.placement(testService))[backendName(4)], uint16(10))
+	is.Equal(activeWeights(c.store.placement(testService))[backendName(4)], uint16(10))
 	c.run(10 * time.Minute)
-	is.Equal(activeNames(c.store.placement(testService))[backendName(4)], catalog.DefaultWeight)
+	is.Equal(activeWeights(c.store.placement(testService))[backendName(4)], catalog.DefaultWeight)
 }
 
 // TestOperatorsWeightAppliesWithoutSteps checks that a change of the operator's weight applies at
@@ -225,6 +225,6 @@
 		backend.Weight = weight
 		c.store.put(catalog.BackendKey(backend.Name), backend)
 		c.run(3 * time.Second)
-		is.Equal(activeNames(c.store.placement(testService))[backend.Name], weight)
+		is.Equal(activeWeights(c.store.placement(testService))[backend.Name], weight)
 	}
 }
--- a/internal/controller/racing_test.go
+++ b/internal/controller/racing_test.go
@@ -123,10 +123,10 @@
 	if s.lastPlacement != nil && document.ConfigRevision < s.lastPlacement.ConfigRevision {
 		return errors.Newf("configuration revision %d after %d", document.ConfigRevision, s.lastPlacement.ConfigRevision)
 	}
-	announced := generationNames(document, len(document.Generations)-1)
-	if !maps.Equal(announced, s.desired[document.ConfigRevision]) {
+	newest := generationNames(document, len(document.Generations)-1)
+	if !maps.Equal(newest, s.desired[document.ConfigRevision]) {
 		return errors.Newf("version %d places %v; at revision %d the operators' configuration has %v",
-			document.Version, announced, document.ConfigRevision, s.desired[document.ConfigRevision])
+			document.Version, newest, document.ConfigRevision, s.desired[document.ConfigRevision])
 	}
 	if err := s.checkBase(document); err != nil {
 		return err
@@ -186,9 +186,9 @@
 	case 2:
 		s.store.remove(catalog.BackendKey(backendName(backend)))
 	case 3, 4:
-		p.watch(s.choose(4) + 1)
+		p.deliverChanges(s.choose(4) + 1)
 	case 5:
-		p.list()
+		p.deliverList()
 	case 6:
 		s.now += time.Duration(s.choose(3000)+1) * time.Millisecond
 		p.deliver(&Event{Tick: true})
@@ -220,17 +220,17 @@
 	}
 }
 
-// completeWrite ends the publisher's oldest write in flight, whatever its age. If answer is false,
-// the outcome is unknown to the writer.
-func (s *randomSchedule) completeWrite(p *publisher, apply, answer bool) {
+// completeWrite ends the publisher's oldest write in flight, whatever its age. If respond is
+// false, the outcome is unknown to the writer.
+func (s *randomSchedule) completeWrite(p *publisher, execute, respond bool) {
 	if len(p.writes) == 0 {
 		return
 	}
 	write := p.writes[0]
 	p.writes = p.writes[1:]
 	result := &WriteResult{Service: testService, WriteID: write.Placement.WriteID, Outcome: WriteUnknown}
-	if apply {
-		if outcome := p.apply(write); answer {
+	if execute {
+		if outcome := p.execute(write); respond {
 			result = outcome
 		}
 	}
@@ -262,7 +262,7 @@
 		s.randomAction()
 	}
 	for _, p := range s.publishers {
-		p.list()
+		p.deliverList()
 	}
 	// Maximum number of rounds until the final state is reached, and rounds for which it must last.
 	const maxRounds, stableRounds = 300, 30
@@ -363,17 +363,17 @@
 	c.run(10 * time.Second)
 	c.putBackend(3, "wallet")
 	joined := c.store.revision
-	writer.watch(1)
+	writer.deliverChanges(1)
 	c.now += time.Second
 	writer.deliver(&Event{Tick: true})
 	is.Equal(len(writer.writes), 1) // in flight: back end 3 joins
 	c.putBackend(3, "other")
-	observer.list()
+	observer.deliverList()
 	c.putBackend(3, "wallet")
-	observer.watch(1)
-	is.Equal(writer.apply(writer.writes[0]).Outcome, WriteDone)
+	observer.deliverChanges(1)
+	is.Equal(writer.execute(writer.writes[0]).Outcome, WriteDone)
 	observer.changeEpoch()
-	observer.watch(2)
+	observer.deliverChanges(2)
 	is.True(observer.controller.isEpochConfirmed())
 	is.True(observer.controller.PublishedRevision() <= joined)
 }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -22,18 +22,18 @@
 // not leaving, so that a leaving node hands publishing over while it stops.
 func (c *Controller) applyMembers(members []core.Member) {
 	next := membershipView{}
-	var staying []rendezvous.Candidate
+	var notLeaving []rendezvous.Candidate
 	for _, member := range members {
 		candidate := rendezvous.Candidate{ID: member.ID, Zone: member.Zone, Hash: member.ID.Hash()}
 		if !member.Leaving {
-			staying = append(staying, candidate)
+			notLeaving = append(notLeaving, candidate)
 		}
 		if !slices.Contains(next.zones, member.Zone) {
 			next.zones = append(next.zones, member.Zone)
 		}
 	}
-	next.chain = staying
-	next.watchers = rendezvous.Watchers(staying)
+	next.chain = notLeaving
+	next.watchers = rendezvous.Watchers(notLeaving)
 	next.publisher = slices.ContainsFunc(next.watchers, c.isSelf)
 	next.reporter = next.publisher && c.isFirstOfZone(next.watchers)
 	publishersChanged := !slices.Equal(next.watchers, c.view.watchers)
--- a/internal/controller/writes.go
+++ b/internal/controller/writes.go
@@ -9,13 +9,13 @@
 	"robinpulley.example/robinpulley/internal/placement"
 )
 
-// write starts the proposed write.
-func (c *Controller) write(s *service, next proposal) {
+// startWrite starts the proposed write.
+func (c *Controller) startWrite(s *service, next proposal) {
 	stamp := placement.Stamp{WriteID: c.nextWriteID(), ConfigRevision: next.configRevision}
 	document, err := build(s, stamp, next)
 	if err != nil {
-		c.problem(catalog.PlacementKey(s.name), err)
-		s.notBefore = c.now + c.settings.FailedHold
+		c.addProblem(catalog.PlacementKey(s.name), err)
+		s.notBefore = c.now + c.settings.MinFailedTime
 		c.scheduleAt(s, s.notBefore, next.background)
 		return
 	}
@@ -44,8 +44,8 @@
 	return fmt.Sprintf("%s/%s/%d", c.settings.Self, c.settings.Run, c.writeCount)
 }
 
-// applyWriteResult applies the outcome of a write. If the outcome is unknown, the placement is read
-// back, and its write ID shows whether the write took effect.
+// applyWriteResult applies the outcome of a write. After a conflict or an unknown outcome, the
+// placement is read back, and its write ID shows whether the write took effect.
 func (c *Controller) applyWriteResult(result *WriteResult) {
 	s := c.services[result.Service]
 	if s == nil || s.pending == nil || s.pending.id != result.WriteID {
@@ -58,11 +58,11 @@
 	switch outcome {
 	case WriteDone:
 		written := s.pending.placement
-		c.finish(s)
+		c.finishWrite(s)
 		c.adopt(s, written, modRevision)
 		c.scheduleNow(s)
 	case WriteNotRun:
-		c.finish(s)
+		c.finishWrite(s)
 		c.delayRetry(s)
 	default:
 		s.pending.lost = true
@@ -71,17 +71,17 @@
 }
 
 // applyReadBack applies the result of reading a placement back. A failed read is repeated after
-// ReadRetry.
-func (c *Controller) applyReadBack(answer *ReadBack) {
-	s := c.services[answer.Service]
+// ReadRetryDelay.
+func (c *Controller) applyReadBack(result *ReadBack) {
+	s := c.services[result.Service]
 	if s == nil || s.pending == nil {
 		return
 	}
-	if answer.Failed {
-		c.deadlines.schedule(s, c.now+c.settings.ReadRetry)
+	if result.Failed {
+		c.deadlines.schedule(s, c.now+c.settings.ReadRetryDelay)
 		return
 	}
-	document := answer.Document
+	document := result.Document
 	document.Key = catalog.PlacementKey(s.name)
 	if document.ModRevision == 0 {
 		c.applyPlacementLoss(s, s.modRevision+1)
@@ -89,21 +89,21 @@
 		c.applyPlacement(&document)
 	}
 	if s.pending != nil {
-		c.finish(s)
+		c.finishWrite(s)
 		c.delayRetry(s)
 	}
 }
 
-// resolve ends the pending write if the placement seen in the store shows that it took effect.
-func (c *Controller) resolve(s *service, seen *lb.Placement) {
+// resolvePending ends the pending write if the placement seen in the store shows that it took effect.
+func (c *Controller) resolvePending(s *service, seen *lb.Placement) {
 	if s.pending != nil && seen != nil && seen.WriteID == s.pending.id {
-		c.finish(s)
+		c.finishWrite(s)
 		c.scheduleNow(s)
 	}
 }
 
-// finish removes the pending write.
-func (c *Controller) finish(s *service) {
+// finishWrite removes the pending write.
+func (c *Controller) finishWrite(s *service) {
 	s.pending = nil
 	c.outstanding--
 	c.deadlines.remove(s)
