--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -40,7 +40,7 @@
 		Region:               raw.Region,
 		Affinity:             checker.affinity("affinity", raw.Affinity),
 		Admission:            checker.admission("admission", raw.Admission),
-		Waiting:              checker.admissionQueue("waiting", raw.Waiting),
+		Waiting:              checker.admissionQueue("waiting", raw.AdmissionQueue),
 		DataAddress:          checker.address("data_address", raw.DataAddress),
 		ControlAddress:       checker.address("control_address", raw.ControlAddress),
 		AdminAddress:         checker.address("admin_address", raw.AdminAddress),
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -13,7 +13,7 @@
 	Region               string   `yaml:"region"`
 	Affinity             string   `yaml:"affinity"`
 	Admission            string   `yaml:"admission"`
-	Waiting              string   `yaml:"waiting"`
+	AdmissionQueue       string   `yaml:"waiting"`
 	DataAddress          string   `yaml:"data_address"`
 	ControlAddress       string   `yaml:"control_address"`
 	AdminAddress         string   `yaml:"admin_address"`
@@ -82,11 +82,11 @@
 // defaultDocument returns the default settings, which the settings file overrides.
 func defaultDocument() document {
 	return document{
-		Affinity:     string(core.AffinityChain),
-		Admission:    string(AdmissionAdaptive),
-		Waiting:      string(WaitingPriority),
-		AdminAddress: DefaultAdminAddress,
-		LogLevel:     DefaultLogLevel,
+		Affinity:       string(core.AffinityChain),
+		Admission:      string(AdmissionAdaptive),
+		AdmissionQueue: string(WaitingPriority),
+		AdminAddress:   DefaultAdminAddress,
+		LogLevel:       DefaultLogLevel,
 		Limits: limitsDocument{
 			ControlBytesPerSecond: DefaultControlBytesPerSecond,
 			PinBytesPerSecond:     DefaultPinBytesPerSecond,
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -22,8 +22,8 @@
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// Run is the part of write IDs that distinguishes this run of the process from others.
-	Run string
+	// RunID is the part of write IDs that distinguishes this run of the process from others.
+	RunID string
 	// IdleTimeout is the time after which a flow without packets ends. It must not be below
 	// core.Settings.IdleTimeout.
 	IdleTimeout time.Duration
@@ -48,7 +48,7 @@
 	ClearInterval time.Duration
 	// WeightInterval is the minimum time between two weight steps of a service.
 	WeightInterval time.Duration
-	// MaxMovedPerMinute is the maximum number of a service's buckets that weight steps move per minute.
+	// MaxMovedPerMinute bounds the number of a service's buckets that weight steps move per minute.
 	MaxMovedPerMinute int
 	// MinFailedTime is the minimum time for which a failed back end gets no flows.
 	MinFailedTime time.Duration
@@ -64,13 +64,13 @@
 	Weights weight.Settings
 }
 
-// DefaultSettings returns the default settings of a node. The caller passes a random run, which
-// stays the same for the life of the process.
-func DefaultSettings(self lb.NodeID, zone lb.Zone, run string) Settings {
+// DefaultSettings returns the default settings of a node. The caller chooses a random run ID once
+// per process.
+func DefaultSettings(self lb.NodeID, zone lb.Zone, runID string) Settings {
 	return Settings{
 		Self:              self,
 		Zone:              zone,
-		Run:               run,
+		RunID:             runID,
 		IdleTimeout:       300 * time.Second,
 		SettleMargin:      10 * time.Second,
 		PrepareLimit:      1500 * time.Millisecond,
--- a/internal/controller/writes.go
+++ b/internal/controller/writes.go
@@ -41,7 +41,7 @@
 // nextWriteID returns an ID that no other write of any process has.
 func (c *Controller) nextWriteID() string {
 	c.writeCount++
-	return fmt.Sprintf("%s/%s/%d", c.settings.Self, c.settings.Run, c.writeCount)
+	return fmt.Sprintf("%s/%s/%d", c.settings.Self, c.settings.RunID, c.writeCount)
 }
 
 // applyWriteResult applies the outcome of a write. After a conflict or an unknown outcome, the
