--- a/internal/lb/types.go
+++ b/internal/lb/types.go
@@ -1,6 +1,6 @@
 // Package lb defines the types that all other packages share: flows, nodes, back ends, placements
-// and verdicts. It contains no logic except parsing, formatting, validation and hashing, and
-// imports no other package of this project.
+// and verdicts. Apart from parsing, formatting, validation and hashing it contains almost no logic.
+// It imports no other package of this project.
 package lb
 
 import (
