--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -6,14 +6,14 @@
 	"robinpulley.example/robinpulley/internal/core"
 )
 
-// document is the settings file as written: text that is not yet checked.
+// document is the content of the settings file, before its values are checked.
 type document struct {
 	Node                 string   `yaml:"node"`
 	Zone                 string   `yaml:"zone"`
 	Region               string   `yaml:"region"`
 	Affinity             string   `yaml:"affinity"`
 	Admission            string   `yaml:"admission"`
-	Waiting              string   `yaml:"waiting"`
+	AdmissionQueue       string   `yaml:"waiting"`
 	DataAddress          string   `yaml:"data_address"`
 	ControlAddress       string   `yaml:"control_address"`
 	AdminAddress         string   `yaml:"admin_address"`
@@ -79,14 +79,14 @@
 	DefaultHealthTimeout         = time.Second
 )
 
-// defaultDocument holds the defaults, over which the file is read.
+// defaultDocument returns the default settings, which the settings file overrides.
 func defaultDocument() document {
 	return document{
-		Affinity:     string(core.AffinityChain),
-		Admission:    string(AdmissionAdaptive),
-		Waiting:      string(WaitingPriority),
-		AdminAddress: DefaultAdminAddress,
-		LogLevel:     DefaultLogLevel,
+		Affinity:       string(core.AffinityChain),
+		Admission:      string(AdmissionAdaptive),
+		AdmissionQueue: string(WaitingPriority),
+		AdminAddress:   DefaultAdminAddress,
+		LogLevel:       DefaultLogLevel,
 		Limits: limitsDocument{
 			ControlBytesPerSecond: DefaultControlBytesPerSecond,
 			PinBytesPerSecond:     DefaultPinBytesPerSecond,
@@ -114,16 +114,16 @@
 	}
 }
 
-// override lays the given flags over the file's values.
+// override replaces the file's values by those of the flags that are set.
 func (raw *document) override(flags Overrides) {
-	overrideText(&raw.Node, flags.Node)
-	overrideText(&raw.Zone, flags.Zone)
-	overrideText(&raw.Region, flags.Region)
-	overrideText(&raw.DataAddress, flags.DataAddress)
-	overrideText(&raw.ControlAddress, flags.ControlAddress)
-	overrideText(&raw.AdminAddress, flags.AdminAddress)
-	overrideText(&raw.MachinesURL, flags.MachinesURL)
-	overrideText(&raw.LogLevel, flags.LogLevel)
+	overrideString(&raw.Node, flags.Node)
+	overrideString(&raw.Zone, flags.Zone)
+	overrideString(&raw.Region, flags.Region)
+	overrideString(&raw.DataAddress, flags.DataAddress)
+	overrideString(&raw.ControlAddress, flags.ControlAddress)
+	overrideString(&raw.AdminAddress, flags.AdminAddress)
+	overrideString(&raw.MachinesURL, flags.MachinesURL)
+	overrideString(&raw.LogLevel, flags.LogLevel)
 	overrideList(&raw.FabricReplyAddresses, flags.FabricReply)
 	overrideList(&raw.StoreEndpoints, flags.StoreEndpoints)
 	overrideList(&raw.Seeds, flags.Seeds)
@@ -132,7 +132,7 @@
 	}
 }
 
-func overrideText(target *string, value string) {
+func overrideString(target *string, value string) {
 	if value != "" {
 		*target = value
 	}
