--- a/internal/tokennode/admin.go
+++ b/internal/tokennode/admin.go
@@ -9,7 +9,7 @@
 	"robinpulley.example/robinpulley/internal/adminserver"
 )
 
-// serveAdmin serves metrics, health and the report on load until the node is closed.
+// serveAdmin serves the metrics, health checks and load report until the node is closed.
 func (node *Node) serveAdmin() {
 	pages := adminserver.Pages{Ready: node.isReady, Metrics: http.HandlerFunc(node.serveMetrics)}
 	routes := http.NewServeMux()
@@ -17,17 +17,17 @@
 	node.background.Go(func() { node.life.Failed(node.endpoints.Admin.Serve(pages, routes)) })
 }
 
-// serveMetrics makes the registry only when it is asked for.
+// serveMetrics answers a scrape. It creates the metric registry for each request.
 func (node *Node) serveMetrics(response http.ResponseWriter, request *http.Request) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{node})
 	promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(response, request)
 }
 
-// isReady tells whether the node may be sent packets: not before it has a view, and
-// in a planned stop not once the zone can spare it.
+// isReady reports whether routers may send packets to the node, and the reason if not. The node
+// is not ready before it has a view, nor, during a planned stop, once its zone can serve without it.
 func (node *Node) isReady() (ready bool, reason string) {
-	if node.unready.Load() {
+	if node.notReady.Load() {
 		return false, "stopping"
 	}
 	return node.engine.readiness()
--- a/internal/tokennode/badinput_test.go
+++ b/internal/tokennode/badinput_test.go
@@ -15,32 +15,32 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-func TestBadInputStopsNothing(t *testing.T) {
+func TestBadInputDoesNotAffectFlows(t *testing.T) {
 	is := is.New(t)
-	site := newSite(t, 2)
-	flows := site.open(webFront, 4)
-	socket, err := net.Dial("udp", site.nodes[0].settings.DataAddress.String())
+	testbed := newTestbed(t, 2)
+	flows := testbed.openFlows(webFrontend, 4)
+	socket, err := net.Dial("udp", testbed.nodes[0].settings.DataAddress.String())
 	is.NoErr(err)
 	defer socket.Close()
 	for size := range 60 {
 		_, err := socket.Write(make([]byte, size))
 		is.NoErr(err)
 	}
-	site.store.PutBytes("op/config", []byte(`{"version":`))
-	site.store.PutBytes("servers/i-bad", []byte(`[]`))
-	site.store.PutBytes("servers/none", []byte(`{}`))
-	site.until("malformed packets are counted", func() bool {
-		return site.shows(0, `robinpulley_malformed_packets_total{cause="truncated"}`)
+	testbed.store.PutBytes("op/config", []byte(`{"version":`))
+	testbed.store.PutBytes("servers/i-bad", []byte(`[]`))
+	testbed.store.PutBytes("servers/none", []byte(`{}`))
+	testbed.waitUntil("malformed packets are counted", func() bool {
+		return testbed.metricsContain(0, `robinpulley_malformed_packets_total{cause="truncated"}`)
 	})
-	site.until("the bad entries are counted", func() bool {
-		return site.shows(0, "robinpulley_documents_rejected_total 3\n") || site.shows(1, "robinpulley_documents_rejected_total 3\n")
+	testbed.waitUntil("the invalid entries are counted", func() bool {
+		return testbed.metricsContain(0, "robinpulley_documents_rejected_total 3\n") || testbed.metricsContain(1, "robinpulley_documents_rejected_total 3\n")
 	})
-	site.useAll(flows)
-	flows = append(flows, site.open(webFront, 4)...) // the last good configuration holds
-	site.configure(map[netip.AddrPort]string{webFront: "web"})
-	site.everywhere()
-	site.useAll(flows)
-	site.check()
+	testbed.requestOnAll(flows)
+	flows = append(flows, testbed.openFlows(webFrontend, 4)...) // the last valid configuration stays in force
+	testbed.configure(map[netip.AddrPort]string{webFrontend: "web"})
+	testbed.waitForConfiguration()
+	testbed.requestOnAll(flows)
+	testbed.checkCounts()
 }
 
 func TestNodeWithoutAnyViewIsNotReady(t *testing.T) {
@@ -49,15 +49,15 @@
 	is.NoErr(err)
 	t.Cleanup(store.Close)
 	store.SetFault(platformsim.FaultBusy)
-	site := &site{t: t, store: store, port: freePort(t), logger: zerolog.Nop()}
-	site.nodes = append(site.nodes, site.newNode(0))
-	site.until("the node says why", func() bool {
-		status, body := site.get(0, "/readyz")
+	testbed := &testbed{t: t, store: store, dataPort: freeUDPPort(t), logger: zerolog.Nop()}
+	testbed.nodes = append(testbed.nodes, testbed.newNode(0))
+	testbed.waitUntil("the node returns the reason why it is not ready", func() bool {
+		status, body := testbed.get(0, "/readyz")
 		return status == http.StatusServiceUnavailable && strings.Contains(body, "no configuration known yet")
 	})
 	store.SetFault(platformsim.FaultNone)
-	site.configure(map[netip.AddrPort]string{webFront: "web"})
-	site.until("the node is ready", func() bool { return site.ready(0) })
+	testbed.configure(map[netip.AddrPort]string{webFrontend: "web"})
+	testbed.waitUntil("the node is ready", func() bool { return testbed.ready(0) })
 }
 
 // blockedWriter is a standard output that nobody reads.
@@ -68,11 +68,11 @@
 	return len(line), nil
 }
 
-// TestBlockedLogHoldsUpNothing: every line waits for a reader that never comes,
-// and flows are served all the same.
-func TestBlockedLogHoldsUpNothing(t *testing.T) {
+// TestBlockedLogDoesNotBlockFlows checks that flows are served while all log writes block because
+// nobody reads standard output.
+func TestBlockedLogDoesNotBlockFlows(t *testing.T) {
 	is := is.New(t)
-	site := newSite(t, 2)
+	testbed := newTestbed(t, 2)
 	blocked := blockedWriter{released: make(chan struct{})}
 	output := logging.NonBlocking(blocked, func(int) {})
 	t.Cleanup(func() {
@@ -81,17 +81,17 @@
 	})
 	logger, err := logging.New(output, "info", "n0", "zone-0")
 	is.NoErr(err)
-	site.logger = logger
-	for _, node := range site.nodes {
-		site.kill(node)
-		site.launch(node)
+	testbed.logger = logger
+	for _, node := range testbed.nodes {
+		testbed.stopAtOnce(node)
+		testbed.start(node)
 	}
-	site.until("the nodes are back", func() bool { return site.ready(0) && site.ready(1) })
-	flows := site.open(webFront, 100)
+	testbed.waitUntil("the nodes are ready again", func() bool { return testbed.ready(0) && testbed.ready(1) })
+	flows := testbed.openFlows(webFrontend, 100)
 	for range 20 {
-		_, err := site.caller.Open(netip.MustParseAddrPort("198.18.0.9:9"))
+		_, err := testbed.client.Open(netip.MustParseAddrPort("198.18.0.9:9"))
 		is.True(errors.Is(err, platformsim.ErrReset))
 	}
-	site.useAll(flows)
-	site.check()
+	testbed.requestOnAll(flows)
+	testbed.checkCounts()
 }
--- a/internal/tokennode/flood_test.go
+++ b/internal/tokennode/decisionlog_test.go
@@ -20,12 +20,12 @@
 )
 
 var (
-	floodFront   = netip.MustParseAddrPort("198.18.0.1:443")
-	floodNoFront = netip.MustParseAddrPort("198.18.0.9:9")
+	testFrontend    = netip.MustParseAddrPort("198.18.0.1:443")
+	unknownFrontend = netip.MustParseAddrPort("198.18.0.9:9")
 )
 
-// viewedEngine gives an engine with a view and a clock that the caller sets.
-func viewedEngine(tb testing.TB, logger zerolog.Logger, now *time.Duration) *engine {
+// newEngineWithView returns an engine that has a view, with now as its clock.
+func newEngineWithView(tb testing.TB, logger zerolog.Logger, now *time.Duration) *engine {
 	is := is.New(tb)
 	settings := &config.Settings{Node: "n1", Zone: "za", Affinity: core.AffinityToken}
 	settings.Timings.PauseLimit = time.Hour
@@ -40,7 +40,7 @@
 	e.clock = func() time.Duration { return *now }
 	listing := &view.Listing{Revision: 9, Configuration: &view.StoredConfiguration{Revision: 1, Configuration: view.Configuration{
 		Version: 1,
-		Routes:  []view.Route{{Frontend: lb.Frontend{Address: floodFront, Protocol: lb.TCP}, Targets: []view.Target{{Service: "web", Weight: 1}}}},
+		Routes:  []view.Route{{Frontend: lb.Frontend{Address: testFrontend, Protocol: lb.TCP}, Targets: []view.Target{{Service: "web", Weight: 1}}}},
 	}}}
 	for index := range 14 {
 		listing.Backends = append(listing.Backends, view.StoredBackend{Revision: int64(index + 2), Backend: view.Backend{
@@ -49,16 +49,16 @@
 		}})
 	}
 	e.tick()
-	read := <-e.reads
+	read := <-e.storeReads
 	e.finishRead(&follower.ReadResult{Read: read, Listing: listing})
 	is.True(e.table != nil)
 	return e
 }
 
-// opening gives the packet that opens one of many flows.
-func opening(number int, front netip.AddrPort) *core.Packet {
-	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(number >> 16), byte(number >> 8)}), uint16(1024+number&0xff))
-	return &core.Packet{Key: lb.NewFlowKey(caller, front, lb.TCP), Kind: core.PacketOpening, OpeningID: uint32(number)}
+// openingPacket returns the opening packet of flow number.
+func openingPacket(number int, front netip.AddrPort) *core.Packet {
+	client := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(number >> 16), byte(number >> 8)}), uint16(1024+number&0xff))
+	return &core.Packet{Key: lb.NewFlowKey(client, front, lb.TCP), Kind: core.PacketOpening, OpeningID: uint32(number)}
 }
 
 // countingWriter counts lines.
@@ -69,63 +69,63 @@
 	return len(line), nil
 }
 
-// TestFloodOfOpeningsIsLoggedWithinBounds: ten times a day's load a second, half
-// of it refused, writes no more lines than the bounds say, and the lines left
-// out are told.
-func TestFloodOfOpeningsIsLoggedWithinBounds(t *testing.T) {
+// TestOpeningFloodLogIsBounded checks that a flood of openings, half of which are refused, writes
+// no more log lines than the limits allow, and that omitted lines are counted.
+func TestOpeningFloodLogIsBounded(t *testing.T) {
 	is := is.New(t)
 	writer := &countingWriter{}
 	var now time.Duration
-	e := viewedEngine(t, zerolog.New(writer), &now)
+	e := newEngineWithView(t, zerolog.New(writer), &now)
 	const seconds, perSecond = 5, 4000
 	before := writer.lines.Load()
 	for number := range seconds * perSecond {
 		now = time.Duration(number) * time.Second / perSecond
-		front := floodFront
+		front := testFrontend
 		if number%2 == 0 {
-			front = floodNoFront
+			front = unknownFrontend
 		}
-		decision := e.decide(opening(number, front))
-		is.Equal(decision.Action == core.ActionRefuse, front == floodNoFront)
+		decision := e.decide(openingPacket(number, front))
+		is.Equal(decision.Action == core.ActionRefuse, front == unknownFrontend)
 	}
 	written := writer.lines.Load() - before
-	// Nothing answers here, so that back ends fall silent; each such change is a line of its own.
-	silent := int64(14 * seconds * 2)
-	is.True(written <= seconds*(openingLinesPerSecond+failedLinesPerSecond)+silent)
-	is.True(written >= seconds*(openingLinesPerSecond+failedLinesPerSecond))
-	is.Equal(e.decisions.quotas[noteOpening].omitted, uint64(perSecond/2-openingLinesPerSecond))
+	// No back end answers, so that they become unresponsive. Each such change writes a line, too.
+	unresponsive := int64(14 * seconds * 2)
+	is.True(written <= seconds*(maxOpeningLinesPerSecond+maxFailureLinesPerSecond)+unresponsive)
+	is.True(written >= seconds*(maxOpeningLinesPerSecond+maxFailureLinesPerSecond))
+	is.Equal(e.decisions.limiters[lineOpening].omitted, uint64(perSecond/2-maxOpeningLinesPerSecond))
 }
 
-// stuckWriter never ends a write.
-type stuckWriter struct{ released chan struct{} }
+// blockedWriter blocks each write until the test ends.
+type blockedWriter struct{ released chan struct{} }
 
-func (writer stuckWriter) Write([]byte) (int, error) {
+func (writer blockedWriter) Write([]byte) (int, error) {
 	<-writer.released
 	return 0, io.ErrClosedPipe
 }
 
-// BenchmarkOpening is one decision on an opening at 4,000 of them a second: without logs, with logs, and with a standard output that nobody reads.
+// BenchmarkOpening measures a decision on an opening at 4,000 openings per second: without log
+// lines, with log lines, and with a standard output that nobody reads.
 func BenchmarkOpening(b *testing.B) {
-	stuck := stuckWriter{released: make(chan struct{})}
-	defer close(stuck.released)
+	blocked := blockedWriter{released: make(chan struct{})}
+	defer close(blocked.released)
 	outputs := []struct {
 		name   string
 		logger func() zerolog.Logger
 	}{
 		{"silent", zerolog.Nop},
 		{"logged", func() zerolog.Logger { return zerolog.New(logging.NonBlocking(io.Discard, func(int) {})) }},
-		{"blocked", func() zerolog.Logger { return zerolog.New(logging.NonBlocking(stuck, func(int) {})) }},
+		{"blocked", func() zerolog.Logger { return zerolog.New(logging.NonBlocking(blocked, func(int) {})) }},
 	}
 	for _, output := range outputs {
 		b.Run(output.name, func(b *testing.B) {
 			var now time.Duration
-			e := viewedEngine(b, output.logger(), &now)
+			e := newEngineWithView(b, output.logger(), &now)
 			b.ReportAllocs()
 			number := 0
 			for b.Loop() {
 				number++
 				now += 250 * time.Microsecond
-				e.decide(opening(number, floodFront))
+				e.decide(openingPacket(number, testFrontend))
 			}
 		})
 	}
--- a/internal/tokennode/engine.go
+++ b/internal/tokennode/engine.go
@@ -22,60 +22,61 @@
 	"robinpulley.example/robinpulley/internal/tree"
 )
 
-// engine owns the deterministic parts of a node. One lock guards them all:
-// every input takes it, steps the parts it concerns and carries out their
-// effects, none of which blocks.
+// engine owns the deterministic state machines of a node, such as the decision core, the
+// membership and the follower of the store. One mutex guards all of them: every input acquires it,
+// steps the state machines concerned and executes their effects, none of which blocks.
 type engine struct {
 	settings *config.Settings
 	logger   zerolog.Logger
 	clock    func() time.Duration // since the start of the process, monotonic
 	transmit func([]netip.AddrPort, message.Message)
-	// reads has the call to the store that is to be carried out.
-	reads chan follower.Read
-	// publications has the snapshot that is to be written.
+	// storeReads holds the next call to the store.
+	storeReads chan follower.Read
+	// publications holds the next snapshot to be written to the store.
 	publications chan follower.Publication
-	// holding has one element after an opening was held.
-	holding chan struct{}
-	// released are what look gave last, and notes their lines; one call at a time.
-	released []core.Released
-	notes    []note
-	// viewed is closed when the first table is compiled.
-	viewed chan struct{}
+	// openingHeld holds one element after an opening was held.
+	openingHeld chan struct{}
+	// releasedOpenings and releasedLines are the result of the last call of stepQueue and its log
+	// lines. Node.queueMutex serializes these calls.
+	releasedOpenings []core.Released
+	releasedLines    []decisionLine
+	// viewAvailable is closed when the first table is compiled.
+	viewAvailable chan struct{}
 
-	mutex sync.Mutex
-	last  time.Duration // of the last step
-	// outbox holds messages to others until the lock is free.
+	mutex    sync.Mutex
+	lastStep time.Duration // time of the last step
+	// outbox holds messages to other nodes until the mutex is released.
 	outbox []follower.Outgoing
 
-	core            *core.Core
-	coreEffects     core.Effects
-	member          *member.Core
-	memberEffects   member.Effects
-	follower        *follower.Core
-	followerEffects follower.Effects
-	compiler        *steering.Compiler
-	table           *steering.Table // nil: no view yet
-	evidence        *outlier.Core
-	evidenceEffects outlier.Effects
-	outcomes        []outlier.Outcome
-	load            *fleetload.Core
-	loadEffects     fleetload.Effects
-	loadLog         loadLog
-	place           tree.Place
-	asked           map[netip.AddrPort]bool // neighbours that were asked for open flows
-	judges          bool                    // this node judges back ends for its zone
-	zone            *disruption.Zone
-	others          int // living members besides this node
-	leaving         int // living members in a planned stop, this one included
-	calls           callCounts
-	decisions       decisionLog
-	decisionTime    times
-	callTime        times
-	readAt          time.Duration // when the call under way was started
-	publishAt       time.Duration // when the writing of a snapshot was started
+	core              *core.Core
+	coreEffects       core.Effects
+	member            *member.Core
+	memberEffects     member.Effects
+	follower          *follower.Core
+	followerEffects   follower.Effects
+	compiler          *steering.Compiler
+	table             *steering.Table // nil before the first view
+	outliers          *outlier.Core
+	outlierEffects    outlier.Effects
+	outcomes          []outlier.Outcome
+	load              *fleetload.Core
+	loadEffects       fleetload.Effects
+	loadLog           loadLog
+	treePlace         tree.Place
+	flowsRequested    map[netip.AddrPort]bool // tree neighbours to which a request for open flows was sent
+	evaluatesOutliers bool                    // this node is the root of its zone's tree, which evaluates outlier reports
+	zoneDisruption    *disruption.Zone
+	otherMembers      int // alive members, this node excluded
+	leavingMembers    int // alive members in a planned stop, this node included
+	calls             callCounts
+	decisions         decisionLog
+	decisionTime      durationHistogram
+	callTime          durationHistogram
+	readStarted       time.Duration // start of the current call to the store
+	publishStarted    time.Duration // start of the current snapshot write
 }
 
-// newEngine makes the deterministic parts. The caller sets clock and transmit.
+// newEngine creates the engine and its state machines. The caller sets clock and transmit.
 func newEngine(settings *config.Settings, logger zerolog.Logger, incarnation uint64) (*engine, error) {
 	self := member.Machine{
 		ID:      settings.Node,
@@ -87,60 +88,61 @@
 	if err != nil {
 		return nil, err
 	}
-	deciding := core.DefaultSettings(settings.Node, settings.Zone)
-	deciding.Affinity = core.AffinityToken
-	deciding.PauseLimit = settings.Timings.PauseLimit
-	deciding.RetryAfter = settings.Timings.RetryAfter
-	deciding.Overload.Off = settings.Admission == config.AdmissionOff
-	deciding.AdmissionQueue.Off = deciding.Overload.Off || settings.Waiting == config.WaitingOff
-	deciding.ColdStart.RateFactor = settings.Limits.ColdOverage
-	deciding.ColdStart.Burst = settings.Limits.ColdSlack
-	following := follower.DefaultSettings(settings.Node, settings.Zone, incarnation).
+	coreSettings := core.DefaultSettings(settings.Node, settings.Zone)
+	coreSettings.Affinity = core.AffinityToken
+	coreSettings.PauseLimit = settings.Timings.PauseLimit
+	coreSettings.RetryAfter = settings.Timings.RetryAfter
+	coreSettings.Overload.Off = settings.Admission == config.AdmissionOff
+	coreSettings.AdmissionQueue.Off = coreSettings.Overload.Off || settings.Waiting == config.WaitingOff
+	coreSettings.ColdStart.RateFactor = settings.Limits.ColdOverage
+	coreSettings.ColdStart.Burst = settings.Limits.ColdSlack
+	followerSettings := follower.DefaultSettings(settings.Node, settings.Zone, incarnation).
 		ScaledTo(min(settings.Timings.ChangeLimit, settings.Timings.LeaveLimit, settings.Timings.EvacuationLimit))
 	for _, seed := range settings.Seeds {
 		if seed == settings.ControlAddress {
-			following.IsSeed = true
+			followerSettings.IsSeed = true
 			continue
 		}
-		following.Seeds = append(following.Seeds, seed)
+		followerSettings.Seeds = append(followerSettings.Seeds, seed)
 	}
-	deciding.ColdStart.SingleNode = len(following.Seeds) == 0
+	coreSettings.ColdStart.SingleNode = len(followerSettings.Seeds) == 0
 	return &engine{
-		settings:     settings,
-		logger:       logger,
-		reads:        make(chan follower.Read, 1),
-		publications: make(chan follower.Publication, 1),
-		holding:      make(chan struct{}, 1),
-		viewed:       make(chan struct{}),
-		core:         core.New(deciding),
-		compiler:     steering.NewCompiler(settings.Zone),
-		member:       membership,
-		follower:     follower.New(following),
-		evidence:     outlier.New(outlier.DefaultSettings(settings.Node)),
-		load:         fleetload.New(fleetload.DefaultSettings(settings.Node, settings.Zone)),
-		loadLog:      newLoadLog(),
-		zone:         disruption.New(disruption.DefaultSettings(settings.Node)),
-		calls:        newCallCounts(),
-		asked:        make(map[netip.AddrPort]bool),
-		decisions:    newDecisionLog(logger),
+		settings:       settings,
+		logger:         logger,
+		storeReads:     make(chan follower.Read, 1),
+		publications:   make(chan follower.Publication, 1),
+		openingHeld:    make(chan struct{}, 1),
+		viewAvailable:  make(chan struct{}),
+		core:           core.New(coreSettings),
+		compiler:       steering.NewCompiler(settings.Zone),
+		member:         membership,
+		follower:       follower.New(followerSettings),
+		outliers:       outlier.New(outlier.DefaultSettings(settings.Node)),
+		load:           fleetload.New(fleetload.DefaultSettings(settings.Node, settings.Zone)),
+		loadLog:        newLoadLog(),
+		zoneDisruption: disruption.New(disruption.DefaultSettings(settings.Node)),
+		calls:          newCallCounts(),
+		flowsRequested: make(map[netip.AddrPort]bool),
+		decisions:      newDecisionLog(logger),
 	}, nil
 }
 
-// now gives the time of a step: it never goes back.
+// now returns the time of a step. It never decreases.
 func (engine *engine) now() time.Duration {
-	engine.last = max(engine.last, engine.clock())
-	return engine.last
+	engine.lastStep = max(engine.lastStep, engine.clock())
+	return engine.lastStep
 }
 
-// input runs one input under the lock. Messages to others are sent when the
-// lock is free again, since encoding takes time that packets would wait.
-func (engine *engine) input(run func()) {
-	for _, outgoing := range engine.locked(run) {
+// runInput runs one input under the mutex. It sends the resulting messages to other nodes after it
+// has released the mutex, because encoding them takes time during which packets would wait.
+func (engine *engine) runInput(run func()) {
+	for _, outgoing := range engine.runLocked(run) {
 		engine.transmit(outgoing.To, outgoing.Message)
 	}
 }
 
-func (engine *engine) locked(run func()) []follower.Outgoing {
+// runLocked runs one input under the mutex and returns the messages to send.
+func (engine *engine) runLocked(run func()) []follower.Outgoing {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	run()
@@ -149,74 +151,76 @@
 	return messages
 }
 
-// decide is asked for each packet by the data plane.
+// decide returns the decision on a packet. The data plane calls it for each packet.
 func (engine *engine) decide(packet *core.Packet) core.Decision {
-	begun := engine.clock()
+	started := engine.clock()
 	engine.mutex.Lock()
 	engine.core.Step(engine.now(), &core.Event{Packet: packet}, &engine.coreEffects)
 	decision := engine.coreEffects.Decision
-	engine.logChanges()
-	engine.decisionTime.add(engine.clock() - begun)
-	note := engine.note(packet, &decision)
+	engine.processCoreChanges()
+	engine.decisionTime.observe(engine.clock() - started)
+	line := engine.decisionLine(packet, &decision)
 	engine.mutex.Unlock()
-	engine.decisions.write(&note, packet, &decision)
+	engine.decisions.write(&line, packet, &decision)
 	if decision.Action == core.ActionHold {
-		engine.wakeLooking()
+		engine.wakeQueueRetry()
 	}
 	return decision
 }
 
-// note says what is to be written of a decision.
-func (engine *engine) note(packet *core.Packet, decision *core.Decision) note {
-	note := engine.decisions.note(engine.last, packet, decision)
-	if note.kind != noteNone {
-		note.revision, note.version = engine.viewOf()
-		note.age, _ = engine.follower.Age(engine.last)
+// decisionLine returns the log line for a decision, with the revision, version and age of the view.
+func (engine *engine) decisionLine(packet *core.Packet, decision *core.Decision) decisionLine {
+	line := engine.decisions.prepare(engine.lastStep, packet, decision)
+	if line.kind != lineNone {
+		line.revision, line.version = engine.viewVersion()
+		line.age, _ = engine.follower.Age(engine.lastStep)
 	}
-	return note
+	return line
 }
 
-func (engine *engine) viewOf() (revision int64, version uint64) {
+// viewVersion returns the store revision and the configuration version of the current table, or
+// zeros before the first view.
+func (engine *engine) viewVersion() (revision int64, version uint64) {
 	if engine.table == nil {
 		return 0, 0
 	}
 	return engine.table.Revision(), engine.table.Version()
 }
 
-// tick drives everything that is due without input.
+// tick steps all state machines, for their work that is triggered by time instead of input.
 func (engine *engine) tick() {
-	engine.input(func() {
+	engine.runInput(func() {
 		engine.memberStep(&member.Event{})
 		engine.followerStep(&follower.Event{})
-		engine.core.Step(engine.now(), &core.Event{Tick: true, ZoneContacts: engine.zonesHeard()}, &engine.coreEffects)
-		engine.announceFlows(engine.coreEffects.OpenFlows, engine.place.Neighbours(netip.AddrPort{}))
-		engine.noteSamples() // before others step the core, which resets its effects
-		engine.logChanges()
-		engine.evidenceStep(&outlier.Event{})
+		engine.core.Step(engine.now(), &core.Event{Tick: true, ZoneContacts: engine.zoneContacts()}, &engine.coreEffects)
+		engine.announceFlows(engine.coreEffects.OpenFlows, engine.treePlace.Neighbours(netip.AddrPort{}))
+		engine.forwardLoadSamples() // before the next step of the core, which resets its effects
+		engine.processCoreChanges()
+		engine.outlierStep(&outlier.Event{})
 		engine.loadStep(&fleetload.Event{})
-		if engine.table != nil && engine.loadLog.admitted.away > 0 {
-			engine.logAdmitted() // it goes on rising when there is no news any more
+		if engine.table != nil && engine.loadLog.admissionRates.deviating > 0 {
+			engine.logAdmissionRates() // admission rates go on rising without further load updates
 		}
-		if engine.table != nil && engine.table.Expires() != 0 && engine.last >= engine.table.Expires() {
+		if engine.table != nil && engine.table.Expires() != 0 && engine.lastStep >= engine.table.Expires() {
 			engine.compile()
 		}
 	})
 }
 
-// receive takes one message from a peer.
+// receive processes one message from a peer.
 func (engine *engine) receive(incoming transport.Incoming) {
-	engine.input(func() {
+	engine.runInput(func() {
 		switch received := incoming.Message.(type) {
 		case message.OutcomeReport:
-			engine.evidenceStep(&outlier.Event{Report: &received})
+			engine.outlierStep(&outlier.Event{Report: &received})
 		case message.OutcomeVerdict:
-			engine.evidenceStep(&outlier.Event{Verdict: &received})
+			engine.outlierStep(&outlier.Event{Verdict: &received})
 		case message.LoadReport:
 			engine.loadStep(&fleetload.Event{Report: &received})
 		case message.LoadState:
 			engine.loadStep(&fleetload.Event{State: &received})
 		case message.OpenFlows:
-			engine.learnFlows(&received, incoming.Address)
+			engine.applyOpenFlows(&received, incoming.Address)
 		case message.Ping, message.PingAck, message.PingReq, message.Members:
 			engine.memberStep(&member.Event{Peer: &member.PeerEvent{
 				From: incoming.From, Address: incoming.Address, Message: incoming.Message,
@@ -229,44 +233,46 @@
 	})
 }
 
-// finishRead takes the end of a call to the store.
+// finishRead processes the result of a call to the store.
 func (engine *engine) finishRead(result *follower.ReadResult) {
-	engine.input(func() {
-		engine.callTime.add(engine.now() - engine.readAt)
-		engine.noteCall(result)
+	engine.runInput(func() {
+		engine.callTime.observe(engine.now() - engine.readStarted)
+		engine.recordCall(result)
 		engine.followerStep(&follower.Event{Read: result})
 	})
 }
 
-// finishPublication takes the end of the writing of a snapshot.
+// finishPublication processes the result of writing a snapshot.
 func (engine *engine) finishPublication(result *follower.PublishResult) {
-	engine.input(func() {
+	engine.runInput(func() {
 		engine.now()
-		engine.notePublication(result)
+		engine.recordPublication(result)
 		engine.followerStep(&follower.Event{Published: result})
 	})
 }
 
-// leave announces the planned stop; end says that this node ends now.
-func (engine *engine) leave() {
-	engine.input(func() {
-		engine.zone.Stop(engine.now())
+// announceLeave announces a planned stop to the other members.
+func (engine *engine) announceLeave() {
+	engine.runInput(func() {
+		engine.zoneDisruption.Stop(engine.now())
 		engine.memberStep(&member.Event{Leave: true})
 	})
 }
 
-// canSpare tells whether the zone can do without this node now.
-func (engine *engine) canSpare() bool {
+// mayStop reports whether the zone can serve without this node now.
+func (engine *engine) mayStop() bool {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.zone.MayStop(engine.now())
+	return engine.zoneDisruption.MayStop(engine.now())
 }
 
-func (engine *engine) end() {
-	engine.input(func() { engine.memberStep(&member.Event{Stop: true}) })
+// announceStop announces to the other members that this node stops now.
+func (engine *engine) announceStop() {
+	engine.runInput(func() { engine.memberStep(&member.Event{Stop: true}) })
 }
 
-// memberStep gives one event to the membership, and a changed list to the follower.
+// memberStep steps the membership with an event and executes the effects. If the list of members
+// has changed, it passes the list on to the other state machines.
 func (engine *engine) memberStep(event *member.Event) {
 	engine.member.Step(engine.now(), event, &engine.memberEffects)
 	for _, outgoing := range engine.memberEffects.Messages {
@@ -278,34 +284,34 @@
 		engine.outbox = append(engine.outbox, follower.Outgoing{To: batch.To, Message: batch.Message})
 	}
 	if engine.memberEffects.Changed {
-		engine.followerStep(&follower.Event{Peers: engine.noteMembers()})
-		engine.placeInTree()
+		engine.followerStep(&follower.Event{Peers: engine.applyMembers()})
+		engine.updateTreePlace()
 	}
 }
 
-// noteMembers tells the core and the zone of the members, gives them to the follower, and
-// logs how many there are and stay.
-func (engine *engine) noteMembers() []follower.Peer {
+// applyMembers passes the current members to the core and to the zone's disruption state, logs
+// their number, and returns them in the form of the follower.
+func (engine *engine) applyMembers() []follower.Peer {
 	members := engine.member.Members(nil)
 	peers := make([]follower.Peer, 0, len(members))
-	var known []core.Member // of the own zone: only these matter to the core with tokens
-	var zone []disruption.Member
+	var coreMembers []core.Member // members of the local zone; with affinity token the core uses no others
+	var zoneMembers []disruption.Member
 	leaving := 0
 	for _, entry := range members {
 		if entry.Zone == engine.settings.Zone {
-			zone = append(zone, disruption.Member{ID: entry.ID, Leaving: entry.Leaving})
-			known = append(known, core.Member{ID: entry.ID, Zone: entry.Zone, Leaving: entry.Leaving})
+			zoneMembers = append(zoneMembers, disruption.Member{ID: entry.ID, Leaving: entry.Leaving})
+			coreMembers = append(coreMembers, core.Member{ID: entry.ID, Zone: entry.Zone, Leaving: entry.Leaving})
 		}
 		if entry.Leaving {
 			leaving++
 		}
 		peers = append(peers, follower.Peer{ID: entry.ID, Zone: entry.Zone, Control: entry.Control, Leaving: entry.Leaving})
 	}
-	engine.zone.SetMembers(engine.last, zone)
-	engine.core.Step(engine.last, &core.Event{Members: known}, &engine.coreEffects)
-	engine.logChanges()
-	engine.others = len(members) - 1
-	engine.leaving = leaving
+	engine.zoneDisruption.SetMembers(engine.lastStep, zoneMembers)
+	engine.core.Step(engine.lastStep, &core.Event{Members: coreMembers}, &engine.coreEffects)
+	engine.processCoreChanges()
+	engine.otherMembers = len(members) - 1
+	engine.leavingMembers = leaving
 	engine.logger.Info().
 		Str(logging.FieldEvent, string(logging.EventMemberChanged)).
 		Int("alive", len(members)).
@@ -314,7 +320,7 @@
 	return peers
 }
 
-// followerStep gives one event to the follower and carries out its effects.
+// followerStep steps the follower with an event and executes its effects.
 func (engine *engine) followerStep(event *follower.Event) {
 	engine.follower.Step(engine.now(), event, &engine.followerEffects)
 	engine.outbox = append(engine.outbox, engine.followerEffects.Messages...)
@@ -323,45 +329,45 @@
 		engine.logView(engine.followerEffects.Source)
 	}
 	if read := engine.followerEffects.Read; read != nil {
-		engine.readAt = engine.last
-		engine.reads <- *read // there is one at a time, so that it never blocks
+		engine.readStarted = engine.lastStep
+		engine.storeReads <- *read // never blocks: there is at most one call at a time
 	}
 	if publication := engine.followerEffects.Publication; publication != nil {
-		engine.publishAt = engine.last
-		engine.publications <- *publication // likewise
+		engine.publishStarted = engine.lastStep
+		engine.publications <- *publication // never blocks, for the same reason
 	}
 }
 
-// compile gives the core the table of the present view.
+// compile compiles the current view into a table and passes it to the core.
 func (engine *engine) compile() {
 	replica := engine.follower.Replica()
 	if !replica.Configured() {
 		return
 	}
 	if engine.table == nil {
-		close(engine.viewed)
+		close(engine.viewAvailable)
 	}
-	engine.table = engine.compiler.Compile(replica, engine.last)
+	engine.table = engine.compiler.Compile(replica, engine.lastStep)
 	engine.core.Step(engine.now(), &core.Event{Table: engine.table}, &engine.coreEffects)
-	engine.giveServices()
-	engine.giveCapacity()
+	engine.updateOutlierServices()
+	engine.updateCapacity()
 }
 
-// resolve gives the control address of a known node.
+// resolve returns the control address of a known node.
 func (engine *engine) resolve(id lb.NodeID) (netip.AddrPort, bool) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.member.Resolve(id)
 }
 
-// joinRequest gives what is to be sent to seeds, and whether this node knows no other.
+// joinRequest returns the request to send to seeds, and whether this node knows no other member.
 func (engine *engine) joinRequest() (request message.Ping, alone bool) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.member.JoinRequest(), engine.others == 0
+	return engine.member.JoinRequest(), engine.otherMembers == 0
 }
 
-// readiness tells whether this node may be sent packets, and why not.
+// readiness reports whether this node can decide on packets, and the reason if not.
 func (engine *engine) readiness() (ready bool, reason string) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -371,4 +377,6 @@
 	return true, ""
 }
 
-func noPeer(lb.NodeID) (netip.AddrPort, bool) { return netip.AddrPort{}, false }
+// noPeerAddress is the data plane's lookup of peer addresses. With affinity token, nodes do not
+// relay packets to each other.
+func noPeerAddress(lb.NodeID) (netip.AddrPort, bool) { return netip.AddrPort{}, false }
--- a/internal/tokennode/enginelog.go
+++ b/internal/tokennode/enginelog.go
@@ -9,7 +9,7 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-// logView logs that the view has changed, by word of the source.
+// logView logs that the view has changed, and the source of the change.
 func (engine *engine) logView(source string) {
 	replica := engine.follower.Replica()
 	event := engine.logger.Info().
@@ -33,15 +33,16 @@
 	return names
 }
 
-// logChanges logs what the core has begun to believe, and passes on what it has seen.
-func (engine *engine) logChanges() {
-	engine.noteOutcomes()
+// processCoreChanges logs the state changes of the last step of the core, and passes the request
+// outcomes that the core has observed on to outlier detection.
+func (engine *engine) processCoreChanges() {
+	engine.forwardOutcomes()
 	engine.logBackends()
 	engine.logOverload()
-	engine.logReach()
+	engine.logReachability()
 }
 
-// logOverload logs services that have become overloaded, or are so no more.
+// logOverload logs services that have become overloaded or are no longer overloaded.
 func (engine *engine) logOverload() {
 	for _, change := range engine.coreEffects.Overload {
 		event := logging.EventOverloadEnded
@@ -59,7 +60,7 @@
 	}
 }
 
-// logBackends logs back ends that have fallen silent or answer again.
+// logBackends logs back ends that have become unresponsive or answer again.
 func (engine *engine) logBackends() {
 	for _, change := range engine.coreEffects.Backends {
 		event := logging.EventBackendAnswers
@@ -74,22 +75,23 @@
 	}
 }
 
-// backendText names the back end of a run as packets do, in hex digits; the run itself
-// where no back end of the table has it any more.
-func (engine *engine) backendText(run uint64) string {
+// backendText returns the identity of the back end with an instance ID, in hex digits as packets
+// carry it. It returns the instance ID itself if the table no longer contains the instance.
+func (engine *engine) backendText(instanceID uint64) string {
 	if engine.table != nil {
-		if host := engine.table.HostOfInstance(run); host != nil {
+		if host := engine.table.HostOfInstance(instanceID); host != nil {
 			return strconv.FormatUint(host.Identity, 16)
 		}
 	}
-	return strconv.FormatUint(run, 16)
+	return strconv.FormatUint(instanceID, 16)
 }
 
-// noteCall counts a call to the store and logs when the store is lost and regained.
-func (engine *engine) noteCall(result *follower.ReadResult) {
+// recordCall counts and logs a call to the store. It also logs entries that could not be decoded,
+// and when the store becomes unavailable or available again.
+func (engine *engine) recordCall(result *follower.ReadResult) {
 	key := keyOf(result)
 	engine.calls.requests[key] += uint64(result.Requests)
-	engine.logCall(key, result.Requests, engine.last-engine.readAt)
+	engine.logCall(key, result.Requests, engine.lastStep-engine.readStarted)
 	up := result.Failure.Answered()
 	if result.Listing != nil {
 		for _, rejected := range result.Listing.Rejected {
@@ -101,10 +103,10 @@
 			engine.logRejected(rejected.Key, rejected.Error)
 		}
 	}
-	if up == engine.calls.up {
+	if up == engine.calls.storeUp {
 		return
 	}
-	engine.calls.up = up
+	engine.calls.storeUp = up
 	event := logging.EventStoreUp
 	if !up {
 		event = logging.EventStoreDown
@@ -115,36 +117,37 @@
 		Send()
 }
 
-// notePublication counts and logs the writing of a snapshot.
-func (engine *engine) notePublication(result *follower.PublishResult) {
+// recordPublication counts and logs a snapshot write.
+func (engine *engine) recordPublication(result *follower.PublishResult) {
 	key := callKey{kind: kindPublish, reason: reasonChanged, failure: result.Failure}
 	engine.calls.requests[key] += uint64(result.Requests)
-	engine.logCall(key, result.Requests, engine.last-engine.publishAt)
+	engine.logCall(key, result.Requests, engine.lastStep-engine.publishStarted)
 }
 
-// logCall logs a call to the store: each has a price, and its reason is why it
-// was paid. A node makes at most one at a time and a few a second.
-func (engine *engine) logCall(key callKey, requests int, took time.Duration) {
-	age, _ := engine.follower.Age(engine.last)
+// logCall logs a call to the store and the reason for it. Every call is logged because the platform
+// charges for each one. A node makes at most one call at a time and a few per second.
+func (engine *engine) logCall(key callKey, requests int, duration time.Duration) {
+	age, _ := engine.follower.Age(engine.lastStep)
 	engine.logger.Info().
 		Str(logging.FieldEvent, string(logging.EventStoreCall)).
 		Str("kind", string(key.kind)).
 		Str(logging.FieldReason, string(key.reason)).
 		Str(logging.FieldFailure, string(key.failure)).
-		Bool("news", key.news).
+		Bool("news", key.changed).
 		Int("requests", requests).
 		Int64(logging.FieldAge, age.Milliseconds()).
-		Int64(logging.FieldDuration, took.Milliseconds()).
+		Int64(logging.FieldDuration, duration.Milliseconds()).
 		Send()
 }
 
-// rejectedLinesPerSecond bounds the lines about entries of the store that cannot be read:
-// whoever writes one may write thousands, which each listing reads again.
-const rejectedLinesPerSecond = 10
+// maxRejectedLinesPerSecond limits the log lines about store entries that cannot be decoded. A
+// faulty writer may write thousands of them, and each listing reads them all again.
+const maxRejectedLinesPerSecond = 10
 
+// logRejected counts and logs a store entry that cannot be decoded.
 func (engine *engine) logRejected(key string, err error) {
 	engine.calls.rejected++
-	omitted, allowed := engine.calls.rejectedLines.take(engine.last, rejectedLinesPerSecond)
+	omitted, allowed := engine.calls.rejectedLimiter.allow(engine.lastStep, maxRejectedLinesPerSecond)
 	if !allowed {
 		return
 	}
--- a/internal/tokennode/load.go
+++ b/internal/tokennode/fleetload.go
@@ -9,7 +9,7 @@
 	"robinpulley.example/robinpulley/internal/tree"
 )
 
-// loadStep gives one event to the fleet's load and carries out its effects.
+// loadStep steps the fleet load exchange with an event and executes its effects.
 func (engine *engine) loadStep(event *fleetload.Event) {
 	engine.load.Step(engine.now(), event, &engine.loadEffects)
 	for _, outgoing := range engine.loadEffects.Messages {
@@ -19,21 +19,23 @@
 		return
 	}
 	engine.core.Step(engine.now(), &core.Event{Loads: engine.loadEffects.Services}, &engine.coreEffects)
-	engine.logChanges()
+	engine.processCoreChanges()
 	if engine.table != nil {
 		engine.logLoad()
 	}
 }
 
-// noteSamples tells the fleet's load what the core has seen.
-func (engine *engine) noteSamples() {
+// forwardLoadSamples passes the load samples that the core has measured on to the fleet load
+// exchange.
+func (engine *engine) forwardLoadSamples() {
 	if engine.coreEffects.LoadSamples != nil {
 		engine.loadStep(&fleetload.Event{Samples: engine.coreEffects.LoadSamples})
 	}
 }
 
-// giveCapacity tells the fleet's load what the ready back ends work on at once.
-func (engine *engine) giveCapacity() {
+// updateCapacity passes the capacity of the ready back ends, in slots per service and zone, to the
+// fleet load exchange.
+func (engine *engine) updateCapacity() {
 	capacity := make(map[lb.ServiceName]map[lb.Zone]float64)
 	for name, service := range engine.table.Services() {
 		capacity[name] = service.Capacity()
@@ -41,23 +43,25 @@
 	engine.loadStep(&fleetload.Event{Capacity: capacity})
 }
 
-// placeInTree tells what goes by the tree over the zone where this node is in it.
-func (engine *engine) placeInTree() {
-	place := placeOf(engine.settings.Node, engine.follower.ZoneNodes(), engine.follower.ZoneRelays(), engine.others+1)
-	engine.place = place
-	engine.askForFlows()
-	begins := place.First && !engine.judges
-	engine.judges = place.First
-	engine.evidenceStep(&outlier.Event{Place: &place})
+// updateTreePlace recomputes the place of this node in the tree over its zone's nodes, and passes
+// it to the state machines that exchange messages along the tree.
+func (engine *engine) updateTreePlace() {
+	place := treePlaceOf(engine.settings.Node, engine.follower.ZoneNodes(), engine.follower.ZoneRelays(), engine.otherMembers+1)
+	engine.treePlace = place
+	engine.requestFlows()
+	becomesRoot := place.First && !engine.evaluatesOutliers
+	engine.evaluatesOutliers = place.First
+	engine.outlierStep(&outlier.Event{Place: &place})
 	engine.loadStep(&fleetload.Event{Place: &place})
-	if begins {
-		engine.giveServices()
+	if becomesRoot {
+		engine.updateOutlierServices()
 	}
 }
 
-// placeOf gives the place of a node in the tree over its zone's nodes by rank.
-func placeOf(self lb.NodeID, zone, heads []follower.Peer, nodes int) tree.Place {
-	return tree.PlaceOf(self, treeNodes(zone), treeNodes(heads), nodes)
+// treePlaceOf returns the place of a node in the tree over its zone's nodes, which are ordered by
+// rank.
+func treePlaceOf(self lb.NodeID, zone, relays []follower.Peer, nodes int) tree.Place {
+	return tree.PlaceOf(self, treeNodes(zone), treeNodes(relays), nodes)
 }
 
 func treeNodes(peers []follower.Peer) []tree.Node {
--- a/internal/tokennode/loadreport.go
+++ b/internal/tokennode/loadreport.go
@@ -21,11 +21,11 @@
 func (node *Node) serveLoad(response http.ResponseWriter, _ *http.Request) {
 	response.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(response).Encode(node.engine.loadReport()); err != nil {
-		node.engine.logger.Debug().Err(err).Str(logging.FieldKey, "/load").Msg("the report was not taken") // by who had asked for it
+		node.engine.logger.Debug().Err(err).Str(logging.FieldKey, "/load").Msg("writing the load report to the client failed")
 	}
 }
 
-// loadReport gives what operators see of the load of all services.
+// loadReport returns the report for operators on the load of all services.
 func (engine *engine) loadReport() loadreport.Report {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -33,46 +33,46 @@
 	if engine.table == nil {
 		return report
 	}
-	shares := engine.core.ZoneWeights()
-	held := engine.core.HeldByLevel()
-	pressures := make(map[lb.ServiceName]overload.Status)
+	zoneWeights := engine.core.ZoneWeights()
+	heldByLevel := engine.core.HeldByLevel()
+	overloadStatus := make(map[lb.ServiceName]overload.Status)
 	for _, status := range engine.core.OverloadStatus() {
-		pressures[status.Service] = status
+		overloadStatus[status.Service] = status
 	}
 	for name, service := range engine.table.Services() {
-		told := loadreport.Service{Service: name, Zones: zonesOf(service, shares[name])}
+		reported := loadreport.Service{Service: name, Zones: zonesOf(service, zoneWeights[name])}
 		if known, found := engine.load.Services()[name]; found {
-			told.Known = true
-			told.AgeMillis = max(0, engine.now()-known.SummedAt).Milliseconds()
-			addKnown(&told, &known)
+			reported.Known = true
+			reported.AgeMillis = max(0, engine.now()-known.SummedAt).Milliseconds()
+			addFleetLoad(&reported, &known)
 		}
-		addPressure(&told, pressures[name])
-		addWaiting(&told, held)
-		report.Services = append(report.Services, told)
+		addOverload(&reported, overloadStatus[name])
+		addQueued(&reported, heldByLevel)
+		report.Services = append(report.Services, reported)
 	}
 	slices.SortFunc(report.Services, func(a, b loadreport.Service) int { return cmp.Compare(a.Service, b.Service) })
 	return report
 }
 
-// zonesOf gives the zones with back ends of a service, and their parts of this node's flows.
-func zonesOf(service *steering.Service, parts zoneweight.Weights) []loadreport.Zone {
+// zonesOf returns the zones with back ends of a service, and their weights for this node's flows.
+func zonesOf(service *steering.Service, weights zoneweight.Weights) []loadreport.Zone {
 	var zones []loadreport.Zone
 	for _, zone := range slices.Sorted(maps.Keys(service.Capacity())) {
-		zones = append(zones, loadreport.Zone{Zone: zone, Capacity: service.Capacity()[zone], Weight: parts[zone]})
+		zones = append(zones, loadreport.Zone{Zone: zone, Capacity: service.Capacity()[zone], Weight: weights[zone]})
 	}
 	return zones
 }
 
-// addKnown adds what the fleet knows of a service, also of zones without back ends.
-func addKnown(told *loadreport.Service, known *fleetload.Service) {
+// addFleetLoad adds the fleet's load data on a service. It also adds zones without back ends.
+func addFleetLoad(reported *loadreport.Service, known *fleetload.Service) {
 	for index := range known.Zones {
 		from := &known.Zones[index]
-		at := slices.IndexFunc(told.Zones, func(zone loadreport.Zone) bool { return zone.Zone == from.Zone })
+		at := slices.IndexFunc(reported.Zones, func(zone loadreport.Zone) bool { return zone.Zone == from.Zone })
 		if at < 0 {
-			at = len(told.Zones)
-			told.Zones = append(told.Zones, loadreport.Zone{Zone: from.Zone})
+			at = len(reported.Zones)
+			reported.Zones = append(reported.Zones, loadreport.Zone{Zone: from.Zone})
 		}
-		zone := &told.Zones[at]
+		zone := &reported.Zones[at]
 		zone.Load, zone.Answers, zone.Rejected = from.Load, from.Answers, from.Rejected
 		for _, level := range from.Levels {
 			zone.Demand = append(zone.Demand, loadreport.Demand{Priority: level.Priority, Begun: level.Begun, Refused: level.Refused})
@@ -80,25 +80,25 @@
 	}
 }
 
-// addPressure adds what this node lets in and has refused.
-func addPressure(told *loadreport.Service, status overload.Status) {
-	told.Pressure, told.Refused = status.Pressure, status.Refused
+// addOverload adds this node's pressure, admission rates and refused openings.
+func addOverload(reported *loadreport.Service, status overload.Status) {
+	reported.Pressure, reported.Refused = status.Pressure, status.Refused
 	for _, level := range status.Levels {
-		told.Levels = append(told.Levels, loadreport.Admission{Priority: level.Priority, Rate: level.Admitted})
+		reported.Levels = append(reported.Levels, loadreport.Admission{Priority: level.Priority, Rate: level.Admitted})
 	}
 }
 
-// addWaiting adds the openings that this node holds until there is room.
-func addWaiting(told *loadreport.Service, held map[admissionqueue.Level]int) {
-	for level, count := range held {
-		if level.Service != told.Service {
+// addQueued adds the openings that this node holds until back ends have free slots.
+func addQueued(reported *loadreport.Service, heldByLevel map[admissionqueue.Level]int) {
+	for level, count := range heldByLevel {
+		if level.Service != reported.Service {
 			continue
 		}
-		at := slices.IndexFunc(told.Levels, func(known loadreport.Admission) bool { return known.Priority == level.Priority })
+		at := slices.IndexFunc(reported.Levels, func(known loadreport.Admission) bool { return known.Priority == level.Priority })
 		if at < 0 {
-			at = len(told.Levels)
-			told.Levels = append(told.Levels, loadreport.Admission{Priority: level.Priority, Rate: 1})
+			at = len(reported.Levels)
+			reported.Levels = append(reported.Levels, loadreport.Admission{Priority: level.Priority, Rate: 1})
 		}
-		told.Levels[at].Queued = count
+		reported.Levels[at].Queued = count
 	}
 }
--- a/internal/tokennode/loadreport_test.go
+++ b/internal/tokennode/loadreport_test.go
@@ -9,9 +9,9 @@
 	"robinpulley.example/robinpulley/internal/loadreport"
 )
 
-func TestWaitingOpeningsAreReportedByPriority(t *testing.T) {
+func TestHeldOpeningsAreReportedByPriority(t *testing.T) {
 	is := is.New(t)
-	told := loadreport.Service{Service: "web", Levels: []loadreport.Admission{{Priority: 0, Rate: 0.5}}}
-	addWaiting(&told, map[admissionqueue.Level]int{{Service: "web", Priority: 0}: 3, {Service: "web", Priority: 2}: 4, {Service: "docs", Priority: 0}: 9})
-	is.Equal(told.Levels, []loadreport.Admission{{Priority: 0, Rate: 0.5, Queued: 3}, {Priority: 2, Rate: 1, Queued: 4}})
+	reported := loadreport.Service{Service: "web", Levels: []loadreport.Admission{{Priority: 0, Rate: 0.5}}}
+	addQueued(&reported, map[admissionqueue.Level]int{{Service: "web", Priority: 0}: 3, {Service: "web", Priority: 2}: 4, {Service: "docs", Priority: 0}: 9})
+	is.Equal(reported.Levels, []loadreport.Admission{{Priority: 0, Rate: 0.5, Queued: 3}, {Priority: 2, Rate: 1, Queued: 4}})
 }
--- a/internal/tokennode/metrics.go
+++ b/internal/tokennode/metrics.go
@@ -19,40 +19,42 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// callKey tells apart the calls to the store.
+// callKey holds the labels by which calls to the store are counted.
 type callKey struct {
 	kind    follower.ReadKind
 	reason  follower.Reason
 	failure follower.Failure
-	news    bool
+	changed bool
 }
 
-// callCounts counts calls to the store.
+// callCounts counts calls to the store and the entries that could not be decoded.
 type callCounts struct {
 	requests map[callKey]uint64
-	rejected uint64 // entries that could not be read
-	// rejectedLines bounds the lines about them.
-	rejectedLines quota
-	up            bool // the last call succeeded
+	rejected uint64 // store entries that could not be decoded
+	// rejectedLimiter limits the log lines about rejected entries.
+	rejectedLimiter lineLimiter
+	storeUp         bool // the store answered the last call
 }
 
-func newCallCounts() callCounts { return callCounts{requests: make(map[callKey]uint64), up: true} }
+func newCallCounts() callCounts { return callCounts{requests: make(map[callKey]uint64), storeUp: true} }
 
-// kindPublish is the kind under which the writing of a snapshot is counted, reasonChanged its reason.
+// kindPublish and reasonChanged are the kind and the reason under which snapshot writes are
+// counted.
 const (
 	kindPublish   follower.ReadKind = "publish"
 	reasonChanged follower.Reason   = "changed"
 )
 
-// keyOf tells what a call is counted under.
+// keyOf returns the key under which a call is counted.
 func keyOf(result *follower.ReadResult) callKey {
 	return callKey{
 		kind: result.Read.Kind, reason: result.Read.Reason, failure: result.Failure,
-		news: result.Changes != nil && len(result.Changes.Changes) > 0,
+		changed: result.Changes != nil && len(result.Changes.Changes) > 0,
 	}
 }
 
-// The metrics. docs/operations-platform.md explains each.
+// Metrics of decisions, the store, the membership and the data plane. docs/operations-platform.md
+// explains each.
 var (
 	metricReasons = metrics.New(prometheus.CounterValue, "decision_reasons_total",
 		"Packets dropped or refused, by reason.", "reason")
@@ -71,13 +73,13 @@
 		"Version of the configuration in force.")
 	metricEvacuated = metrics.New(prometheus.GaugeValue, "zone_evacuated",
 		"1 for each zone whose back ends get no new flows by the operators' word.", "zone")
-	metricReached = metrics.New(prometheus.GaugeValue, "zone_reached",
+	metricZoneReachable = metrics.New(prometheus.GaugeValue, "zone_reached",
 		"1 for each zone with back ends that this node reaches, 0 for one that it does not.", "zone")
-	metricAvoided = metrics.New(prometheus.GaugeValue, "backends_avoided",
+	metricEjected = metrics.New(prometheus.GaugeValue, "backends_avoided",
 		"Back ends that this node avoids since the nodes together take them for failing.")
-	metricRank = metrics.New(prometheus.GaugeValue, "reader_rank",
+	metricTakeoverRank = metrics.New(prometheus.GaugeValue, "reader_rank",
 		"Place of this node among those of its zone, by which they lose patience with an old view.")
-	metricReads = metrics.New(prometheus.GaugeValue, "reader",
+	metricWatcher = metrics.New(prometheus.GaugeValue, "reader",
 		"1 while this node reads the store for the others.")
 	metricMembers = metrics.New(prometheus.GaugeValue, "members_alive",
 		"Living balancers known, this one included.")
@@ -107,22 +109,22 @@
 		"Time that calls to the platform's store took, as a histogram; watches wait for changes.")
 )
 
-// The metrics of overload control.
+// Metrics of overload control.
 var (
 	metricPressure = metrics.New(prometheus.GaugeValue, "service_pressure",
 		"Time that requests of a service take, over what they may; 1: as much as can be done in time.", "service")
-	metricAdmitted = metrics.New(prometheus.GaugeValue, "service_admitted_ratio",
+	metricAdmissionRate = metrics.New(prometheus.GaugeValue, "service_admitted_ratio",
 		"Part of the openings of a service that is let in, by priority.", "service", "priority")
 	metricOverloadRefused = metrics.New(prometheus.CounterValue, "overload_refused_total",
 		"Openings refused because their service is overloaded.", "service")
 )
 
-// The metrics of what the fleet knows of load. Those of a service are there while it is near
-// its limit, and known.
+// Metrics of the fleet's load. Those of a service are exported while the service is near its limit
+// and load data on it exists.
 var (
-	metricAsked = metrics.New(prometheus.GaugeValue, "fleet_asked_slots",
+	metricDemand = metrics.New(prometheus.GaugeValue, "fleet_asked_slots",
 		"Work that a zone's callers ask for, in slots (seconds of work a second), by service, zone and priority.", "service", "zone", "priority")
-	metricAskedRefused = metrics.New(prometheus.GaugeValue, "fleet_refused_slots",
+	metricRefusedDemand = metrics.New(prometheus.GaugeValue, "fleet_refused_slots",
 		"The part of it that is refused.", "service", "zone", "priority")
 	metricCapacity = metrics.New(prometheus.GaugeValue, "fleet_capacity_slots",
 		"What the ready back ends of a zone work on at once.", "service", "zone")
@@ -130,61 +132,61 @@
 		"Time of requests at the back ends of a zone, as all nodes see it, over that at idle ones.", "service", "zone")
 	metricLoadAge = metrics.New(prometheus.GaugeValue, "fleet_load_age_seconds",
 		"Time since the newest part of what is known of a service's load was summed up.", "service")
-	metricHome = metrics.New(prometheus.GaugeValue, "home_ratio",
+	metricLocalWeight = metrics.New(prometheus.GaugeValue, "home_ratio",
 		"Part of this node's new flows of a service that the back ends of its own zone get.", "service")
 )
 
-// The metrics of openings that wait for room.
+// Metrics of openings that are held until back ends have free slots.
 var (
-	metricWaiting = metrics.New(prometheus.GaugeValue, "openings_waiting",
+	metricHeldOpenings = metrics.New(prometheus.GaugeValue, "openings_waiting",
 		"Openings that are held until there is room for them.")
-	metricHeld = metrics.New(prometheus.CounterValue, "openings_held_total",
+	metricOpeningsHeld = metrics.New(prometheus.CounterValue, "openings_held_total",
 		"Openings that were held since there was no room for them when they came.")
-	metricWent = metrics.New(prometheus.CounterValue, "openings_let_go_total",
+	metricHeldForwarded = metrics.New(prometheus.CounterValue, "openings_let_go_total",
 		"Openings that were held and then forwarded; the other ones were refused, or dropped for a copy.")
-	metricFreed = metrics.New(prometheus.CounterValue, "openings_to_freed_total",
+	metricToFreedBackends = metrics.New(prometheus.CounterValue, "openings_to_freed_total",
 		"Openings that went to a back end which had just become free.")
-	metricWaitTime = metrics.New(prometheus.CounterValue, "openings_waited_seconds_total",
+	metricHeldTime = metrics.New(prometheus.CounterValue, "openings_waited_seconds_total",
 		"How long openings that were held have waited, all together.")
 )
 
 // allMetrics lists every metric.
 var allMetrics = append([]*metrics.Metric{
 	metricReasons, metricDecisions, metricCalls, metricRejected, metricRevision, metricAge, metricVersion,
-	metricEvacuated, metricReached, metricAvoided, metricRank, metricReads, metricMembers, metricLeaving, metricReady, metricTracked, metricUntracked, metricUnannounced, metricCorrected, metricReceived, metricSent, metricMalformed,
-	metricSocketErrors, metricDecisionTime, metricCallTime, metricPressure, metricAdmitted, metricOverloadRefused,
-	metricAsked, metricAskedRefused, metricCapacity, metricLoad, metricLoadAge, metricHome,
-	metricWaiting, metricHeld, metricWent, metricFreed, metricWaitTime,
+	metricEvacuated, metricZoneReachable, metricEjected, metricTakeoverRank, metricWatcher, metricMembers, metricLeaving, metricReady, metricTracked, metricUntracked, metricUnannounced, metricCorrected, metricReceived, metricSent, metricMalformed,
+	metricSocketErrors, metricDecisionTime, metricCallTime, metricPressure, metricAdmissionRate, metricOverloadRefused,
+	metricDemand, metricRefusedDemand, metricCapacity, metricLoad, metricLoadAge, metricLocalWeight,
+	metricHeldOpenings, metricOpeningsHeld, metricHeldForwarded, metricToFreedBackends, metricHeldTime,
 }, transport.Metrics()...)
 
-// collector reads the counters of a node when metrics are asked for, so that
-// the packet path keeps none of its own.
+// collector reads a node's counters at each scrape, so that the packet path updates no Prometheus
+// metrics.
 type collector struct{ node *Node }
 
-// Describe gives the descriptions of all metrics.
+// Describe sends the descriptions of all metrics.
 func (collector collector) Describe(descriptions chan<- *prometheus.Desc) {
 	metrics.Describe(allMetrics, descriptions)
 }
 
-// Collect gives the present values of all metrics.
+// Collect sends the current values of all metrics.
 func (collector collector) Collect(samples chan<- prometheus.Metric) {
 	node := collector.node
 	output := sampler{metrics.Sampler{Samples: samples}}
 	state := node.engine.state()
 	output.decisions(&state.stats)
 	output.view(&state)
-	output.pressures(state.pressures)
+	output.overload(state.overload)
 	report := node.engine.loadReport()
-	output.loads(&report)
-	output.waits(&state)
-	output.tracked(&state.tracked)
+	output.fleetLoad(&report)
+	output.queue(&state)
+	output.trackedFlows(&state.trackedFlows)
 	output.Add(metricReady, readyValue(node))
-	output.plane(node.endpoints.Plane.Counters())
+	output.dataPlane(node.endpoints.Plane.Counters())
 	control := node.endpoints.Transport.Counters()
 	control.Sample(output.Sampler)
 }
 
-// sampler writes samples of metrics.
+// sampler writes metric samples.
 type sampler struct{ metrics.Sampler }
 
 func (output sampler) decisions(stats *core.Stats) {
@@ -199,61 +201,61 @@
 }
 
 func (output sampler) view(state *engineState) {
-	for key, calls := range state.calls {
-		output.Count(metricCalls, calls, string(key.kind), string(key.reason), string(key.failure), strconv.FormatBool(key.news))
+	for key, calls := range state.storeCalls {
+		output.Count(metricCalls, calls, string(key.kind), string(key.reason), string(key.failure), strconv.FormatBool(key.changed))
 	}
-	output.Count(metricRejected, state.rejected)
+	output.Count(metricRejected, state.rejectedEntries)
 	output.Add(metricRevision, float64(state.revision))
 	output.Add(metricAge, state.age)
 	output.Count(metricVersion, state.version)
 	for _, zone := range state.evacuated {
 		output.Add(metricEvacuated, 1, string(zone))
 	}
-	for _, zone := range state.reached {
-		reached := 0.0
+	for _, zone := range state.reachability {
+		reachable := 0.0
 		if zone.Reachable {
-			reached = 1
+			reachable = 1
 		}
-		output.Add(metricReached, reached, string(zone.Zone))
+		output.Add(metricZoneReachable, reachable, string(zone.Zone))
 	}
-	output.Add(metricAvoided, float64(state.avoided))
-	output.Add(metricRank, float64(state.rank))
-	output.Add(metricReads, state.reads)
+	output.Add(metricEjected, float64(state.ejected))
+	output.Add(metricTakeoverRank, float64(state.takeoverRank))
+	output.Add(metricWatcher, state.isWatcher)
 	output.Add(metricMembers, float64(state.members))
 	output.Add(metricLeaving, float64(state.leaving))
 	output.histogram(metricDecisionTime, state.decisionTime)
 	output.histogram(metricCallTime, state.callTime)
 }
 
-func (output sampler) tracked(stats *conntrack.Stats) {
+func (output sampler) trackedFlows(stats *conntrack.Stats) {
 	output.Add(metricTracked, float64(stats.Flows))
 	output.Count(metricUntracked, stats.Untracked)
 	output.Count(metricUnannounced, stats.Unannounced)
 	output.Count(metricCorrected, stats.Corrected)
 }
 
-func (output sampler) pressures(statuses []overload.Status) {
+func (output sampler) overload(statuses []overload.Status) {
 	for _, status := range statuses {
 		output.Add(metricPressure, status.Pressure, string(status.Service))
 		output.Count(metricOverloadRefused, status.Refused, string(status.Service))
 		for _, level := range status.Levels {
-			output.Add(metricAdmitted, level.Admitted, string(status.Service), strconv.Itoa(int(level.Priority)))
+			output.Add(metricAdmissionRate, level.Admitted, string(status.Service), strconv.Itoa(int(level.Priority)))
 		}
 	}
 }
 
-// loads writes what the fleet knows of load, and where new flows go by it.
-func (output sampler) loads(report *loadreport.Report) {
+// fleetLoad writes the fleet's load and the resulting weight of the local zone, for each service.
+func (output sampler) fleetLoad(report *loadreport.Report) {
 	for index := range report.Services {
 		service := &report.Services[index]
 		name := string(service.Service)
-		for part := range service.Zones {
-			zone := &service.Zones[part]
+		for at := range service.Zones {
+			zone := &service.Zones[at]
 			if zone.Zone == report.Zone {
-				output.Add(metricHome, zone.Weight, name)
+				output.Add(metricLocalWeight, zone.Weight, name)
 			}
 			if service.Known {
-				output.knownZone(name, zone)
+				output.zoneLoad(name, zone)
 			}
 		}
 		if service.Known {
@@ -262,23 +264,24 @@
 	}
 }
 
-func (output sampler) knownZone(service string, zone *loadreport.Zone) {
+// zoneLoad writes a zone's capacity, load and demand for a service.
+func (output sampler) zoneLoad(service string, zone *loadreport.Zone) {
 	output.Add(metricCapacity, zone.Capacity, service, string(zone.Zone))
 	if zone.Answers > 0 {
 		output.Add(metricLoad, zone.Load, service, string(zone.Zone))
 	}
 	for _, demand := range zone.Demand {
 		priority := strconv.Itoa(int(demand.Priority))
-		output.Add(metricAsked, demand.Begun+demand.Refused, service, string(zone.Zone), priority)
-		output.Add(metricAskedRefused, demand.Refused, service, string(zone.Zone), priority)
+		output.Add(metricDemand, demand.Begun+demand.Refused, service, string(zone.Zone), priority)
+		output.Add(metricRefusedDemand, demand.Refused, service, string(zone.Zone), priority)
 	}
 }
 
-func (output sampler) histogram(metric *metrics.Metric, times times) {
-	output.Samples <- prometheus.MustNewConstHistogram(metric.Description, times.count, times.sum.Seconds(), times.buckets())
+func (output sampler) histogram(metric *metrics.Metric, durations durationHistogram) {
+	output.Samples <- prometheus.MustNewConstHistogram(metric.Description, durations.count, durations.sum.Seconds(), durations.buckets())
 }
 
-func (output sampler) plane(counters dataplane.Counters) {
+func (output sampler) dataPlane(counters dataplane.Counters) {
 	output.Count(metricReceived, counters.Received)
 	output.Count(metricSent, counters.Forwarded, "forward")
 	output.Count(metricSent, counters.Refused, "refuse")
@@ -298,53 +301,54 @@
 	return 0
 }
 
-// engineState is what the engine tells for metrics.
+// engineState holds the engine's values that are exported as metrics.
 type engineState struct {
-	stats     core.Stats
-	calls     map[callKey]uint64
-	rejected  uint64
-	revision  int64
-	version   uint64
-	evacuated []lb.Zone
-	avoided   int
-	reached   []reachability.Status
-	age       float64 // seconds
-	rank      int
-	reads     float64 // 1: this node reads for the others
-	members   int
-	leaving   int
+	stats           core.Stats
+	storeCalls      map[callKey]uint64
+	rejectedEntries uint64
+	revision        int64
+	version         uint64
+	evacuated       []lb.Zone
+	ejected         int
+	reachability    []reachability.Status
+	age             float64 // seconds
+	takeoverRank    int
+	isWatcher       float64 // 1 while this node is a designated watcher of the store, else 0
+	members         int
+	leaving         int
 
-	waiting      int
-	tracked      conntrack.Stats
-	pressures    []overload.Status
-	decisionTime times
-	callTime     times
+	heldOpenings int
+	trackedFlows conntrack.Stats
+	overload     []overload.Status
+	decisionTime durationHistogram
+	callTime     durationHistogram
 }
 
+// state returns a consistent copy of the engine's values for metrics.
 func (engine *engine) state() engineState {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	state := engineState{
-		stats:     engine.core.Stats(),
-		calls:     maps.Clone(engine.calls.requests),
-		rejected:  engine.calls.rejected,
-		revision:  engine.follower.Replica().Revision(),
-		version:   engine.follower.Replica().Version(),
-		evacuated: engine.follower.Replica().Evacuated(),
-		avoided:   engine.evidence.EjectedCount(),
-		reached:   engine.core.ZoneReachability(),
-		rank:      engine.follower.Rank(),
-		members:   engine.others + 1,
-		leaving:   engine.leaving,
+		stats:           engine.core.Stats(),
+		storeCalls:      maps.Clone(engine.calls.requests),
+		rejectedEntries: engine.calls.rejected,
+		revision:        engine.follower.Replica().Revision(),
+		version:         engine.follower.Replica().Version(),
+		evacuated:       engine.follower.Replica().Evacuated(),
+		ejected:         engine.outliers.EjectedCount(),
+		reachability:    engine.core.ZoneReachability(),
+		takeoverRank:    engine.follower.Rank(),
+		members:         engine.otherMembers + 1,
+		leaving:         engine.leavingMembers,
 
-		waiting:      engine.core.HeldOpenings(),
-		tracked:      engine.core.TrackedFlowStats(),
-		pressures:    engine.core.OverloadStatus(),
+		heldOpenings: engine.core.HeldOpenings(),
+		trackedFlows: engine.core.TrackedFlowStats(),
+		overload:     engine.core.OverloadStatus(),
 		decisionTime: engine.decisionTime,
 		callTime:     engine.callTime,
 	}
 	if engine.follower.IsWatcher() {
-		state.reads = 1
+		state.isWatcher = 1
 	}
 	if age, known := engine.follower.Age(engine.now()); known {
 		state.age = age.Seconds()
--- a/internal/tokennode/metrics_test.go
+++ b/internal/tokennode/metrics_test.go
@@ -11,8 +11,8 @@
 	"robinpulley.example/robinpulley/internal/metrics"
 )
 
-// TestOperationsPageIsComplete checks that the page names every metric, and no
-// metric that is not there.
+// TestOperationsPageIsComplete checks that the operations page names every metric that exists, and
+// no other metric.
 func TestOperationsPageIsComplete(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("../../docs/operations-platform.md")
@@ -33,14 +33,14 @@
 	}
 }
 
-func TestTimes(t *testing.T) {
+func TestDurationHistogram(t *testing.T) {
 	is := is.New(t)
-	var times times
-	for _, took := range []time.Duration{0, 500 * time.Nanosecond, 3 * time.Microsecond, time.Hour, -time.Second} {
-		times.add(took)
+	var histogram durationHistogram
+	for _, duration := range []time.Duration{0, 500 * time.Nanosecond, 3 * time.Microsecond, time.Hour, -time.Second} {
+		histogram.observe(duration)
 	}
-	buckets := times.buckets()
-	is.Equal(times.count, uint64(5))
-	is.Equal(buckets[1e-6], uint64(3)) // below a microsecond, the negative one too
+	buckets := histogram.buckets()
+	is.Equal(histogram.count, uint64(5))
+	is.Equal(buckets[1e-6], uint64(3)) // below a microsecond, including the negative one
 	is.Equal(buckets[4e-6], uint64(4))
 }
--- a/internal/tokennode/node.go
+++ b/internal/tokennode/node.go
@@ -1,6 +1,7 @@
-// Package tokennode wires a balancer whose packets carry a token (docs/
-// design-platform.md): the decision core, the data plane, the membership, the
-// follower of the store and the admin address. It holds no rule of its own.
+// Package tokennode assembles a balancer with affinity token, whose packets carry a token that names
+// their back end (docs/design-platform.md). It connects the decision core, the data plane, the
+// membership, the follower of the store and the admin address. The packages of these parts
+// implement the balancing rules; this package contains none.
 package tokennode
 
 import (
@@ -23,20 +24,20 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// Adapter is what a node needs of its platform.
+// Adapter contains the platform-specific parts of a node.
 type Adapter struct {
-	// NewCodec gives the codec of one reader of the data address.
+	// NewCodec returns a packet codec for one reader of the data address.
 	NewCodec func() dataplane.Codec
-	// Store reads the platform's store, and leaves snapshots of the view there.
+	// Store reads the platform's store and writes snapshots of the view to it.
 	Store follower.Store
 }
 
-// Options are what a node is made of.
+// Options configure a node.
 type Options struct {
 	Settings *config.Settings
 	Adapter  Adapter
 	Logger   zerolog.Logger
-	// Reload reads the settings again; nil: they cannot change.
+	// Reload reads the settings again. If it is nil, the settings cannot change.
 	Reload func() (*config.Settings, error)
 }
 
@@ -48,16 +49,17 @@
 	endpoints lifecycle.Endpoints
 	life      *lifecycle.Life
 
-	opened atomic.Bool // all endpoints are open
-	// settings are those in force: Options.Settings, or what was read again since.
+	isOpen atomic.Bool // all endpoints are open
+	// settings are the settings in force: Options.Settings at first, then the last ones that were
+	// reloaded.
 	settings   atomic.Pointer[config.Settings]
-	looking    sync.Mutex    // one look at the openings that wait at a time
-	unready    atomic.Bool   // routers are told not to send packets here any more
-	reload     chan struct{} // has one element after a request
+	queueMutex sync.Mutex    // serializes steps of the admission queue
+	notReady   atomic.Bool   // set during a planned stop, so that routers stop sending packets to this node
+	reload     chan struct{} // holds one element while a request is pending
 	background sync.WaitGroup
 }
 
-// New opens the endpoints of a balancer. Run must follow, which closes them.
+// New creates a balancer and opens its endpoints. The caller must call Run, which closes them.
 func New(options Options) (*Node, error) {
 	node := &Node{
 		options: options,
@@ -80,14 +82,14 @@
 	return node, nil
 }
 
-// open opens the endpoints, the data address first.
+// open opens the endpoints, starting with the data address.
 func (node *Node) open() error {
 	settings := node.options.Settings
 	var err error
 	node.endpoints.Plane, err = dataplane.New(dataplane.Options{
 		Listen:      settings.DataAddress,
 		Decide:      node.engine.decide,
-		PeerAddress: noPeer,
+		PeerAddress: noPeerAddress,
 		NewCodec:    node.options.Adapter.NewCodec,
 	})
 	if err != nil {
@@ -107,16 +109,15 @@
 		return err
 	}
 	node.engine.transmit = node.endpoints.Transport.SendAll
-	node.opened.Store(true)
+	node.isOpen.Store(true)
 	return nil
 }
 
-// burstSeconds is for how many seconds of the budget a node may send at once
-// after silence: the readers of a zone tell of many changes in quick
-// succession, and of few over hours.
+// burstSeconds is the burst that a node may send after a quiet period, in seconds of its budget. The
+// designated watchers of a zone publish many changes in quick succession, but few over hours.
 const burstSeconds = 16
 
-// budgetOf gives what a node may send to others.
+// budgetOf returns the budget for messages to other nodes.
 func budgetOf(settings *config.Settings) transport.Budget {
 	budget := transport.DefaultBudget()
 	budget.BytesPerSecond = settings.Limits.ControlBytesPerSecond
@@ -124,27 +125,27 @@
 	return budget
 }
 
-// receive takes a message from a peer. Those that come while this node is
-// still opening its endpoints are lost, as if sent before it was there.
+// receive processes a message from a peer. It drops messages that arrive while this node is still
+// opening its endpoints, as if they had been sent before the node was started.
 func (node *Node) receive(incoming transport.Incoming) {
-	if node.opened.Load() {
+	if node.isOpen.Load() {
 		node.engine.receive(incoming)
 	}
 }
 
-// Stop begins a planned stop. Run returns when it is finished.
+// Stop starts a planned stop. Run returns when the stop is finished.
 func (node *Node) Stop() { node.life.Stop() }
 
-// Reload asks for the settings to be read again.
+// Reload requests a reload of the settings. It does not wait for it.
 func (node *Node) Reload() {
 	select {
 	case node.reload <- struct{}{}:
-	default: // asked for already
+	default: // a request is pending already
 	}
 }
 
-// Run serves until a planned stop is finished, or until ctx ends, which stops
-// it at once with lb.ErrStoppedAtOnce.
+// Run serves until a planned stop is finished or ctx ends. If ctx ends, Run stops at once and
+// returns lb.ErrStoppedAtOnce.
 func (node *Node) Run(ctx context.Context) error {
 	running, cancel := context.WithCancel(ctx)
 	defer node.background.Wait()
@@ -153,7 +154,7 @@
 	node.background.Go(func() { node.readStore(running) })
 	node.background.Go(func() { node.writeSnapshots(running) })
 	node.engine.tick()
-	node.background.Go(func() { node.movePackets(running) })
+	node.background.Go(func() { node.runDataPlane(running) })
 	node.serveAdmin()
 	node.logger.Info().
 		Str(logging.FieldEvent, string(logging.EventStarting)).
@@ -161,39 +162,40 @@
 		Str(logging.FieldWaiting, string(node.options.Settings.Waiting)).
 		Send()
 	node.background.Go(func() { node.tickUntil(running) })
-	node.background.Go(func() { node.lookUntil(running) })
+	node.background.Go(func() { node.retryQueueUntil(running) })
 	node.background.Go(func() { node.reloadUntil(running) })
 	node.background.Go(func() { node.joinSeeds(running) })
-	node.background.Go(func() { node.reportMalformed(running) })
+	node.background.Go(func() { node.logFaultsUntil(running) })
 	select {
 	case <-node.life.Stopping():
 	case <-ctx.Done():
 		return node.life.StoppedAtOnce()
 	}
-	return node.stopAsPlanned(ctx)
+	return node.runPlannedStop(ctx)
 }
 
-// viewWait is how long packets wait in the socket of a node that has just
-// started for the first view, without which they could only be dropped.
-const viewWait = 300 * time.Millisecond
+// firstViewTimeout is how long a node that has just started leaves packets in the socket's buffer
+// while it waits for its first view. Without a view it would have to drop them.
+const firstViewTimeout = 300 * time.Millisecond
 
-// movePackets runs the data plane until ctx ends.
-func (node *Node) movePackets(ctx context.Context) {
+// runDataPlane waits for the first view, up to firstViewTimeout, and runs the data plane until ctx
+// ends.
+func (node *Node) runDataPlane(ctx context.Context) {
 	select {
-	case <-node.engine.viewed:
-	case <-time.After(viewWait):
+	case <-node.engine.viewAvailable:
+	case <-time.After(firstViewTimeout):
 	case <-ctx.Done():
 	}
 	node.life.Failed(node.endpoints.Plane.Run(ctx))
 }
 
-// readStore carries out the calls that the follower asks for until ctx ends.
+// readStore executes the calls to the store that the follower requests, until ctx ends.
 func (node *Node) readStore(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case read := <-node.engine.reads:
+		case read := <-node.engine.storeReads:
 			result := node.options.Adapter.Store.Read(ctx, read)
 			if ctx.Err() == nil {
 				node.engine.finishRead(&result)
@@ -202,7 +204,7 @@
 	}
 }
 
-// writeSnapshots writes the snapshots that the follower gives until ctx ends.
+// writeSnapshots writes the follower's snapshots to the store, until ctx ends.
 func (node *Node) writeSnapshots(ctx context.Context) {
 	for {
 		select {
@@ -217,7 +219,7 @@
 	}
 }
 
-// tickUntil ticks the engine until ctx ends.
+// tickUntil steps the engine at the tick interval until ctx ends.
 func (node *Node) tickUntil(ctx context.Context) {
 	ticker := time.NewTicker(follower.TickInterval)
 	defer ticker.Stop()
@@ -231,12 +233,14 @@
 	}
 }
 
-// malformedInterval is the time between log lines about malformed packets.
-const malformedInterval = 10 * time.Second
+// faultLogInterval is the time between log lines about malformed packets and about faults of
+// messages between nodes.
+const faultLogInterval = 10 * time.Second
 
-// reportControl logs how many messages between nodes were not sent or not taken since the
-// last time, by what they met: a bound that nobody hears of holds news up unseen.
-func (node *Node) reportControl(reported map[transport.Fault]uint64) {
+// logControlFaults logs, for each kind of fault, how many messages between nodes were not sent or
+// not accepted since the last call. Without these lines, a limit that delays updates between nodes
+// would go unnoticed.
+func (node *Node) logControlFaults(reported map[transport.Fault]uint64) {
 	for _, known := range node.endpoints.Transport.Counters().Faults {
 		if count := known.Count - reported[known.Fault]; count > 0 {
 			node.logger.Warn().
@@ -249,10 +253,10 @@
 	}
 }
 
-// reportMalformed logs now and then how many malformed packets have come, and messages
-// between nodes that were lost, until ctx ends.
-func (node *Node) reportMalformed(ctx context.Context) {
-	ticker := time.NewTicker(malformedInterval)
+// logFaultsUntil logs the numbers of malformed packets and of lost messages between nodes, at an
+// interval until ctx ends.
+func (node *Node) logFaultsUntil(ctx context.Context) {
+	ticker := time.NewTicker(faultLogInterval)
 	defer ticker.Stop()
 	reported := uint64(0)
 	faults := make(map[transport.Fault]uint64)
@@ -262,8 +266,8 @@
 			return
 		case <-ticker.C:
 		}
-		node.reportControl(faults)
-		if count := malformed(node.endpoints.Plane.Counters()); count > reported {
+		node.logControlFaults(faults)
+		if count := malformedCount(node.endpoints.Plane.Counters()); count > reported {
 			node.logger.Warn().
 				Str(logging.FieldEvent, string(logging.EventMalformed)).
 				Uint64("count", count-reported).
@@ -273,7 +277,7 @@
 	}
 }
 
-func malformed(counters dataplane.Counters) uint64 {
+func malformedCount(counters dataplane.Counters) uint64 {
 	sum := uint64(0)
 	for _, count := range counters.Malformed {
 		sum += count
@@ -281,22 +285,22 @@
 	return sum
 }
 
-// Times between attempts to reach the seeds.
+// Times between join requests to the seeds.
 const (
-	// seedInterval is the mean while no other member is known. Where hundreds
-	// start at once, a seed's socket holds some fifty questions (seen on the
-	// users' bench): those that are lost come again spread over the interval.
+	// seedInterval is the mean interval while no other member is known. When hundreds of nodes
+	// start at once, a seed's socket buffer holds only about fifty requests. The nodes whose
+	// requests were lost repeat them at random times spread over the interval.
 	seedInterval       = 300 * time.Millisecond
-	joinedSeedInterval = 10 * time.Second // when other members are known
+	joinedSeedInterval = 10 * time.Second // interval while other members are known
 )
 
-// joinSeeds asks seeds for their membership until ctx ends: all of them at
-// first, one often while this node knows no other member, and later one now and
-// then, so that two parts of a fleet that lost each other come together again.
+// joinSeeds sends join requests to the seeds until ctx ends: first one to each seed, then one to a
+// random seed at a time, at a short interval while this node knows no other member. It continues
+// at a long interval afterwards, so that two parts of a fleet that lost each other merge again.
 func (node *Node) joinSeeds(ctx context.Context) {
 	for first := true; ; first = false {
 		request, alone := node.engine.joinRequest()
-		for _, seed := range seedsToAsk(node.settings.Load(), first) {
+		for _, seed := range seedsToContact(node.settings.Load(), first) {
 			node.endpoints.Transport.Send(seed, request)
 		}
 		interval := joinedSeedInterval
@@ -311,8 +315,9 @@
 	}
 }
 
-// seedsToAsk gives the seeds besides this node: all, or one of them by chance.
-func seedsToAsk(settings *config.Settings, all bool) []netip.AddrPort {
+// seedsToContact returns the seeds other than this node: all of them, or a random one.
+
+func seedsToContact(settings *config.Settings, all bool) []netip.AddrPort {
 	seeds := slices.DeleteFunc(slices.Clone(settings.Seeds), func(seed netip.AddrPort) bool {
 		return seed == settings.ControlAddress
 	})
--- a/internal/tokennode/openflows.go
+++ b/internal/tokennode/openflows.go
@@ -10,29 +10,32 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// announceFlows sends nodes flows that a late answer to their opening must not move.
+// announceFlows sends open flows to other nodes, so that a late answer to a flow's opening does not
+// move the flow to another back end at any of these nodes.
 func (engine *engine) announceFlows(flows []conntrack.Flow, to []netip.AddrPort) {
 	if len(flows) == 0 {
 		return
 	}
-	announced := message.OpenFlows{Flows: make([]message.OpenFlow, len(flows))}
+	announcement := message.OpenFlows{Flows: make([]message.OpenFlow, len(flows))}
 	for index, flow := range flows {
-		announced.Flows[index] = message.OpenFlow{
+		announcement.Flows[index] = message.OpenFlow{
 			Flow: flow.ID, OpeningID: flow.OpeningID, Token: uint32(flow.Token), Acknowledged: flow.Acknowledged,
 		}
 	}
-	engine.sendFlows(announced, to)
+	engine.sendFlows(announcement, to)
 }
 
+// sendFlows adds a message about open flows to the outbox, unless there is no receiver.
 func (engine *engine) sendFlows(sent message.OpenFlows, to []netip.AddrPort) {
 	if len(to) > 0 {
 		engine.outbox = append(engine.outbox, follower.Outgoing{To: to, Message: sent})
 	}
 }
 
-// learnFlows takes the flows that another node has announced, and passes on what is new, or
-// answers a node that has just started.
-func (engine *engine) learnFlows(received *message.OpenFlows, from netip.AddrPort) {
+// applyOpenFlows processes a message about open flows. It adds the flows that another node has
+// announced and forwards those that are new along the tree. To a request, which nodes send after
+// their start, it answers with the recent flows.
+func (engine *engine) applyOpenFlows(received *message.OpenFlows, from netip.AddrPort) {
 	if received.Ask {
 		engine.announceFlows(engine.core.RecentFlows(), []netip.AddrPort{from})
 		return
@@ -44,21 +47,23 @@
 		}
 	}
 	engine.core.Step(engine.now(), &core.Event{OpenFlows: flows}, &engine.coreEffects)
-	engine.announceFlows(engine.coreEffects.OpenFlows, engine.place.Neighbours(from))
+	engine.announceFlows(engine.coreEffects.OpenFlows, engine.treePlace.Neighbours(from))
 }
 
-// askTime is how long after its start a node asks new neighbours for flows.
-const askTime = 10 * time.Second
+// flowRequestPeriod is how long after its start a node requests open flows from new neighbours in
+// the tree.
+const flowRequestPeriod = 10 * time.Second
 
-// askForFlows asks the neighbours in the tree that were not asked before.
-func (engine *engine) askForFlows() {
-	if engine.last > askTime {
+// requestFlows requests the open flows from those neighbours in the tree to which no request was
+// sent before.
+func (engine *engine) requestFlows() {
+	if engine.lastStep > flowRequestPeriod {
 		return
 	}
 	var to []netip.AddrPort
-	for _, neighbour := range engine.place.Neighbours(netip.AddrPort{}) {
-		if !engine.asked[neighbour] {
-			engine.asked[neighbour] = true
+	for _, neighbour := range engine.treePlace.Neighbours(netip.AddrPort{}) {
+		if !engine.flowsRequested[neighbour] {
+			engine.flowsRequested[neighbour] = true
 			to = append(to, neighbour)
 		}
 	}
--- a/internal/tokennode/evidence.go
+++ b/internal/tokennode/outliers.go
@@ -9,25 +9,25 @@
 	"robinpulley.example/robinpulley/internal/passivehealth"
 )
 
-// evidenceStep gives one event to the evidence and carries out its effects.
-func (engine *engine) evidenceStep(event *outlier.Event) {
-	engine.evidence.Step(engine.now(), event, &engine.evidenceEffects)
-	for _, outgoing := range engine.evidenceEffects.Messages {
+// outlierStep steps outlier detection with an event and executes its effects.
+func (engine *engine) outlierStep(event *outlier.Event) {
+	engine.outliers.Step(engine.now(), event, &engine.outlierEffects)
+	for _, outgoing := range engine.outlierEffects.Messages {
 		engine.outbox = append(engine.outbox, follower.Outgoing{To: outgoing.To, Message: outgoing.Message})
 	}
-	engine.logEvidence()
-	if !engine.evidenceEffects.Changed {
+	engine.logEjections()
+	if !engine.outlierEffects.Changed {
 		return
 	}
-	avoided := make([]passivehealth.Identity, 0, len(engine.evidenceEffects.Ejected))
-	for _, identity := range engine.evidenceEffects.Ejected {
-		avoided = append(avoided, passivehealth.Identity(identity))
+	ejected := make([]passivehealth.Identity, 0, len(engine.outlierEffects.Ejected))
+	for _, identity := range engine.outlierEffects.Ejected {
+		ejected = append(ejected, passivehealth.Identity(identity))
 	}
-	engine.core.Step(engine.now(), &core.Event{Ejected: avoided}, &engine.coreEffects)
+	engine.core.Step(engine.now(), &core.Event{Ejected: ejected}, &engine.coreEffects)
 }
 
-// noteOutcomes tells the evidence what the core has seen of back ends.
-func (engine *engine) noteOutcomes() {
+// forwardOutcomes passes the request outcomes that the core has observed on to outlier detection.
+func (engine *engine) forwardOutcomes() {
 	if len(engine.coreEffects.Outcomes) == 0 {
 		return
 	}
@@ -35,12 +35,13 @@
 	for _, outcome := range engine.coreEffects.Outcomes {
 		engine.outcomes = append(engine.outcomes, outlier.Outcome{Identity: outlier.Identity(outcome.Identity), Bad: outcome.Bad})
 	}
-	engine.evidenceStep(&outlier.Event{Outcomes: engine.outcomes})
+	engine.outlierStep(&outlier.Event{Outcomes: engine.outcomes})
 }
 
-// giveServices tells a node that judges which back ends take new flows.
-func (engine *engine) giveServices() {
-	if !engine.judges || engine.table == nil {
+// updateOutlierServices passes the ready back ends of each service to outlier detection, if this
+// node evaluates the outlier reports of its zone.
+func (engine *engine) updateOutlierServices() {
+	if !engine.evaluatesOutliers || engine.table == nil {
 		return
 	}
 	services := make(map[lb.ServiceName][]outlier.Identity)
@@ -49,12 +50,13 @@
 			services[name] = append(services[name], outlier.Identity(host.InstanceID))
 		}
 	}
-	engine.evidenceStep(&outlier.Event{Services: services})
+	engine.outlierStep(&outlier.Event{Services: services})
 }
 
-// logEvidence logs the back ends that the nodes together avoid, or no longer, with what decided it.
-func (engine *engine) logEvidence() {
-	for _, change := range engine.evidenceEffects.Changes {
+// logEjections logs the back ends that outlier detection has ejected or restored, with the inputs
+// of each decision.
+func (engine *engine) logEjections() {
+	for _, change := range engine.outlierEffects.Changes {
 		event := logging.EventBackendTrusted
 		if change.Ejected {
 			event = logging.EventBackendAvoided
--- a/internal/tokennode/platform_test.go
+++ b/internal/tokennode/platform_test.go
@@ -16,67 +16,67 @@
 
 func TestFlowsSurviveStopsKillsAndDrains(t *testing.T) {
 	is := is.New(t)
-	site := newSite(t, 4)
-	flows := append(site.open(webFront, 12), site.open(docsFront, 6)...)
+	testbed := newTestbed(t, 4)
+	flows := append(testbed.openFlows(webFrontend, 12), testbed.openFlows(docsFrontend, 6)...)
 
 	drained := flows[0].host
-	for _, host := range site.hosts {
+	for _, host := range testbed.hosts {
 		if host.ID == drained {
-			host.Announce(site.store, "draining")
+			host.Announce(testbed.store, "draining")
 		}
 	}
-	site.settle()
-	for _, flow := range site.open(webFront, 20) {
+	testbed.synchronize()
+	for _, flow := range testbed.openFlows(webFrontend, 20) {
 		is.True(flow.host != drained)
 	}
-	site.useAll(flows)
-
-	site.nodes[0].Stop()
-	var using sync.WaitGroup
-	using.Go(func() { site.useAll(flows) })
-	is.NoErr(<-site.nodes[0].ended)
-	using.Wait()
-	site.kill(site.nodes[1])
-	site.useAll(flows)
-	site.launch(site.nodes[0])
-	site.launch(site.nodes[1])
-	site.until("the nodes are back", func() bool { return site.ready(0) && site.ready(1) })
-	site.useAll(flows)
-	site.check()
+	testbed.requestOnAll(flows)
+
+	testbed.nodes[0].Stop()
+	var requests sync.WaitGroup
+	requests.Go(func() { testbed.requestOnAll(flows) })
+	is.NoErr(<-testbed.nodes[0].ended)
+	requests.Wait()
+	testbed.stopAtOnce(testbed.nodes[1])
+	testbed.requestOnAll(flows)
+	testbed.start(testbed.nodes[0])
+	testbed.start(testbed.nodes[1])
+	testbed.waitUntil("the nodes are ready again", func() bool { return testbed.ready(0) && testbed.ready(1) })
+	testbed.requestOnAll(flows)
+	testbed.checkCounts()
 }
 
-// TestStopsOfOneZoneTakeTurns: of a zone's three nodes, the second that is told
-// to stop stays ready until the first is back.
-func TestStopsOfOneZoneTakeTurns(t *testing.T) {
+// TestPlannedStopsOfOneZoneRunOneAfterAnother checks that of a zone's three nodes, the second one to
+// start a planned stop stays ready until the first one has been restarted.
+func TestPlannedStopsOfOneZoneRunOneAfterAnother(t *testing.T) {
 	is := is.New(t)
-	site := newSite(t, 5) // zone-0 has nodes 0, 2 and 4
-	flows := site.open(webFront, 12)
-	site.nodes[0].Stop()
-	site.until("the others know of the first stop", func() bool { return site.shows(2, "robinpulley_members_leaving 1\n") })
-	site.nodes[2].Stop()
-	is.NoErr(<-site.nodes[0].ended)
-	is.True(site.ready(2))
-	site.launch(site.nodes[0])
-	is.NoErr(<-site.nodes[2].ended)
-	is.True(site.ready(0))
-	site.useAll(flows)
-	site.check()
+	testbed := newTestbed(t, 5) // zone-0 has nodes 0, 2 and 4
+	flows := testbed.openFlows(webFrontend, 12)
+	testbed.nodes[0].Stop()
+	testbed.waitUntil("the other nodes have received the first stop", func() bool { return testbed.metricsContain(2, "robinpulley_members_leaving 1\n") })
+	testbed.nodes[2].Stop()
+	is.NoErr(<-testbed.nodes[0].ended)
+	is.True(testbed.ready(2))
+	testbed.start(testbed.nodes[0])
+	is.NoErr(<-testbed.nodes[2].ended)
+	is.True(testbed.ready(0))
+	testbed.requestOnAll(flows)
+	testbed.checkCounts()
 }
 
-func TestConfigurationChangesLeaveFlowsAlone(t *testing.T) {
+func TestConfigurationChangesDoNotMoveOpenFlows(t *testing.T) {
 	is := is.New(t)
-	site := newSite(t, 3)
-	flows := site.open(webFront, 8)
-	site.configure(map[netip.AddrPort]string{webFront: "docs"})
-	site.everywhere()
-	site.useAll(flows)
-	for _, flow := range site.open(webFront, 8) {
-		is.True(flow.host == site.hosts[4].ID || flow.host == site.hosts[5].ID)
+	testbed := newTestbed(t, 3)
+	flows := testbed.openFlows(webFrontend, 8)
+	testbed.configure(map[netip.AddrPort]string{webFrontend: "docs"})
+	testbed.waitForConfiguration()
+	testbed.requestOnAll(flows)
+	for _, flow := range testbed.openFlows(webFrontend, 8) {
+		is.True(flow.host == testbed.hosts[4].ID || flow.host == testbed.hosts[5].ID)
 	}
-	_, err := site.caller.Open(docsFront)
-	is.True(errors.Is(err, platformsim.ErrReset)) // the route is gone: refused at once
-	site.useAll(flows)
-	site.check()
+	_, err := testbed.client.Open(docsFrontend)
+	is.True(errors.Is(err, platformsim.ErrReset)) // no route any more: refused at once
+	testbed.requestOnAll(flows)
+	testbed.checkCounts()
 }
 
 func TestStoreOutage(t *testing.T) {
@@ -84,93 +84,94 @@
 		platformsim.FaultBusy, platformsim.FaultSilent, platformsim.FaultReset, platformsim.FaultThrottled, platformsim.FaultSlow,
 	} {
 		t.Run(string(fault), func(t *testing.T) {
-			site := newSite(t, 3)
-			flows := site.open(webFront, 6)
-			site.store.SetFault(fault)
-			site.kill(site.nodes[2])
-			site.launch(site.nodes[2]) // learns from its peers
-			site.until("the restarted node is ready", func() bool { return site.ready(2) })
-			site.useAll(flows)
-			flows = append(flows, site.open(webFront, 6)...)
-			site.configure(map[netip.AddrPort]string{webFront: "docs"})
-			site.store.Compact()
-			site.store.SetFault(platformsim.FaultNone)
-			site.everywhere()
-			site.useAll(flows)
-			site.check()
+			testbed := newTestbed(t, 3)
+			flows := testbed.openFlows(webFrontend, 6)
+			testbed.store.SetFault(fault)
+			testbed.stopAtOnce(testbed.nodes[2])
+			testbed.start(testbed.nodes[2]) // gets its view from its peers
+			testbed.waitUntil("the restarted node is ready", func() bool { return testbed.ready(2) })
+			testbed.requestOnAll(flows)
+			flows = append(flows, testbed.openFlows(webFrontend, 6)...)
+			testbed.configure(map[netip.AddrPort]string{webFrontend: "docs"})
+			testbed.store.Compact()
+			testbed.store.SetFault(platformsim.FaultNone)
+			testbed.waitForConfiguration()
+			testbed.requestOnAll(flows)
+			testbed.checkCounts()
 		})
 	}
 }
 
 func TestReusedAddressKeepsServicesApart(t *testing.T) {
 	is := is.New(t)
-	site := newSite(t, 2)
+	testbed := newTestbed(t, 2)
 	var flow openFlow
-	for _, candidate := range site.open(webFront, 10) {
+	for _, candidate := range testbed.openFlows(webFrontend, 10) {
 		flow = candidate
 	}
 	var victim *platformsim.Host
-	for _, host := range site.hosts {
+	for _, host := range testbed.hosts {
 		if host.ID == flow.host {
 			victim = host
 		}
 	}
 	address := victim.Address()
 	victim.Close()
-	successor := site.addHost("i-0999", "docs", address)
-	site.store.Delete("servers/" + victim.ID)
-	site.settle()
-	flow.Close() // its packet names the victim, which is gone
-	site.until("the packet for the old host has come", func() bool { return successor.Counts().NotMeant > 0 })
-	is.Equal(successor.Counts().Unknown, uint64(0)) // no reset of another service's flow
+	successor := testbed.addHost("i-0999", "docs", address)
+	testbed.store.Delete("servers/" + victim.ID)
+	testbed.synchronize()
+	flow.Close() // the packet's token names the victim, which no longer exists
+	testbed.waitUntil("the packet for the old host has arrived", func() bool { return successor.Counts().NotMeant > 0 })
+	is.Equal(successor.Counts().Unknown, uint64(0)) // a flow of another service gets no reset
 }
 
-// TestLateAnswerToAnOpeningMovesNoFlow guards against resets of open flows by a host that was
-// paused: it answers openings late, whose copies have opened their flows at other hosts.
-func TestLateAnswerToAnOpeningMovesNoFlow(t *testing.T) {
-	site := newSite(t, 2)
-	flows, resume := site.openWhileStalled(webFront)
+// TestLateOpeningAnswerDoesNotMoveFlow guards against resets of open flows by a host that was
+// paused. The host answers openings late, after copies of them have opened the flows at other hosts.
+func TestLateOpeningAnswerDoesNotMoveFlow(t *testing.T) {
+	testbed := newTestbed(t, 2)
+	flows, resume := testbed.openWhileStalled(webFrontend)
 	resume()
 	for range 3 {
-		site.useAll(flows)
+		testbed.requestOnAll(flows)
 	}
-	site.checkAccepting(flows)
-	site.check()
+	testbed.checkAcceptedTwice(flows)
+	testbed.checkCounts()
 }
 
-// TestLateAnswerMovesNoFlowThatMetAnotherNode: likewise where the flows' packets come to a
-// balancer that saw none of them before.
-func TestLateAnswerMovesNoFlowThatMetAnotherNode(t *testing.T) {
-	site := newSite(t, 3)
-	site.caller.SetZone("zone-0")
-	flows, resume := site.openWhileStalled(webFront)
-	site.caller.SetZone("zone-1")
+// TestLateOpeningAnswerDoesNotMoveFlowAtAnotherNode is the same test with flows whose packets reach
+// a balancer that has received none of their packets before.
+func TestLateOpeningAnswerDoesNotMoveFlowAtAnotherNode(t *testing.T) {
+	testbed := newTestbed(t, 3)
+	testbed.client.SetZone("zone-0")
+	flows, resume := testbed.openWhileStalled(webFrontend)
+	testbed.client.SetZone("zone-1")
 	resume()
 	for range 3 {
-		site.useAll(flows)
+		testbed.requestOnAll(flows)
 	}
-	site.checkAccepting(flows)
-	site.check()
+	testbed.checkAcceptedTwice(flows)
+	testbed.checkCounts()
 }
 
-// openWhileStalled opens flows of which a host that is stalled holds an earlier copy of the opening, and which
-// all nodes have heard of. resume has the host go on, and waits until it has answered them.
-func (site *site) openWhileStalled(front netip.AddrPort) (flows []openFlow, resume func()) {
-	site.t.Helper()
+// openWhileStalled opens flows at other hosts while a stalled host holds an earlier copy of each
+// flow's opening, and waits until all nodes track the flows. resume ends the stall and waits until
+// the host has answered the copies.
+func (testbed *testbed) openWhileStalled(front netip.AddrPort) (flows []openFlow, resume func()) {
+	testbed.t.Helper()
 	const count = 3
-	stalled := site.hosts[0]
+	stalled := testbed.hosts[0]
 	before := stalled.Counts().Openings
 	end := sync.OnceFunc(stalled.Stall())
-	site.t.Cleanup(end) // before the host is closed
-	site.until("flows are open whose first copy the host holds", func() bool {
-		flow := site.open(front, 1)[0]
-		if site.mostTracked() == len(flows) {
+	testbed.t.Cleanup(end) // runs before the host is closed
+	testbed.waitUntil("flows are open while the stalled host holds an earlier copy of their openings", func() bool {
+		flow := testbed.openFlows(front, 1)[0]
+		if testbed.maxTracked() == len(flows) {
 			return false
 		}
 		flows = append(flows, flow)
-		site.until("all nodes have heard of the flow", func() bool {
-			for index := range site.nodes {
-				if site.tracked(index) != len(flows) {
+		testbed.waitUntil("all nodes track the flow", func() bool {
+			for index := range testbed.nodes {
+				if testbed.trackedFlows(index) != len(flows) {
 					return false
 				}
 			}
@@ -180,36 +181,38 @@
 	})
 	return flows, func() {
 		end()
-		site.until("the host has answered", func() bool { return stalled.Counts().Openings >= before+count })
+		testbed.waitUntil("the host has answered", func() bool { return stalled.Counts().Openings >= before+count })
 	}
 }
 
-// mostTracked gives how many flows the node tracks that tracks most: the one that opened the last.
-func (site *site) mostTracked() int {
-	most := 0
-	for index := range site.nodes {
-		most = max(most, site.tracked(index))
+// maxTracked returns the maximum number of tracked flows over all nodes, which the node that opened
+// the last flow reaches first.
+func (testbed *testbed) maxTracked() int {
+	maximum := 0
+	for index := range testbed.nodes {
+		maximum = max(maximum, testbed.trackedFlows(index))
 	}
-	return most
+	return maximum
 }
 
-// tracked gives how many flows a node tracks.
-func (site *site) tracked(index int) int {
+// trackedFlows returns how many flows a node tracks, from its metrics.
+func (testbed *testbed) trackedFlows(index int) int {
 	const name = "robinpulley_flows_tracked "
-	_, body := site.get(index, "/metrics")
+	_, body := testbed.get(index, "/metrics")
 	for line := range strings.Lines(body) {
 		if count, found := strings.CutPrefix(line, name); found {
-			tracked, err := strconv.Atoi(strings.TrimSpace(count))
-			is.New(site.t).NoErr(err)
-			return tracked
+			count, err := strconv.Atoi(strings.TrimSpace(count))
+			is.New(testbed.t).NoErr(err)
+			return count
 		}
 	}
 	return 0
 }
 
-// checkAccepting checks that the openings of some flows were answered by two hosts.
-func (site *site) checkAccepting(flows []openFlow) {
-	site.t.Helper()
+// checkAcceptedTwice checks that two hosts answered the opening of at least one of the flows, so that
+// the test covers a late answer.
+func (testbed *testbed) checkAcceptedTwice(flows []openFlow) {
+	testbed.t.Helper()
 	twice := slices.ContainsFunc(flows, func(flow openFlow) bool { return len(flow.Accepting) > 1 })
-	is.New(site.t).True(twice)
+	is.New(testbed.t).True(twice)
 }
--- a/internal/tokennode/waiting_test.go
+++ b/internal/tokennode/queue_test.go
@@ -17,14 +17,14 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// overloadedEngine gives an engine whose only service has more work than it can do
-// in time: its requests take 300 ms in place of 20.
-func overloadedEngine(t *testing.T, logger zerolog.Logger, now *time.Duration) *engine {
-	e := viewedEngine(t, logger, now)
+// newOverloadedEngine returns an engine whose only service is overloaded: its requests take 300 ms
+// instead of 20 ms.
+func newOverloadedEngine(t *testing.T, logger zerolog.Logger, now *time.Duration) *engine {
+	e := newEngineWithView(t, logger, now)
 	listing := &view.Listing{Revision: 40, Configuration: &view.StoredConfiguration{Revision: 40, Configuration: view.Configuration{
 		Version: 2,
 		Routes: []view.Route{{
-			Frontend: lb.Frontend{Address: floodFront, Protocol: lb.TCP}, Targets: []view.Target{{Service: "web", Weight: 1}},
+			Frontend: lb.Frontend{Address: testFrontend, Protocol: lb.TCP}, Targets: []view.Target{{Service: "web", Weight: 1}},
 			Objective: lb.Objective{Priority: 1, TargetMillis: 400},
 		}},
 	}}}
@@ -38,18 +38,18 @@
 	replica.ApplyListing(*now, listing)
 	e.core.Step(*now, &core.Event{Table: steering.Compile(replica, "za", *now)}, &e.coreEffects)
 	number := 0
-	answer := func(flows int, took time.Duration) {
+	answer := func(flows int, duration time.Duration) {
 		for range flows {
 			number++
 			*now += 5 * time.Millisecond
-			packet := opening(number, floodFront)
+			packet := openingPacket(number, testFrontend)
 			decision := e.decide(packet)
 			if decision.Action != core.ActionForward {
 				continue
 			}
 			packet.Kind, packet.Token, packet.HasData, packet.Acknowledged = core.PacketMiddle, decision.Token, true, 1
 			e.decide(packet)
-			*now += took
+			*now += duration
 			packet.HasData, packet.Acknowledged = false, 2
 			e.decide(packet)
 			e.core.Step(*now, &core.Event{Tick: true}, &e.coreEffects)
@@ -60,58 +60,60 @@
 	return e
 }
 
-// holdSome has openings come until some wait.
-func holdSome(t *testing.T, e *engine, count int) {
+// holdOpenings sends openings to the engine until it holds count of them.
+func holdOpenings(t *testing.T, e *engine, count int) {
 	for number := range 5000 {
-		packet := opening(100_000+number, floodFront)
+		packet := openingPacket(100_000+number, testFrontend)
 		packet.Datagram = make([]byte, 34)
 		e.decide(packet)
 		if e.core.HeldOpenings() == count {
 			return
 		}
 	}
-	t.Fatalf("%d openings wait", e.core.HeldOpenings())
+	t.Fatalf("%d openings are held", e.core.HeldOpenings())
 }
 
-// TestHeldOpeningsAreLookedAt: the first one wakes who looks, what is decided at a
-// look is given out once, and its line says how long it waited.
-func TestHeldOpeningsAreLookedAt(t *testing.T) {
+// TestHeldOpeningsAreRetried checks that the first held opening wakes the retry loop, that each
+// decision on a held opening is returned once, and that its log line contains the waiting time.
+func TestHeldOpeningsAreRetried(t *testing.T) {
 	is := is.New(t)
 	var lines bytes.Buffer
 	now := time.Duration(0)
-	e := overloadedEngine(t, zerolog.New(&lines), &now)
-	is.Equal(len(e.holding), 0)
-	holdSome(t, e, 3)
-	is.Equal(len(e.holding), 1)
+	e := newOverloadedEngine(t, zerolog.New(&lines), &now)
+	is.Equal(len(e.openingHeld), 0)
+	holdOpenings(t, e, 3)
+	is.Equal(len(e.openingHeld), 1)
 	now += 10 * time.Millisecond
-	released, more := e.look(&core.Event{RetryQueued: true})
+	released, more := e.stepQueue(&core.Event{RetryQueued: true})
 	is.Equal(len(released), 0)
 	is.True(more)
 	lines.Reset()
 	now += 75 * time.Millisecond
-	released, more = e.look(&core.Event{RetryQueued: true})
+	released, more = e.stepQueue(&core.Event{RetryQueued: true})
 	is.Equal(len(released), 3)
 	is.True(!more)
 	is.True(strings.Contains(lines.String(), `"waited_ms":85`))
-	released, _ = e.look(&core.Event{RetryQueued: true})
+	released, _ = e.stepQueue(&core.Event{RetryQueued: true})
 	is.Equal(len(released), 0)
 	state := e.state()
-	is.Equal(state.waiting, 0)
+	is.Equal(state.heldOpenings, 0)
 	is.Equal(state.stats.HeldOpenings.Held, uint64(3))
 	is.Equal(state.stats.HeldOpenings.HeldTime, 255*time.Millisecond)
 }
 
-// TestPlannedStopDecidesAllThatWaits at once, and holds nothing after it.
-func TestPlannedStopDecidesAllThatWaits(t *testing.T) {
+// TestPlannedStopDecidesAllHeldOpenings checks that closing the queue decides on all held openings at
+// once, and that no opening is held afterwards.
+
+func TestPlannedStopDecidesAllHeldOpenings(t *testing.T) {
 	is := is.New(t)
 	now := time.Duration(0)
-	e := overloadedEngine(t, zerolog.Nop(), &now)
-	holdSome(t, e, 5)
-	released, more := e.look(&core.Event{CloseQueue: true})
+	e := newOverloadedEngine(t, zerolog.Nop(), &now)
+	holdOpenings(t, e, 5)
+	released, more := e.stepQueue(&core.Event{CloseQueue: true})
 	is.Equal(len(released), 5)
 	is.True(!more)
 	for number := range 200 {
-		packet := opening(200_000+number, floodFront)
+		packet := openingPacket(200_000+number, testFrontend)
 		packet.Datagram = make([]byte, 34)
 		is.True(e.decide(packet).Action != core.ActionHold)
 	}
--- a/internal/tokennode/reach.go
+++ b/internal/tokennode/reachability.go
@@ -7,18 +7,20 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-// zonesHeard gives the core what the membership has heard of zones.
-func (engine *engine) zonesHeard() []core.ZoneContact {
-	heard := engine.member.Heard(nil)
-	zones := make([]core.ZoneContact, len(heard))
-	for index, zone := range heard {
+// zoneContacts returns when the membership last received a message from each zone, in the form of
+// the core.
+func (engine *engine) zoneContacts() []core.ZoneContact {
+	contacts := engine.member.Heard(nil)
+	zones := make([]core.ZoneContact, len(contacts))
+	for index, zone := range contacts {
 		zones[index] = core.ZoneContact(zone)
 	}
 	return zones
 }
 
-// logReach logs zones that this node reaches no more, or again, with what decided it.
-func (engine *engine) logReach() {
+// logReachability logs zones that have become unreachable or reachable again from this node, with
+// the inputs of each decision.
+func (engine *engine) logReachability() {
 	for _, change := range engine.coreEffects.Reachability {
 		event := logging.EventZoneUnreached
 		if change.Reachable {
@@ -38,7 +40,8 @@
 	}
 }
 
-// ageMillis gives an age in milliseconds; -1: never.
+// ageMillis returns an age in milliseconds, or -1 if the age is negative, which stands for an event
+// that never occurred.
 func ageMillis(age time.Duration) int64 {
 	if age < 0 {
 		return -1
--- a/internal/tokennode/reload.go
+++ b/internal/tokennode/reload.go
@@ -9,11 +9,11 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-// reloadInterval is the time between looks at settings that changed without a signal.
+// reloadInterval is the time between periodic reloads, which detect changes of the settings without
+// a signal.
 const reloadInterval = 5 * time.Second
 
-// reloadUntil reads the settings again whenever it is asked for, and now and
-// then, until ctx ends.
+// reloadUntil reloads the settings at each request and at a fixed interval, until ctx ends.
 func (node *Node) reloadUntil(ctx context.Context) {
 	if node.options.Reload == nil {
 		return
@@ -32,16 +32,17 @@
 	}
 }
 
-// reloadOnce takes what may change while running, timings and seeds, and says
-// whether the rest needs a restart. Settings that cannot be used change
-// nothing. Unless it was asked for, it says nothing of settings that are as before.
-func (node *Node) reloadOnce(asked bool) {
+// reloadOnce reads the settings and applies those that may change at run time, which are the timings
+// and the seeds. It logs whether the other settings have changed, which needs a restart. Invalid
+// settings change nothing. A periodic reload, as opposed to a requested one, logs nothing if the
+// settings are unchanged.
+func (node *Node) reloadOnce(requested bool) {
 	settings, err := node.options.Reload()
 	if err != nil {
 		node.logger.Error().Err(err).Str(logging.FieldEvent, string(logging.EventReloadFailed)).Send()
 		return
 	}
-	if !asked && reflect.DeepEqual(settings, node.settings.Load()) {
+	if !requested && reflect.DeepEqual(settings, node.settings.Load()) {
 		return
 	}
 	node.settings.Store(settings)
@@ -51,10 +52,11 @@
 		Send()
 }
 
-// needsRestart tells whether the two differ in more than timings and seeds.
+// needsRestart reports whether new settings differ from the running ones in more than the timings
+// and the seeds.
 func needsRestart(running, settings *config.Settings) bool {
-	adapted := *settings
-	adapted.Timings = running.Timings
-	adapted.Seeds = running.Seeds
-	return !reflect.DeepEqual(&adapted, running)
+	withRunning := *settings
+	withRunning.Timings = running.Timings
+	withRunning.Seeds = running.Seeds
+	return !reflect.DeepEqual(&withRunning, running)
 }
--- a/internal/tokennode/stop.go
+++ b/internal/tokennode/stop.go
@@ -9,64 +9,66 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-// Times of a planned stop.
+// Durations of a planned stop.
 const (
-	// stopPoll is the time between looks at whether packets still come.
-	stopPoll = 50 * time.Millisecond
-	// leaveTime is what the routers need at least to notice that this node is
-	// not ready any more.
-	leaveTime = time.Second
-	// quietTime is what callers may go on for after that, with copies and resends.
-	quietTime = 1500 * time.Millisecond
-	// endMargin is left of timings.drain_limit when the node ends.
-	endMargin = 500 * time.Millisecond
-	// endLinger lets the last messages to peers go.
-	endLinger = 20 * time.Millisecond
+	// stopPollInterval is the time between checks whether packets still arrive.
+	stopPollInterval = 50 * time.Millisecond
+	// routerNoticeTime is the minimum time that routers need to detect that this node is no longer
+	// ready.
+	routerNoticeTime = time.Second
+	// clientResendTime is how long copies and retransmissions from clients may still arrive after
+	// that.
+	clientResendTime = 1500 * time.Millisecond
+	// drainLimitMargin is the part of timings.drain_limit that remains when the node stops.
+	drainLimitMargin = 500 * time.Millisecond
+	// finalSendTime is the time for sending the last messages to peers.
+	finalSendTime = 20 * time.Millisecond
 )
 
-// stopAsPlanned stays ready until the zone can spare this node, makes it not
-// ready, serves on until the routers no longer send to it, and ends.
-func (node *Node) stopAsPlanned(ctx context.Context) error {
+// runPlannedStop runs a planned stop. The node stays ready until its zone can serve without it, then
+// reports that it is not ready, goes on serving until the routers no longer send packets to it, and
+// stops.
+func (node *Node) runPlannedStop(ctx context.Context) error {
 	node.life.Log(logging.EventStopping)
-	node.engine.leave()
-	begun := time.Now()
+	node.engine.announceLeave()
+	started := time.Now()
 	timings := &node.settings.Load().Timings
-	limit := timings.DrainLimit - endMargin
-	waitLimit := limit - leaveTime - quietTime
-	err := node.poll(ctx, func() bool { return time.Since(begun) >= waitLimit || node.engine.canSpare() })
+	limit := timings.DrainLimit - drainLimitMargin
+	waitLimit := limit - routerNoticeTime - clientResendTime
+	err := node.poll(ctx, func() bool { return time.Since(started) >= waitLimit || node.engine.mayStop() })
 	if err != nil {
 		return err
 	}
-	node.unready.Store(true)
+	node.notReady.Store(true)
 	node.logger.Info().
 		Str(logging.FieldEvent, string(logging.EventNotReady)).
-		Int64(logging.FieldDuration, time.Since(begun).Milliseconds()).
+		Int64(logging.FieldDuration, time.Since(started).Milliseconds()).
 		Send()
 	reason := lifecycle.DrainLimit
 	notReady := time.Now()
 	quietSince := notReady
 	packets := node.endpoints.Plane.Counters().Received
 	err = node.poll(ctx, func() bool {
-		if now := node.endpoints.Plane.Counters().Received; now != packets {
-			packets = now
+		if received := node.endpoints.Plane.Counters().Received; received != packets {
+			packets = received
 			quietSince = time.Now()
 		}
-		if time.Since(notReady) >= leaveTime && time.Since(quietSince) >= timings.DrainGrace {
+		if time.Since(notReady) >= routerNoticeTime && time.Since(quietSince) >= timings.DrainGrace {
 			reason = lifecycle.Quiet
 			return true
 		}
-		return time.Since(begun) >= limit
+		return time.Since(started) >= limit
 	})
 	if err != nil {
 		return err
 	}
-	node.endPlanned(reason)
+	node.finishStop(reason)
 	return nil
 }
 
-// poll waits until the condition holds, looked at now and then.
+// poll waits until the condition holds, which it checks at an interval.
 func (node *Node) poll(ctx context.Context, holds func() bool) error {
-	ticker := time.NewTicker(stopPoll)
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
 	for !holds() {
 		select {
@@ -78,10 +80,10 @@
 	return nil
 }
 
-// endPlanned tells the others that this node ends.
-func (node *Node) endPlanned(reason lifecycle.Reason) {
-	node.look(&core.Event{CloseQueue: true})
-	node.engine.end()
-	time.Sleep(endLinger)
+// finishStop decides on all held openings and announces to the other members that this node stops.
+func (node *Node) finishStop(reason lifecycle.Reason) {
+	node.stepQueue(&core.Event{CloseQueue: true})
+	node.engine.announceStop()
+	time.Sleep(finalSendTime)
 	node.life.Stopped(reason)
 }
