--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -14,21 +14,21 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// serveAdmin serves metrics, health and debugging until the node is closed.
+// serveAdmin serves the metrics, health checks and debug endpoints until the node is closed.
 func (node *Node) serveAdmin() {
 	routes := http.NewServeMux()
 	if node.settings.AllowFaultInjection {
-		routes.HandleFunc("POST /debug/cut", node.serveCut)
+		routes.HandleFunc("POST /debug/cut", node.servePartition)
 	}
 	routes.HandleFunc("GET /debug/state", node.serveState)
 	pages := adminserver.Pages{
 		Ready:   node.isReady,
 		Metrics: promhttp.HandlerFor(node.registry(), promhttp.HandlerOpts{}),
 	}
-	node.background.Go(func() { node.life.Failed(node.endpoints.Admin.Serve(pages, routes)) })
+	node.background.Go(func() { node.lifecycle.Failed(node.endpoints.Admin.Serve(pages, routes)) })
 }
 
-// registry holds the metrics of this node and of its process.
+// registry returns a registry with the metrics of this node and of its process.
 func (node *Node) registry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -39,10 +39,10 @@
 	return registry
 }
 
-// isReady tells whether the node may be sent packets: not before it has placements,
-// nor from the beginning of its planned stop on.
+// isReady reports whether the fabric may send packets to the node, and the reason if not. The node
+// is not ready before it has placements, nor after the start of a planned stop.
 func (node *Node) isReady() (ready bool, reason string) {
-	if node.life.IsStopping() {
+	if node.lifecycle.IsStopping() {
 		return false, "stopping"
 	}
 	if !node.ready.Load() {
@@ -51,23 +51,23 @@
 	return true, ""
 }
 
-// DebugState is what /debug/state shows.
+// DebugState is the answer of /debug/state.
 type DebugState struct {
 	Node    lb.NodeID `json:"node"`
 	Zone    lb.Zone   `json:"zone"`
 	Ready   bool      `json:"ready"`
-	Digest  uint64    `json:"digest,string"` // of all placements
+	Digest  uint64    `json:"digest,string"` // digest of all placements
 	Watcher bool      `json:"watcher"`
 	StoreUp bool      `json:"store_up"`
-	// Published is the configuration revision reflected by the placements
-	// that this node, as a publisher, has seen in the store.
-	Published int64                         `json:"published_revision"`
-	Core      core.State                    `json:"core"`
-	Members   []MemberState                 `json:"members"`
-	Versions  map[lb.ServiceName]lb.Version `json:"versions"`
+	// PublishedRevision is the configuration revision that the placements in the store reflect, as
+	// far as this node has read them as a publisher.
+	PublishedRevision int64                         `json:"published_revision"`
+	Core              core.State                    `json:"core"`
+	Members           []MemberState                 `json:"members"`
+	Versions          map[lb.ServiceName]lb.Version `json:"versions"`
 }
 
-// MemberState is one member in the node's view.
+// MemberState is the state of one member in the node's view of the membership.
 type MemberState struct {
 	Node        lb.NodeID      `json:"node"`
 	Zone        lb.Zone        `json:"zone"`
@@ -77,7 +77,7 @@
 	Incarnation uint64         `json:"incarnation"`
 }
 
-// State gives what the node knows, for debugging.
+// State returns the state of the node for debugging.
 func (node *Node) State() DebugState {
 	state := node.engine.state()
 	state.Node = node.settings.Node
@@ -96,20 +96,20 @@
 	response.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(response)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(node.State()) // a caller that has gone needs no answer
+	_ = encoder.Encode(node.State()) // an error means that the client has closed the connection
 }
 
-// state fills in what the engine knows.
+// state returns the engine's part of the debug state.
 func (engine *engine) state() DebugState {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	state := DebugState{
-		Core:      engine.core.State(),
-		Digest:    engine.gossip.Digest(),
-		Watcher:   engine.watcher,
-		StoreUp:   engine.storeUp,
-		Published: engine.published,
-		Versions:  map[lb.ServiceName]lb.Version{},
+		Core:              engine.core.State(),
+		Digest:            engine.gossip.Digest(),
+		Watcher:           engine.watcher,
+		StoreUp:           engine.storeUp,
+		PublishedRevision: engine.publishedRevision,
+		Versions:          map[lb.ServiceName]lb.Version{},
 	}
 	for _, service := range state.Core.Services {
 		state.Versions[service.Service] = service.Version
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -15,7 +15,7 @@
 	"robinpulley.example/robinpulley/internal/member"
 )
 
-// buildEngine makes the deterministic parts from the settings, on the real clock.
+// buildEngine creates the engine from the settings, with the real clock.
 func (node *Node) buildEngine() error {
 	started := time.Now()
 	var err error
@@ -26,41 +26,41 @@
 	node.engine.clock = func() time.Duration { return time.Since(started) }
 	node.engine.transmit = node.transmit
 	node.engine.directory = &node.directory
-	node.engine.cuts = &node.cuts
+	node.engine.partition = &node.partition
 	node.guard = dataplane.NewGuard()
 	node.engine.beforeAdoption = node.guard.Set
-	node.prober, err = newProber(node.settings, node.engine.takeEvidence)
+	node.prober, err = newProber(node.settings, node.engine.collectOpeningCounts)
 	return err
 }
 
-// newEngine makes the deterministic parts. The caller sets the clock, the
-// transmitter, the directory and the cuts.
+// newEngine creates the engine and its state machines. The caller sets clock, transmit, directory
+// and partition.
 func newEngine(settings *config.Settings, logger zerolog.Logger, incarnation uint64) (*engine, error) {
 	membership, err := member.New(memberSettings(settings, incarnation))
 	if err != nil {
 		return nil, err
 	}
-	spread, err := gossip.New(gossip.DefaultSettings(settings.Node, settings.Zone, incarnation))
+	gossipCore, err := gossip.New(gossip.DefaultSettings(settings.Node, settings.Zone, incarnation))
 	if err != nil {
 		return nil, err
 	}
-	publishing := controllerSettings(settings, incarnation)
-	publishing.InForce = spread.Placement
+	controllerSettings := controllerSettings(settings, incarnation)
+	controllerSettings.InForce = gossipCore.Placement
 	return &engine{
 		settings:       settings,
 		logger:         logger,
 		core:           core.New(coreSettings(settings)),
 		member:         membership,
-		controller:     controller.New(publishing),
-		work:           newStoreQueue(),
-		evidence:       newEvidence(),
-		gossip:         spread,
-		check:          check{random: rand.New(rand.NewPCG(incarnation, uint64(settings.Node.Hash())))},
+		controller:     controller.New(controllerSettings),
+		storeRequests:  newStoreRequestQueue(),
+		openings:       newOpeningMonitor(),
+		gossip:         gossipCore,
+		viewCheck:      viewCheck{random: rand.New(rand.NewPCG(incarnation, uint64(settings.Node.Hash())))},
 		watcherChanged: make(chan struct{}, 1),
 	}, nil
 }
 
-// coreSettings turns the settings of the node into those of the core.
+// coreSettings returns the settings of the core for the settings of the node.
 func coreSettings(settings *config.Settings) core.Settings {
 	result := core.DefaultSettings(settings.Node, settings.Zone)
 	result.OpeningHold = settings.Timings.OpeningHold
@@ -73,7 +73,7 @@
 	return result
 }
 
-// memberSettings turns the settings of the node into those of the membership.
+// memberSettings returns the settings of the membership for the settings of the node.
 func memberSettings(settings *config.Settings, incarnation uint64) member.Settings {
 	self := member.Machine{
 		ID:      settings.Node,
@@ -84,7 +84,7 @@
 	return member.DefaultSettings(self, incarnation, incarnation)
 }
 
-// controllerSettings turns the settings of the node into those of the publisher.
+// controllerSettings returns the settings of the controller for the settings of the node.
 func controllerSettings(settings *config.Settings, incarnation uint64) controller.Settings {
 	result := controller.DefaultSettings(settings.Node, settings.Zone, strconv.FormatUint(incarnation, 36))
 	result.IdleTimeout = settings.Timings.IdleTimeout
--- a/internal/node/publisher.go
+++ b/internal/node/controller.go
@@ -8,19 +8,19 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-// controllerStep gives one event to the publisher and passes on its effects.
+// controllerStep steps the controller with an event and executes its effects.
 func (engine *engine) controllerStep(event *controller.Event) {
 	engine.controller.Step(engine.now(), event, &engine.controllerEffects)
 	effects := &engine.controllerEffects
 	for index := range effects.Writes {
 		write := effects.Writes[index]
-		engine.work.add(storeWork{write: &write})
+		engine.storeRequests.add(storeRequest{write: &write})
 	}
 	for _, service := range effects.Reads {
-		engine.work.add(storeWork{read: service})
+		engine.storeRequests.add(storeRequest{read: service})
 	}
 	if effects.Status != nil {
-		engine.work.add(storeWork{status: effects.Status})
+		engine.storeRequests.add(storeRequest{status: effects.Status})
 	}
 	for _, problem := range effects.Problems {
 		engine.logger.Warn().Err(problem.Cause).
@@ -29,32 +29,32 @@
 			Send()
 	}
 	if effects.Epoch != "" {
-		engine.work.add(storeWork{epoch: effects.Epoch})
+		engine.storeRequests.add(storeRequest{epoch: effects.Epoch})
 	}
 	if len(effects.Placements) > 0 {
 		engine.gossipStep(&gossip.Event{Placements: slices.Clone(effects.Placements)})
 	}
-	if published := engine.controller.PublishedRevision(); published > engine.published {
-		engine.published = published
+	if published := engine.controller.PublishedRevision(); published > engine.publishedRevision {
+		engine.publishedRevision = published
 		engine.gossipStep(&gossip.Event{ConfigRevision: published})
 	}
 }
 
-// documents takes what the watch of the store gave.
-func (engine *engine) documents(documents *controller.Documents) {
-	engine.input(func() {
-		engine.listed = engine.listed || documents.Complete
+// applyDocuments passes documents from the watch of the store to the controller.
+func (engine *engine) applyDocuments(documents *controller.Documents) {
+	engine.runInput(func() {
+		engine.storeListed = engine.storeListed || documents.Complete
 		engine.controllerStep(&controller.Event{Documents: documents})
 	})
 }
 
-// publisherInput gives one event to the publisher.
-func (engine *engine) publisherInput(event *controller.Event) {
-	engine.input(func() { engine.controllerStep(event) })
+// runControllerInput steps the controller with an event, as one input.
+func (engine *engine) runControllerInput(event *controller.Event) {
+	engine.runInput(func() { engine.controllerStep(event) })
 }
 
-// noteStore tells the publisher when the store goes or comes back.
-func (engine *engine) noteStore(up bool) {
+// setStoreUp passes a change of the store's availability to the controller and logs the change.
+func (engine *engine) setStoreUp(up bool) {
 	if engine.storeUp == up {
 		return
 	}
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -11,8 +11,8 @@
 	"robinpulley.example/robinpulley/internal/member"
 )
 
-// directory gives the members, this node included. It is read for each relayed
-// packet, so that readers take no lock.
+// directory holds the members, this node included. Readers need no lock, because the data plane
+// reads it for each relayed packet.
 type directory struct {
 	members atomic.Pointer[map[lb.NodeID]member.Member]
 }
@@ -26,6 +26,7 @@
 	directory.members.Store(&members)
 }
 
+// all returns the members by ID. The caller must not change the map.
 func (directory *directory) all() map[lb.NodeID]member.Member {
 	members := directory.members.Load()
 	if members == nil {
@@ -34,26 +35,26 @@
 	return *members
 }
 
-// member looks up one node.
+// member returns the member with an ID.
 func (directory *directory) member(id lb.NodeID) (member.Member, bool) {
 	found, ok := directory.all()[id]
 	return found, ok
 }
 
-// data gives the Geneve endpoint of a node.
-func (directory *directory) data(id lb.NodeID) (netip.AddrPort, bool) {
+// dataAddress returns the Geneve endpoint of a node.
+func (directory *directory) dataAddress(id lb.NodeID) (netip.AddrPort, bool) {
 	found, ok := directory.member(id)
 	return found.Data, ok
 }
 
-// control gives the control endpoint of a node.
-func (directory *directory) control(id lb.NodeID) (netip.AddrPort, bool) {
+// controlAddress returns the control endpoint of a node.
+func (directory *directory) controlAddress(id lb.NodeID) (netip.AddrPort, bool) {
 	found, ok := directory.member(id)
 	return found.Control, ok
 }
 
-// zones gives the members of each zone but one member.
-func (directory *directory) zones(self lb.NodeID) map[lb.Zone][]member.Member {
+// peersByZone returns the members of each zone, without self.
+func (directory *directory) peersByZone(self lb.NodeID) map[lb.Zone][]member.Member {
 	zones := make(map[lb.Zone][]member.Member)
 	for _, entry := range directory.list() {
 		if entry.ID != self {
@@ -63,7 +64,7 @@
 	return zones
 }
 
-// list gives all members by ID.
+// list returns all members, ordered by ID.
 func (directory *directory) list() []member.Member {
 	return slices.SortedFunc(maps.Values(directory.all()), func(a, b member.Member) int {
 		return cmp.Compare(a.ID, b.ID)
--- a/internal/node/engine.go
+++ b/internal/node/engine.go
@@ -15,29 +15,30 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// slowTicks is how many ticks of the membership and the gossip make one of
-// the core and the publisher.
-const slowTicks = uint64(core.TickInterval / tickInterval)
+// ticksPerCoreTick is the number of ticks of the membership and the gossip per tick of the core and
+// the controller.
+const ticksPerCoreTick = uint64(core.TickInterval / tickInterval)
 
-// engine owns the deterministic parts of a node. One lock guards them all:
-// every input takes it, steps the parts it concerns and carries out their
-// effects, none of which blocks.
+// engine owns the deterministic state machines of a node: the decision core, the membership, the
+// controller and the gossip. One mutex guards all of them: every input acquires it, steps the state
+// machines concerned and executes their effects, none of which blocks.
 type engine struct {
 	settings  *config.Settings
 	logger    zerolog.Logger
 	clock     func() time.Duration // since the start of the process, monotonic
 	transmit  transmitter
 	directory *directory
-	cuts      *cuts
-	// beforeAdoption, if set, is told of each placement before the core is.
+	partition *partition
+	// beforeAdoption, if set, is called with each placement before the core adopts it.
 	beforeAdoption func(*lb.Placement)
 
-	mutex sync.Mutex
-	last  time.Duration // of the last step
-	// outbox holds messages to others until the lock is free.
+	mutex    sync.Mutex
+	lastStep time.Duration // time of the last step
+	// outbox holds messages to other nodes until the mutex is released.
 	outbox []outgoing
-	// local holds messages of this node to itself, taken at the end of each input.
-	local []message.Message
+	// selfMessages holds messages of this node to itself, which are processed at the end of each
+	// input.
+	selfMessages []message.Message
 
 	core        *core.Core
 	coreEffects core.Effects
@@ -48,115 +49,121 @@
 
 	controller        *controller.Controller
 	controllerEffects controller.Effects
-	work              *storeQueue
+	storeRequests     *storeRequestQueue
 	storeUp           bool
 
 	gossip        *gossip.Core
 	gossipEffects gossip.Effects
-	synced        bool // has had all placements of a peer, or is alone
-	listed        bool // has had a list of the store
-
-	evidence  evidence
-	check     check
-	rejoined  bool // others had lost this node; distrust the view when it changes
-	published int64
-	// zoneReport is the last statement on this node's own zone.
+	synced        bool // has received all placements of a peer, or there is no peer
+	storeListed   bool // has received a complete list from the store
+
+	openings  openingMonitor
+	viewCheck viewCheck
+	// rejoined is set after other members had removed this node or its zone. The next change of
+	// members then marks the view as unverified.
+	rejoined          bool
+	publishedRevision int64
+	// zoneReport is the last in-force report on the local zone.
 	zoneReport *message.InForce
 	ticks      uint64
 
 	watcher        bool          // this node watches the store
-	watcherChanged chan struct{} // has one element after a change
+	watcherChanged chan struct{} // holds one element after a change
 }
 
-// now gives the time of a step: it never goes back.
+// now returns the time of a step. It never decreases.
 func (engine *engine) now() time.Duration {
-	engine.last = max(engine.last, engine.clock())
-	return engine.last
+	engine.lastStep = max(engine.lastStep, engine.clock())
+	return engine.lastStep
 }
 
-// input runs one input under the lock, and what it made this node tell itself.
-// Messages to others are sent when the lock is free again, since encoding a
-// large one takes time that packets would wait.
-func (engine *engine) input(run func()) {
-	for _, outgoing := range engine.locked(run) {
+// runInput runs one input under the mutex and processes the resulting messages of this node to
+// itself. It sends messages to other nodes after it has released the mutex, because encoding a large
+// message takes time during which packets would wait.
+func (engine *engine) runInput(run func()) {
+	for _, outgoing := range engine.runLocked(run) {
 		engine.transmit(outgoing.to, outgoing.message)
 	}
 }
 
-// locked runs one input and gives the messages to be sent.
-func (engine *engine) locked(run func()) []outgoing {
+// runLocked runs one input under the mutex and returns the messages to send.
+func (engine *engine) runLocked(run func()) []outgoing {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	run()
-	engine.takeLocal()
+	engine.processSelfMessages()
 	messages := engine.outbox
 	engine.outbox = nil
 	return messages
 }
 
-func (engine *engine) takeLocal() {
-	for len(engine.local) > 0 {
-		next := engine.local[0]
-		engine.local = engine.local[1:]
-		engine.route(incoming{from: engine.settings.Node, address: engine.settings.ControlAddress, message: next})
+// processSelfMessages dispatches the messages of this node to itself, including those that they
+// result in.
+func (engine *engine) processSelfMessages() {
+	for len(engine.selfMessages) > 0 {
+		next := engine.selfMessages[0]
+		engine.selfMessages = engine.selfMessages[1:]
+		engine.dispatch(incoming{from: engine.settings.Node, address: engine.settings.ControlAddress, message: next})
 	}
 }
 
-// decide is asked for each packet by the data plane.
+// decide returns the decision on a packet. The data plane calls it for each packet.
 func (engine *engine) decide(packet *core.Packet) core.Decision {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.coreStep(&core.Event{Packet: packet})
-	engine.evidence.note(engine.last, packet, &engine.coreEffects.Decision)
+	engine.openings.recordDecision(engine.lastStep, packet, &engine.coreEffects.Decision)
 	return engine.coreEffects.Decision
 }
 
-// coreStep gives one event to the core and sends the messages it asks for.
+// coreStep steps the core with an event and sends the resulting messages.
 func (engine *engine) coreStep(event *core.Event) {
 	engine.core.Step(engine.now(), event, &engine.coreEffects)
 	for _, outgoing := range engine.coreEffects.Messages {
 		engine.send(outgoing.To, outgoing.Message)
 	}
 	engine.handedOver = engine.coreEffects.HandoverDone
-	engine.noteUnsure()
+	engine.updateUnverified()
 }
 
-// tick drives everything that is due without input.
+// tick steps all state machines, for their work that is triggered by time instead of input.
+// circuitClosed is whether the store is available.
 func (engine *engine) tick(circuitClosed bool) {
-	engine.input(func() {
+	engine.runInput(func() {
 		engine.memberStep(&member.Event{})
 		engine.gossipStep(&gossip.Event{})
 		engine.ticks++
-		if engine.ticks%slowTicks != 0 {
+		if engine.ticks%ticksPerCoreTick != 0 {
 			return
 		}
 		engine.coreStep(&core.Event{Tick: true})
-		engine.askPeers()
-		engine.noteStore(circuitClosed)
-		engine.repeatZoneReport()
+		engine.requestDigests()
+		engine.setStoreUp(circuitClosed)
+		engine.reapplyZoneReport()
 		engine.controllerStep(&controller.Event{Tick: true})
 	})
 }
 
-// receive takes one message from a peer.
+// receive processes one message from a peer.
 func (engine *engine) receive(from incoming) {
-	engine.input(func() { engine.route(from) })
+	engine.runInput(func() { engine.dispatch(from) })
 }
 
-// leave begins the planned stop.
-func (engine *engine) leave() {
-	engine.input(func() {
+// beginLeave starts the planned stop: it announces the stop to the other members, and makes the core
+// hand over its records.
+func (engine *engine) beginLeave() {
+	engine.runInput(func() {
 		engine.memberStep(&member.Event{Leave: true})
 		engine.coreStep(&core.Event{Leave: true})
 	})
 }
 
-// end tells the others that this node ends now.
-func (engine *engine) end() {
-	engine.input(func() { engine.memberStep(&member.Event{Stop: true}) })
+// announceStop announces to the other members that this node stops now.
+func (engine *engine) announceStop() {
+	engine.runInput(func() { engine.memberStep(&member.Event{Stop: true}) })
 }
 
-// handoverDone tells whether every record has been handed over.
+// handoverDone reports whether every record has been handed over.
 func (engine *engine) handoverDone() bool {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
--- a/internal/node/decide_test.go
+++ b/internal/node/engine_test.go
@@ -20,7 +20,7 @@
 
 var frontend = netip.MustParseAddrPort("192.0.2.10:443")
 
-// newTestEngine gives the engine of a lone node with one service.
+// newTestEngine returns the engine of a node without peers, with one service.
 func newTestEngine(t testing.TB) *engine {
 	is := is.New(t)
 	settings, err := config.Load("", config.Overrides{
@@ -36,7 +36,7 @@
 		placement.Prepare([]placement.Target{{Name: "h1", Host: netip.MustParseAddrPort("127.0.0.1:5"), Weight: 100}}),
 		placement.Commit())
 	is.NoErr(err)
-	node.engine.input(func() {
+	node.engine.runInput(func() {
 		node.engine.memberStep(&member.Event{})
 		node.engine.gossipStep(&gossip.Event{Placements: []*lb.Placement{document}})
 	})
@@ -54,21 +54,20 @@
 	decision := engine.decide(testPacket(1024, core.PacketOpening))
 	is.Equal(decision.Action, core.ActionForward)
 	is.Equal(decision.Host.String(), "127.0.0.1:5")
-	is.Equal(len(engine.evidence.order), 1) // the opening is watched
+	is.Equal(len(engine.openings.byAge), 1) // the opening is monitored
 }
 
-func TestTimeOfStepsNeverGoesBack(t *testing.T) {
+func TestStepTimeNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	engine := newTestEngine(t)
 	engine.clock = func() time.Duration { return time.Second }
 	engine.tick(true)
 	engine.clock = func() time.Duration { return time.Millisecond }
 	engine.tick(true)
-	is.Equal(engine.last, time.Second)
+	is.Equal(engine.lastStep, time.Second)
 }
 
-// BenchmarkDecide is the way of a packet of an open flow through the engine:
-// lock, clock and core.
+// BenchmarkDecide measures the decision on a packet of an open flow: mutex, clock and core.
 func BenchmarkDecide(b *testing.B) {
 	engine := newTestEngine(b)
 	packets := make([]*core.Packet, 1024)
@@ -81,9 +80,9 @@
 	}
 }
 
-// TestMessageBeforeOpeningIsDropped sends a request whose answer would need
-// the transport that is still being opened.
-func TestMessageBeforeOpeningIsDropped(t *testing.T) {
+// TestMessageBeforeEndpointsAreOpenIsDropped checks that a request is dropped while the transport,
+// which would send the answer, is still being opened.
+func TestMessageBeforeEndpointsAreOpenIsDropped(t *testing.T) {
 	is := is.New(t)
 	engine := newTestEngine(t)
 	node := &Node{settings: engine.settings, engine: engine}
@@ -97,7 +96,7 @@
 	is.Equal(len(engine.outbox), 0)
 	answers := 0
 	engine.transmit = func(netip.AddrPort, message.Message) { answers++ }
-	node.opened.Store(true)
+	node.isOpen.Store(true)
 	node.receive(request)
 	is.True(answers > 0)
 }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -14,21 +14,22 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// Times between two reports of health and load: often enough for slow steps of
-// weights, seldom enough for the byte budget. Openings that were not answered
-// are told sooner.
+// Times between two reports of health and load. loadInterval is short enough for the slow steps in
+// which weights change, and long enough for the byte budget. Unanswered openings are reported after
+// unansweredInterval.
 const (
 	loadInterval       = 4 * time.Second
 	unansweredInterval = time.Second
 )
 
-// probeTargets holds the probe URLs of the back ends, as the watch of the
-// store gives them. Only watchers know them, so that only watchers probe.
+// probeTargets holds the probe URLs of the back ends, which the watch of the store delivers. Only
+// watchers have them, so that only watchers send probes.
 type probeTargets struct {
 	urls map[lb.BackendName]string
 }
 
-// apply takes what the watch gave and tells whether there may be a change.
+// apply applies documents from the watch of the store, and reports whether the targets may have
+// changed.
 func (targets *probeTargets) apply(documents *controller.Documents) bool {
 	if documents.Complete || targets.urls == nil {
 		targets.urls = make(map[lb.BackendName]string)
@@ -45,7 +46,7 @@
 		if document.Deleted {
 			continue
 		}
-		// An invalid document is reported by the publisher.
+		// The controller reports invalid documents.
 		if backend, err := catalog.DecodeBackend(document.Key, document.Value); err == nil && backend.Probe != "" {
 			targets.urls[name] = backend.Probe
 		}
@@ -53,12 +54,13 @@
 	return changed
 }
 
+// backendOfKey returns the name of the back end whose document a key in the store refers to.
 func backendOfKey(key string) (lb.BackendName, bool) {
 	name, found := strings.CutPrefix(key, catalog.BackendPrefix)
 	return lb.BackendName(name), found
 }
 
-// list gives the targets in no particular order.
+// list returns the targets in no particular order.
 func (targets *probeTargets) list() []health.Target {
 	list := make([]health.Target, 0, len(targets.urls))
 	for name, url := range targets.urls {
@@ -67,15 +69,15 @@
 	return list
 }
 
-// newProber makes the prober of the settings.
-func newProber(settings *config.Settings, evidence func() []health.Evidence) (*health.Prober, error) {
-	options := health.Options{Settings: health.DefaultSettings(), Evidence: evidence}
+// newProber creates a prober with the interval and timeout of the settings.
+func newProber(settings *config.Settings, openingCounts func() []health.Evidence) (*health.Prober, error) {
+	options := health.Options{Settings: health.DefaultSettings(), Evidence: openingCounts}
 	options.Settings.Interval = settings.Health.Interval
 	options.Settings.Timeout = settings.Health.Timeout
 	return health.NewProber(options)
 }
 
-// reportLoad reports health, load and evidence until ctx ends.
+// reportLoad reports the health and load of back ends to the publishers until ctx ends.
 func (node *Node) reportLoad(ctx context.Context) {
 	ticker := time.NewTicker(unansweredInterval)
 	defer ticker.Stop()
@@ -93,25 +95,26 @@
 	}
 }
 
-// hasUnanswered tells whether some back end has lately left openings unanswered.
+// hasUnanswered reports whether a back end has left openings unanswered since the last report.
 func (engine *engine) hasUnanswered() bool {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.evidence.judge(engine.now())
-	return engine.evidence.hasUnanswered()
+	engine.openings.countExpired(engine.now())
+	return engine.openings.hasUnanswered()
 }
 
-// takeEvidence gives what the data path has shown since the last call.
-func (engine *engine) takeEvidence() []health.Evidence {
+// collectOpeningCounts returns the numbers of forwarded and unanswered openings per back end since the
+// last call.
+func (engine *engine) collectOpeningCounts() []health.Evidence {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.evidence.judge(engine.now())
-	return engine.evidence.take(engine.gossip.Placement)
+	engine.openings.countExpired(engine.now())
+	return engine.openings.collect(engine.gossip.Placement)
 }
 
-// reportLoad tells the publishers, of which this node may be one.
+// reportLoad sends the loads to the publishers, of which this node may be one.
 func (engine *engine) reportLoad(loads []message.BackendLoad) {
-	engine.input(func() {
+	engine.runInput(func() {
 		for start := 0; start < len(loads); start += loadsPerMessage {
 			batch := loads[start:min(start+loadsPerMessage, len(loads))]
 			for _, publisher := range engine.publishers() {
@@ -121,10 +124,12 @@
 	})
 }
 
-// loadsPerMessage keeps a message within a datagram for names of up to 60 bytes.
+// loadsPerMessage is the maximum number of back ends in a message. With names of up to 60 bytes such a
+// message fits into a datagram.
 const loadsPerMessage = 8
 
-// publishers gives the nodes that watch the store.
+// publishers returns the IDs of the nodes that watch the store, which also publish placements.
+
 func (engine *engine) publishers() []lb.NodeID {
 	var ids []lb.NodeID
 	for _, watcher := range rendezvous.Watchers(stayingCandidates(engine.directory.list())) {
--- a/internal/node/machinelist.go
+++ b/internal/node/machinelist.go
@@ -13,28 +13,30 @@
 	"robinpulley.example/robinpulley/internal/member"
 )
 
-// Reading of the machine list.
+// Times of reading the machine list.
 const (
-	// aloneInterval is short: a node that knows no other member takes itself
-	// for the only one, and decides on flows as such.
-	aloneInterval = 300 * time.Millisecond
-	// startInterval holds for startTime, in which a fleet that starts comes together.
-	startInterval = time.Second
-	startTime     = 30 * time.Second
-	// settledInterval spares the platform once the membership has taken over.
-	settledInterval = 10 * time.Second
-	machinesTimeout = time.Second
+	// aloneReadInterval is the interval while no other member is known. It is short because a node
+	// that knows no other member decides on flows as the only node.
+	aloneReadInterval = 300 * time.Millisecond
+	// startupReadInterval is the interval during startupPeriod, in which the nodes of a fleet that
+	// starts find each other.
+	startupReadInterval = time.Second
+	startupPeriod       = 30 * time.Second
+	// settledReadInterval is the interval afterwards. It is long to limit the load on the platform,
+	// since the membership protocol then announces new nodes.
+	settledReadInterval = 10 * time.Second
+	machinesTimeout     = time.Second
 )
 
-// followMachines reads the platform's machine list until ctx ends.
-func (node *Node) followMachines(ctx context.Context) {
+// pollMachines reads the platform's machine list at an interval until ctx ends.
+func (node *Node) pollMachines(ctx context.Context) {
 	client := &http.Client{Timeout: machinesTimeout}
 	started := time.Now()
 	failed := false
 	for {
 		failed = node.readMachines(ctx, client, failed)
 		interval := machinesInterval(len(node.directory.all()), time.Since(started))
-		// Half of it at random, so that nodes started together do not ask together.
+		// Half of the interval is random, so that nodes that start together do not stay synchronized.
 		interval = interval/2 + rand.N(interval)
 		select {
 		case <-ctx.Done():
@@ -44,19 +46,20 @@
 	}
 }
 
-// machinesInterval gives the mean time between two reads of the list.
+// machinesInterval returns the length of the interval between two reads of the list, before
+// randomization.
 func machinesInterval(members int, sinceStart time.Duration) time.Duration {
 	switch {
 	case members < 2:
-		return aloneInterval
-	case sinceStart < startTime:
-		return startInterval
+		return aloneReadInterval
+	case sinceStart < startupPeriod:
+		return startupReadInterval
 	}
-	return settledInterval
+	return settledReadInterval
 }
 
-// readMachines reads the list once and tells whether that failed. Of failures
-// in a row only the first is logged as a problem.
+// readMachines reads the list once and reports whether that failed. Of consecutive failures it logs
+// only the first one as a warning.
 func (node *Node) readMachines(ctx context.Context, client *http.Client, failedBefore bool) (failed bool) {
 	list, err := machines.Fetch(ctx, client, node.settings.MachinesURL)
 	if err != nil {
@@ -67,18 +70,19 @@
 		node.logger.WithLevel(level).Err(err).Str(logging.FieldEvent, string(logging.EventMachinesFailed)).Send()
 		return true
 	}
-	node.takeMachines(list)
+	node.applyMachines(list)
 	return false
 }
 
-func (node *Node) takeMachines(list []machines.Machine) {
-	known := memberMachines(list)
-	node.cuts.learn(known...)
-	node.engine.setMachines(known)
+// applyMachines passes the machines to the partition and to the membership.
+func (node *Node) applyMachines(list []machines.Machine) {
+	memberList := memberMachines(list)
+	node.partition.addMachines(memberList...)
+	node.engine.applyMachines(memberList)
 }
 
-// memberMachines gives the platform's machines in the form of the membership.
-// It leaves out machines on their way out.
+// memberMachines returns the platform's machines in the form of the membership, without machines that
+// are leaving.
 func memberMachines(list []machines.Machine) []member.Machine {
 	result := make([]member.Machine, 0, len(list))
 	for _, machine := range list {
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -12,45 +12,47 @@
 	"robinpulley.example/robinpulley/internal/rendezvous"
 )
 
-// memberStep gives one event to the membership, and a changed view to the rest.
+// memberStep steps the membership with an event and executes the effects. If the members have
+// changed, it passes the members on to the other state machines.
 func (engine *engine) memberStep(event *member.Event) {
 	engine.member.Step(engine.now(), event, &engine.memberEffects)
 	for _, outgoing := range engine.memberEffects.Messages {
-		engine.post(outgoing.Address, outgoing.Message)
+		engine.enqueue(outgoing.Address, outgoing.Message)
 	}
 	for _, batch := range engine.memberEffects.Batches {
 		for _, address := range batch.To {
-			engine.post(address, batch.Message)
+			engine.enqueue(address, batch.Message)
 		}
 	}
 	if engine.memberEffects.Rejoined {
 		engine.rejoined = true
-		engine.distrust()
+		engine.markUnverified()
 	}
 	if engine.memberEffects.Changed {
-		engine.takeMembers(engine.member.Members(nil))
+		engine.applyMembers(engine.member.Members(nil))
 	}
 }
 
-// takeMembers tells every part of a new view.
-func (engine *engine) takeMembers(members []member.Member) {
+// applyMembers logs changes of the members, and passes the new members to the directory and the other
+// state machines.
+func (engine *engine) applyMembers(members []member.Member) {
 	engine.logMembers(members)
 	engine.directory.set(members)
 	if engine.settings.AllowFaultInjection {
-		engine.cuts.learn(machinesOf(members)...)
+		engine.partition.addMachines(machinesOf(members)...)
 	}
 	list := coreMembers(members)
 	engine.coreStep(&core.Event{Members: list})
 	if engine.rejoined {
 		engine.rejoined = false
-		engine.distrust()
+		engine.markUnverified()
 	}
 	engine.gossipStep(&gossip.Event{Members: gossipMembers(members)})
 	engine.controllerStep(&controller.Event{Members: list})
 	engine.setWatcher(isWatcher(engine.settings.Node, members))
 }
 
-// machinesOf gives the machines of the members.
+// machinesOf returns the machines of the members.
 func machinesOf(members []member.Member) []member.Machine {
 	list := make([]member.Machine, len(members))
 	for index, entry := range members {
@@ -59,7 +61,7 @@
 	return list
 }
 
-// coreMembers gives the members in the form of the core.
+// coreMembers returns the members in the form of the core.
 func coreMembers(members []member.Member) []core.Member {
 	list := make([]core.Member, len(members))
 	for index, entry := range members {
@@ -68,8 +70,7 @@
 	return list
 }
 
-// stayingCandidates gives the members that are not leaving, as candidates for
-// watching the store.
+// stayingCandidates returns the members that are not leaving, as candidates for watching the store.
 func stayingCandidates(members []member.Member) []rendezvous.Candidate {
 	var staying []rendezvous.Candidate
 	for _, entry := range members {
@@ -80,13 +81,14 @@
 	return staying
 }
 
-// isWatcher tells whether self is one of the nodes that watch the store.
+// isWatcher reports whether self is one of the nodes that watch the store.
 func isWatcher(self lb.NodeID, members []member.Member) bool {
 	return slices.ContainsFunc(rendezvous.Watchers(stayingCandidates(members)), func(watcher rendezvous.Candidate) bool {
 		return watcher.ID == self
 	})
 }
 
+// setWatcher sets whether this node watches the store, and signals a change.
 func (engine *engine) setWatcher(watcher bool) {
 	if engine.watcher == watcher {
 		return
@@ -94,23 +96,23 @@
 	engine.watcher = watcher
 	select {
 	case engine.watcherChanged <- struct{}{}:
-	default: // a change is to be seen already
+	default: // a signal is pending already
 	}
 }
 
-// isWatcher tells whether this node is to watch the store.
+// isWatcher reports whether this node must watch the store.
 func (engine *engine) isWatcher() bool {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.watcher
 }
 
-// setMachines takes the platform's list of machines.
-func (engine *engine) setMachines(list []member.Machine) {
-	engine.input(func() { engine.memberStep(&member.Event{Machines: list}) })
+// applyMachines steps the membership with the platform's list of machines.
+func (engine *engine) applyMachines(list []member.Machine) {
+	engine.runInput(func() { engine.memberStep(&member.Event{Machines: list}) })
 }
 
-// logMembers logs who came, went or changed its state.
+// logMembers logs the members that were added or removed or have changed state.
 func (engine *engine) logMembers(members []member.Member) {
 	present := make(map[lb.NodeID]bool, len(members))
 	for _, entry := range members {
@@ -127,7 +129,7 @@
 	}
 }
 
-// stateOf names the state of a member in logs and metrics.
+// stateOf returns the name of a member's state in logs and metrics.
 func stateOf(entry *member.Member) string {
 	if entry.Leaving {
 		return "leaving"
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -20,20 +20,20 @@
 	message message.Message
 }
 
-// post puts a message to another node into the outbox.
-func (engine *engine) post(to netip.AddrPort, body message.Message) {
+// enqueue adds a message to another node to the outbox.
+func (engine *engine) enqueue(to netip.AddrPort, body message.Message) {
 	engine.outbox = append(engine.outbox, outgoing{to: to, message: body})
 }
 
 // incoming is one message from a peer, or from this node to itself.
 type incoming struct {
 	from    lb.NodeID
-	address netip.AddrPort // invalid when it came by TCP from an unknown sender
+	address netip.AddrPort // invalid if the message came by TCP from an unknown sender
 	message message.Message
 }
 
-// route gives a message to the part that it concerns.
-func (engine *engine) route(incoming incoming) {
+// dispatch passes a message to the state machines that process its type.
+func (engine *engine) dispatch(incoming incoming) {
 	engine.gossipStep(&gossip.Event{Peer: &gossip.PeerEvent{From: incoming.from, Message: incoming.message}})
 	switch body := incoming.message.(type) {
 	case message.Ping, message.PingAck, message.PingReq, message.Members:
@@ -41,7 +41,7 @@
 			From: incoming.from, Address: incoming.address, Message: body,
 		}})
 		if answer, isAnswer := body.(message.PingAck); isAnswer {
-			engine.takeAnswer(incoming.from, &answer)
+			engine.applyDigestAnswer(incoming.from, &answer)
 		}
 	case message.Clean:
 		engine.controllerStep(&controller.Event{Clean: &controller.CleanReport{From: incoming.from, Clean: body}})
@@ -52,14 +52,14 @@
 	}
 }
 
-// send passes a message to a node, which may be this one.
+// send sends a message to a node, which may be this one. It drops messages to unknown nodes.
 func (engine *engine) send(to lb.NodeID, outgoing message.Message) {
 	if to == engine.settings.Node {
-		engine.local = append(engine.local, outgoing)
+		engine.selfMessages = append(engine.selfMessages, outgoing)
 		return
 	}
 	address, found := engine.member.Resolve(to)
 	if found {
-		engine.post(address, outgoing)
+		engine.enqueue(address, outgoing)
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,7 +10,7 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// The metrics. docs/operations-node.md explains each.
+// Metrics of the node. docs/operations-node.md explains each.
 var (
 	metricDecisions = metrics.New(prometheus.CounterValue, "decisions_total",
 		"Packets decided on, by action.", "action")
@@ -32,7 +32,7 @@
 		"Placements of a known version with another write id; always 0 if the store compares and swaps.")
 	metricInvalidPlacements = metrics.New(prometheus.CounterValue, "invalid_placements_total",
 		"Placements that were not adopted because they are invalid.")
-	metricSure = metrics.New(prometheus.GaugeValue, "sure",
+	metricVerified = metrics.New(prometheus.GaugeValue, "sure",
 		"1 while this node trusts its view of the placements.")
 	metricRecords = metrics.New(prometheus.GaugeValue, "records",
 		"Records of flows held, by service.", "service")
@@ -83,7 +83,7 @@
 // allMetrics lists every metric.
 var allMetrics = append([]*metrics.Metric{
 	metricDecisions, metricReasons, metricPinned, metricRerouted, metricHints, metricHandover,
-	metricHandoverResent, metricPauses, metricVersionConflicts, metricInvalidPlacements, metricSure,
+	metricHandoverResent, metricPauses, metricVersionConflicts, metricInvalidPlacements, metricVerified,
 	metricRecords, metricPins, metricKnownUDP, metricFlowBytes, metricVersion, metricMoving,
 	metricMembers, metricStoreUp,
 	metricStoreRequests, metricStoreFailures, metricStoreThrottled, metricStoreRetries,
@@ -92,7 +92,7 @@
 	metricReceived, metricReceivedBytes, metricSent, metricMalformed, metricUnsent, metricSocketErrors,
 }, transport.Metrics()...)
 
-// MetricNames lists the names of all metrics of this package.
+// MetricNames returns the names of all metrics of this package.
 func MetricNames() []string {
 	names := make([]string, len(allMetrics))
 	for index, metric := range allMetrics {
@@ -101,16 +101,16 @@
 	return names
 }
 
-// collector reads the counters of a node when metrics are asked for, so that
-// the packet path keeps none of its own.
+// collector reads a node's counters at each scrape, so that the packet path updates no Prometheus
+// metrics.
 type collector struct{ node *Node }
 
-// Describe gives the descriptions of all metrics.
+// Describe sends the descriptions of all metrics.
 func (collector collector) Describe(descriptions chan<- *prometheus.Desc) {
 	metrics.Describe(allMetrics, descriptions)
 }
 
-// Collect gives the present values of all metrics.
+// Collect sends the current values of all metrics.
 func (collector collector) Collect(samples chan<- prometheus.Metric) {
 	node := collector.node
 	output := sampler{metrics.Sampler{Samples: samples}}
@@ -122,37 +122,38 @@
 	control.Sample(output.Sampler)
 	output.store(node.store.Stats())
 	output.publisher(node, &snapshot)
-	output.Add(metricWatcher, flag(snapshot.watcher))
-	output.Add(metricReady, flag(node.ready.Load()))
+	output.Add(metricWatcher, boolValue(snapshot.watcher))
+	output.Add(metricReady, boolValue(node.ready.Load()))
 	probes := node.prober.Counters()
 	output.Count(metricProbes, probes.Begun, "begun")
 	output.Count(metricProbes, probes.Failed, "failed")
-	output.plane(node)
+	output.dataPlane(node)
 }
 
-// snapshot is what the engine tells for metrics.
+// snapshot holds the engine's values that are exported as metrics.
 type snapshot struct {
 	stats   core.Stats
 	state   core.State
 	watcher bool
-	// published is the configuration revision that is published.
-	published int64
-	zone      *message.InForce // nil: none yet
+	// publishedRevision is the configuration revision that the published placements reflect.
+	publishedRevision int64
+	zoneReport        *message.InForce // nil if there is none yet
 }
 
+// snapshot returns a consistent copy of the engine's values for metrics.
 func (engine *engine) snapshot() snapshot {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return snapshot{
-		stats:     engine.core.Stats(),
-		state:     engine.core.State(),
-		watcher:   engine.watcher,
-		published: engine.published,
-		zone:      engine.zoneReport,
+		stats:             engine.core.Stats(),
+		state:             engine.core.State(),
+		watcher:           engine.watcher,
+		publishedRevision: engine.publishedRevision,
+		zoneReport:        engine.zoneReport,
 	}
 }
 
-// sampler writes samples of metrics.
+// sampler writes metric samples.
 type sampler struct{ metrics.Sampler }
 
 func (output sampler) core(stats *core.Stats) {
@@ -175,7 +176,7 @@
 }
 
 func (output sampler) state(state *core.State) {
-	output.Add(metricSure, flag(state.Verified))
+	output.Add(metricVerified, boolValue(state.Verified))
 	for index := range state.Services {
 		service := &state.Services[index]
 		name := string(service.Service)
@@ -203,17 +204,17 @@
 	node.writes.each(func(kind, outcome string, count uint64) {
 		output.Count(metricWrites, count, kind, outcome)
 	})
-	output.Add(metricPublished, float64(snapshot.published))
-	if snapshot.zone == nil || !snapshot.watcher {
+	output.Add(metricPublished, float64(snapshot.publishedRevision))
+	if snapshot.zoneReport == nil || !snapshot.watcher {
 		return
 	}
-	output.Add(metricInForce, float64(snapshot.zone.ConfigRevision))
-	output.Add(metricZoneNodes, float64(snapshot.zone.Nodes))
-	output.Add(metricZoneBehind, float64(snapshot.zone.Behind))
+	output.Add(metricInForce, float64(snapshot.zoneReport.ConfigRevision))
+	output.Add(metricZoneNodes, float64(snapshot.zoneReport.Nodes))
+	output.Add(metricZoneBehind, float64(snapshot.zoneReport.Behind))
 }
 
 func (output sampler) store(stats store.Stats) {
-	output.Add(metricStoreUp, flag(stats.Circuit == store.CircuitClosed))
+	output.Add(metricStoreUp, boolValue(stats.Circuit == store.CircuitClosed))
 	output.Count(metricStoreRequests, stats.Requests)
 	output.Count(metricStoreFailures, stats.Failures)
 	output.Count(metricStoreThrottled, stats.Throttled)
@@ -222,7 +223,8 @@
 	output.Count(metricStoreResolved, stats.Resolved)
 }
 
-func flag(set bool) float64 {
+// boolValue returns 1 for true and 0 for false.
+func boolValue(set bool) float64 {
 	if set {
 		return 1
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,7 @@
-// Package node wires one balancer together: the decision core, the data plane,
-// the messages between balancers, the membership, the gossip of placements,
-// the store and the publisher. It holds no rule of the protocol itself.
+// Package node assembles a balancer with affinity chain. It connects the decision core, the data
+// plane, the messages between balancers, the membership, the gossip of placements, the store and the
+// publisher of placements (package controller). The packages of these parts implement the
+// protocol; this package contains none of its rules.
 package node
 
 import (
@@ -24,10 +25,10 @@
 	"robinpulley.example/robinpulley/internal/transport"
 )
 
-// tickInterval is the shorter of those that the core and the membership ask for.
+// tickInterval is the tick interval of the membership, which is shorter than that of the core.
 const tickInterval = member.TickInterval
 
-// What made a node ready, in the log.
+// Sources of the placements that made a node ready, for the log.
 const (
 	readyFromStore = "store"
 	readyFromPeer  = "peer"
@@ -38,25 +39,25 @@
 	settings  *config.Settings
 	logger    zerolog.Logger
 	directory directory
-	cuts      cuts
+	partition partition
 	engine    *engine
 	store     *store.Client
 	guard     *dataplane.Guard
 	prober    *health.Prober
 	writes    writeCounts
-	targets   probeTargets // owned by the watch of the store
+	targets   probeTargets // owned by the goroutine that watches the store
 	endpoints lifecycle.Endpoints
-	life      *lifecycle.Life
+	lifecycle *lifecycle.Life
 
-	statusMutex sync.Mutex  // held while the zone's report is written
-	opened      atomic.Bool // all endpoints are open
+	statusMutex sync.Mutex  // held while the zone's status is written
+	isOpen      atomic.Bool // all endpoints are open
 	ready       atomic.Bool
 	background  sync.WaitGroup
 }
 
-// New opens the endpoints of a balancer. Run must follow, which closes them.
+// New creates a balancer and opens its endpoints. The caller must call Run, which closes them.
 func New(settings *config.Settings, logger zerolog.Logger) (*Node, error) {
-	node := &Node{settings: settings, logger: logger, life: lifecycle.New(logger)}
+	node := &Node{settings: settings, logger: logger, lifecycle: lifecycle.New(logger)}
 	if err := node.buildEngine(); err != nil {
 		return nil, err
 	}
@@ -84,14 +85,14 @@
 		Listen:  node.settings.ControlAddress,
 		Budget:  budget,
 		Handle:  node.receive,
-		Resolve: node.directory.control,
-		Blocked: node.cuts.blocks,
+		Resolve: node.directory.controlAddress,
+		Blocked: node.partition.blocks,
 	})
 	if err != nil {
 		return err
 	}
 	node.endpoints.Plane, err = dataplane.New(node.planeOptions())
-	node.opened.Store(err == nil)
+	node.isOpen.Store(err == nil)
 	return err
 }
 
@@ -100,59 +101,60 @@
 	node.endpoints.Transport.Send(to, outgoing)
 }
 
-// receive takes a message from a peer. Those that come while this node is
-// still opening its endpoints are lost, as if sent before it was there.
+// receive processes a message from a peer. It drops messages that arrive while this node is still
+// opening its endpoints, as if they had been sent before the node was started.
 func (node *Node) receive(from transport.Incoming) {
-	if !node.opened.Load() {
+	if !node.isOpen.Load() {
 		return
 	}
 	node.engine.receive(incoming{from: from.From, address: from.Address, message: from.Message})
 }
 
-// Stop begins a planned stop. Run returns when it is finished.
-func (node *Node) Stop() { node.life.Stop() }
+// Stop starts a planned stop. Run returns when the stop is finished.
+func (node *Node) Stop() { node.lifecycle.Stop() }
 
-// Reload does nothing but say so: the settings of this affinity are read at the start.
-func (node *Node) Reload() { node.life.Log(logging.EventReloadIgnored) }
+// Reload only logs that it is ignored: with affinity chain, a node reads its settings only at the
+// start.
+func (node *Node) Reload() { node.lifecycle.Log(logging.EventReloadIgnored) }
 
-// Run serves until a planned stop is finished, or until ctx ends, which stops
-// it at once with lb.ErrStoppedAtOnce.
+// Run serves until a planned stop is finished or ctx ends. If ctx ends, Run stops at once and
+// returns lb.ErrStoppedAtOnce.
 func (node *Node) Run(ctx context.Context) error {
 	running, cancel := context.WithCancel(ctx)
 	defer node.background.Wait()
 	defer node.endpoints.Close()
 	defer cancel()
-	node.life.Log(logging.EventStarting)
+	node.lifecycle.Log(logging.EventStarting)
 	node.serveAdmin()
-	node.background.Go(func() { node.movePackets(running) })
+	node.background.Go(func() { node.runDataPlane(running) })
 	node.background.Go(func() { node.watchStore(running) })
-	node.background.Go(func() { node.workStore(running) })
+	node.background.Go(func() { node.serveStoreRequests(running) })
 	node.background.Go(func() { node.tickUntil(running) })
-	node.background.Go(func() { node.becomeReady(running) })
+	node.background.Go(func() { node.waitUntilReady(running) })
 	if node.settings.Health.Enabled {
 		node.background.Go(func() { node.prober.Run(running) })
 	}
 	node.background.Go(func() { node.reportLoad(running) })
 	if len(node.settings.Seeds) > 0 {
-		node.background.Go(func() { node.askSeeds(running) })
+		node.background.Go(func() { node.contactSeeds(running) })
 	}
 	if node.settings.MachinesURL != "" {
-		node.background.Go(func() { node.followMachines(running) })
+		node.background.Go(func() { node.pollMachines(running) })
 	}
 	select {
-	case <-node.life.Stopping():
+	case <-node.lifecycle.Stopping():
 	case <-ctx.Done():
-		return node.life.StoppedAtOnce()
+		return node.lifecycle.StoppedAtOnce()
 	}
-	return node.stopAsPlanned(ctx)
+	return node.runPlannedStop(ctx)
 }
 
-// movePackets runs the data plane until ctx ends.
-func (node *Node) movePackets(ctx context.Context) {
-	node.life.Failed(node.endpoints.Plane.Run(ctx))
+// runDataPlane runs the data plane until ctx ends.
+func (node *Node) runDataPlane(ctx context.Context) {
+	node.lifecycle.Failed(node.endpoints.Plane.Run(ctx))
 }
 
-// tickUntil ticks the engine until ctx ends.
+// tickUntil steps the engine at the tick interval until ctx ends.
 func (node *Node) tickUntil(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -25,7 +25,7 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// fleet is a store and the nodes of a test, in one process over loopback.
+// fleet is a simulated store and the nodes of a test, in one process over loopback.
 type fleet struct {
 	t      *testing.T
 	store  *storesim.Server
@@ -40,10 +40,10 @@
 type member struct {
 	*node.Node
 	name lb.NodeID
-	done chan error // gets the result of Run
-	// cancel ends Run at once.
+	done chan error // receives the result of Run
+	// cancel makes Run return at once.
 	cancel context.CancelFunc
-	admin  string // address
+	admin  string // admin address
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -57,8 +57,7 @@
 	return &fleet{t: t, store: simulator, url: server.URL, client: client}
 }
 
-// freeAddresses gives loopback addresses, all different, whose ports are free
-// for UDP and TCP.
+// freeAddresses returns distinct loopback addresses whose ports are free for UDP and TCP.
 func freeAddresses(t *testing.T, count int) []string {
 	var addresses []string
 	for len(addresses) < count {
@@ -66,7 +65,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer listener.Close() // kept until all are found
+		defer listener.Close() // kept open until all addresses are found, so that each is found once
 		address := listener.Addr().String()
 		datagrams, err := net.ListenPacket("udp", address)
 		if err == nil {
@@ -77,8 +76,8 @@
 	return addresses
 }
 
-// build makes a node that knows the nodes before it as seeds. Another process
-// may take an address between its choice and its use; then others are chosen.
+// build creates a node whose seeds are the nodes created before it. It retries with other addresses if
+// another process binds one of the addresses before the node does.
 func (fleet *fleet) build(name, zone string) (*node.Node, *config.Settings) {
 	is := is.New(fleet.t)
 	for {
@@ -99,7 +98,7 @@
 	}
 }
 
-// start runs a node.
+// start creates a node and runs it.
 func (fleet *fleet) start(name, zone string) *member {
 	built, settings := fleet.build(name, zone)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -118,8 +117,9 @@
 	return started
 }
 
-// eventually waits for a condition; the limit only ends a test that hangs.
-func (fleet *fleet) eventually(what string, condition func() bool) {
+// waitUntil waits for a condition. The time limit is far above the expected time and only ends a test
+// that hangs.
+func (fleet *fleet) waitUntil(what string, condition func() bool) {
 	fleet.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !condition() {
@@ -127,14 +127,14 @@
 			for _, member := range fleet.nodes {
 				fleet.t.Logf("%+v", member.State())
 			}
-			fleet.t.Fatalf("not reached: %s", what)
+			fleet.t.Fatalf("condition not met: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// put writes one document of the operators.
-func (fleet *fleet) put(key string, document []byte, writeID string) {
+// putDocument writes one configuration document into the store.
+func (fleet *fleet) putDocument(key string, document []byte, writeID string) {
 	is := is.New(fleet.t)
 	current, err := fleet.client.Get(fleet.t.Context(), key)
 	is.NoErr(err)
@@ -150,7 +150,7 @@
 	}
 	document, err := catalog.EncodeBackend(&backend)
 	is.NoErr(err)
-	fleet.put(catalog.BackendKey(backend.Name), document, writeID)
+	fleet.putDocument(catalog.BackendKey(backend.Name), document, writeID)
 }
 
 func (fleet *fleet) putService(name, frontend string) {
@@ -163,12 +163,12 @@
 	}
 	document, err := catalog.EncodeService(&service)
 	is.NoErr(err)
-	fleet.put(catalog.ServiceKey(service.Name), document, service.WriteID)
+	fleet.putDocument(catalog.ServiceKey(service.Name), document, service.WriteID)
 }
 
-// agree tells whether all nodes have the same version of the service, at least
-// the given one.
-func (fleet *fleet) agree(service lb.ServiceName, atLeast lb.Version) bool {
+// versionsAgree reports whether all nodes have the same version of the service's placement, and at
+// least the given one.
+func (fleet *fleet) versionsAgree(service lb.ServiceName, atLeast lb.Version) bool {
 	first := fleet.nodes[0].State().Versions[service]
 	for _, member := range fleet.nodes {
 		if member.State().Versions[service] != first {
@@ -178,8 +178,8 @@
 	return first >= atLeast
 }
 
-// everyoneKnows tells whether every node has the given number of members.
-func (fleet *fleet) everyoneKnows(count int) bool {
+// allHaveMembers reports whether every node has the given number of members.
+func (fleet *fleet) allHaveMembers(count int) bool {
 	for _, member := range fleet.nodes {
 		if len(member.State().Members) != count {
 			return false
@@ -193,14 +193,14 @@
 	fleet.start("a", "za")
 	fleet.start("b", "zb")
 	fleet.start("c", "zc")
-	fleet.eventually("three members everywhere", func() bool { return fleet.everyoneKnows(3) })
+	fleet.waitUntil("three members everywhere", func() bool { return fleet.allHaveMembers(3) })
 	fleet.putBackend("h1", "127.0.0.1:10001", "h1-1", false)
 	fleet.putBackend("h2", "127.0.0.1:10002", "h2-1", false)
 	fleet.putService("wallet", "192.0.2.10:443")
-	fleet.eventually("first placement everywhere", func() bool { return fleet.agree("wallet", 1) })
+	fleet.waitUntil("first placement everywhere", func() bool { return fleet.versionsAgree("wallet", 1) })
 	before := fleet.nodes[0].State().Versions["wallet"]
 	fleet.putBackend("h2", "127.0.0.1:10002", "h2-2", true)
-	fleet.eventually("drain everywhere", func() bool { return fleet.agree("wallet", before+1) })
+	fleet.waitUntil("drain everywhere", func() bool { return fleet.versionsAgree("wallet", before+1) })
 }
 
 func TestJoinWhileStoreIsDown(t *testing.T) {
@@ -209,33 +209,34 @@
 	fleet.putService("wallet", "192.0.2.10:443")
 	fleet.start("a", "za")
 	fleet.start("b", "zb")
-	fleet.eventually("first placement everywhere", func() bool { return fleet.agree("wallet", 1) })
+	fleet.waitUntil("first placement everywhere", func() bool { return fleet.versionsAgree("wallet", 1) })
 	fleet.store.SetFaults(storesim.Faults{Outage: true})
-	fleet.eventually("outage noticed", func() bool {
+	fleet.waitUntil("outage noticed", func() bool {
 		return !fleet.nodes[0].State().StoreUp && !fleet.nodes[1].State().StoreUp
 	})
 	joined := fleet.start("c", "zc")
-	fleet.eventually("snapshot from a peer", func() bool { return joined.State().Ready && fleet.agree("wallet", 1) })
+	fleet.waitUntil("snapshot from a peer", func() bool { return joined.State().Ready && fleet.versionsAgree("wallet", 1) })
 
 	fleet.store.SetFaults(storesim.Faults{})
 	before := joined.State().Versions["wallet"]
 	fleet.putBackend("h2", "127.0.0.1:10002", "h2-1", false)
-	fleet.eventually("change after the outage", func() bool { return fleet.agree("wallet", before+1) })
+	fleet.waitUntil("change after the outage", func() bool { return fleet.versionsAgree("wallet", before+1) })
 }
 
-// TestZoneReportsChangeInForce checks what robinctl wait rests on.
-func TestZoneReportsChangeInForce(t *testing.T) {
+// TestZoneStatusReportsConfigurationInForce checks that the status of each zone reports when a
+// configuration change is in force, which robinctl wait relies on.
+func TestZoneStatusReportsConfigurationInForce(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(t)
 	fleet.start("a", "za")
 	fleet.start("b", "zb")
-	fleet.eventually("two members everywhere", func() bool { return fleet.everyoneKnows(2) })
+	fleet.waitUntil("two members everywhere", func() bool { return fleet.allHaveMembers(2) })
 	fleet.putBackend("h1", "127.0.0.1:10001", "h1-1", false)
 	fleet.putService("wallet", "192.0.2.10:443")
 	change, err := fleet.client.Get(t.Context(), catalog.ServiceKey("wallet"))
 	is.NoErr(err)
 	for _, zone := range []lb.Zone{"za", "zb"} {
-		fleet.eventually("change in force in zone "+string(zone), func() bool {
+		fleet.waitUntil("change in force in zone "+string(zone), func() bool {
 			report, err := fleet.client.Get(t.Context(), catalog.StatusKey(zone))
 			if err != nil || !report.Exists() {
 				return false
@@ -245,10 +246,10 @@
 			return status.ConfigRevision >= change.ModRevision
 		})
 	}
-	is.True(fleet.agree("wallet", 1))
+	is.True(fleet.versionsAgree("wallet", 1))
 }
 
-// get asks the admin endpoint and gives status and body.
+// get requests a path of the admin endpoint and returns status and body.
 func (member *member) get(t *testing.T, path string) (int, string) {
 	is := is.New(t)
 	response, err := http.Get("http://" + member.admin + path)
@@ -263,7 +264,7 @@
 	is := is.New(t)
 	fleet := newFleet(t)
 	started := fleet.start("a", "za")
-	fleet.eventually("ready", func() bool {
+	fleet.waitUntil("ready", func() bool {
 		status, _ := started.get(t, "/readyz")
 		return status == http.StatusOK
 	})
@@ -279,30 +280,30 @@
 	is.Equal(status, http.StatusNotFound) // fault injection is not allowed
 }
 
-func TestCutZoneComesBack(t *testing.T) {
+func TestPartitionedZoneRejoins(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(t)
 	fleet.faults = true
-	cut := fleet.start("a", "za")
+	partitioned := fleet.start("a", "za")
 	fleet.start("b", "zb")
 	fleet.start("c", "zb")
 	fleet.putBackend("h1", "127.0.0.1:10001", "h1-1", false)
 	fleet.putService("wallet", "192.0.2.10:443")
-	fleet.eventually("three members everywhere", func() bool { return fleet.everyoneKnows(3) })
-	fleet.eventually("first placement everywhere", func() bool { return fleet.agree("wallet", 1) })
-	cutOff := func(query string) {
-		response, err := http.Post("http://"+cut.admin+"/debug/cut"+query, "", nil)
+	fleet.waitUntil("three members everywhere", func() bool { return fleet.allHaveMembers(3) })
+	fleet.waitUntil("first placement everywhere", func() bool { return fleet.versionsAgree("wallet", 1) })
+	setPartition := func(query string) {
+		response, err := http.Post("http://"+partitioned.admin+"/debug/cut"+query, "", nil)
 		is.NoErr(err)
 		response.Body.Close()
 		is.Equal(response.StatusCode, http.StatusNoContent)
 	}
-	cutOff("?zone=zb")
-	fleet.eventually("the zones lose each other", func() bool {
-		return len(cut.State().Members) == 1 && len(fleet.nodes[1].State().Members) == 2 && len(fleet.nodes[2].State().Members) == 2
+	setPartition("?zone=zb")
+	fleet.waitUntil("the zones are partitioned", func() bool {
+		return len(partitioned.State().Members) == 1 && len(fleet.nodes[1].State().Members) == 2 && len(fleet.nodes[2].State().Members) == 2
 	})
-	cutOff("")
-	fleet.eventually("all know each other again", func() bool { return fleet.everyoneKnows(3) })
-	fleet.eventually("the cut node trusts its view", func() bool { return cut.State().Core.Verified })
+	setPartition("")
+	fleet.waitUntil("three members everywhere again", func() bool { return fleet.allHaveMembers(3) })
+	fleet.waitUntil("the partitioned node has verified its view", func() bool { return partitioned.State().Core.Verified })
 }
 
 func TestPlannedStop(t *testing.T) {
@@ -310,17 +311,17 @@
 	fleet := newFleet(t)
 	fleet.start("a", "za")
 	leaving := fleet.start("b", "zb")
-	fleet.eventually("two members everywhere", func() bool { return fleet.everyoneKnows(2) })
+	fleet.waitUntil("two members everywhere", func() bool { return fleet.allHaveMembers(2) })
 	leaving.Stop()
 	is.NoErr(<-leaving.done)
-	fleet.eventually("the one that stopped is gone", func() bool { return len(fleet.nodes[0].State().Members) == 1 })
+	fleet.waitUntil("the stopped node is no longer a member", func() bool { return len(fleet.nodes[0].State().Members) == 1 })
 }
 
-func TestContextEndsAtOnce(t *testing.T) {
+func TestCanceledContextStopsAtOnce(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(t)
 	started := fleet.start("a", "za")
-	fleet.eventually("ready", func() bool { return started.State().Ready })
+	fleet.waitUntil("ready", func() bool { return started.State().Ready })
 	started.cancel()
 	is.Equal(<-started.done, lb.ErrStoppedAtOnce)
 }
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -12,8 +12,9 @@
 	"robinpulley.example/robinpulley/internal/metrics"
 )
 
-// TestOperationsPageIsComplete checks that the page names every setting, log
-// event and metric, and no metric that is not there.
+// TestOperationsPageIsComplete checks that the operations page names every setting, log event and
+// metric, and no metric that does not exist.
+
 func TestOperationsPageIsComplete(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("../../docs/operations-node.md")
--- a/internal/node/placements.go
+++ b/internal/node/placements.go
@@ -11,7 +11,7 @@
 	"robinpulley.example/robinpulley/internal/member"
 )
 
-// gossipStep gives one event to the gossip and passes on its effects.
+// gossipStep steps the gossip with an event and executes its effects.
 func (engine *engine) gossipStep(event *gossip.Event) {
 	engine.gossip.SetHandoverBusy(!engine.core.HandoverIdle())
 	engine.gossip.Step(engine.now(), event, &engine.gossipEffects)
@@ -26,10 +26,10 @@
 		engine.member.SetDigest(engine.gossip.Digest())
 	}
 	if effects.Contact == gossip.ContactLost {
-		engine.distrust()
+		engine.markUnverified()
 	}
 	engine.synced = engine.synced || effects.Synced
-	// The publisher may step the gossip in turn, which reuses the effects.
+	// The controller may step the gossip in turn, which reuses the effects.
 	for _, report := range slices.Clone(effects.InForce) {
 		if report.Zone == engine.settings.Zone {
 			engine.zoneReport = &report
@@ -38,15 +38,15 @@
 	}
 }
 
-// repeatZoneReport gives the publisher the last statement on its zone again:
-// it passes over one that comes too soon after the last report it wrote.
-func (engine *engine) repeatZoneReport() {
+// reapplyZoneReport passes the last in-force report on the local zone to the controller again. The
+// controller ignores a report that arrives too soon after it last wrote the zone's status.
+func (engine *engine) reapplyZoneReport() {
 	if engine.zoneReport != nil {
 		engine.controllerStep(&controller.Event{InForce: engine.zoneReport})
 	}
 }
 
-// adopt puts a placement into force.
+// adopt passes a newly adopted placement to the core, which applies it from now on.
 func (engine *engine) adopt(placement *lb.Placement) {
 	if engine.beforeAdoption != nil {
 		engine.beforeAdoption(placement)
@@ -59,7 +59,7 @@
 		Send()
 }
 
-// gossipMembers gives the members in the form of the gossip.
+// gossipMembers returns the members in the form of the gossip.
 func gossipMembers(members []member.Member) []gossip.Member {
 	list := make([]gossip.Member, len(members))
 	for index, entry := range members {
@@ -68,16 +68,17 @@
 	return list
 }
 
-// readiness says what a node may serve from.
+// readiness is the progress of a starting node towards having the placements.
 type readiness struct {
 	ready  bool
-	source string // of the placements
-	// ask: no peer has any placements, so that the store must say there are none.
-	ask bool
+	source string // source of the placements
+	// needStoreList is set if no peer has any placements, so that only a list of the store can show
+	// whether there are any.
+	needStoreList bool
 }
 
-// readiness tells whether this node knows the placements: those of a peer, or,
-// where peers have none or there are no peers, those of the store.
+// readiness reports whether this node has the placements: those of a peer, or those of the store if
+// peers have none or there are no peers.
 func (engine *engine) readiness() readiness {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -85,18 +86,18 @@
 	switch {
 	case !engine.synced:
 		return readiness{}
-	case engine.listed:
+	case engine.storeListed:
 		return readiness{ready: true, source: readyFromStore}
 	case engine.gossip.Len() > 0 && !alone:
 		return readiness{ready: true, source: readyFromPeer}
 	}
-	return readiness{ask: true}
+	return readiness{needStoreList: true}
 }
 
-// placementsFromStore takes a list of all placements in the store.
-func (engine *engine) placementsFromStore(placements []*lb.Placement) {
-	engine.input(func() {
-		engine.listed = true
+// applyStoredPlacements applies the list of all placements in the store.
+func (engine *engine) applyStoredPlacements(placements []*lb.Placement) {
+	engine.runInput(func() {
+		engine.storeListed = true
 		engine.gossipStep(&gossip.Event{Placements: placements})
 	})
 }
--- a/internal/node/plane.go
+++ b/internal/node/plane.go
@@ -11,7 +11,7 @@
 	"robinpulley.example/robinpulley/internal/packet"
 )
 
-// planeOptions gives the data plane what it needs of this node.
+// planeOptions returns the options of the data plane.
 func (node *Node) planeOptions() dataplane.Options {
 	return dataplane.Options{
 		Listen:      node.settings.DataAddress,
@@ -22,16 +22,17 @@
 	}
 }
 
-// peerAddress gives the Geneve endpoint of a member that is not cut off.
+// peerAddress returns the Geneve endpoint of a member, unless the member is on the other side of a
+// simulated partition.
 func (node *Node) peerAddress(id lb.NodeID) (netip.AddrPort, bool) {
-	address, found := node.directory.data(id)
-	return address, found && !node.cuts.blocks(address)
+	address, found := node.directory.dataAddress(id)
+	return address, found && !node.partition.blocks(address)
 }
 
-// fabricPackets counts the packets that the fabric has sent to this node.
+// fabricPackets returns the number of packets received from the fabric.
 func (node *Node) fabricPackets() uint64 { return node.endpoints.Plane.Counters().FromFabric }
 
-// The metrics of the data plane.
+// Metrics of the data plane.
 var (
 	metricReceived = metrics.New(prometheus.CounterValue, "received_packets_total",
 		"Well-formed packets received, by source (fabric, peer).", "source")
@@ -47,7 +48,7 @@
 		"Errors of the data socket, by direction (read, write).", "direction")
 )
 
-func (output sampler) plane(node *Node) {
+func (output sampler) dataPlane(node *Node) {
 	counters := node.endpoints.Plane.Counters()
 	output.Count(metricReceived, counters.FromFabric, "fabric")
 	output.Count(metricReceived, counters.FromPeers, "peer")
--- a/internal/node/ready.go
+++ b/internal/node/ready.go
@@ -13,12 +13,12 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// readyInterval is the time between looks at what a starting node knows.
-const readyInterval = 50 * time.Millisecond
+// readinessPollInterval is the time between checks of a starting node's readiness.
+const readinessPollInterval = 50 * time.Millisecond
 
-// becomeReady waits until this node knows the placements, or ctx ends.
-func (node *Node) becomeReady(ctx context.Context) {
-	ticker := time.NewTicker(readyInterval)
+// waitUntilReady waits until this node has the placements, and marks it as ready, or until ctx ends.
+func (node *Node) waitUntilReady(ctx context.Context) {
+	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
 	for {
 		state := node.engine.readiness()
@@ -26,7 +26,7 @@
 			node.markReady(state.source)
 			return
 		}
-		if state.ask {
+		if state.needStoreList {
 			node.listPlacements(ctx)
 		}
 		select {
@@ -37,7 +37,7 @@
 	}
 }
 
-// markReady notes that this node has placements, or knows that there are none.
+// markReady marks this node as ready: it has the placements, or has found that there are none.
 func (node *Node) markReady(source string) {
 	node.ready.Store(true)
 	node.logger.Info().
@@ -46,14 +46,15 @@
 		Send()
 }
 
-// listPlacements reads all placements in the store. The client waits between
-// attempts while the store is down.
+// listPlacements reads all placements in the store and applies them. The store client delays attempts
+// while the store is down.
+
 func (node *Node) listPlacements(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, storeWorkTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeRequestTimeout)
 	defer cancel()
 	listing, err := node.store.List(ctx, catalog.PlacementPrefix)
 	if err != nil {
-		return // asked again by becomeReady
+		return // waitUntilReady retries
 	}
 	placements := make([]*lb.Placement, 0, len(listing.KeyValues))
 	for index := range listing.KeyValues {
@@ -65,10 +66,10 @@
 		}
 		placements = append(placements, placement)
 	}
-	node.engine.placementsFromStore(placements)
+	node.engine.applyStoredPlacements(placements)
 }
 
-// decodePlacement reads a placement document as stored.
+// decodePlacement decodes a placement document and checks that it belongs to its key.
 func decodePlacement(kv *store.KeyValue) (*lb.Placement, error) {
 	placement := new(lb.Placement)
 	if err := json.Unmarshal(kv.Value, placement); err != nil {
--- a/internal/node/seeds.go
+++ b/internal/node/seeds.go
@@ -10,22 +10,21 @@
 	"robinpulley.example/robinpulley/internal/message"
 )
 
-// Times between attempts to reach the seeds.
+// Times between join requests to the seeds.
 const (
-	seedInterval       = time.Second
-	joinedSeedInterval = 10 * time.Second // when other members are known
+	seedInterval       = time.Second      // interval while no other member is known
+	joinedSeedInterval = 10 * time.Second // interval while other members are known
 )
 
-// askSeeds asks the seeds of the settings for their membership until ctx ends:
-// all of them while this node knows no other member, and later, now and then,
-// those that are not members, so that two parts of a fleet that lost each
-// other come together again.
-func (node *Node) askSeeds(ctx context.Context) {
+// contactSeeds sends join requests to the seeds of the settings until ctx ends: to all of them while
+// this node knows no other member, and then, at a longer interval, to those that are not members. The
+// later requests merge two parts of a fleet that lost each other.
+func (node *Node) contactSeeds(ctx context.Context) {
 	for {
 		members := node.directory.list()
 		for _, seed := range node.settings.Seeds {
-			if !hasControl(members, seed) {
-				node.transmit(seed, node.engine.seedRequest())
+			if !hasControlAddress(members, seed) {
+				node.transmit(seed, node.engine.joinRequest())
 			}
 		}
 		interval := seedInterval
@@ -40,13 +39,13 @@
 	}
 }
 
-// hasControl tells whether one of the members has the control address.
-func hasControl(members []member.Member, address netip.AddrPort) bool {
+// hasControlAddress reports whether one of the members has the control address.
+func hasControlAddress(members []member.Member, address netip.AddrPort) bool {
 	return slices.ContainsFunc(members, func(entry member.Member) bool { return entry.Control == address })
 }
 
-// seedRequest announces this node and asks for the whole membership.
-func (engine *engine) seedRequest() message.Ping {
+// joinRequest returns a request that announces this node and requests the whole membership.
+func (engine *engine) joinRequest() message.Ping {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.member.JoinRequest()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -9,28 +9,28 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-// endLinger is how long a node that has said that it ends still moves packets
-// and lets its last messages go.
-const endLinger = 300 * time.Millisecond
+// stopLinger is how long a node continues to forward packets and to send its last messages after it
+// has announced that it stops.
+const stopLinger = 300 * time.Millisecond
 
-// endPlanned tells the others that this node ends, and waits for what is still
-// under way.
-func (node *Node) endPlanned(ctx context.Context, reason lifecycle.Reason) error {
-	node.engine.end()
+// finishStop announces that this node stops, and waits for packets and messages that are still in
+// flight.
+func (node *Node) finishStop(ctx context.Context, reason lifecycle.Reason) error {
+	node.engine.announceStop()
 	select {
 	case <-ctx.Done():
-		return node.life.StoppedAtOnce()
-	case <-time.After(endLinger):
+		return node.lifecycle.StoppedAtOnce()
+	case <-time.After(stopLinger):
 	}
-	node.life.Stopped(reason)
+	node.lifecycle.Stopped(reason)
 	return nil
 }
 
-// stopAsPlanned announces that this node leaves, hands over its records, and
-// goes on relaying and forwarding until the fabric no longer sends to it.
-func (node *Node) stopAsPlanned(ctx context.Context) error {
-	node.life.Log(logging.EventStopping)
-	node.engine.leave()
+// runPlannedStop runs a planned stop. The node announces that it leaves, hands over its records, and
+// continues to relay and forward packets until the fabric no longer sends any to it.
+func (node *Node) runPlannedStop(ctx context.Context) error {
+	node.lifecycle.Log(logging.EventStopping)
+	node.engine.beginLeave()
 	limit := time.NewTimer(node.settings.Timings.DrainLimit)
 	defer limit.Stop()
 	ticker := time.NewTicker(core.TickInterval)
@@ -41,22 +41,22 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return node.life.StoppedAtOnce()
+			return node.lifecycle.StoppedAtOnce()
 		case <-limit.C:
-			return node.endPlanned(ctx, lifecycle.DrainLimit)
+			return node.finishStop(ctx, lifecycle.DrainLimit)
 		case <-ticker.C:
 		}
-		if now := node.fabricPackets(); now != packets {
-			packets = now
+		if received := node.fabricPackets(); received != packets {
+			packets = received
 			quietSince = time.Now()
 		}
 		if !handedOver && node.engine.handoverDone() {
 			handedOver = true
-			node.life.Log(logging.EventHandedOver)
+			node.lifecycle.Log(logging.EventHandedOver)
 		}
 		quiet := time.Since(quietSince) >= node.settings.Timings.DrainGrace
 		if quiet && node.engine.handoverDone() {
-			return node.endPlanned(ctx, lifecycle.Quiet)
+			return node.finishStop(ctx, lifecycle.Quiet)
 		}
 	}
 }
--- a/internal/node/publish_test.go
+++ b/internal/node/storerequests_test.go
@@ -12,23 +12,23 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-func TestOnlyTheLatestReportIsWritten(t *testing.T) {
+func TestOnlyLatestZoneStatusIsWritten(t *testing.T) {
 	is := is.New(t)
-	queue := newStoreQueue()
+	queue := newStoreRequestQueue()
 	older, newer := &catalog.ZoneStatus{ConfigRevision: 1}, &catalog.ZoneStatus{ConfigRevision: 2}
-	queue.add(storeWork{status: older})
-	queue.add(storeWork{read: "wallet"})
-	queue.add(storeWork{status: newer})
-	taken := queue.take()
-	is.Equal(len(taken), 2)
-	is.Equal(taken[0].read, lb.ServiceName("wallet"))
-	is.Equal(taken[1].status, newer)
-	queue.repeat(older) // could not be written, but there is a newer one
-	is.Equal(len(queue.take()), 0)
-	queue.repeat(newer)
-	is.Equal(len(queue.take()), 1)
-	is.True(queue.isLatest(newer))
-	is.True(!queue.isLatest(older))
+	queue.add(storeRequest{status: older})
+	queue.add(storeRequest{read: "wallet"})
+	queue.add(storeRequest{status: newer})
+	requests := queue.takeAll()
+	is.Equal(len(requests), 2)
+	is.Equal(requests[0].read, lb.ServiceName("wallet"))
+	is.Equal(requests[1].status, newer)
+	queue.requeueStatus(older) // is dropped, because there is a later status
+	is.Equal(len(queue.takeAll()), 0)
+	queue.requeueStatus(newer)
+	is.Equal(len(queue.takeAll()), 1)
+	is.True(queue.isLatestStatus(newer))
+	is.True(!queue.isLatestStatus(older))
 }
 
 func TestWriteOutcome(t *testing.T) {
--- a/internal/node/storewatch.go
+++ b/internal/node/storewatch.go
@@ -10,12 +10,12 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// storePrefix covers the services, back ends and placements, so that one
-// watch gives their changes in the order of the store's revisions.
+// storePrefix is the common prefix of services, back ends and placements. A single watch on it
+// delivers all their changes in the order of the store's revisions.
 const storePrefix = "/robinpulley/"
 
-// watchStore passes what is in the store to the publisher while this node is
-// one of the watchers, until ctx ends.
+// watchStore watches the store and passes its documents to the controller while this node is one of
+// the watchers, until ctx ends.
 func (node *Node) watchStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -32,7 +32,7 @@
 	}
 }
 
-// watchWhileWatcher returns when this node is no longer a watcher.
+// watchWhileWatcher watches the store until this node is no longer a watcher or ctx ends.
 func (node *Node) watchWhileWatcher(ctx context.Context) {
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -45,7 +45,7 @@
 				return
 			}
 			if documents := documentsOf(batch); documents != nil {
-				node.engine.documents(documents)
+				node.engine.applyDocuments(documents)
 				if node.targets.apply(documents) {
 					node.prober.SetTargets(node.targets.list())
 				}
@@ -58,9 +58,9 @@
 	}
 }
 
-// documentsOf turns a batch of the watch into an event of the publisher. It
-// gives nil where nothing that the publisher reads has changed: the reports
-// that the zones write must not count as changes.
+// documentsOf returns a batch of the watch in the form of the controller, or nil if the batch changes
+// no document that the controller reads. In particular, the status documents that the zones write
+// must not count as changes.
 func documentsOf(batch store.Batch) *controller.Documents {
 	documents := &controller.Documents{Complete: batch.Reset, Revision: batch.Revision}
 	for index := range batch.Events {
@@ -75,7 +75,7 @@
 	return documents
 }
 
-// isPublisherKey tells whether the publisher reads documents of the key.
+// isPublisherKey reports whether the controller reads the document with a key.
 func isPublisherKey(key string) bool {
 	return catalog.IsConfiguration(key) ||
 		strings.HasPrefix(key, catalog.PlacementPrefix) ||
--- a/internal/node/writecount.go
+++ b/internal/node/writecount.go
@@ -6,14 +6,13 @@
 	"robinpulley.example/robinpulley/internal/controller"
 )
 
-// writeKey labels the publisher's writes.
+// writeKey holds the labels by which writes of placements are counted.
 type writeKey struct {
 	kind    controller.Kind
 	outcome controller.WriteOutcome
 }
 
-// writeCounts counts the publisher's writes by kind and outcome. It is safe for
-// concurrent use.
+// writeCounts counts writes of placements by kind and outcome. It is safe for concurrent use.
 type writeCounts struct {
 	mutex  sync.Mutex
 	counts map[writeKey]uint64
@@ -28,16 +27,17 @@
 	writes.counts[writeKey{kind, outcome}]++
 }
 
-// each passes on every count.
-func (writes *writeCounts) each(take func(kind, outcome string, count uint64)) {
+// each calls visit with every count.
+func (writes *writeCounts) each(visit func(kind, outcome string, count uint64)) {
 	writes.mutex.Lock()
 	defer writes.mutex.Unlock()
 	for key, count := range writes.counts {
-		take(string(key.kind), outcomeName(key.outcome), count)
+		visit(string(key.kind), outcomeName(key.outcome), count)
 	}
 }
 
-// outcomeName names an outcome in metrics.
+// outcomeName returns the name of an outcome in metrics.
+
 func outcomeName(outcome controller.WriteOutcome) string {
 	switch outcome {
 	case controller.WriteDone:
--- a/internal/tokennode/engine.go
+++ b/internal/tokennode/engine.go
@@ -48,23 +48,26 @@
 	// outbox holds messages to other nodes until the mutex is released.
 	outbox []follower.Outgoing
 
-	core              *core.Core
-	coreEffects       core.Effects
-	member            *member.Core
-	memberEffects     member.Effects
-	follower          *follower.Core
-	followerEffects   follower.Effects
-	compiler          *steering.Compiler
-	table             *steering.Table // nil before the first view
-	outliers          *outlier.Core
-	outlierEffects    outlier.Effects
-	outcomes          []outlier.Outcome
-	load              *fleetload.Core
-	loadEffects       fleetload.Effects
-	loadLog           loadLog
-	treePlace         tree.Place
-	flowsRequested    map[netip.AddrPort]bool // tree neighbours to which a request for open flows was sent
-	evaluatesOutliers bool                    // this node is the root of its zone's tree, which evaluates outlier reports
+	core            *core.Core
+	coreEffects     core.Effects
+	member          *member.Core
+	memberEffects   member.Effects
+	follower        *follower.Core
+	followerEffects follower.Effects
+	compiler        *steering.Compiler
+	table           *steering.Table // nil before the first view
+	outliers        *outlier.Core
+	outlierEffects  outlier.Effects
+	outcomes        []outlier.Outcome
+	load            *fleetload.Core
+	loadEffects     fleetload.Effects
+	loadLog         loadLog
+	treePlace       tree.Place
+	// flowsRequested contains the tree neighbours to which a request for open flows was sent.
+	flowsRequested map[netip.AddrPort]bool
+	// evaluatesOutliers is set while this node is the root of its zone's tree. The root node
+	// evaluates the outcome reports of the zone.
+	evaluatesOutliers bool
 	zoneDisruption    *disruption.Zone
 	otherMembers      int // alive members, this node excluded
 	leavingMembers    int // alive members in a planned stop, this node included
@@ -294,7 +297,7 @@
 func (engine *engine) applyMembers() []follower.Peer {
 	members := engine.member.Members(nil)
 	peers := make([]follower.Peer, 0, len(members))
-	var coreMembers []core.Member // members of the local zone; with affinity token the core uses no others
+	var coreMembers []core.Member // of the local zone; with affinity token the core uses no others
 	var zoneMembers []disruption.Member
 	leaving := 0
 	for _, entry := range members {
--- a/internal/tokennode/node.go
+++ b/internal/tokennode/node.go
@@ -47,14 +47,14 @@
 	logger    zerolog.Logger
 	engine    *engine
 	endpoints lifecycle.Endpoints
-	life      *lifecycle.Life
+	lifecycle *lifecycle.Life
 
 	isOpen atomic.Bool // all endpoints are open
 	// settings are the settings in force: Options.Settings at first, then the last ones that were
 	// reloaded.
 	settings   atomic.Pointer[config.Settings]
 	queueMutex sync.Mutex    // serializes steps of the admission queue
-	notReady   atomic.Bool   // set during a planned stop, so that routers stop sending packets to this node
+	notReady   atomic.Bool   // set during a planned stop: routers must not send packets any more
 	reload     chan struct{} // holds one element while a request is pending
 	background sync.WaitGroup
 }
@@ -62,10 +62,10 @@
 // New creates a balancer and opens its endpoints. The caller must call Run, which closes them.
 func New(options Options) (*Node, error) {
 	node := &Node{
-		options: options,
-		logger:  options.Logger,
-		life:    lifecycle.New(options.Logger),
-		reload:  make(chan struct{}, 1),
+		options:   options,
+		logger:    options.Logger,
+		lifecycle: lifecycle.New(options.Logger),
+		reload:    make(chan struct{}, 1),
 	}
 	node.settings.Store(options.Settings)
 	started := time.Now()
@@ -134,7 +134,7 @@
 }
 
 // Stop starts a planned stop. Run returns when the stop is finished.
-func (node *Node) Stop() { node.life.Stop() }
+func (node *Node) Stop() { node.lifecycle.Stop() }
 
 // Reload requests a reload of the settings. It does not wait for it.
 func (node *Node) Reload() {
@@ -167,9 +167,9 @@
 	node.background.Go(func() { node.joinSeeds(running) })
 	node.background.Go(func() { node.logFaultsUntil(running) })
 	select {
-	case <-node.life.Stopping():
+	case <-node.lifecycle.Stopping():
 	case <-ctx.Done():
-		return node.life.StoppedAtOnce()
+		return node.lifecycle.StoppedAtOnce()
 	}
 	return node.runPlannedStop(ctx)
 }
@@ -186,7 +186,7 @@
 	case <-time.After(firstViewTimeout):
 	case <-ctx.Done():
 	}
-	node.life.Failed(node.endpoints.Plane.Run(ctx))
+	node.lifecycle.Failed(node.endpoints.Plane.Run(ctx))
 }
 
 // readStore executes the calls to the store that the follower requests, until ctx ends.
--- a/internal/tokennode/outliers.go
+++ b/internal/tokennode/outliers.go
@@ -39,7 +39,8 @@
 }
 
 // updateOutlierServices passes the ready back ends of each service to outlier detection, if this
-// node evaluates the outlier reports of its zone.
+// node evaluates the outcome reports of its zone.
+
 func (engine *engine) updateOutlierServices() {
 	if !engine.evaluatesOutliers || engine.table == nil {
 		return
--- a/internal/tokennode/platform_test.go
+++ b/internal/tokennode/platform_test.go
@@ -201,9 +201,9 @@
 	_, body := testbed.get(index, "/metrics")
 	for line := range strings.Lines(body) {
 		if count, found := strings.CutPrefix(line, name); found {
-			count, err := strconv.Atoi(strings.TrimSpace(count))
+			flows, err := strconv.Atoi(strings.TrimSpace(count))
 			is.New(testbed.t).NoErr(err)
-			return count
+			return flows
 		}
 	}
 	return 0
--- a/internal/tokennode/stop.go
+++ b/internal/tokennode/stop.go
@@ -29,7 +29,7 @@
 // reports that it is not ready, goes on serving until the routers no longer send packets to it, and
 // stops.
 func (node *Node) runPlannedStop(ctx context.Context) error {
-	node.life.Log(logging.EventStopping)
+	node.lifecycle.Log(logging.EventStopping)
 	node.engine.announceLeave()
 	started := time.Now()
 	timings := &node.settings.Load().Timings
@@ -73,7 +73,7 @@
 	for !holds() {
 		select {
 		case <-ctx.Done():
-			return node.life.StoppedAtOnce()
+			return node.lifecycle.StoppedAtOnce()
 		case <-ticker.C:
 		}
 	}
@@ -85,5 +85,5 @@
 	node.stepQueue(&core.Event{CloseQueue: true})
 	node.engine.announceStop()
 	time.Sleep(finalSendTime)
-	node.life.Stopped(reason)
+	node.lifecycle.Stopped(reason)
 }
