--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -44,14 +44,14 @@
 	if err != nil {
 		return nil, err
 	}
-	controllerSettings := controllerSettings(settings, incarnation)
-	controllerSettings.InForce = gossipCore.Placement
+	publisherSettings := controllerSettings(settings, incarnation)
+	publisherSettings.InForce = gossipCore.Placement
 	return &engine{
 		settings:       settings,
 		logger:         logger,
 		core:           core.New(coreSettings(settings)),
 		member:         membership,
-		controller:     controller.New(controllerSettings),
+		controller:     controller.New(publisherSettings),
 		storeRequests:  newStoreRequestQueue(),
 		openings:       newOpeningMonitor(),
 		gossip:         gossipCore,
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -117,8 +117,8 @@
 	present := make(map[lb.NodeID]bool, len(members))
 	for _, entry := range members {
 		present[entry.ID] = true
-		known, found := engine.directory.member(entry.ID)
-		if !found || known.Leaving != entry.Leaving {
+		previous, found := engine.directory.member(entry.ID)
+		if !found || previous.Leaving != entry.Leaving {
 			engine.logMember(&entry, stateOf(&entry))
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -119,7 +119,7 @@
 
 // waitUntil waits for a condition. The time limit is far above the expected time and only ends a test
 // that hangs.
-func (fleet *fleet) waitUntil(what string, condition func() bool) {
+func (fleet *fleet) waitUntil(description string, condition func() bool) {
 	fleet.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !condition() {
@@ -127,7 +127,7 @@
 			for _, member := range fleet.nodes {
 				fleet.t.Logf("%+v", member.State())
 			}
-			fleet.t.Fatalf("condition not met: %s", what)
+			fleet.t.Fatalf("condition not met: %s", description)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/node/openingmonitor.go
+++ b/internal/node/openingmonitor.go
@@ -65,8 +65,8 @@
 		return
 	}
 	key := openingKey{flow: packet.Key.ID(), id: packet.OpeningID}
-	if known := monitor.monitored[key]; known != nil {
-		known.retransmitted = known.retransmitted || now-known.forwardedAt >= minRetransmitInterval
+	if existing := monitor.monitored[key]; existing != nil {
+		existing.retransmitted = existing.retransmitted || now-existing.forwardedAt >= minRetransmitInterval
 		return
 	}
 	if len(monitor.byAge) >= maxMonitoredOpenings {
--- a/internal/tokennode/decisionlog_test.go
+++ b/internal/tokennode/decisionlog_test.go
@@ -56,9 +56,9 @@
 }
 
 // openingPacket returns the opening packet of flow number.
-func openingPacket(number int, front netip.AddrPort) *core.Packet {
+func openingPacket(number int, frontend netip.AddrPort) *core.Packet {
 	client := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(number >> 16), byte(number >> 8)}), uint16(1024+number&0xff))
-	return &core.Packet{Key: lb.NewFlowKey(client, front, lb.TCP), Kind: core.PacketOpening, OpeningID: uint32(number)}
+	return &core.Packet{Key: lb.NewFlowKey(client, frontend, lb.TCP), Kind: core.PacketOpening, OpeningID: uint32(number)}
 }
 
 // countingWriter counts lines.
@@ -80,12 +80,12 @@
 	before := writer.lines.Load()
 	for number := range seconds * perSecond {
 		now = time.Duration(number) * time.Second / perSecond
-		front := testFrontend
+		frontend := testFrontend
 		if number%2 == 0 {
-			front = unknownFrontend
+			frontend = unknownFrontend
 		}
-		decision := e.decide(openingPacket(number, front))
-		is.Equal(decision.Action == core.ActionRefuse, front == unknownFrontend)
+		decision := e.decide(openingPacket(number, frontend))
+		is.Equal(decision.Action == core.ActionRefuse, frontend == unknownFrontend)
 	}
 	written := writer.lines.Load() - before
 	// No back end answers, so that they become unresponsive. Each such change writes a line, too.
--- a/internal/tokennode/fleetloadlog.go
+++ b/internal/tokennode/fleetloadlog.go
@@ -30,8 +30,8 @@
 // loadInputs holds the inputs from which zone weights and admission rates are computed. Amounts
 // are in slots, for the local zone and for the sum of all other zones.
 type loadInputs struct {
-	// known reports whether recent load data on the service exists, and age is the age of the data.
-	known                    bool
+	// hasLoad reports whether recent load data on the service exists, and age is the age of the data.
+	hasLoad                  bool
 	age                      time.Duration
 	demand, demandOthers     float64
 	refused                  float64 // sum over all zones
@@ -40,7 +40,7 @@
 
 // inputsOf sums up the load data on a service, which is nil if there is none, and the capacity of
 // the service's ready back ends.
-func inputsOf(now time.Duration, zone lb.Zone, known *fleetload.Service, capacity map[lb.Zone]float64) loadInputs {
+func inputsOf(now time.Duration, zone lb.Zone, load *fleetload.Service, capacity map[lb.Zone]float64) loadInputs {
 	var inputs loadInputs
 	for name, slots := range capacity {
 		if name == zone {
@@ -49,13 +49,13 @@
 			inputs.capacityOthers += slots
 		}
 	}
-	if known == nil {
+	if load == nil {
 		return inputs
 	}
-	inputs.known = true
-	inputs.age = max(0, now-known.SummedAt)
-	for index := range known.Zones {
-		from := &known.Zones[index]
+	inputs.hasLoad = true
+	inputs.age = max(0, now-load.SummedAt)
+	for index := range load.Zones {
+		from := &load.Zones[index]
 		if from.Zone == zone {
 			inputs.demand = from.Demand()
 		} else {
@@ -71,7 +71,7 @@
 // write adds the inputs to a log line.
 func (inputs *loadInputs) write(line *zerolog.Event) *zerolog.Event {
 	line = line.Float64(logging.FieldCapacity, inputs.capacity).Float64(logging.FieldCapacityOthers, inputs.capacityOthers)
-	if !inputs.known {
+	if !inputs.hasLoad {
 		return line
 	}
 	return line.Float64(logging.FieldAsked, inputs.demand).
@@ -136,8 +136,8 @@
 	if found := engine.table.ServiceNamed(service); found != nil {
 		capacity = found.Capacity()
 	}
-	if known, found := engine.load.Services()[service]; found {
-		return inputsOf(engine.lastStep, engine.settings.Zone, &known, capacity)
+	if load, found := engine.load.Services()[service]; found {
+		return inputsOf(engine.lastStep, engine.settings.Zone, &load, capacity)
 	}
 	return inputsOf(engine.lastStep, engine.settings.Zone, nil, capacity)
 }
--- a/internal/tokennode/loadreport.go
+++ b/internal/tokennode/loadreport.go
@@ -41,10 +41,10 @@
 	}
 	for name, service := range engine.table.Services() {
 		reported := loadreport.Service{Service: name, Zones: zonesOf(service, zoneWeights[name])}
-		if known, found := engine.load.Services()[name]; found {
+		if load, found := engine.load.Services()[name]; found {
 			reported.Known = true
-			reported.AgeMillis = max(0, engine.now()-known.SummedAt).Milliseconds()
-			addFleetLoad(&reported, &known)
+			reported.AgeMillis = max(0, engine.now()-load.SummedAt).Milliseconds()
+			addFleetLoad(&reported, &load)
 		}
 		addOverload(&reported, overloadStatus[name])
 		addQueued(&reported, heldByLevel)
@@ -64,9 +64,9 @@
 }
 
 // addFleetLoad adds the fleet's load data on a service. It also adds zones without back ends.
-func addFleetLoad(reported *loadreport.Service, known *fleetload.Service) {
-	for index := range known.Zones {
-		from := &known.Zones[index]
+func addFleetLoad(reported *loadreport.Service, load *fleetload.Service) {
+	for index := range load.Zones {
+		from := &load.Zones[index]
 		at := slices.IndexFunc(reported.Zones, func(zone loadreport.Zone) bool { return zone.Zone == from.Zone })
 		if at < 0 {
 			at = len(reported.Zones)
@@ -94,7 +94,7 @@
 		if level.Service != reported.Service {
 			continue
 		}
-		at := slices.IndexFunc(reported.Levels, func(known loadreport.Admission) bool { return known.Priority == level.Priority })
+		at := slices.IndexFunc(reported.Levels, func(admission loadreport.Admission) bool { return admission.Priority == level.Priority })
 		if at < 0 {
 			at = len(reported.Levels)
 			reported.Levels = append(reported.Levels, loadreport.Admission{Priority: level.Priority, Rate: 1})
--- a/internal/tokennode/node.go
+++ b/internal/tokennode/node.go
@@ -241,14 +241,14 @@
 // not accepted since the last call. Without these lines, a limit that delays updates between nodes
 // would go unnoticed.
 func (node *Node) logControlFaults(reported map[transport.Fault]uint64) {
-	for _, known := range node.endpoints.Transport.Counters().Faults {
-		if count := known.Count - reported[known.Fault]; count > 0 {
+	for _, faultCount := range node.endpoints.Transport.Counters().Faults {
+		if count := faultCount.Count - reported[faultCount.Fault]; count > 0 {
 			node.logger.Warn().
 				Str(logging.FieldEvent, string(logging.EventControlFaults)).
-				Str("fault", string(known.Fault)).
+				Str("fault", string(faultCount.Fault)).
 				Uint64("count", count).
 				Send()
-			reported[known.Fault] = known.Count
+			reported[faultCount.Fault] = faultCount.Count
 		}
 	}
 }
--- a/internal/tokennode/platform_test.go
+++ b/internal/tokennode/platform_test.go
@@ -156,15 +156,15 @@
 // openWhileStalled opens flows at other hosts while a stalled host holds an earlier copy of each
 // flow's opening, and waits until all nodes track the flows. resume ends the stall and waits until
 // the host has answered the copies.
-func (testbed *testbed) openWhileStalled(front netip.AddrPort) (flows []openFlow, resume func()) {
+func (testbed *testbed) openWhileStalled(frontend netip.AddrPort) (flows []openFlow, resume func()) {
 	testbed.t.Helper()
 	const count = 3
 	stalled := testbed.hosts[0]
 	before := stalled.Counts().Openings
-	end := sync.OnceFunc(stalled.Stall())
-	testbed.t.Cleanup(end) // runs before the host is closed
+	endStall := sync.OnceFunc(stalled.Stall())
+	testbed.t.Cleanup(endStall) // runs before the host is closed
 	testbed.waitUntil("flows are open while the stalled host holds an earlier copy of their openings", func() bool {
-		flow := testbed.openFlows(front, 1)[0]
+		flow := testbed.openFlows(frontend, 1)[0]
 		if testbed.maxTracked() == len(flows) {
 			return false
 		}
@@ -180,7 +180,7 @@
 		return len(flows) == count
 	})
 	return flows, func() {
-		end()
+		endStall()
 		testbed.waitUntil("the host has answered", func() bool { return stalled.Counts().Openings >= before+count })
 	}
 }
@@ -213,6 +213,6 @@
 // the test covers a late answer.
 func (testbed *testbed) checkAcceptedTwice(flows []openFlow) {
 	testbed.t.Helper()
-	twice := slices.ContainsFunc(flows, func(flow openFlow) bool { return len(flow.Accepting) > 1 })
-	is.New(testbed.t).True(twice)
+	acceptedTwice := slices.ContainsFunc(flows, func(flow openFlow) bool { return len(flow.Accepting) > 1 })
+	is.New(testbed.t).True(acceptedTwice)
 }
--- a/internal/tokennode/testbed_test.go
+++ b/internal/tokennode/testbed_test.go
@@ -206,23 +206,23 @@
 	testbed.version++
 	document := map[string]any{"version": testbed.version, "limits": map[string]any{"idle_timeout_ms": 15000}}
 	var list []any
-	for front, service := range routes {
+	for frontend, service := range routes {
 		list = append(list, map[string]any{
-			"name": "r", "hostname": front.Addr().String(), "path_prefix": fmt.Sprintf("/%d/", front.Port()), "service": service,
+			"name": "r", "hostname": frontend.Addr().String(), "path_prefix": fmt.Sprintf("/%d/", frontend.Port()), "service": service,
 		})
 	}
 	document["routes"] = list
 	testbed.store.Put("op/config", document)
 }
 
-func (testbed *testbed) waitUntil(what string, condition func() bool) {
+func (testbed *testbed) waitUntil(description string, condition func() bool) {
 	testbed.t.Helper()
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	testbed.t.Fatalf("condition not met within %s: %s", waitTimeout, what)
+	testbed.t.Fatalf("condition not met within %s: %s", waitTimeout, description)
 }
 
 func (testbed *testbed) get(index int, path string) (int, string) {
@@ -278,12 +278,12 @@
 	host string
 }
 
-func (testbed *testbed) openFlows(front netip.AddrPort, count int) []openFlow {
+func (testbed *testbed) openFlows(frontend netip.AddrPort, count int) []openFlow {
 	testbed.t.Helper()
 	is := is.New(testbed.t)
 	flows := make([]openFlow, count)
 	for index := range flows {
-		flow, err := testbed.client.Open(front)
+		flow, err := testbed.client.Open(frontend)
 		is.NoErr(err)
 		flows[index] = openFlow{flow, testbed.request(flow, "")}
 	}
--- a/internal/tokennode/valuelog_test.go
+++ b/internal/tokennode/valuelog_test.go
@@ -75,7 +75,7 @@
 	}}
 	capacity := map[lb.Zone]float64{"za": 10, "zb": 12, "zc": 8}
 	is.Equal(inputsOf(1200*time.Millisecond, "za", &known, capacity), loadInputs{
-		known: true, age: 300 * time.Millisecond, demand: 21, demandOthers: 7, refused: 6, capacity: 10, capacityOthers: 20,
+		hasLoad: true, age: 300 * time.Millisecond, demand: 21, demandOthers: 7, refused: 6, capacity: 10, capacityOthers: 20,
 	})
 	is.Equal(inputsOf(0, "zb", nil, capacity), loadInputs{capacity: 12, capacityOthers: 18})
 }
