--- a/cmd/robinctl/exit.go
+++ b/cmd/robinctl/exit.go
@@ -35,7 +35,7 @@
 		return exitConflict
 	case errors.Is(err, operator.ErrBadInput), errors.Is(err, operator.ErrNotFound):
 		return exitBadInput
-	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrThrottled), errors.Is(err, operator.ErrNoAnswer):
+	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrThrottled), errors.Is(err, operator.ErrNoResponse):
 		return exitUnavailable
 	}
 	return exitFailed
--- a/cmd/robinctl/print.go
+++ b/cmd/robinctl/print.go
@@ -76,7 +76,7 @@
 		fmt.Fprintf(table, "last change: revision %d\n\n", status.LastChange)
 		fmt.Fprintln(table, "ZONE\tIN FORCE\tNODES\tBEHIND\tREPORT AGE\tREPORT")
 		for _, zone := range status.Zones {
-			fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d ms\t%s\n", zone.Zone, zone.ConfigRevision, zone.Nodes, zone.Behind,
+			fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d ms\t%s\n", zone.Zone, zone.ConfigRevision, zone.Nodes, zone.NodesBehind,
 				zone.AgeMillis, freshness(zone.Fresh))
 		}
 		if len(status.Evacuated) > 0 {
@@ -94,7 +94,7 @@
 	})
 }
 
-func (printer *printer) inForce(result *operator.InForce) error {
+func (printer *printer) inForce(result *operator.WaitResult) error {
 	return printer.print(result, func(table io.Writer) {
 		fmt.Fprintf(table, "revision %d is in force in %s\n", result.Revision, joinZones(result.Zones))
 		if len(result.Stale) > 0 {
--- a/cmd/robinpulley/commands.go
+++ b/cmd/robinpulley/commands.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	output := logging.NonBlocking(os.Stdout, func(lines int) {
+	output := logging.NewNonBlockingWriter(os.Stdout, func(lines int) {
 		fmt.Fprintf(os.Stderr, "robinpulley: %d log lines dropped\n", lines)
 	})
 	defer output.Close() // writes what waits; there is nobody to tell of an error
--- a/cmd/robinpulley/main.go
+++ b/cmd/robinpulley/main.go
@@ -71,7 +71,7 @@
 	switch {
 	case errors.Is(err, os.ErrNotExist), errors.Is(err, os.ErrPermission):
 		return exitBadSettings
-	case errors.Is(err, lb.ErrStoppedAtOnce):
+	case errors.Is(err, lb.ErrStoppedImmediately):
 		return exitStoppedAtOnce
 	}
 	return exitFailed
--- a/internal/catalog/derive.go
+++ b/internal/catalog/derive.go
@@ -26,9 +26,9 @@
 	Presence Presence
 	Service  Service          // valid only if Presence is Present
 	Backends []DesiredBackend // sorted by name; valid only if Presence is Present
-	// Unknown lists, in sorted order, the back ends that have a document of which no valid version
+	// UnknownBackends lists, in sorted order, the back ends that have a document of which no valid version
 	// has been read. If they are in the placement, they must stay there unchanged.
-	Unknown []lb.BackendName
+	UnknownBackends []lb.BackendName
 }
 
 // Desired returns the desired state of the named service.
@@ -39,7 +39,7 @@
 	}
 	entry := index.services[name]
 	desired.Service = entry.service
-	desired.Unknown = index.unknownBackends()
+	desired.UnknownBackends = index.unknownBackends()
 	desired.Backends = make([]DesiredBackend, 0, len(entry.backends))
 	for _, backend := range slices.Sorted(maps.Keys(entry.backends)) {
 		document := index.backends[backend].backend
--- a/internal/catalog/index_test.go
+++ b/internal/catalog/index_test.go
@@ -143,7 +143,7 @@
 	affected, err := index.PutDocument(BackendKey("b2"), []byte(`{}`))
 	is.True(err != nil)
 	is.Equal(affected, []lb.ServiceName{"s1"})
-	is.Equal(index.Desired("s1").Unknown, []lb.BackendName{"b2"}) // never valid, so its placement must not change
+	is.Equal(index.Desired("s1").UnknownBackends, []lb.BackendName{"b2"}) // never valid, so its placement must not change
 	_, err = index.PutDocument(ServiceKey("s2"), []byte(`{}`))
 	is.True(err != nil)
 	is.Equal(index.Desired("s2").Presence, Unknown) // not Absent, because the service must not be deleted
--- a/internal/catalog/types.go
+++ b/internal/catalog/types.go
@@ -57,6 +57,6 @@
 	// in force at every live node of the zone.
 	ConfigRevision int64 `json:"config_revision"`
 	Nodes          int   `json:"nodes"`
-	Behind         int   `json:"behind"`
+	NodesBehind    int   `json:"behind"`
 	UnixMillis     int64 `json:"unix_ms"`
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -40,7 +40,7 @@
 		Region:               raw.Region,
 		Affinity:             checker.affinity("affinity", raw.Affinity),
 		Admission:            checker.admission("admission", raw.Admission),
-		Waiting:              checker.admissionQueue("waiting", raw.AdmissionQueue),
+		AdmissionQueue:       checker.admissionQueue("waiting", raw.AdmissionQueue),
 		DataAddress:          checker.address("data_address", raw.DataAddress),
 		ControlAddress:       checker.address("control_address", raw.ControlAddress),
 		AdminAddress:         checker.address("admin_address", raw.AdminAddress),
@@ -136,13 +136,13 @@
 }
 
 // admissionQueue checks the mode of the admission queue.
-func (checker *checker) admissionQueue(field, value string) Waiting {
-	switch mode := Waiting(value); mode {
-	case WaitingPriority, WaitingOff:
+func (checker *checker) admissionQueue(field, value string) AdmissionQueue {
+	switch mode := AdmissionQueue(value); mode {
+	case AdmissionQueuePriority, AdmissionQueueOff:
 		return mode
 	}
-	checker.addProblem(field, value, "is neither %s nor %s", WaitingPriority, WaitingOff)
-	return WaitingOff
+	checker.addProblem(field, value, "is neither %s nor %s", AdmissionQueuePriority, AdmissionQueueOff)
+	return AdmissionQueueOff
 }
 
 // admission checks the mode of admission control.
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -84,7 +84,7 @@
 	return document{
 		Affinity:       string(core.AffinityChain),
 		Admission:      string(AdmissionAdaptive),
-		AdmissionQueue: string(WaitingPriority),
+		AdmissionQueue: string(AdmissionQueuePriority),
 		AdminAddress:   DefaultAdminAddress,
 		LogLevel:       DefaultLogLevel,
 		Limits: limitsDocument{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,9 +21,9 @@
 	Affinity core.Affinity
 	// Admission is the mode of admission control for openings under overload (AffinityToken).
 	Admission Admission
-	// Waiting is the mode of the admission queue for openings that are not admitted at once
+	// AdmissionQueue is the mode of the admission queue for openings that are not admitted at once
 	// (AffinityToken).
-	Waiting Waiting
+	AdmissionQueue AdmissionQueue
 
 	// DataAddress is the endpoint for Geneve over UDP from the fabric and from peers.
 	DataAddress netip.AddrPort
@@ -62,16 +62,16 @@
 	AdmissionOff Admission = "off"
 )
 
-// Waiting is the mode of the admission queue, for openings that find no spare capacity.
-type Waiting string
+// AdmissionQueue is the mode of the admission queue, for openings that find no spare capacity.
+type AdmissionQueue string
 
 // The modes of the admission queue.
 const (
-	// WaitingPriority queues the first copy of an opening for a fraction of its objective's target
+	// AdmissionQueuePriority queues the first copy of an opening for a fraction of its objective's target
 	// time, in the order of priorities; see package admissionqueue.
-	WaitingPriority Waiting = "priority"
-	// WaitingOff refuses such openings at once.
-	WaitingOff Waiting = "off"
+	AdmissionQueuePriority AdmissionQueue = "priority"
+	// AdmissionQueueOff refuses such openings at once.
+	AdmissionQueueOff AdmissionQueue = "off"
 )
 
 // Limits bounds the rate at which the balancer sends.
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -134,8 +134,8 @@
 	// WriteUnknown means that the response was lost: the write may have taken effect, or may still
 	// take effect.
 	WriteUnknown
-	// WriteNotRun means that the write was not sent to the store and had no effect.
-	WriteNotRun
+	// WriteNotSent means that the write was not sent to the store and had no effect.
+	WriteNotSent
 )
 
 // WriteResult is the outcome of one Write.
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -123,7 +123,7 @@
 		presence:       desired.Presence,
 		frontends:      desired.Service.Frontends,
 		opensPerSecond: desired.Service.OpensPerSecond,
-		invalid:        desired.Unknown,
+		invalid:        desired.UnknownBackends,
 	}
 	for index := range desired.Backends {
 		backend := &desired.Backends[index]
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -70,7 +70,7 @@
 		Writer:         c.settings.Self,
 		ConfigRevision: report.ConfigRevision,
 		Nodes:          report.Nodes,
-		Behind:         report.Behind,
+		NodesBehind:    report.Behind,
 	}
 	wait := c.settings.StatusInterval
 	if status == c.status.last {
--- a/internal/controller/writes.go
+++ b/internal/controller/writes.go
@@ -61,7 +61,7 @@
 		c.finishWrite(s)
 		c.adopt(s, written, modRevision)
 		c.scheduleNow(s)
-	case WriteNotRun:
+	case WriteNotSent:
 		c.finishWrite(s)
 		c.delayRetry(s)
 	default:
--- a/internal/core/head.go
+++ b/internal/core/head.go
@@ -195,8 +195,8 @@
 	relay.Version = handler.service.table.Version()
 	relay.Proposal = chosen.backend
 	relay.Refuse = chosen.refuse
-	relay.Known = chosen.confirmed
-	relay.Vouched = core.vouches(handler.service, handler.group)
+	relay.FromRecord = chosen.confirmed
+	relay.HeadComplete = core.vouches(handler.service, handler.group)
 	relay.Rerouted = false
 	handler.relay(handler.group.chain.tail, relay)
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -60,7 +60,7 @@
 		head.Step(2*time.Second, &Event{Members: remaining}, &effects)
 		is.True(decideAt(head, 2*time.Second, opening).Peer != proposed.Peer) // the next tail may forward the opening
 		late := opening
-		late.Relay = lb.Relay{Hop: lb.HopReturn, Known: true, Proposal: head.services[testService].table.Base(key.ID().Bucket())}
+		late.Relay = lb.Relay{Hop: lb.HopReturn, FromRecord: true, Proposal: head.services[testService].table.Base(key.ID().Bucket())}
 		is.True(late.Relay.Proposal != proposed.Relay.Proposal)
 		is.Equal(decideAt(head, 2*time.Second, late).Action == ActionDrop, !disabled.noDropOfReturn)
 	}
@@ -212,7 +212,7 @@
 		flow := message.FlowRecord{Flow: key.ID(), Backend: proposed.Relay.Proposal, OpeningID: 7}
 		deliver(head, time.Second, proposed.Peer, message.Pins{Service: testService, Confirm: true, Flows: []message.FlowRecord{flow}})
 		late := opening
-		late.Relay = lb.Relay{Hop: lb.HopReturn, Known: true, Proposal: head.services[testService].table.Base(key.ID().Bucket())}
+		late.Relay = lb.Relay{Hop: lb.HopReturn, FromRecord: true, Proposal: head.services[testService].table.Base(key.ID().Bucket())}
 		is.Equal(decideAt(head, time.Second, late).Action == ActionDrop, !disabled.noDropOfReturn)
 	}
 }
--- a/internal/core/tail.go
+++ b/internal/core/tail.go
@@ -8,7 +8,7 @@
 // precedence over the proposal, unless the record is unconfirmed and the proposal is confirmed.
 func (handler *packetHandler) handleAsTail() {
 	relay := &handler.packet.Relay
-	proposed := proposal{backend: relay.Proposal, refuse: relay.Refuse, confirmed: relay.Known}
+	proposed := proposal{backend: relay.Proposal, refuse: relay.Refuse, confirmed: relay.FromRecord}
 	if handler.isOpening() {
 		handler.handleOpeningAsTail(proposed)
 		return
@@ -62,7 +62,7 @@
 	core, relay := handler.core, &handler.packet.Relay
 	head := handler.group.chain.head
 	if head == nil || head == core.self {
-		handler.applyFinalAnswer(answer, relay.Vouched)
+		handler.applyFinalAnswer(answer, relay.HeadComplete)
 		return
 	}
 	differs := answer.backend != relay.Proposal || answer.refuse != relay.Refuse
@@ -71,7 +71,7 @@
 		handler.returnToHead(head, answer)
 		return
 	}
-	handler.applyFinalAnswer(answer, relay.Vouched)
+	handler.applyFinalAnswer(answer, relay.HeadComplete)
 	handler.sendConfirmation(head)
 }
 
@@ -83,8 +83,8 @@
 	relay.Version = handler.service.table.Version()
 	relay.Proposal = answer.backend
 	relay.Refuse = answer.refuse
-	relay.Known = true
-	relay.Vouched = relay.Vouched || core.vouches(handler.service, handler.group)
+	relay.FromRecord = true
+	relay.HeadComplete = relay.HeadComplete || core.vouches(handler.service, handler.group)
 	core.stats.Returned++
 	handler.relay(head, relay)
 }
@@ -97,7 +97,7 @@
 		handler.drop(ReasonViewsDiffer)
 		return
 	}
-	handler.applyFinalAnswer(proposal{backend: relay.Proposal, refuse: relay.Refuse}, relay.Vouched)
+	handler.applyFinalAnswer(proposal{backend: relay.Proposal, refuse: relay.Refuse}, relay.HeadComplete)
 	if entry := handler.record(); entry != nil {
 		handler.pinIngress(relay, entry)
 	}
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -23,7 +23,7 @@
 			received := testbed.host.receive()
 			is.Equal(received.Inner, inner)
 			is.Equal(received.VNI, uint32(testVNI))
-			is.True(!received.Relayed())
+			is.True(!received.IsRelayed())
 			counters := testbed.stop(t)
 			is.Equal(counters.FromFabric, uint64(1))
 			is.Equal(counters.Forwarded, uint64(1))
@@ -43,7 +43,7 @@
 
 func TestRelay(t *testing.T) {
 	is := is.New(t)
-	relay := lb.Relay{Hop: lb.HopTail, Ingress: 5, Version: 6, Proposal: 7, Vouched: true}
+	relay := lb.Relay{Hop: lb.HopTail, Ingress: 5, Version: 6, Proposal: 7, HeadComplete: true}
 	testbed := startPlane(t, loopback, func(_ *testbed, input *core.Packet) core.Decision {
 		if input.Relay.Hop != lb.HopHead {
 			t.Errorf("core received hop %d", input.Relay.Hop)
@@ -71,7 +71,7 @@
 	received := testbed.fabric.receive()
 	is.Equal(received.Refusal, refusal)
 	is.Equal(received.Destination(), caller)
-	is.True(received.Reset())
+	is.True(received.IsReset())
 	counters := testbed.stop(t)
 	is.Equal(counters.Refused, uint64(1))
 	is.Equal(counters.Reasons, []ReasonCount{{core.ActionRefuse, core.ReasonAdmission, 1}})
--- a/internal/fleetload/core.go
+++ b/internal/fleetload/core.go
@@ -196,7 +196,7 @@
 		}
 		return
 	}
-	if state.Sender == c.lastState.Sender && state.Number <= c.lastState.Number {
+	if state.Sender == c.lastState.Sender && state.Sequence <= c.lastState.Sequence {
 		return
 	}
 	c.lastState = *state
@@ -259,7 +259,7 @@
 			continue
 		}
 		work := pending.message(service)
-		work.Echo = !nearLimit
+		work.Solicited = !nearLimit
 		services = append(services, work)
 	}
 	clear(c.pending)
@@ -326,7 +326,7 @@
 			for _, answers := range state.work[name].Answers {
 				if answers.Zone == zone.Zone {
 					count += fromThousandths(answers.Count)
-					logs += fromThousandths(answers.Logs)
+					logs += fromThousandths(answers.LogLoadSum)
 					rejected += fromThousandths(answers.Rejected)
 				}
 			}
--- a/internal/fleetload/cost_test.go
+++ b/internal/fleetload/cost_test.go
@@ -33,7 +33,7 @@
 		}
 		for zone := range answering {
 			work[index].Answers = append(work[index].Answers, message.ZoneAnswers{
-				Zone: fleetZone(zone), Count: random.IntN(90_000), Logs: random.IntN(60_000),
+				Zone: fleetZone(zone), Count: random.IntN(90_000), LogLoadSum: random.IntN(60_000),
 			})
 		}
 	}
@@ -67,13 +67,13 @@
 	perSecond := 1 / settings.Window.Seconds()
 	report := float64(encodedSize(t, message.LoadReport{Services: randomWork(random, services, fleetZones)}))
 	own := message.ZoneWork{Zone: fleetZone(0), AgeMillis: 100, Services: randomWork(random, services, fleetZones)}
-	between := float64(encodedSize(t, message.LoadState{Sender: "front-region-1-zone-a-17", Number: 12345, Zones: []message.ZoneWork{own}}))
+	between := float64(encodedSize(t, message.LoadState{Sender: "front-region-1-zone-a-17", Sequence: 12345, Zones: []message.ZoneWork{own}}))
 	var zones []message.ZoneWork
 	for zone := range fleetZones {
 		// The answers of a zone's back ends are combined into one entry.
 		zones = append(zones, message.ZoneWork{Zone: fleetZone(zone), AgeMillis: 140, Services: randomWork(random, services, 1)})
 	}
-	down := float64(encodedSize(t, message.LoadState{Sender: "front-region-1-zone-a-17", Number: 12345, Zones: zones}))
+	down := float64(encodedSize(t, message.LoadState{Sender: "front-region-1-zone-a-17", Sequence: 12345, Zones: zones}))
 	levels := []treeLevel{{name: "root", nodes: 1}, {name: "inner", nodes: 8}, {name: "leaf", nodes: fleetZoneNodes - 9}}
 	for index := range levels {
 		l := &levels[index]
@@ -118,7 +118,7 @@
 	for zone := range fleetZones {
 		zones = append(zones, message.ZoneWork{Zone: fleetZone(zone), AgeMillis: 140, Services: randomWork(random, 4, 1)})
 	}
-	line, err := message.Encode(nil, "front-region-1-zone-a-17", message.LoadState{Sender: "front-region-1-zone-a-17", Number: 12345, Zones: zones})
+	line, err := message.Encode(nil, "front-region-1-zone-a-17", message.LoadState{Sender: "front-region-1-zone-a-17", Sequence: 12345, Zones: zones})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/fleetload/root.go
+++ b/internal/fleetload/root.go
@@ -33,7 +33,7 @@
 	c.root.publishing = len(own.Services) > 0
 	c.updateZone(&own)
 	c.root.number++
-	state := message.LoadState{Sender: c.settings.Self, Number: c.root.number, Zones: []message.ZoneWork{own}}
+	state := message.LoadState{Sender: c.settings.Self, Sequence: c.root.number, Zones: []message.ZoneWork{own}}
 	c.send(c.place.Heads, state, effects)
 	c.updateServices(effects)
 	state.Zones = c.allZoneWork()
@@ -64,7 +64,7 @@
 	echoed := make(map[lb.ServiceName]bool)
 	for zone, state := range c.zones {
 		for service, work := range state.work {
-			if zone != c.settings.Zone && !work.Echo {
+			if zone != c.settings.Zone && !work.Solicited {
 				echoed[service] = true
 			}
 		}
@@ -101,7 +101,7 @@
 		if rate := c.root.rates[service]; rate != nil {
 			work = rate.message(service)
 		}
-		work.Echo = echo
+		work.Solicited = echo
 		own.Services = append(own.Services, work)
 	}
 	own.Services = topByWork(own.Services, c.settings.MaxServices)
@@ -137,7 +137,7 @@
 		}
 		answers := message.ZoneAnswers{Zone: zone, Count: toThousandths(of.Answers), Rejected: toThousandths(of.Rejected)}
 		if of.Answers > 0 {
-			answers.Logs = toThousandths(of.Answers * math.Log(of.Load))
+			answers.LogLoadSum = toThousandths(of.Answers * math.Log(of.Load))
 		}
 		return []message.ZoneAnswers{answers}
 	}
--- a/internal/fleetload/sums.go
+++ b/internal/fleetload/sums.go
@@ -52,7 +52,7 @@
 // addWork adds the report of a node below in the tree.
 func (s *sums) addWork(reported *message.ServiceWork) {
 	s.fromChildren = true
-	s.nearLimit = s.nearLimit || !reported.Echo
+	s.nearLimit = s.nearLimit || !reported.Solicited
 	for _, level := range reported.Levels {
 		s.addLevel(Level{
 			Priority: level.Priority, Begun: fromThousandths(level.Begun), Refused: fromThousandths(level.Refused),
@@ -60,7 +60,7 @@
 	}
 	for _, answers := range reported.Answers {
 		s.addAnswers(Answers{
-			Zone: answers.Zone, Count: float64(answers.Count), LogSum: fromThousandths(answers.Logs),
+			Zone: answers.Zone, Count: float64(answers.Count), LogSum: fromThousandths(answers.LogLoadSum),
 			Rejected: float64(answers.Rejected),
 		})
 	}
@@ -95,7 +95,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(s.answers)) {
 		answers := s.answers[zone]
 		work.Answers = append(work.Answers, message.ZoneAnswers{
-			Zone: zone, Count: int(answers.Count), Logs: toThousandths(answers.LogSum), Rejected: int(answers.Rejected),
+			Zone: zone, Count: int(answers.Count), LogLoadSum: toThousandths(answers.LogSum), Rejected: int(answers.Rejected),
 		})
 	}
 	return work
--- a/internal/follower/api.go
+++ b/internal/follower/api.go
@@ -32,7 +32,7 @@
 // TickInterval is the time between two ticks.
 const TickInterval = 100 * time.Millisecond
 
-// PeerMessage is a ViewDigest, ViewWant or ViewDelta from a peer.
+// PeerMessage is a ViewDigest, ViewRequest or ViewDelta from a peer.
 type PeerMessage struct {
 	From    lb.NodeID
 	Address netip.AddrPort // invalid: not known
--- a/internal/follower/bench_test.go
+++ b/internal/follower/bench_test.go
@@ -55,8 +55,8 @@
 			core.Step(0, &Event{Read: &ReadResult{Read: Read{Kind: ReadList}, Listing: store.List()}}, &effects)
 			core.Step(0, &Event{Peers: peers}, &effects)
 			digest := message.ViewDigest{
-				Revision: store.Revision(), LastNews: store.Revision(),
-				Reading: message.Reading{Reader: "n-00001"}, Route: message.Route{ForZone: true},
+				Revision: store.Revision(), MinCurrentRevision: store.Revision(),
+				WatcherStatus: message.WatcherStatus{Watcher: "n-00001"}, Route: message.Route{ForZone: true},
 			}
 			event := &Event{Message: &PeerMessage{From: "n-00001", Address: peers[1].Control, Message: digest}}
 			now := time.Second
--- a/internal/follower/dissemination.go
+++ b/internal/follower/dissemination.go
@@ -25,11 +25,11 @@
 // digest returns a message that states how current the view is.
 func (core *Core) digest(route message.Route) message.ViewDigest {
 	return message.ViewDigest{
-		Revision:  core.replica.Revision(),
-		LastNews:  core.replica.MinCurrentRevision(),
-		AgeMillis: core.age().Milliseconds(),
-		Reading:   core.watcherStatus(),
-		Route:     route,
+		Revision:           core.replica.Revision(),
+		MinCurrentRevision: core.replica.MinCurrentRevision(),
+		AgeMillis:          core.age().Milliseconds(),
+		WatcherStatus:      core.watcherStatus(),
+		Route:              route,
 	}
 }
 
@@ -112,9 +112,9 @@
 
 // deltaMessage returns a message with a delta, the designated watcher and the age of the view.
 func (core *Core) deltaMessage(update *view.Delta) message.ViewDelta {
-	outgoing := message.ViewDelta{Reading: core.watcherStatus(), Delta: *update}
+	outgoing := message.ViewDelta{WatcherStatus: core.watcherStatus(), Delta: *update}
 	if !core.verified {
-		outgoing.Unconfirmed = true
+		outgoing.Unverified = true
 		return outgoing
 	}
 	outgoing.AgeMillis = core.age().Milliseconds()
@@ -126,7 +126,7 @@
 	switch received := from.Message.(type) {
 	case message.ViewDigest:
 		core.applyDigest(from, &received, effects)
-	case message.ViewWant:
+	case message.ViewRequest:
 		core.answerRequest(from, &received, effects)
 	case message.ViewDelta:
 		core.applyDelta(from, &received, effects)
@@ -140,11 +140,11 @@
 	relevant := core.now-core.lastUpdateAt >= core.settings.DigestInterval/2
 	core.lastUpdateAt = core.now
 	previousWatcher := core.watcher
-	core.updateWatcher(digest.Reading, digest.Route)
+	core.updateWatcher(digest.WatcherStatus, digest.Route)
 	relevant = relevant || core.watcher != previousWatcher
 	verifiedAt := core.now - time.Duration(digest.AgeMillis)*time.Millisecond
 	switch {
-	case digest.LastNews > core.replica.Revision():
+	case digest.MinCurrentRevision > core.replica.Revision():
 		core.requestFrom(from.Address, effects)
 		relevant = true
 	case digest.Revision >= core.replica.Revision() && core.replica.Revision() > 0:
@@ -168,7 +168,7 @@
 // applyDelta applies a delta and forwards it along its route.
 func (core *Core) applyDelta(from *PeerMessage, received *message.ViewDelta, effects *Effects) {
 	core.lastUpdateAt = core.now
-	core.updateWatcher(received.Reading, received.Route)
+	core.updateWatcher(received.WatcherStatus, received.Route)
 	if received.Delta.After > core.replica.Revision() {
 		core.requestFrom(from.Address, effects)
 		return
@@ -188,7 +188,7 @@
 		return
 	}
 	core.assembly = view.Assembly{} // its parts start at an older revision
-	if !received.Unconfirmed {
+	if !received.Unverified {
 		core.markVerified(core.now - time.Duration(received.AgeMillis)*time.Millisecond)
 	}
 	if !changed {
--- a/internal/follower/request.go
+++ b/internal/follower/request.go
@@ -116,14 +116,14 @@
 
 // viewRequest returns the request for the changes after this node's revision, or for the next part
 // of them if some parts have been received.
-func (core *Core) viewRequest() message.ViewWant {
-	return message.ViewWant{After: core.replica.Revision(), From: core.assembly.NextBucket()}
+func (core *Core) viewRequest() message.ViewRequest {
+	return message.ViewRequest{After: core.replica.Revision(), PartStart: core.assembly.NextBucket()}
 }
 
 // answerRequest answers a request of a peer. A peer at the same revision receives a digest, and a
 // small delta is sent at once. Larger answers are queued. A node with an older view does not
 // answer.
-func (core *Core) answerRequest(from *PeerMessage, request *message.ViewWant, effects *Effects) {
+func (core *Core) answerRequest(from *PeerMessage, request *message.ViewRequest, effects *Effects) {
 	if !from.Address.IsValid() || core.replica.Revision() == 0 || core.replica.Revision() < request.After {
 		return
 	}
@@ -133,20 +133,20 @@
 		}
 		return
 	}
-	if core.replica.HasHistorySince(request.After) && request.From == 0 {
+	if core.replica.HasHistorySince(request.After) && request.PartStart == 0 {
 		if delta := core.replica.DeltaPart(core.now, request.After, 0); delta.Part == nil {
 			effects.Messages = append(effects.Messages, Outgoing{To: []netip.AddrPort{from.Address}, Message: core.deltaMessage(delta)})
 			return
 		}
 	}
-	core.queueLargeRequest(largeRequest{address: from.Address, ViewWant: *request})
+	core.queueLargeRequest(largeRequest{address: from.Address, ViewRequest: *request})
 }
 
 // largeRequest is a request for the whole view, or for a delta that is sent in parts, with the
 // address of the requester.
 type largeRequest struct {
 	address netip.AddrPort
-	message.ViewWant
+	message.ViewRequest
 }
 
 // queueLargeRequest queues a request for the whole view or for a part. At most maxLargeAnswers
@@ -177,17 +177,17 @@
 		return
 	}
 	maps.DeleteFunc(core.answeredAt, func(_ largeRequest, at time.Duration) bool { return core.now-at >= largeAnswerInterval })
-	requesters := make(map[message.ViewWant][]netip.AddrPort)
-	var distinct []message.ViewWant
+	requesters := make(map[message.ViewRequest][]netip.AddrPort)
+	var distinct []message.ViewRequest
 	for _, request := range core.largeRequests {
 		core.answeredAt[request] = core.now
-		if requesters[request.ViewWant] == nil {
-			distinct = append(distinct, request.ViewWant)
+		if requesters[request.ViewRequest] == nil {
+			distinct = append(distinct, request.ViewRequest)
 		}
-		requesters[request.ViewWant] = append(requesters[request.ViewWant], request.address)
+		requesters[request.ViewRequest] = append(requesters[request.ViewRequest], request.address)
 	}
 	for _, request := range distinct {
-		answer := core.deltaMessage(core.replica.DeltaPart(core.now, request.After, request.From))
+		answer := core.deltaMessage(core.replica.DeltaPart(core.now, request.After, request.PartStart))
 		effects.Messages = append(effects.Messages, Outgoing{To: requesters[request], Message: answer})
 	}
 	core.largeRequests = nil
--- a/internal/follower/watcher.go
+++ b/internal/follower/watcher.go
@@ -136,15 +136,15 @@
 }
 
 // watcherStatus returns which node reads the store for the others, as far as this node knows.
-func (core *Core) watcherStatus() message.Reading {
+func (core *Core) watcherStatus() message.WatcherStatus {
 	switch {
 	case core.active:
-		return message.Reading{Reader: core.settings.Self, Listing: core.needsListing}
+		return message.WatcherStatus{Watcher: core.settings.Self, Listing: core.needsListing}
 	case core.watcherLost || core.watcher == "":
-		return message.Reading{}
+		return message.WatcherStatus{}
 	}
 	age := core.now - core.watcherReportedAt
-	return message.Reading{Reader: core.watcher, ReaderAgeMillis: age.Milliseconds(), Listing: core.watcherListing}
+	return message.WatcherStatus{Watcher: core.watcher, WatcherAgeMillis: age.Milliseconds(), Listing: core.watcherListing}
 }
 
 // takeOver makes this node the designated watcher after a successful read that no other node made
@@ -183,10 +183,10 @@
 // updateWatcher applies what a message states about the designated watcher. An answer to a request,
 // which has no route, only states what its sender knows. The sender may have just started, so the
 // absence of a watcher in it means nothing.
-func (core *Core) updateWatcher(received message.Reading, route message.Route) {
-	reported := received.Reader
+func (core *Core) updateWatcher(received message.WatcherStatus, route message.Route) {
+	reported := received.Watcher
 	if reported != "" {
-		if at := core.now - time.Duration(received.ReaderAgeMillis)*time.Millisecond; at >= core.watcherReportedAt {
+		if at := core.now - time.Duration(received.WatcherAgeMillis)*time.Millisecond; at >= core.watcherReportedAt {
 			core.watcherReportedAt = at
 			core.watcherListing = received.Listing
 		}
--- a/internal/lb/relay.go
+++ b/internal/lb/relay.go
@@ -38,14 +38,14 @@
 	// Proposal is the back end that the head proposes (HopTail) or that the tail decided on
 	// (HopReturn). NoBackend with Refuse set means a refusal.
 	Proposal BackendID
-	// Known is true if the proposal comes from a record that an earlier tail confirmed, not from a
+	// FromRecord is true if the proposal comes from a record that an earlier tail confirmed, not from a
 	// placement table.
-	Known bool
+	FromRecord bool
 	// Refuse is true if the head proposes to refuse the flow, by admission control.
 	Refuse bool
-	// Vouched is true if the head has been in this bucket's chain for so long that it has a record
+	// HeadComplete is true if the head has been in this bucket's chain for so long that it has a record
 	// of every opening that is still being retransmitted.
-	Vouched bool
+	HeadComplete bool
 	// Established is true if the ingress node saw this UDP flow before its bucket was in motion.
 	Established bool
 	// Rerouted is true if a node that is not the head in its own view relayed the packet again. The
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -21,30 +21,30 @@
 
 // The reasons for the end of a planned stop.
 const (
-	Quiet      Reason = "quiet"       // all work is done and no packets arrive
+	Idle       Reason = "quiet"       // all work is done and no packets arrive
 	DrainLimit Reason = "drain_limit" // timings.drain_limit has passed
 )
 
-// Life is the lifecycle of one balancer's process.
-type Life struct {
+// Lifecycle is the lifecycle of one balancer's process.
+type Lifecycle struct {
 	logger   zerolog.Logger
 	stopOnce sync.Once
 	stopping chan struct{}
 }
 
 // New returns the lifecycle of a balancer that logs to logger.
-func New(logger zerolog.Logger) *Life {
-	return &Life{logger: logger, stopping: make(chan struct{})}
+func New(logger zerolog.Logger) *Lifecycle {
+	return &Lifecycle{logger: logger, stopping: make(chan struct{})}
 }
 
 // Stop begins the planned stop. Further calls have no effect.
-func (l *Life) Stop() { l.stopOnce.Do(func() { close(l.stopping) }) }
+func (l *Lifecycle) Stop() { l.stopOnce.Do(func() { close(l.stopping) }) }
 
 // Stopping returns a channel that is closed when the planned stop begins.
-func (l *Life) Stopping() <-chan struct{} { return l.stopping }
+func (l *Lifecycle) Stopping() <-chan struct{} { return l.stopping }
 
 // IsStopping reports whether the planned stop has begun.
-func (l *Life) IsStopping() bool {
+func (l *Lifecycle) IsStopping() bool {
 	select {
 	case <-l.stopping:
 		return true
@@ -53,27 +53,27 @@
 	}
 }
 
-// Log logs an event without further fields.
-func (l *Life) Log(event logging.Event) {
+// LogEvent logs an event without further fields.
+func (l *Lifecycle) LogEvent(event logging.Event) {
 	l.logger.Info().Str(logging.FieldEvent, string(event)).Send()
 }
 
-// Failed logs the failure of a part of the process. It does nothing if err is nil.
-func (l *Life) Failed(err error) {
+// LogFailure logs the failure of a part of the process. It does nothing if err is nil.
+func (l *Lifecycle) LogFailure(err error) {
 	if err != nil {
 		l.logger.Error().Err(err).Str(logging.FieldEvent, string(logging.EventFailed)).Send()
 	}
 }
 
-// StoppedAtOnce logs that the process ends without a planned stop or before the planned stop is
+// StoppedImmediately logs that the process ends without a planned stop or before the planned stop is
 // complete, and returns lb.ErrStoppedAtOnce.
-func (l *Life) StoppedAtOnce() error {
-	l.Log(logging.EventStoppedAtOnce)
-	return lb.ErrStoppedAtOnce
+func (l *Lifecycle) StoppedImmediately() error {
+	l.LogEvent(logging.EventStoppedImmediately)
+	return lb.ErrStoppedImmediately
 }
 
-// Stopped logs that the planned stop is complete.
-func (l *Life) Stopped(reason Reason) {
+// LogStopped logs that the planned stop is complete.
+func (l *Lifecycle) LogStopped(reason Reason) {
 	l.logger.Info().
 		Str(logging.FieldEvent, string(logging.EventStopped)).
 		Str(logging.FieldReason, string(reason)).
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -26,11 +26,11 @@
 	is := is.New(t)
 	var output bytes.Buffer
 	life := New(zerolog.New(&output))
-	life.Failed(nil)
+	life.LogFailure(nil)
 	is.Equal(output.Len(), 0)
-	life.Failed(errors.New("no more descriptors"))
-	life.Stopped(DrainLimit)
-	is.True(errors.Is(life.StoppedAtOnce(), lb.ErrStoppedAtOnce))
+	life.LogFailure(errors.New("no more descriptors"))
+	life.LogStopped(DrainLimit)
+	is.True(errors.Is(life.StoppedImmediately(), lb.ErrStoppedImmediately))
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	is.Equal(lines, []string{
 		`{"level":"error","error":"no more descriptors","event":"failed"}`,
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -16,114 +16,114 @@
 
 // The log events.
 const (
-	EventStarting         Event = "starting"
-	EventReady            Event = "ready"
-	EventStopping         Event = "stopping"
-	EventNotReady         Event = "not_ready"
-	EventHandedOver       Event = "handed_over"
-	EventStopped          Event = "stopped"
-	EventStoppedAtOnce    Event = "stopped_at_once"
-	EventFailed           Event = "failed"
-	EventPlacementAdopted Event = "placement_adopted"
-	EventDocumentRejected Event = "document_rejected"
-	EventMemberChanged    Event = "member_changed"
-	EventContactChanged   Event = "contact_changed"
-	EventWatcherChanged   Event = "watcher_changed"
-	EventStoreUp          Event = "store_up"
-	EventStoreDown        Event = "store_down"
-	EventStoreCall        Event = "store_call"
-	EventStoreWriteFailed Event = "store_write_failed"
-	EventMachinesFailed   Event = "machines_failed"
-	EventFaultInjected    Event = "fault_injected"
-	EventViewChanged      Event = "view_changed"
-	EventOpening          Event = "opening"
-	EventRefused          Event = "refused"
-	EventDropped          Event = "dropped"
-	EventTokenCorrected   Event = "token_corrected"
-	EventBackendSilent    Event = "backend_silent"
-	EventBackendAnswers   Event = "backend_answers"
-	EventBackendAvoided   Event = "backend_avoided"
-	EventBackendTrusted   Event = "backend_trusted"
-	EventZoneUnreached    Event = "zone_unreached"
-	EventZoneReached      Event = "zone_reached"
-	EventOverloaded       Event = "overloaded"
-	EventOverloadEnded    Event = "overload_ended"
-	EventShareChanged     Event = "share_changed"
-	EventAdmittedChanged  Event = "admitted_changed"
-	EventMalformed        Event = "malformed_packets"
-	EventControlFaults    Event = "control_faults"
-	EventReloaded         Event = "reloaded"
-	EventReloadFailed     Event = "reload_failed"
-	EventReloadIgnored    Event = "reload_ignored"
+	EventStarting             Event = "starting"
+	EventReady                Event = "ready"
+	EventStopping             Event = "stopping"
+	EventNotReady             Event = "not_ready"
+	EventHandedOver           Event = "handed_over"
+	EventStopped              Event = "stopped"
+	EventStoppedImmediately   Event = "stopped_at_once"
+	EventFailed               Event = "failed"
+	EventPlacementAdopted     Event = "placement_adopted"
+	EventDocumentRejected     Event = "document_rejected"
+	EventMemberChanged        Event = "member_changed"
+	EventContactChanged       Event = "contact_changed"
+	EventWatcherChanged       Event = "watcher_changed"
+	EventStoreUp              Event = "store_up"
+	EventStoreDown            Event = "store_down"
+	EventStoreCall            Event = "store_call"
+	EventStoreWriteFailed     Event = "store_write_failed"
+	EventMachinesFailed       Event = "machines_failed"
+	EventFaultInjected        Event = "fault_injected"
+	EventViewChanged          Event = "view_changed"
+	EventOpening              Event = "opening"
+	EventRefused              Event = "refused"
+	EventDropped              Event = "dropped"
+	EventTokenCorrected       Event = "token_corrected"
+	EventBackendUnresponsive  Event = "backend_silent"
+	EventBackendResponsive    Event = "backend_answers"
+	EventBackendEjected       Event = "backend_avoided"
+	EventBackendRestored      Event = "backend_trusted"
+	EventZoneUnreachable      Event = "zone_unreached"
+	EventZoneReachable        Event = "zone_reached"
+	EventOverloaded           Event = "overloaded"
+	EventOverloadEnded        Event = "overload_ended"
+	EventZoneWeightChanged    Event = "share_changed"
+	EventAdmissionRateChanged Event = "admitted_changed"
+	EventMalformed            Event = "malformed_packets"
+	EventControlFaults        Event = "control_faults"
+	EventReloaded             Event = "reloaded"
+	EventReloadFailed         Event = "reload_failed"
+	EventReloadIgnored        Event = "reload_ignored"
 )
 
 // Events returns all log events.
 func Events() []Event {
 	return []Event{
 		EventStarting, EventReady, EventStopping, EventNotReady, EventHandedOver, EventStopped,
-		EventStoppedAtOnce, EventFailed, EventPlacementAdopted,
+		EventStoppedImmediately, EventFailed, EventPlacementAdopted,
 		EventDocumentRejected, EventMemberChanged, EventContactChanged, EventWatcherChanged, EventStoreUp, EventStoreDown, EventStoreCall,
 		EventStoreWriteFailed, EventMachinesFailed, EventFaultInjected, EventViewChanged,
-		EventOpening, EventRefused, EventDropped, EventTokenCorrected, EventBackendSilent, EventBackendAnswers, EventBackendAvoided, EventBackendTrusted, EventZoneUnreached, EventZoneReached, EventOverloaded, EventOverloadEnded, EventShareChanged, EventAdmittedChanged, EventMalformed, EventControlFaults, EventReloaded, EventReloadFailed, EventReloadIgnored,
+		EventOpening, EventRefused, EventDropped, EventTokenCorrected, EventBackendUnresponsive, EventBackendResponsive, EventBackendEjected, EventBackendRestored, EventZoneUnreachable, EventZoneReachable, EventOverloaded, EventOverloadEnded, EventZoneWeightChanged, EventAdmissionRateChanged, EventMalformed, EventControlFaults, EventReloaded, EventReloadFailed, EventReloadIgnored,
 	}
 }
 
 // The keys of log fields.
 const (
-	FieldEvent     = "event"
-	FieldNode      = "node"
-	FieldZone      = "zone"
-	FieldService   = "service"
-	FieldVersion   = "version"
-	FieldPeer      = "peer"
-	FieldPeerZone  = "peer_zone"
-	FieldState     = "state"
-	FieldReason    = "reason"
-	FieldAddress   = "address"
-	FieldKey       = "key"
-	FieldDuration  = "duration_ms"
-	FieldFlow      = "flow"
-	FieldOpening   = "opening_id"
-	FieldCopies    = "copies"
-	FieldBackend   = "backend"
-	FieldHost      = "host"
-	FieldRevision  = "revision"
-	FieldAge       = "view_age_ms"
-	FieldSource    = "source"
-	FieldFailure   = "failure"
-	FieldOmitted   = "omitted"
-	FieldMissing   = "missing"
-	FieldPressure  = "pressure"
-	FieldPriority  = "priority"
-	FieldAdmitted  = "admitted"
-	FieldRefused   = "refused"
-	FieldBad       = "bad"
-	FieldGood      = "good"
-	FieldReporters = "reporters"
-	FieldOthers    = "others"
-	FieldEvacuated = "evacuated_zones"
+	FieldEvent         = "event"
+	FieldNode          = "node"
+	FieldZone          = "zone"
+	FieldService       = "service"
+	FieldVersion       = "version"
+	FieldPeer          = "peer"
+	FieldPeerZone      = "peer_zone"
+	FieldState         = "state"
+	FieldReason        = "reason"
+	FieldAddress       = "address"
+	FieldKey           = "key"
+	FieldDuration      = "duration_ms"
+	FieldFlow          = "flow"
+	FieldOpening       = "opening_id"
+	FieldCopies        = "copies"
+	FieldBackend       = "backend"
+	FieldHost          = "host"
+	FieldRevision      = "revision"
+	FieldAge           = "view_age_ms"
+	FieldSource        = "source"
+	FieldFailure       = "failure"
+	FieldOmitted       = "omitted"
+	FieldMissing       = "missing"
+	FieldPressure      = "pressure"
+	FieldPriority      = "priority"
+	FieldAdmissionRate = "admitted"
+	FieldRefused       = "refused"
+	FieldBad           = "bad"
+	FieldGood          = "good"
+	FieldReporters     = "reporters"
+	FieldOthers        = "others"
+	FieldEvacuated     = "evacuated_zones"
 
-	FieldHome           = "home"
-	FieldBefore         = "before"
-	FieldAsked          = "asked"
-	FieldAskedOthers    = "asked_others"
-	FieldCapacity       = "capacity"
-	FieldCapacityOthers = "capacity_others"
-	FieldAskedRefused   = "asked_refused"
-	FieldLoadAge        = "load_age_ms"
-	FieldBackendZone    = "backend_zone"
-	FieldSilence        = "silence_ms"
-	FieldAnswered       = "answered_age_ms"
-	FieldHeard          = "heard_age_ms"
-	FieldLost           = "members_lost"
-	FieldProbes         = "probes"
+	FieldLocalWeight      = "home"
+	FieldPrevious         = "before"
+	FieldDemand           = "asked"
+	FieldDemandOthers     = "asked_others"
+	FieldCapacity         = "capacity"
+	FieldCapacityOthers   = "capacity_others"
+	FieldDemandRefused    = "asked_refused"
+	FieldLoadAge          = "load_age_ms"
+	FieldBackendZone      = "backend_zone"
+	FieldUnresponsiveTime = "silence_ms"
+	FieldLastResponseAge  = "answered_age_ms"
+	FieldLastContactAge   = "heard_age_ms"
+	FieldMembersLost      = "members_lost"
+	FieldProbes           = "probes"
 
 	FieldAdmission = "admission"
-	// FieldWaiting is the mode of the admission queue, as set by the setting of the same name.
-	FieldWaiting = "waiting"
-	// FieldWaited is the time that an opening spent in the admission queue before the decision, in
+	// FieldAdmissionQueue is the mode of the admission queue, as set by the setting of the same name.
+	FieldAdmissionQueue = "waiting"
+	// FieldQueueTime is the time that an opening spent in the admission queue before the decision, in
 	// milliseconds.
-	FieldWaited = "waited_ms"
+	FieldQueueTime = "waited_ms"
 )
 
 // timeFormat is the format of times in log lines: RFC 3339 with milliseconds.
@@ -135,10 +135,10 @@
 	queueInterval = 50 * time.Millisecond
 )
 
-// NonBlocking returns a writer that queues lines for output and never blocks, so that a stalled log
+// NewNonBlockingWriter returns a writer that queues lines for output and never blocks, so that a stalled log
 // consumer does not delay packets. Lines that exceed the queue's capacity are dropped, and their
 // number is passed to onDropped. Close writes the queued lines and leaves output open.
-func NonBlocking(output io.Writer, onDropped func(lines int)) io.WriteCloser {
+func NewNonBlockingWriter(output io.Writer, onDropped func(lines int)) io.WriteCloser {
 	withoutClose := struct{ io.Writer }{output}
 	return diode.NewWriter(withoutClose, queueLines, queueInterval, onDropped)
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -34,7 +34,7 @@
 func TestNonBlockingWritesAllOnClose(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
-	writer := logging.NonBlocking(&output, func(int) { t.Error("lines dropped") })
+	writer := logging.NewNonBlockingWriter(&output, func(int) { t.Error("lines dropped") })
 	for range 100 {
 		_, err := writer.Write([]byte("line\n"))
 		is.NoErr(err)
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	output := blockedWriter{released: make(chan struct{})}
 	dropped := 0
-	writer := logging.NonBlocking(output, func(lines int) { dropped += lines })
+	writer := logging.NewNonBlockingWriter(output, func(lines int) { dropped += lines })
 	for range 10_000 { // Write returns although the output is blocked
 		_, err := writer.Write([]byte("line\n"))
 		is.NoErr(err)
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -82,12 +82,12 @@
 	core.sequence++
 	updates := append([]message.MemberUpdate{core.selfUpdate()}, core.updatesFor(machine.ID)...)
 	core.send(effects, machine, message.Ping{
-		Sequence:    core.sequence,
-		Incarnation: core.incarnation,
-		Updates:     updates,
-		Digest:      core.digest,
-		View:        core.viewHash,
-		Full:        full,
+		Sequence:       core.sequence,
+		Incarnation:    core.incarnation,
+		Updates:        updates,
+		Digest:         core.digest,
+		View:           core.viewHash,
+		RequestMembers: full,
 	})
 }
 
@@ -220,9 +220,9 @@
 		Incarnation: core.incarnation,
 	}
 	return message.Ping{
-		Incarnation: self.Incarnation,
-		Updates:     []message.MemberUpdate{self},
-		View:        core.viewHash,
-		Full:        true,
+		Incarnation:    self.Incarnation,
+		Updates:        []message.MemberUpdate{self},
+		View:           core.viewHash,
+		RequestMembers: true,
 	}
 }
--- a/internal/member/memberlist_test.go
+++ b/internal/member/memberlist_test.go
@@ -118,7 +118,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			ping := message.Ping{Incarnation: 1, Full: true}
+			ping := message.Ping{Incarnation: 1, RequestMembers: true}
 			var effects member.Effects
 			core.Step(0, &member.Event{Machines: machines}, &effects)
 			size, now := 0, time.Duration(0)
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -223,7 +223,7 @@
 		return
 	}
 	sameViewJoin := ping.Sequence == 0 && ping.View == core.viewHash
-	if ping.Full && !sameViewJoin {
+	if ping.RequestMembers && !sameViewJoin {
 		core.handleListRequest(sender, effects)
 	}
 	if ping.Sequence == 0 {
--- a/internal/member/rules_test.go
+++ b/internal/member/rules_test.go
@@ -195,7 +195,7 @@
 					own = answer.View
 				}
 				request, ok := outgoing.Message.(message.Ping)
-				requested = requested || ok && request.Full && outgoing.To == "other"
+				requested = requested || ok && request.RequestMembers && outgoing.To == "other"
 			}
 		}
 	}
--- a/internal/member/zone.go
+++ b/internal/member/zone.go
@@ -54,8 +54,8 @@
 	return core.zones[index]
 }
 
-// ZoneHeard is the state of this node's contact with one zone.
-type ZoneHeard struct {
+// ZoneContact is the state of this node's contact with one zone.
+type ZoneContact struct {
 	Zone lb.Zone
 	// At is the time of the last message that arrived directly from a node of the zone, or the time
 	// at which the zone became known.
@@ -64,10 +64,10 @@
 	Lost bool
 }
 
-// Heard appends the state of the contact with each zone to buffer.
-func (core *Core) Heard(buffer []ZoneHeard) []ZoneHeard {
+// ZoneContacts appends the state of the contact with each zone to buffer.
+func (core *Core) ZoneContacts(buffer []ZoneContact) []ZoneContact {
 	for _, zone := range core.zones {
-		buffer = append(buffer, ZoneHeard{Zone: zone.name, At: zone.lastDirectMessage, Lost: zone.unreachable})
+		buffer = append(buffer, ZoneContact{Zone: zone.name, At: zone.lastDirectMessage, Lost: zone.unreachable})
 	}
 	return buffer
 }
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -112,7 +112,7 @@
 	TypeInForce:        decodeAs[InForce],
 	TypeLoad:           decodeAs[Load],
 	TypeViewDigest:     decodeAs[ViewDigest],
-	TypeViewWant:       decodeAs[ViewWant],
+	TypeViewRequest:    decodeAs[ViewRequest],
 	TypeViewDelta:      decodeAs[ViewDelta],
 	TypeOutcomeReport:  decodeAs[OutcomeReport],
 	TypeOutcomeVerdict: decodeAs[OutcomeVerdict],
--- a/internal/message/codec_test.go
+++ b/internal/message/codec_test.go
@@ -32,7 +32,7 @@
 		message.Records{Service: "s", Sequence: 4, Flows: flows},
 		message.RecordsAck{Sequence: 4},
 		message.Clean{Service: "s", Version: 2, Buckets: []uint16{0, lb.BucketCount - 1}},
-		message.Ping{Sequence: 1, Incarnation: 4, Updates: updates, Digest: 1<<64 - 1, View: 2, Full: true},
+		message.Ping{Sequence: 1, Incarnation: 4, Updates: updates, Digest: 1<<64 - 1, View: 2, RequestMembers: true},
 		message.PingAck{Sequence: 1, Incarnation: 4, Updates: updates, Digest: 1, View: 2},
 		message.Members{Updates: updates},
 		message.PingReq{Sequence: 1, Target: "b-1", Updates: updates},
@@ -40,7 +40,7 @@
 		message.Want{Groups: []uint16{3}, Versions: versions, Reply: true},
 		message.Placements{Placements: []lb.Placement{placement}},
 		message.InForce{Zone: "a", Digest: 1, Nodes: 4, Behind: 1, ConfigRevision: 6, Versions: versions},
-		message.OpenFlows{Ask: true},
+		message.OpenFlows{Request: true},
 		message.OpenFlows{Flows: []message.OpenFlow{{Flow: 1<<64 - 1, OpeningID: 1<<32 - 1, Token: 1<<32 - 1, Acknowledged: 1<<32 - 1}, {Flow: 7, Token: 9}}},
 		message.Load{Zone: "a", Backends: []message.BackendLoad{{Backend: "w-1", Healthy: true, Load: 500, AgeMillis: 20}}},
 	}
--- a/internal/message/load.go
+++ b/internal/message/load.go
@@ -26,9 +26,9 @@
 type ZoneAnswers struct {
 	Zone  lb.Zone `json:"z"`
 	Count int     `json:"n"`
-	// Logs is the sum of the natural logarithms of the loads that the answers reported, in
+	// LogLoadSum is the sum of the natural logarithms of the loads that the answers reported, in
 	// thousandths.
-	Logs int `json:"l"`
+	LogLoadSum int `json:"l"`
 	// Rejected is the number of answers that arrived too quickly to be real answers and therefore
 	// count as rejections, in the unit of Count.
 	Rejected int `json:"q,omitempty"`
@@ -39,9 +39,9 @@
 	Service lb.ServiceName `json:"s"`
 	Levels  []LevelWork    `json:"w,omitempty"`
 	Answers []ZoneAnswers  `json:"a,omitempty"`
-	// Echo is set if the sender reports this service only because other nodes are near their limit
+	// Solicited is set if the sender reports this service only because other nodes are near their limit
 	// with it.
-	Echo bool `json:"e,omitempty"`
+	Solicited bool `json:"e,omitempty"`
 }
 
 // LoadReport is sent up the distribution tree of a zone, whose root is the first node of the zone.
@@ -63,9 +63,9 @@
 type LoadState struct {
 	// Sender is the first node of a zone, and Number is the sequence number of the state among its
 	// states.
-	Sender lb.NodeID  `json:"sender"`
-	Number uint64     `json:"number"`
-	Zones  []ZoneWork `json:"zones"`
+	Sender   lb.NodeID  `json:"sender"`
+	Sequence uint64     `json:"number"`
+	Zones    []ZoneWork `json:"zones"`
 }
 
 // MessageType returns the type of the message.
@@ -148,8 +148,8 @@
 	if answers.Rejected < 0 || answers.Rejected > maxLoadSum {
 		return fieldError(kind, "v.a.q", answers.Rejected, "not a number of rejections")
 	}
-	if math.Abs(float64(answers.Logs)) > maxLoadSum {
-		return fieldError(kind, "v.a.l", answers.Logs, "out of range")
+	if math.Abs(float64(answers.LogLoadSum)) > maxLoadSum {
+		return fieldError(kind, "v.a.l", answers.LogLoadSum, "out of range")
 	}
 	return nil
 }
--- a/internal/message/load_test.go
+++ b/internal/message/load_test.go
@@ -11,11 +11,11 @@
 	is := is.New(t)
 	service := ServiceWork{
 		Service: "web", Levels: []LevelWork{{Priority: 1, Begun: 20, Refused: 3}},
-		Answers: []ZoneAnswers{{Zone: "za", Count: 7, Logs: -300, Rejected: 2}},
+		Answers: []ZoneAnswers{{Zone: "za", Count: 7, LogLoadSum: -300, Rejected: 2}},
 	}
 	for _, sent := range []Message{
 		LoadReport{Services: []ServiceWork{service}},
-		LoadState{Sender: "n1", Number: 3, Zones: []ZoneWork{{Zone: "za", AgeMillis: 40, Services: []ServiceWork{service}}}},
+		LoadState{Sender: "n1", Sequence: 3, Zones: []ZoneWork{{Zone: "za", AgeMillis: 40, Services: []ServiceWork{service}}}},
 	} {
 		line, err := Encode(nil, "n1", sent)
 		is.NoErr(err)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -112,8 +112,8 @@
 	Digest uint64 `json:"g,omitempty"`
 	// View is a hash of the members that the sender considers alive.
 	View uint64 `json:"m,omitempty"`
-	// Full requests all members that the receiver knows, in a Members message.
-	Full bool `json:"f,omitempty"`
+	// RequestMembers requests all members that the receiver knows, in a Members message.
+	RequestMembers bool `json:"f,omitempty"`
 }
 
 // PingAck answers a Ping.
--- a/internal/message/openflow.go
+++ b/internal/message/openflow.go
@@ -20,8 +20,8 @@
 // of the zones, until all nodes know them.
 type OpenFlows struct {
 	Flows []OpenFlow `json:"flows,omitempty"`
-	// Ask is set by a sender that has just started. It requests the flows of the last seconds.
-	Ask bool `json:"ask,omitempty"`
+	// Request is set by a sender that has just started. It requests the flows of the last seconds.
+	Request bool `json:"ask,omitempty"`
 }
 
 // MessageType returns the type of the message.
--- a/internal/message/outcome.go
+++ b/internal/message/outcome.go
@@ -16,28 +16,28 @@
 	Identity uint64 `json:"i"`
 	Bad      int    `json:"b"`
 	Good     int    `json:"g,omitempty"`
-	// Reporters is the number of nodes that observed bad outcomes and had not reported any before.
-	Reporters int `json:"n,omitempty"`
+	// NewReporters is the number of nodes that observed bad outcomes and had not reported any before.
+	NewReporters int `json:"n,omitempty"`
 }
 
 // OutcomeReport is sent up the distribution tree of a zone, whose root is the first node of the
 // zone, and between the first nodes of zones.
 type OutcomeReport struct {
-	// Zone is set if the report is the sum of a whole zone, sent by its first node.
-	Zone     bool              `json:"zone,omitempty"`
-	Backends []BackendOutcomes `json:"backends"`
+	// WholeZone is set if the report is the sum of a whole zone, sent by its first node.
+	WholeZone bool              `json:"zone,omitempty"`
+	Backends  []BackendOutcomes `json:"backends"`
 }
 
 // OutcomeVerdict is sent down the distribution tree of a zone.
 type OutcomeVerdict struct {
 	// Sender is the first node of the zone, and Number is the sequence number of the verdict among
 	// its verdicts.
-	Sender lb.NodeID `json:"sender"`
-	Number uint64    `json:"number"`
+	Sender   lb.NodeID `json:"sender"`
+	Sequence uint64    `json:"number"`
 	// Watched lists the back ends whose good outcomes nodes report as well.
 	Watched []uint64 `json:"watched,omitempty"`
-	// Avoided lists the ejected back ends, which receive only a few trial flows.
-	Avoided []uint64 `json:"avoided,omitempty"`
+	// Ejected lists the ejected back ends, which receive only a few trial flows.
+	Ejected []uint64 `json:"avoided,omitempty"`
 }
 
 // MessageType returns the type of the message.
@@ -57,7 +57,7 @@
 		return fieldError(TypeOutcomeReport, "backends", len(message.Backends), "too many")
 	}
 	for _, entry := range message.Backends {
-		for _, count := range []int{entry.Bad, entry.Good, entry.Reporters} {
+		for _, count := range []int{entry.Bad, entry.Good, entry.NewReporters} {
 			if count < 0 || count > maxOutcomeCount {
 				return fieldError(TypeOutcomeReport, "backends", count, "not a number of outcomes")
 			}
@@ -70,7 +70,7 @@
 	if message.Sender == "" {
 		return fieldError(TypeOutcomeVerdict, "sender", message.Sender, "missing")
 	}
-	if len(message.Watched) > maxOutcomeBackends || len(message.Avoided) > maxOutcomeBackends {
+	if len(message.Watched) > maxOutcomeBackends || len(message.Ejected) > maxOutcomeBackends {
 		return fieldError(TypeOutcomeVerdict, "watched", len(message.Watched), "too many")
 	}
 	return nil
--- a/internal/message/validate.go
+++ b/internal/message/validate.go
@@ -53,8 +53,8 @@
 		return TypeLoad, validateLoad(message)
 	case ViewDigest:
 		return TypeViewDigest, validateViewDigest(message)
-	case ViewWant:
-		return TypeViewWant, validateViewWant(message)
+	case ViewRequest:
+		return TypeViewRequest, validateViewWant(message)
 	case OutcomeReport:
 		return TypeOutcomeReport, validateOutcomeReport(message)
 	case OutcomeVerdict:
--- a/internal/message/view.go
+++ b/internal/message/view.go
@@ -7,30 +7,30 @@
 
 // These are the types of messages about the view (docs/design-platform.md, "Reading the store").
 const (
-	TypeViewDigest Type = "view_digest"
-	TypeViewWant   Type = "view_want"
-	TypeViewDelta  Type = "view_delta"
+	TypeViewDigest  Type = "view_digest"
+	TypeViewRequest Type = "view_want"
+	TypeViewDelta   Type = "view_delta"
 )
 
 // ViewDigest announces how current the sender's view is. The designated watcher of the store sends
 // it, and receivers pass it on.
 type ViewDigest struct {
 	Revision int64 `json:"revision"`
-	// LastNews is the lowest revision at which another view is as current as the sender's (see
+	// MinCurrentRevision is the lowest revision at which another view is as current as the sender's (see
 	// view.Replica).
-	LastNews int64 `json:"changed"`
+	MinCurrentRevision int64 `json:"changed"`
 	// AgeMillis is the time since the store confirmed that the view is the newest.
 	AgeMillis int64 `json:"age_ms"`
-	Reading
+	WatcherStatus
 	Route
 }
 
-// Reading identifies the designated watcher of the store, as far as the sender knows.
-type Reading struct {
-	// Reader is the designated watcher. It is empty if the sender knows of none.
-	Reader lb.NodeID `json:"reader,omitempty"`
-	// ReaderAgeMillis is the time since the designated watcher announced itself.
-	ReaderAgeMillis int64 `json:"reader_age_ms,omitempty"`
+// WatcherStatus identifies the designated watcher of the store, as far as the sender knows.
+type WatcherStatus struct {
+	// Watcher is the designated watcher. It is empty if the sender knows of none.
+	Watcher lb.NodeID `json:"reader,omitempty"`
+	// WatcherAgeMillis is the time since the designated watcher announced itself.
+	WatcherAgeMillis int64 `json:"reader_age_ms,omitempty"`
 	// Listing is set if the designated watcher is listing all entries of the store, which takes
 	// seconds if there are many.
 	Listing bool `json:"listing,omitempty"`
@@ -45,52 +45,52 @@
 	ForZone bool `json:"for_zone,omitempty"`
 }
 
-// ViewWant requests all changes after a revision, or the whole view if the revision is 0.
-type ViewWant struct {
+// ViewRequest requests all changes after a revision, or the whole view if the revision is 0.
+type ViewRequest struct {
 	After int64 `json:"after"`
-	// From is the start of the requested part of the changes; see view.Part.
-	From int `json:"from,omitempty"`
+	// PartStart is the start of the requested part of the changes; see view.Part.
+	PartStart int `json:"from,omitempty"`
 }
 
-// ViewDelta answers a ViewWant. It is also sent unrequested when the view changes.
+// ViewDelta answers a ViewRequest. It is also sent unrequested when the view changes.
 type ViewDelta struct {
 	AgeMillis int64 `json:"age_ms"`
-	// Unconfirmed is set if the sender does not know the age of its view. AgeMillis is meaningless
+	// Unverified is set if the sender does not know the age of its view. AgeMillis is meaningless
 	// then.
-	Unconfirmed bool `json:"unconfirmed,omitempty"`
-	Reading
+	Unverified bool `json:"unconfirmed,omitempty"`
+	WatcherStatus
 	Route
 	Delta view.Delta `json:"delta"`
 }
 
-// Whole reports whether the delta contains a whole view.
-func (delta ViewDelta) Whole() bool { return delta.Delta.After == 0 }
+// IsFullView reports whether the delta contains a whole view.
+func (delta ViewDelta) IsFullView() bool { return delta.Delta.After == 0 }
 
 // MessageType returns the type of the message.
 func (ViewDigest) MessageType() Type { return TypeViewDigest }
 
 // MessageType returns the type of the message.
-func (ViewWant) MessageType() Type { return TypeViewWant }
+func (ViewRequest) MessageType() Type { return TypeViewRequest }
 
 // MessageType returns the type of the message.
 func (ViewDelta) MessageType() Type { return TypeViewDelta }
 
 func validateViewDigest(message ViewDigest) error {
-	if message.LastNews < 0 || message.LastNews > message.Revision {
-		return fieldError(TypeViewDigest, "changed", message.LastNews, "not between 0 and revision")
+	if message.MinCurrentRevision < 0 || message.MinCurrentRevision > message.Revision {
+		return fieldError(TypeViewDigest, "changed", message.MinCurrentRevision, "not between 0 and revision")
 	}
-	if message.ReaderAgeMillis < 0 {
-		return fieldError(TypeViewDigest, "reader_age_ms", message.ReaderAgeMillis, "negative")
+	if message.WatcherAgeMillis < 0 {
+		return fieldError(TypeViewDigest, "reader_age_ms", message.WatcherAgeMillis, "negative")
 	}
 	return checkAge(TypeViewDigest, message.AgeMillis)
 }
 
-func validateViewWant(message ViewWant) error {
+func validateViewWant(message ViewRequest) error {
 	if message.After < 0 {
-		return fieldError(TypeViewWant, "after", message.After, "negative")
+		return fieldError(TypeViewRequest, "after", message.After, "negative")
 	}
-	if err := view.ValidatePartStart(message.From); err != nil {
-		return fieldError(TypeViewWant, "from", message.From, err.Error())
+	if err := view.ValidatePartStart(message.PartStart); err != nil {
+		return fieldError(TypeViewRequest, "from", message.PartStart, err.Error())
 	}
 	return nil
 }
@@ -99,8 +99,8 @@
 	if err := message.Delta.Validate(); err != nil {
 		return fieldError(TypeViewDelta, "delta", message.Delta.Revision, err.Error())
 	}
-	if message.ReaderAgeMillis < 0 {
-		return fieldError(TypeViewDelta, "reader_age_ms", message.ReaderAgeMillis, "negative")
+	if message.WatcherAgeMillis < 0 {
+		return fieldError(TypeViewDelta, "reader_age_ms", message.WatcherAgeMillis, "negative")
 	}
 	return checkAge(TypeViewDelta, message.AgeMillis)
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -25,7 +25,7 @@
 		Ready:   node.isReady,
 		Metrics: promhttp.HandlerFor(node.registry(), promhttp.HandlerOpts{}),
 	}
-	node.background.Go(func() { node.lifecycle.Failed(node.endpoints.Admin.Serve(pages, routes)) })
+	node.background.Go(func() { node.lifecycle.LogFailure(node.endpoints.Admin.Serve(pages, routes)) })
 }
 
 // registry returns a registry with the metrics of this node and of its process.
--- a/internal/node/engine_test.go
+++ b/internal/node/engine_test.go
@@ -90,7 +90,7 @@
 	request := transport.Incoming{
 		From:    "b",
 		Address: netip.MustParseAddrPort("127.0.0.1:9"),
-		Message: message.Ping{Incarnation: 1, Full: true},
+		Message: message.Ping{Incarnation: 1, RequestMembers: true},
 	}
 	node.receive(request)
 	is.Equal(len(engine.outbox), 0)
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -219,8 +219,8 @@
 	output.Count(metricStoreFailures, stats.Failures)
 	output.Count(metricStoreThrottled, stats.Throttled)
 	output.Count(metricStoreRetries, stats.Retries)
-	output.Count(metricStoreLostAnswers, stats.LostAnswers)
-	output.Count(metricStoreResolved, stats.Resolved)
+	output.Count(metricStoreLostAnswers, stats.LostResponses)
+	output.Count(metricStoreResolved, stats.ResolvedOutcomes)
 }
 
 // boolValue returns 1 for true and 0 for false.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 	writes    writeCounts
 	targets   probeTargets // owned by the goroutine that watches the store
 	endpoints lifecycle.Endpoints
-	lifecycle *lifecycle.Life
+	lifecycle *lifecycle.Lifecycle
 
 	statusMutex sync.Mutex  // held while the zone's status is written
 	isOpen      atomic.Bool // all endpoints are open
@@ -115,7 +115,7 @@
 
 // Reload only logs that it is ignored: with affinity chain, a node reads its settings only at the
 // start.
-func (node *Node) Reload() { node.lifecycle.Log(logging.EventReloadIgnored) }
+func (node *Node) Reload() { node.lifecycle.LogEvent(logging.EventReloadIgnored) }
 
 // Run serves until a planned stop is finished or ctx ends. If ctx ends, Run stops at once and
 // returns lb.ErrStoppedAtOnce.
@@ -124,7 +124,7 @@
 	defer node.background.Wait()
 	defer node.endpoints.Close()
 	defer cancel()
-	node.lifecycle.Log(logging.EventStarting)
+	node.lifecycle.LogEvent(logging.EventStarting)
 	node.serveAdmin()
 	node.background.Go(func() { node.runDataPlane(running) })
 	node.background.Go(func() { node.watchStore(running) })
@@ -144,14 +144,14 @@
 	select {
 	case <-node.lifecycle.Stopping():
 	case <-ctx.Done():
-		return node.lifecycle.StoppedAtOnce()
+		return node.lifecycle.StoppedImmediately()
 	}
 	return node.runPlannedStop(ctx)
 }
 
 // runDataPlane runs the data plane until ctx ends.
 func (node *Node) runDataPlane(ctx context.Context) {
-	node.lifecycle.Failed(node.endpoints.Plane.Run(ctx))
+	node.lifecycle.LogFailure(node.endpoints.Plane.Run(ctx))
 }
 
 // tickUntil steps the engine at the tick interval until ctx ends.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -323,5 +323,5 @@
 	started := fleet.start("a", "za")
 	fleet.waitUntil("ready", func() bool { return started.State().Ready })
 	started.cancel()
-	is.Equal(<-started.done, lb.ErrStoppedAtOnce)
+	is.Equal(<-started.done, lb.ErrStoppedImmediately)
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -19,17 +19,17 @@
 	node.engine.announceStop()
 	select {
 	case <-ctx.Done():
-		return node.lifecycle.StoppedAtOnce()
+		return node.lifecycle.StoppedImmediately()
 	case <-time.After(stopLinger):
 	}
-	node.lifecycle.Stopped(reason)
+	node.lifecycle.LogStopped(reason)
 	return nil
 }
 
 // runPlannedStop runs a planned stop. The node announces that it leaves, hands over its records, and
 // continues to relay and forward packets until the fabric no longer sends any to it.
 func (node *Node) runPlannedStop(ctx context.Context) error {
-	node.lifecycle.Log(logging.EventStopping)
+	node.lifecycle.LogEvent(logging.EventStopping)
 	node.engine.beginLeave()
 	limit := time.NewTimer(node.settings.Timings.DrainLimit)
 	defer limit.Stop()
@@ -41,7 +41,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return node.lifecycle.StoppedAtOnce()
+			return node.lifecycle.StoppedImmediately()
 		case <-limit.C:
 			return node.finishStop(ctx, lifecycle.DrainLimit)
 		case <-ticker.C:
@@ -52,11 +52,11 @@
 		}
 		if !handedOver && node.engine.handoverDone() {
 			handedOver = true
-			node.lifecycle.Log(logging.EventHandedOver)
+			node.lifecycle.LogEvent(logging.EventHandedOver)
 		}
 		quiet := time.Since(quietSince) >= node.settings.Timings.DrainGrace
 		if quiet && node.engine.handoverDone() {
-			return node.finishStop(ctx, lifecycle.Quiet)
+			return node.finishStop(ctx, lifecycle.Idle)
 		}
 	}
 }
--- a/internal/node/storerequests.go
+++ b/internal/node/storerequests.go
@@ -134,7 +134,7 @@
 // writePlacement publishes one placement by compare-and-swap.
 func (node *Node) writePlacement(ctx context.Context, write *controller.Write) *controller.WriteResult {
 	placement := write.Placement
-	result := &controller.WriteResult{Service: placement.Service, WriteID: placement.WriteID, Outcome: controller.WriteNotRun}
+	result := &controller.WriteResult{Service: placement.Service, WriteID: placement.WriteID, Outcome: controller.WriteNotSent}
 	value, err := json.Marshal(placement)
 	if err != nil {
 		node.logStoreWrite(err, catalog.PlacementKey(placement.Service))
@@ -145,8 +145,8 @@
 	revision, err := node.store.Commit(ctx, store.Transaction{
 		WriteID: placement.WriteID,
 		Conditions: []store.Condition{
-			{Key: key, Revision: expected, AsOf: expected},
-			{Key: controller.EpochKey, Revision: write.ExpectedEpoch, AsOf: write.ExpectedEpoch},
+			{Key: key, Revision: expected, HeldAtRevision: expected},
+			{Key: controller.EpochKey, Revision: write.ExpectedEpoch, HeldAtRevision: write.ExpectedEpoch},
 		},
 		Puts: []store.Put{{Key: key, Value: value}},
 	})
@@ -168,7 +168,7 @@
 	case errors.Is(err, store.ErrConflict):
 		return controller.WriteConflict
 	case errors.As(err, &failure) && failure.Verdict == lb.NotRun:
-		return controller.WriteNotRun
+		return controller.WriteNotSent
 	}
 	return controller.WriteUnknown
 }
--- a/internal/node/storerequests_test.go
+++ b/internal/node/storerequests_test.go
@@ -35,7 +35,7 @@
 	is := is.New(t)
 	is.Equal(writeOutcome(nil), controller.WriteDone)
 	is.Equal(writeOutcome(&store.Error{Verdict: lb.NotRun, Cause: store.ErrConflict}), controller.WriteConflict)
-	is.Equal(writeOutcome(&store.Error{Verdict: lb.NotRun, Cause: store.ErrUnavailable}), controller.WriteNotRun)
+	is.Equal(writeOutcome(&store.Error{Verdict: lb.NotRun, Cause: store.ErrUnavailable}), controller.WriteNotSent)
 	is.Equal(writeOutcome(&store.Error{Verdict: lb.MayHaveRun, Cause: store.ErrUnavailable}), controller.WriteUnknown)
 	is.Equal(writeOutcome(errors.New("other")), controller.WriteUnknown)
 }
--- a/internal/operator/load.go
+++ b/internal/operator/load.go
@@ -17,8 +17,8 @@
 	"robinpulley.example/robinpulley/internal/loadreport"
 )
 
-// ErrNoAnswer means that a balancer did not respond or returned an invalid report.
-var ErrNoAnswer = errors.New("no answer from a balancer")
+// ErrNoResponse means that a balancer did not respond or returned an invalid report.
+var ErrNoResponse = errors.New("no answer from a balancer")
 
 // Limits for requests of load reports.
 const (
@@ -86,7 +86,7 @@
 // checkComplete returns an error if reports are missing or if no row matches the filter.
 func (l *Load) checkComplete(requested int, filter LoadFilter) error {
 	if len(l.Missing) > 0 {
-		return errors.Wrapf(ErrNoAnswer, "%d of %d balancers; the first is %s: %s", len(l.Missing), requested, l.Missing[0].Address, l.Missing[0].Error)
+		return errors.Wrapf(ErrNoResponse, "%d of %d balancers; the first is %s: %s", len(l.Missing), requested, l.Missing[0].Address, l.Missing[0].Error)
 	}
 	if len(l.Rows) == 0 && filter != (LoadFilter{}) {
 		return errors.Wrapf(ErrNotFound, "service %q in zone %q (empty: any)", filter.Service, filter.Zone)
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -11,8 +11,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// InForce is the result of Wait.
-type InForce struct {
+// WaitResult is the result of Wait.
+type WaitResult struct {
 	Revision int64 `json:"revision"`
 	// Zones lists the zones in which the revision is in force.
 	Zones []lb.Zone `json:"zones"`
@@ -35,7 +35,7 @@
 	}
 	zones := make([]string, len(err.Missing))
 	for index, zone := range err.Missing {
-		zones[index] = fmt.Sprintf("%s is at revision %d with %d of %d nodes behind", zone.Zone, zone.ConfigRevision, zone.Behind, zone.Nodes)
+		zones[index] = fmt.Sprintf("%s is at revision %d with %d of %d nodes behind", zone.Zone, zone.ConfigRevision, zone.NodesBehind, zone.Nodes)
 	}
 	return fmt.Sprintf("revision %d is not in force in every zone: %s", err.Revision, strings.Join(zones, "; "))
 }
@@ -75,7 +75,7 @@
 
 // Wait waits until the revision is in force in every zone whose report is at most freshFor old, and
 // in at least one zone. If ctx ends first, Wait returns a *WaitTimeoutError.
-func (operator *Operator) Wait(ctx context.Context, revision int64, freshFor time.Duration) (*InForce, error) {
+func (operator *Operator) Wait(ctx context.Context, revision int64, freshFor time.Duration) (*WaitResult, error) {
 	watchContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	batches := operator.client.Watch(watchContext, catalog.StatusPrefix, 0)
@@ -112,8 +112,8 @@
 
 // inForce returns the result of Wait if the revision is in force in every zone with a fresh report
 // and in at least one zone. Otherwise it returns nil.
-func inForce(reports map[string]catalog.ZoneStatus, revision int64, freshFor time.Duration) *InForce {
-	result := &InForce{Revision: revision}
+func inForce(reports map[string]catalog.ZoneStatus, revision int64, freshFor time.Duration) *WaitResult {
+	result := &WaitResult{Revision: revision}
 	for _, status := range reports {
 		report := zoneReport(status, time.Now(), freshFor)
 		switch {
--- a/internal/operator/wait_test.go
+++ b/internal/operator/wait_test.go
@@ -34,7 +34,7 @@
 func putZoneStatus(t *testing.T, operator *Operator, zone lb.Zone, revision int64, age time.Duration) {
 	t.Helper()
 	putDocument(t, operator, catalog.StatusKey(zone), catalog.ZoneStatus{
-		Zone: zone, ConfigRevision: revision, Nodes: 3, Behind: 1, UnixMillis: time.Now().Add(-age).UnixMilli(),
+		Zone: zone, ConfigRevision: revision, Nodes: 3, NodesBehind: 1, UnixMillis: time.Now().Add(-age).UnixMilli(),
 	})
 }
 
@@ -66,7 +66,7 @@
 	is.Equal(timeout.Missing[0].Zone, lb.Zone("b"))
 	is.Equal(timeout.Stale, []lb.Zone{"c"})
 
-	results := make(chan *InForce)
+	results := make(chan *WaitResult)
 	go func() {
 		result, err := ana.Wait(t.Context(), change.Revision, testFreshFor)
 		if err != nil {
--- a/internal/outlier/core.go
+++ b/internal/outlier/core.go
@@ -209,7 +209,7 @@
 
 // handleReport adds a report of a child node, or of the root node of another zone.
 func (c *Core) handleReport(report *message.OutcomeReport) {
-	if !report.Zone {
+	if !report.WholeZone {
 		c.pending.add(report)
 		return
 	}
@@ -221,13 +221,13 @@
 // addToDetector passes reported outcomes to the detector.
 func (c *Core) addToDetector(entries []message.BackendOutcomes) {
 	for _, entry := range entries {
-		c.detector.add(c.now, Identity(entry.Identity), entry.Bad, entry.Good, entry.Reporters)
+		c.detector.add(c.now, Identity(entry.Identity), entry.Bad, entry.Good, entry.NewReporters)
 	}
 }
 
 // handleVerdict applies a verdict of the zone's root node and forwards it to the children.
 func (c *Core) handleVerdict(verdict *message.OutcomeVerdict, effects *Effects) {
-	if c.place.First || verdict.Sender == c.verdict.Sender && verdict.Number <= c.verdict.Number {
+	if c.place.First || verdict.Sender == c.verdict.Sender && verdict.Sequence <= c.verdict.Sequence {
 		return
 	}
 	c.verdict = *verdict
@@ -250,8 +250,8 @@
 	for _, identity := range verdict.Watched {
 		c.watched[Identity(identity)] = true
 	}
-	unchanged := len(verdict.Avoided) == len(c.ejected)
-	for _, identity := range verdict.Avoided {
+	unchanged := len(verdict.Ejected) == len(c.ejected)
+	for _, identity := range verdict.Ejected {
 		unchanged = unchanged && c.ejected[Identity(identity)]
 	}
 	if unchanged {
@@ -259,8 +259,8 @@
 	}
 	clear(c.ejected)
 	effects.Changed = true
-	effects.Ejected = make([]Identity, 0, len(verdict.Avoided))
-	for _, identity := range verdict.Avoided {
+	effects.Ejected = make([]Identity, 0, len(verdict.Ejected))
+	for _, identity := range verdict.Ejected {
 		c.ejected[Identity(identity)] = true
 		effects.Ejected = append(effects.Ejected, Identity(identity))
 	}
@@ -291,7 +291,7 @@
 	}
 	if c.place.First {
 		c.addToDetector(entries)
-		c.send(c.place.Heads, message.OutcomeReport{Zone: true, Backends: entries}, effects)
+		c.send(c.place.Heads, message.OutcomeReport{WholeZone: true, Backends: entries}, effects)
 		return
 	}
 	if c.place.Parent.IsValid() {
--- a/internal/outlier/core_test.go
+++ b/internal/outlier/core_test.go
@@ -108,7 +108,7 @@
 			f.maxReportEntries = max(f.maxReportEntries, len(report.Backends))
 		}
 		if verdict, ok := outgoing.Message.(message.OutcomeVerdict); ok {
-			f.maxSuspects = max(f.maxSuspects, len(verdict.Watched)-len(verdict.Avoided))
+			f.maxSuspects = max(f.maxSuspects, len(verdict.Watched)-len(verdict.Ejected))
 		}
 		for _, to := range outgoing.To {
 			for _, other := range f.nodes {
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -280,11 +280,11 @@
 
 // nextVerdict returns the verdict that must be sent now, or nil if none must.
 func (d *detector) nextVerdict(now time.Duration, changed bool) *message.OutcomeVerdict {
-	verdict := &message.OutcomeVerdict{Number: d.number + 1}
+	verdict := &message.OutcomeVerdict{Sequence: d.number + 1}
 	newSuspect := false // a suspect is not yet in a published verdict
 	for identity, rec := range d.records {
 		if rec.ejectedUntil > 0 {
-			verdict.Avoided = append(verdict.Avoided, uint64(identity))
+			verdict.Ejected = append(verdict.Ejected, uint64(identity))
 		}
 		if rec.watched || rec.ejectedUntil > 0 {
 			verdict.Watched = append(verdict.Watched, uint64(identity))
@@ -300,7 +300,7 @@
 	for _, identity := range verdict.Watched {
 		d.lastWatched[identity] = true
 	}
-	slices.Sort(verdict.Avoided)
+	slices.Sort(verdict.Ejected)
 	slices.Sort(verdict.Watched)
 	d.number++
 	d.publishedAt = now
--- a/internal/outlier/pending.go
+++ b/internal/outlier/pending.go
@@ -63,7 +63,7 @@
 		if sum := tallyOf(p.below, Identity(entry.Identity)); sum != nil {
 			sum.bad += entry.Bad
 			sum.good += entry.Good
-			sum.reporters += entry.Reporters
+			sum.reporters += entry.NewReporters
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	entries := make([]message.BackendOutcomes, 0, len(p.below))
 	for identity, sum := range p.below {
 		entries = append(entries, message.BackendOutcomes{
-			Identity: uint64(identity), Bad: sum.bad, Good: sum.good, Reporters: sum.reporters,
+			Identity: uint64(identity), Bad: sum.bad, Good: sum.good, NewReporters: sum.reporters,
 		})
 	}
 	clear(p.own)
--- a/internal/packet/fuzz_test.go
+++ b/internal/packet/fuzz_test.go
@@ -71,11 +71,11 @@
 	is := is.New(t)
 	datagram, err := AppendRefusal(nil, packet, testRefusal)
 	if err != nil {
-		is.Equal(err, ErrNoAnswer)
+		is.Equal(err, ErrMustNotAnswer)
 		return
 	}
 	answer := decode(t, datagram)
 	is.Equal(answer.Refusal, testRefusal)
 	is.Equal(answer.Destination(), packet.Source())
-	is.True(answer.Reset() || answer.IsAdminProhibited())
+	is.True(answer.IsReset() || answer.IsAdminProhibited())
 }
--- a/internal/packet/option.go
+++ b/internal/packet/option.go
@@ -53,9 +53,9 @@
 	clear(data)
 	data[0] = relayFormat
 	data[1] = uint8(relay.Hop)
-	data[2] = flagIf(relay.Known, relayKnown) |
+	data[2] = flagIf(relay.FromRecord, relayKnown) |
 		flagIf(relay.Refuse, relayRefuse) |
-		flagIf(relay.Vouched, relayVouched) |
+		flagIf(relay.HeadComplete, relayVouched) |
 		flagIf(relay.Established, relayEstablished) |
 		flagIf(relay.Rerouted, relayRerouted)
 	binary.BigEndian.PutUint16(data[4:], uint16(relay.Proposal))
@@ -89,15 +89,15 @@
 		return CauseRelayOption
 	}
 	*relay = lb.Relay{
-		Hop:         hop,
-		Ingress:     lb.NodeHash(binary.BigEndian.Uint64(data[8:])),
-		Version:     lb.Version(binary.BigEndian.Uint64(data[16:])),
-		Proposal:    lb.BackendID(binary.BigEndian.Uint16(data[4:])),
-		Known:       flags&relayKnown != 0,
-		Refuse:      flags&relayRefuse != 0,
-		Vouched:     flags&relayVouched != 0,
-		Established: flags&relayEstablished != 0,
-		Rerouted:    flags&relayRerouted != 0,
+		Hop:          hop,
+		Ingress:      lb.NodeHash(binary.BigEndian.Uint64(data[8:])),
+		Version:      lb.Version(binary.BigEndian.Uint64(data[16:])),
+		Proposal:     lb.BackendID(binary.BigEndian.Uint16(data[4:])),
+		FromRecord:   flags&relayKnown != 0,
+		Refuse:       flags&relayRefuse != 0,
+		HeadComplete: flags&relayVouched != 0,
+		Established:  flags&relayEstablished != 0,
+		Rerouted:     flags&relayRerouted != 0,
 	}
 	return nil
 }
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -103,8 +103,8 @@
 	return destination
 }
 
-// Relayed reports whether another balancer relayed the packet.
-func (packet *Packet) Relayed() bool { return packet.Relay.Hop != lb.HopIngress }
+// IsRelayed reports whether another balancer relayed the packet.
+func (packet *Packet) IsRelayed() bool { return packet.Relay.Hop != lb.HopIngress }
 
 // Decode decodes a datagram into packet. Errors are always of type Cause. After an error, the
 // fields of the packet are undefined.
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -20,15 +20,15 @@
 
 	// testRelay has no zero field; TestRelayOptionCarriesEveryField checks this.
 	testRelay = lb.Relay{
-		Hop:         lb.HopTail,
-		Ingress:     0x0102030405060708,
-		Version:     1 << 40,
-		Proposal:    513,
-		Known:       true,
-		Refuse:      true,
-		Vouched:     true,
-		Established: true,
-		Rerouted:    true,
+		Hop:          lb.HopTail,
+		Ingress:      0x0102030405060708,
+		Version:      1 << 40,
+		Proposal:     513,
+		FromRecord:   true,
+		Refuse:       true,
+		HeadComplete: true,
+		Established:  true,
+		Rerouted:     true,
 	}
 
 	opening = Segment{Flags: FlagSYN, Sequence: 0xfffffff0, Window: 65535}
@@ -93,7 +93,7 @@
 		is.Equal(packet.VNI, uint32(testVNI))
 		is.Equal(packet.Relay, testRelay)
 		is.Equal(packet.Refusal, lb.Refusal{})
-		is.True(packet.Relayed())
+		is.True(packet.IsRelayed())
 	}
 }
 
@@ -106,7 +106,7 @@
 		is.Equal(packet.Kind, core.PacketUnmarked)
 		is.Equal(string(packet.Segment.Payload), "query")
 		is.Equal(packet.Inner, inner)
-		is.True(!packet.Relayed())
+		is.True(!packet.IsRelayed())
 	}
 }
 
@@ -164,9 +164,9 @@
 	inner := tcpPacket(t, caller4, service4, opening)
 	for _, relay := range []lb.Relay{
 		{Hop: lb.HopHead},
-		{Hop: lb.HopHead, Known: true},
+		{Hop: lb.HopHead, FromRecord: true},
 		{Hop: lb.HopHead, Refuse: true},
-		{Hop: lb.HopHead, Vouched: true},
+		{Hop: lb.HopHead, HeadComplete: true},
 		{Hop: lb.HopHead, Established: true},
 		{Hop: lb.HopHead, Rerouted: true},
 	} {
--- a/internal/packet/refusal.go
+++ b/internal/packet/refusal.go
@@ -8,10 +8,10 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// ErrNoAnswer means that a packet must not be answered, because it is an RST (RFC 9293, section
+// ErrMustNotAnswer means that a packet must not be answered, because it is an RST (RFC 9293, section
 // 3.10.7.1) or an ICMP message (RFC 1122, section 3.2.2), or because one of its addresses does not
 // identify a single host.
-var ErrNoAnswer = errors.New("packet must not be answered")
+var ErrMustNotAnswer = errors.New("packet must not be answered")
 
 // Codes for "administratively prohibited" (RFC 1812, section 5.2.7.1; RFC 4443, section 3.1).
 const (
@@ -38,7 +38,7 @@
 // packet must not be answered, AppendRefusal returns dst unchanged and ErrNoAnswer.
 func AppendRefusal(dst []byte, packet *Packet, refusal lb.Refusal) ([]byte, error) {
 	if !answerable(packet) {
-		return dst, ErrNoAnswer
+		return dst, ErrMustNotAnswer
 	}
 	builder := builders.Get().(*builder)
 	defer builders.Put(builder)
@@ -141,7 +141,7 @@
 	return false
 }
 
-// Reset reports whether the packet is a TCP RST.
-func (packet *Packet) Reset() bool {
+// IsReset reports whether the packet is a TCP RST.
+func (packet *Packet) IsReset() bool {
 	return packet.Kind == core.PacketClosing && packet.Segment.Flags.Has(FlagRST)
 }
--- a/internal/packet/refusal_test.go
+++ b/internal/packet/refusal_test.go
@@ -29,7 +29,7 @@
 	is := is.New(t)
 	is.Equal(answer.Refusal, testRefusal)
 	is.Equal(answer.VNI, uint32(testVNI))
-	is.True(!answer.Relayed())
+	is.True(!answer.IsRelayed())
 	is.Equal(answer.Source(), packet.Destination())
 	is.Equal(answer.Destination(), packet.Source())
 	verifyChecksums(t, answer.Inner)
@@ -102,7 +102,7 @@
 			t.Run(test.name, func(t *testing.T) {
 				is := is.New(t)
 				answer := refuse(t, tcpPacket(t, ends[0], ends[1], test.segment))
-				is.True(answer.Reset())
+				is.True(answer.IsReset())
 				is.True(!answer.IsAdminProhibited())
 				answer.Segment.Payload = nil
 				is.Equal(answer.Segment, test.reset)
@@ -118,7 +118,7 @@
 			inner := udpPacket(t, ends[0], ends[1], payload)
 			answer := refuse(t, inner)
 			is.True(answer.IsAdminProhibited())
-			is.True(!answer.Reset())
+			is.True(!answer.IsReset())
 			is.Equal(answer.Key, lb.NewFlowKey(ends[1], ends[0], lb.UDP))
 			headers := ipv4HeaderLength + icmpHeaderLength
 			maxLength := icmpv4MaxLength
@@ -147,7 +147,7 @@
 		packet := decode(t, wrap(t, inner, Header{}))
 		before := []byte("before")
 		after, err := AppendRefusal(before, packet, testRefusal)
-		is.Equal(err, ErrNoAnswer)
+		is.Equal(err, ErrMustNotAnswer)
 		is.Equal(after, before)
 	}
 }
--- a/internal/store/linearizability_test.go
+++ b/internal/store/linearizability_test.go
@@ -124,8 +124,8 @@
 		}
 		group.Wait()
 		for _, client := range clients {
-			lostResponses += client.Stats().LostAnswers
-			is.Equal(client.Stats().Resolved, client.Stats().LostAnswers)
+			lostResponses += client.Stats().LostResponses
+			is.Equal(client.Stats().ResolvedOutcomes, client.Stats().LostResponses)
 		}
 		result := porcupine.CheckOperationsTimeout(registerModel, history.operations, time.Minute)
 		is.Equal(result, porcupine.Ok)
--- a/internal/store/request_policy.go
+++ b/internal/store/request_policy.go
@@ -38,14 +38,14 @@
 
 // Stats are counters of the client, for metrics.
 type Stats struct {
-	Circuit     CircuitState
-	RetryTokens float64 // retries that the retry budget allows at present
-	Requests    uint64  // requests sent to the store
-	Failures    uint64  // requests that received no usable response
-	Throttled   uint64  // requests rejected by the store's rate limit
-	Retries     uint64
-	LostAnswers uint64 // writes whose response was lost
-	Resolved    uint64 // writes with a lost response whose outcome was determined afterwards
+	Circuit          CircuitState
+	RetryTokens      float64 // retries that the retry budget allows at present
+	Requests         uint64  // requests sent to the store
+	Failures         uint64  // requests that received no usable response
+	Throttled        uint64  // requests rejected by the store's rate limit
+	Retries          uint64
+	LostResponses    uint64 // writes whose response was lost
+	ResolvedOutcomes uint64 // writes with a lost response whose outcome was determined afterwards
 }
 
 // requestPolicy decides whether and when a request may be sent. It combines the rate limit, the
--- a/internal/store/resolve.go
+++ b/internal/store/resolve.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithTimeoutCause(ctx, commit.client.settings.Timeout, errTimeout)
 	defer cancel()
 	first := commit.txn.Conditions[0]
-	stream, err := commit.client.openWatch(ctx, commit.historyRange(), max(first.Revision, first.AsOf)+1)
+	stream, err := commit.client.openWatch(ctx, commit.historyRange(), max(first.Revision, first.HeldAtRevision)+1)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -16,14 +16,14 @@
 	Key                   string
 	Revision              int64
 	CompareCreateRevision bool
-	// AsOf is a store revision at which a read showed that the condition held; 0 if unknown. After
+	// HeldAtRevision is a store revision at which a read showed that the condition held; 0 if unknown. After
 	// a lost response, Commit reads the history from this revision on.
-	AsOf int64
+	HeldAtRevision int64
 }
 
 // UnchangedCondition returns the condition that the key has not changed since it was read.
 func (kv *KeyValue) UnchangedCondition() Condition {
-	return Condition{Key: kv.Key, Revision: kv.ModRevision, AsOf: kv.ReadRevision}
+	return Condition{Key: kv.Key, Revision: kv.ModRevision, HeldAtRevision: kv.ReadRevision}
 }
 
 // actualRevision returns the revision of current that the condition compares with
@@ -219,7 +219,7 @@
 // recordLostResponse records that the response to a copy was lost.
 func (commit *pendingCommit) recordLostResponse() {
 	if !commit.outcomeUnknown {
-		commit.client.policy.updateStats(func(stats *Stats) { stats.LostAnswers++ })
+		commit.client.policy.updateStats(func(stats *Stats) { stats.LostResponses++ })
 	}
 	commit.outcomeUnknown = true
 }
@@ -227,7 +227,7 @@
 // recordResolved records that the outcome of all earlier copies is known.
 func (commit *pendingCommit) recordResolved() {
 	if commit.outcomeUnknown {
-		commit.client.policy.updateStats(func(stats *Stats) { stats.Resolved++ })
+		commit.client.policy.updateStats(func(stats *Stats) { stats.ResolvedOutcomes++ })
 	}
 	commit.outcomeUnknown = false
 }
--- a/internal/store/transaction_test.go
+++ b/internal/store/transaction_test.go
@@ -131,7 +131,7 @@
 				is.NoErr(err)
 				is.Equal(string(final.Value), test.value)
 				stats := client.Stats()
-				is.Equal(stats.Resolved, stats.LostAnswers)
+				is.Equal(stats.ResolvedOutcomes, stats.LostResponses)
 			})
 		})
 	}
--- a/internal/tokennode/admin.go
+++ b/internal/tokennode/admin.go
@@ -14,7 +14,7 @@
 	pages := adminserver.Pages{Ready: node.isReady, Metrics: http.HandlerFunc(node.serveMetrics)}
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /load", node.serveLoad)
-	node.background.Go(func() { node.lifecycle.Failed(node.endpoints.Admin.Serve(pages, routes)) })
+	node.background.Go(func() { node.lifecycle.LogFailure(node.endpoints.Admin.Serve(pages, routes)) })
 }
 
 // serveMetrics answers a scrape. It creates the metric registry for each request.
--- a/internal/tokennode/badinput_test.go
+++ b/internal/tokennode/badinput_test.go
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	testbed := newTestbed(t, 2)
 	blocked := blockedWriter{released: make(chan struct{})}
-	output := logging.NonBlocking(blocked, func(int) {})
+	output := logging.NewNonBlockingWriter(blocked, func(int) {})
 	t.Cleanup(func() {
 		close(blocked.released)
 		_ = output.Close()
--- a/internal/tokennode/decisionlog.go
+++ b/internal/tokennode/decisionlog.go
@@ -135,7 +135,7 @@
 		event = event.Float64(logging.FieldPressure, decision.Pressure)
 	}
 	if decision.HeldFor > 0 {
-		event = event.Int64(logging.FieldWaited, decision.HeldFor.Milliseconds())
+		event = event.Int64(logging.FieldQueueTime, decision.HeldFor.Milliseconds())
 	}
 	if line.omitted > 0 {
 		event = event.Uint64(logging.FieldOmitted, line.omitted)
--- a/internal/tokennode/decisionlog_test.go
+++ b/internal/tokennode/decisionlog_test.go
@@ -113,8 +113,8 @@
 		logger func() zerolog.Logger
 	}{
 		{"silent", zerolog.Nop},
-		{"logged", func() zerolog.Logger { return zerolog.New(logging.NonBlocking(io.Discard, func(int) {})) }},
-		{"blocked", func() zerolog.Logger { return zerolog.New(logging.NonBlocking(blocked, func(int) {})) }},
+		{"logged", func() zerolog.Logger { return zerolog.New(logging.NewNonBlockingWriter(io.Discard, func(int) {})) }},
+		{"blocked", func() zerolog.Logger { return zerolog.New(logging.NewNonBlockingWriter(blocked, func(int) {})) }},
 	}
 	for _, output := range outputs {
 		b.Run(output.name, func(b *testing.B) {
--- a/internal/tokennode/engine.go
+++ b/internal/tokennode/engine.go
@@ -96,7 +96,7 @@
 	coreSettings.PauseLimit = settings.Timings.PauseLimit
 	coreSettings.RetryAfter = settings.Timings.RetryAfter
 	coreSettings.Overload.Off = settings.Admission == config.AdmissionOff
-	coreSettings.AdmissionQueue.Off = coreSettings.Overload.Off || settings.Waiting == config.WaitingOff
+	coreSettings.AdmissionQueue.Off = coreSettings.Overload.Off || settings.AdmissionQueue == config.AdmissionQueueOff
 	coreSettings.ColdStart.RateFactor = settings.Limits.ColdOverage
 	coreSettings.ColdStart.Burst = settings.Limits.ColdSlack
 	followerSettings := follower.DefaultSettings(settings.Node, settings.Zone, incarnation).
--- a/internal/tokennode/enginelog.go
+++ b/internal/tokennode/enginelog.go
@@ -54,7 +54,7 @@
 			Str(logging.FieldService, string(change.Service)).
 			Float64(logging.FieldPressure, change.Pressure).
 			Uint16(logging.FieldPriority, change.Priority).
-			Float64(logging.FieldAdmitted, change.Admitted).
+			Float64(logging.FieldAdmissionRate, change.Admitted).
 			Uint64(logging.FieldRefused, change.Refused).
 			Send()
 	}
@@ -63,9 +63,9 @@
 // logBackends logs back ends that have become unresponsive or answer again.
 func (engine *engine) logBackends() {
 	for _, change := range engine.coreEffects.Backends {
-		event := logging.EventBackendAnswers
+		event := logging.EventBackendResponsive
 		if change.Silent {
-			event = logging.EventBackendSilent
+			event = logging.EventBackendUnresponsive
 		}
 		engine.logger.Info().
 			Str(logging.FieldEvent, string(event)).
--- a/internal/tokennode/fleetloadlog.go
+++ b/internal/tokennode/fleetloadlog.go
@@ -74,9 +74,9 @@
 	if !inputs.hasLoad {
 		return line
 	}
-	return line.Float64(logging.FieldAsked, inputs.demand).
-		Float64(logging.FieldAskedOthers, inputs.demandOthers).
-		Float64(logging.FieldAskedRefused, inputs.refused).
+	return line.Float64(logging.FieldDemand, inputs.demand).
+		Float64(logging.FieldDemandOthers, inputs.demandOthers).
+		Float64(logging.FieldDemandRefused, inputs.refused).
 		Int64(logging.FieldLoadAge, inputs.age.Milliseconds())
 }
 
@@ -96,10 +96,10 @@
 	engine.loadLog.localWeights.retain(engine.table.HasService)
 	for _, change := range engine.loadLog.localWeights.changes(engine.lastStep, localWeights, func(service lb.ServiceName) float64 { return localWeights[service] }) {
 		line := engine.logger.Info().
-			Str(logging.FieldEvent, string(logging.EventShareChanged)).
+			Str(logging.FieldEvent, string(logging.EventZoneWeightChanged)).
 			Str(logging.FieldService, string(change.key)).
-			Float64(logging.FieldHome, change.value).
-			Float64(logging.FieldBefore, change.before)
+			Float64(logging.FieldLocalWeight, change.value).
+			Float64(logging.FieldPrevious, change.before)
 		inputs := engine.loadInputs(change.key)
 		inputs.write(line).Send()
 	}
@@ -118,11 +118,11 @@
 	engine.loadLog.admissionRates.retain(func(key levelKey) bool { return engine.table.HasService(key.service) })
 	for _, change := range engine.loadLog.admissionRates.changes(engine.lastStep, rates, func(levelKey) float64 { return 1 }) {
 		line := engine.logger.Info().
-			Str(logging.FieldEvent, string(logging.EventAdmittedChanged)).
+			Str(logging.FieldEvent, string(logging.EventAdmissionRateChanged)).
 			Str(logging.FieldService, string(change.key.service)).
 			Uint16(logging.FieldPriority, change.key.priority).
-			Float64(logging.FieldAdmitted, change.value).
-			Float64(logging.FieldBefore, change.before).
+			Float64(logging.FieldAdmissionRate, change.value).
+			Float64(logging.FieldPrevious, change.before).
 			Float64(logging.FieldPressure, pressures[change.key.service])
 		inputs := engine.loadInputs(change.key.service)
 		inputs.write(line).Send()
--- a/internal/tokennode/node.go
+++ b/internal/tokennode/node.go
@@ -47,7 +47,7 @@
 	logger    zerolog.Logger
 	engine    *engine
 	endpoints lifecycle.Endpoints
-	lifecycle *lifecycle.Life
+	lifecycle *lifecycle.Lifecycle
 
 	isOpen atomic.Bool // all endpoints are open
 	// settings are the settings in force: Options.Settings at first, then the last ones that were
@@ -159,7 +159,7 @@
 	node.logger.Info().
 		Str(logging.FieldEvent, string(logging.EventStarting)).
 		Str(logging.FieldAdmission, string(node.options.Settings.Admission)).
-		Str(logging.FieldWaiting, string(node.options.Settings.Waiting)).
+		Str(logging.FieldAdmissionQueue, string(node.options.Settings.AdmissionQueue)).
 		Send()
 	node.background.Go(func() { node.tickUntil(running) })
 	node.background.Go(func() { node.retryQueueUntil(running) })
@@ -169,7 +169,7 @@
 	select {
 	case <-node.lifecycle.Stopping():
 	case <-ctx.Done():
-		return node.lifecycle.StoppedAtOnce()
+		return node.lifecycle.StoppedImmediately()
 	}
 	return node.runPlannedStop(ctx)
 }
@@ -186,7 +186,7 @@
 	case <-time.After(firstViewTimeout):
 	case <-ctx.Done():
 	}
-	node.lifecycle.Failed(node.endpoints.Plane.Run(ctx))
+	node.lifecycle.LogFailure(node.endpoints.Plane.Run(ctx))
 }
 
 // readStore executes the calls to the store that the follower requests, until ctx ends.
--- a/internal/tokennode/openflows.go
+++ b/internal/tokennode/openflows.go
@@ -36,7 +36,7 @@
 // announced and forwards those that are new along the tree. To a request, which nodes send after
 // their start, it answers with the recent flows.
 func (engine *engine) applyOpenFlows(received *message.OpenFlows, from netip.AddrPort) {
-	if received.Ask {
+	if received.Request {
 		engine.announceFlows(engine.core.RecentFlows(), []netip.AddrPort{from})
 		return
 	}
@@ -67,5 +67,5 @@
 			to = append(to, neighbour)
 		}
 	}
-	engine.sendFlows(message.OpenFlows{Ask: true}, to)
+	engine.sendFlows(message.OpenFlows{Request: true}, to)
 }
--- a/internal/tokennode/outliers.go
+++ b/internal/tokennode/outliers.go
@@ -58,9 +58,9 @@
 // of each decision.
 func (engine *engine) logEjections() {
 	for _, change := range engine.outlierEffects.Changes {
-		event := logging.EventBackendTrusted
+		event := logging.EventBackendRestored
 		if change.Ejected {
-			event = logging.EventBackendAvoided
+			event = logging.EventBackendEjected
 		}
 		engine.logger.Warn().
 			Str(logging.FieldEvent, string(event)).
--- a/internal/tokennode/reachability.go
+++ b/internal/tokennode/reachability.go
@@ -10,7 +10,7 @@
 // zoneContacts returns when the membership last received a message from each zone, in the form of
 // the core.
 func (engine *engine) zoneContacts() []core.ZoneContact {
-	contacts := engine.member.Heard(nil)
+	contacts := engine.member.ZoneContacts(nil)
 	zones := make([]core.ZoneContact, len(contacts))
 	for index, zone := range contacts {
 		zones[index] = core.ZoneContact(zone)
@@ -22,19 +22,19 @@
 // the inputs of each decision.
 func (engine *engine) logReachability() {
 	for _, change := range engine.coreEffects.Reachability {
-		event := logging.EventZoneUnreached
+		event := logging.EventZoneUnreachable
 		if change.Reachable {
-			event = logging.EventZoneReached
+			event = logging.EventZoneReachable
 		}
 		engine.logger.Warn().
 			Str(logging.FieldEvent, string(event)).
 			Str(logging.FieldBackendZone, string(change.Zone)).
 			Str(logging.FieldReason, string(change.LifeSign)).
 			Int(logging.FieldMissing, change.Unresponsive).
-			Int64(logging.FieldSilence, change.UnresponsiveFor.Milliseconds()).
-			Int64(logging.FieldAnswered, ageMillis(change.SinceAnswer)).
-			Int64(logging.FieldHeard, ageMillis(change.SinceMemberSeen)).
-			Bool(logging.FieldLost, change.MembershipLost).
+			Int64(logging.FieldUnresponsiveTime, change.UnresponsiveFor.Milliseconds()).
+			Int64(logging.FieldLastResponseAge, ageMillis(change.SinceAnswer)).
+			Int64(logging.FieldLastContactAge, ageMillis(change.SinceMemberSeen)).
+			Bool(logging.FieldMembersLost, change.MembershipLost).
 			Int(logging.FieldProbes, change.Probes).
 			Send()
 	}
--- a/internal/tokennode/stop.go
+++ b/internal/tokennode/stop.go
@@ -29,7 +29,7 @@
 // reports that it is not ready, goes on serving until the routers no longer send packets to it, and
 // stops.
 func (node *Node) runPlannedStop(ctx context.Context) error {
-	node.lifecycle.Log(logging.EventStopping)
+	node.lifecycle.LogEvent(logging.EventStopping)
 	node.engine.announceLeave()
 	started := time.Now()
 	timings := &node.settings.Load().Timings
@@ -54,7 +54,7 @@
 			quietSince = time.Now()
 		}
 		if time.Since(notReady) >= routerNoticeTime && time.Since(quietSince) >= timings.DrainGrace {
-			reason = lifecycle.Quiet
+			reason = lifecycle.Idle
 			return true
 		}
 		return time.Since(started) >= limit
@@ -73,7 +73,7 @@
 	for !holds() {
 		select {
 		case <-ctx.Done():
-			return node.lifecycle.StoppedAtOnce()
+			return node.lifecycle.StoppedImmediately()
 		case <-ticker.C:
 		}
 	}
@@ -85,5 +85,5 @@
 	node.stepQueue(&core.Event{CloseQueue: true})
 	node.engine.announceStop()
 	time.Sleep(finalSendTime)
-	node.lifecycle.Stopped(reason)
+	node.lifecycle.LogStopped(reason)
 }
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -134,7 +134,7 @@
 		}
 		return ClassBulk
 	case message.ViewDelta:
-		if m.Whole() || len(m.Delta.Backends) > bulkBackends {
+		if m.IsFullView() || len(m.Delta.Backends) > bulkBackends {
 			return ClassBulk
 		}
 	}
@@ -165,7 +165,7 @@
 		return digestLifetime
 	case message.OutcomeReport, message.OutcomeVerdict, message.LoadReport, message.LoadState:
 		return outcomeLifetime
-	case message.ViewDelta, message.ViewWant:
+	case message.ViewDelta, message.ViewRequest:
 		return deltaLifetime
 	}
 	return 0
