--- a/cmd/robinctl/cli.go
+++ b/cmd/robinctl/cli.go
@@ -18,31 +18,31 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// commandLine is everything robinctl understands.
+// commandLine defines the commands and the global flags.
 type commandLine struct {
 	Store    []string      `help:"Base URLs of the store, separated by commas." env:"ROBINCTL_STORE" placeholder:"URL"`
-	Output   string        `help:"Form of the output: ${enum}." enum:"table,json" default:"table" short:"o"`
-	Timeout  time.Duration `help:"Longest time for the whole command, waiting included." default:"30s"`
-	FreshFor time.Duration `help:"A zone whose last report is older is shown as stale and not waited for." default:"30s"`
-	Rate     float64       `help:"Most requests to the store, per second." default:"20"`
+	Output   string        `help:"Output format: ${enum}." enum:"table,json" default:"table" short:"o"`
+	Timeout  time.Duration `help:"Timeout of the whole command, including waiting." default:"30s"`
+	FreshFor time.Duration `help:"Maximum age of a zone's last report; an older one is shown as stale, and the zone is not waited for." default:"30s"`
+	Rate     float64       `help:"Maximum rate of requests to the store, per second." default:"20"`
 	As       string        `help:"Name under which changes are recorded." default:"${identity}"`
 
 	Service  serviceCommands `cmd:"" help:"Create, change, delete and show services."`
 	Backend  backendCommands `cmd:"" help:"Create, change, delete and show back ends."`
 	Label    labelCommand    `cmd:"" help:"Change labels of a back end."`
 	Selector selectorCommand `cmd:"" help:"Change the selector of a service."`
-	Drain    drainCommand    `cmd:"" help:"Take new flows away from a back end; its flows stay."`
-	Undrain  undrainCommand  `cmd:"" help:"Let a drained back end take new flows again."`
-	Zone     zoneCommands    `cmd:"" help:"Take a zone out of use, and take it back."`
-	Status   statusCommand   `cmd:"" help:"Show what is in force and what is under way."`
+	Drain    drainCommand    `cmd:"" help:"Stop sending new flows to a back end; its open flows stay."`
+	Undrain  undrainCommand  `cmd:"" help:"Send new flows to a drained back end again."`
+	Zone     zoneCommands    `cmd:"" help:"Evacuate a zone and restore it."`
+	Status   statusCommand   `cmd:"" help:"Show the configuration in force and changes in progress."`
 	Wait     waitCommand     `cmd:"" help:"Wait until a change is in force in every zone."`
 	Apply    applyCommand    `cmd:"" help:"Create or change the objects of a YAML file."`
 	Export   exportCommand   `cmd:"" help:"Write all objects as YAML."`
-	Load     loadCommand     `cmd:"" help:"Show what callers ask for and back ends can do, by service, zone and priority; needs no store."`
-	Trace    traceCommand    `cmd:"" help:"Find one flow in the logs of all nodes; needs no store."`
+	Load     loadCommand     `cmd:"" help:"Show the demand of clients and the capacity of back ends, by service, zone and priority; needs no store."`
+	Trace    traceCommand    `cmd:"" help:"Find the log lines of one flow in the logs of all nodes; needs no store."`
 }
 
-// session is what commands work with.
+// session holds what the commands need at run time.
 type session struct {
 	ctx      context.Context
 	operator *operator.Operator
@@ -50,24 +50,24 @@
 	freshFor time.Duration
 }
 
-// helpShown ends the run after kong has printed the help.
+// helpShown is the panic value that ends run after kong has printed the help.
 type helpShown struct{ code int }
 
-// run carries out one command line and gives the exit code.
+// run executes one command line and returns the exit code.
 func run(ctx context.Context, arguments []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
-		switch ended := recover().(type) {
+		switch cause := recover().(type) {
 		case nil:
 		case helpShown:
-			code = ended.code
+			code = cause.code
 		default:
-			panic(ended)
+			panic(cause)
 		}
 	}()
 	var line commandLine
 	parser, err := kong.New(&line,
 		kong.Name("robinctl"),
-		kong.Description("Changes the configuration of robinpulley and tells what is in force."),
+		kong.Description("Changes the configuration of robinpulley and shows what is in force."),
 		kong.Writers(stdout, stderr),
 		kong.Vars{"identity": identity()},
 		kong.Exit(func(code int) { panic(helpShown{code}) }),
@@ -92,12 +92,12 @@
 	return report(stderr, line.Output, err)
 }
 
-// withoutStore tells whether a command needs no store.
+// withoutStore returns whether a command needs no store.
 func withoutStore(command string) bool {
 	return strings.HasPrefix(command, "trace ") || strings.HasPrefix(command, "load ")
 }
 
-// newOperator connects to the store.
+// newOperator returns an operator that uses the store with the given flags.
 func newOperator(line *commandLine) (*operator.Operator, error) {
 	settings := store.DefaultSettings(line.Store, randomSeed())
 	settings.RequestsPerSecond = line.Rate
@@ -108,7 +108,7 @@
 	return operator.New(client, line.As, randomID), nil
 }
 
-// identity names the person at this machine, e.g. "ana@desk-7".
+// identity returns the user and host under which changes are recorded, such as "ana@desk-7".
 func identity() string {
 	host, err := os.Hostname()
 	if err != nil {
@@ -121,7 +121,7 @@
 	return user + "@" + host
 }
 
-// idBytes makes write ids unique among all operators.
+// idBytes is the length of a random write ID, in bytes. It makes IDs unique across all operators.
 const idBytes = 8
 
 func randomBytes() []byte {
--- a/cmd/robinctl/commands.go
+++ b/cmd/robinctl/commands.go
@@ -11,18 +11,18 @@
 	"robinpulley.example/robinpulley/internal/operator"
 )
 
-// waiting is the flag of every command that changes something.
-type waiting struct {
+// waitFlag is the flag of every command that changes the configuration.
+type waitFlag struct {
 	Wait bool `help:"Wait until the change is in force in every zone."`
 }
 
-// finish prints the changes and, if asked for, waits for the last one. What
-// was done is printed also when a later change failed.
-func (waiting *waiting) finish(session *session, err error, changes ...operator.Change) error {
+// finish prints the changes and, if the flag is set, waits until the last one is in force. It prints
+// completed changes even if a later one failed.
+func (flag *waitFlag) finish(session *session, err error, changes ...operator.Change) error {
 	if len(changes) > 0 {
 		err = errors.CombineErrors(err, session.printer.changes(changes))
 	}
-	if err != nil || !waiting.Wait || len(changes) == 0 {
+	if err != nil || !flag.Wait || len(changes) == 0 {
 		return err
 	}
 	var revision int64
@@ -32,14 +32,15 @@
 	return session.wait(revision)
 }
 
-// done is finish for commands that make one change.
-func (waiting *waiting) done(session *session, change operator.Change, err error) error {
+// finishOne is like finish, for commands that make one change.
+func (flag *waitFlag) finishOne(session *session, change operator.Change, err error) error {
 	if err != nil {
 		return err
 	}
-	return waiting.finish(session, nil, change)
+	return flag.finish(session, nil, change)
 }
 
+// wait waits until a revision is in force in every zone, and prints the result.
 func (session *session) wait(revision int64) error {
 	result, err := session.operator.Wait(session.ctx, revision, session.freshFor)
 	if err != nil {
@@ -49,57 +50,57 @@
 }
 
 type labelCommand struct {
-	waiting
+	waitFlag
 	Backend string   `arg:"" help:"Name of the back end."`
-	Labels  []string `arg:"" help:"key=value sets a label, key- takes it away."`
+	Labels  []string `arg:"" help:"key=value sets a label, key- removes it."`
 }
 
-// Run changes labels.
+// Run changes labels of a back end.
 func (command *labelCommand) Run(session *session) error {
 	change, err := session.operator.Label(session.ctx, lb.BackendName(command.Backend), command.Labels)
-	return command.done(session, change, err)
+	return command.finishOne(session, change, err)
 }
 
 type selectorCommand struct {
-	waiting
+	waitFlag
 	Service  string `arg:"" help:"Name of the service."`
 	Selector string `arg:"" help:"Terms joined by commas, e.g. 'app=wallet, tier in (a, b), !canary'."`
 }
 
-// Run changes a selector.
+// Run changes the selector of a service.
 func (command *selectorCommand) Run(session *session) error {
 	change, err := session.operator.EditService(session.ctx, lb.ServiceName(command.Service), func(service *catalog.Service) error {
 		service.Selector = command.Selector
 		return nil
 	})
-	return command.done(session, change, err)
+	return command.finishOne(session, change, err)
 }
 
 type drainCommand struct {
-	waiting
+	waitFlag
 	Backend string `arg:"" help:"Name of the back end."`
 }
 
 // Run drains a back end.
 func (command *drainCommand) Run(session *session) error {
 	change, err := session.operator.Drain(session.ctx, lb.BackendName(command.Backend), true)
-	return command.done(session, change, err)
+	return command.finishOne(session, change, err)
 }
 
 type undrainCommand struct {
-	waiting
+	waitFlag
 	Backend string `arg:"" help:"Name of the back end."`
 }
 
-// Run ends the draining of a back end.
+// Run sends new flows to a drained back end again.
 func (command *undrainCommand) Run(session *session) error {
 	change, err := session.operator.Drain(session.ctx, lb.BackendName(command.Backend), false)
-	return command.done(session, change, err)
+	return command.finishOne(session, change, err)
 }
 
 type statusCommand struct{}
 
-// Run shows the status.
+// Run prints the status of zones and services.
 func (command *statusCommand) Run(session *session) error {
 	status, err := session.operator.Status(session.ctx, session.freshFor)
 	if err != nil {
@@ -109,11 +110,11 @@
 }
 
 type waitCommand struct {
-	Revision int64  `help:"Store revision to wait for; default: that of the last change." xor:"what"`
-	Service  string `help:"Wait for the last change that concerns this service." xor:"what"`
+	Revision int64  `help:"Store revision to wait for; default: the revision of the last change." xor:"what"`
+	Service  string `help:"Wait for the last change that affects this service." xor:"what"`
 }
 
-// Run waits for a change.
+// Run waits until a change is in force in every zone.
 func (command *waitCommand) Run(session *session) error {
 	revision, err := command.revision(session)
 	if err != nil {
@@ -122,6 +123,7 @@
 	return session.wait(revision)
 }
 
+// revision returns the store revision to wait for.
 func (command *waitCommand) revision(session *session) (int64, error) {
 	switch {
 	case command.Revision > 0:
@@ -133,11 +135,11 @@
 }
 
 type applyCommand struct {
-	waiting
-	File string `short:"f" required:"" help:"YAML file, or - for the standard input." placeholder:"FILE"`
+	waitFlag
+	File string `short:"f" required:"" help:"YAML file, or - for standard input." placeholder:"FILE"`
 }
 
-// Run applies a file.
+// Run creates or changes the objects in the file.
 func (command *applyCommand) Run(session *session) error {
 	objects, err := command.read()
 	if err != nil {
@@ -147,6 +149,7 @@
 	return command.finish(session, err, changes...)
 }
 
+// read reads the objects from the file or from standard input.
 func (command *applyCommand) read() (operator.Objects, error) {
 	var reader io.Reader = os.Stdin
 	if command.File != "-" {
@@ -163,7 +166,7 @@
 
 type exportCommand struct{}
 
-// Run exports all objects.
+// Run writes all objects as YAML, or as JSON if that is the output format.
 func (command *exportCommand) Run(session *session) error {
 	objects, err := session.operator.Export(session.ctx)
 	if err != nil {
--- a/cmd/robinctl/exit.go
+++ b/cmd/robinctl/exit.go
@@ -14,15 +14,15 @@
 // Exit codes.
 const (
 	exitOK          = 0
-	exitFailed      = 1 // none of the others, e.g. an invalid document in the store
-	exitBadInput    = 2 // the command's own input, or an object that does not exist
-	exitConflict    = 3 // another change came first; nothing was written
-	exitUnknown     = 4 // the change may or may not have been made
-	exitUnavailable = 5 // the store, or a balancer that was asked, cannot be reached; nothing was written
-	exitWaitTimeout = 6 // not in force everywhere in time; the change stays
+	exitFailed      = 1 // any other error, e.g. an invalid document in the store
+	exitBadInput    = 2 // the input is invalid, or an object doesn't exist
+	exitConflict    = 3 // a concurrent change was written first; nothing was written
+	exitUnknown     = 4 // the change may or may not have been written
+	exitUnavailable = 5 // the store or a queried balancer is unreachable; nothing was written
+	exitWaitTimeout = 6 // the change isn't yet in force in every zone; it remains written
 )
 
-// exitCode gives the exit code for an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	switch {
 	case err == nil:
@@ -41,13 +41,13 @@
 	return exitFailed
 }
 
-// failure is an error in JSON output.
+// failure is the JSON form of an error.
 type failure struct {
 	Error    string `json:"error"`
 	ExitCode int    `json:"exit_code"`
 }
 
-// report prints the error, if there is one, and gives the exit code.
+// report prints the error, if any, and returns the exit code.
 func report(stderr io.Writer, output string, err error) int {
 	code := exitCode(err)
 	switch {
--- a/cmd/robinctl/load.go
+++ b/cmd/robinctl/load.go
@@ -11,14 +11,15 @@
 	"robinpulley.example/robinpulley/internal/operator"
 )
 
-// loadCommand shows the load of services. It needs no store.
+// loadCommand implements "robinctl load". It needs no store.
 type loadCommand struct {
-	Nodes   []string `arg:"" help:"Admin addresses of balancers, IP:PORT or a base URL each; one or two of each zone do." name:"admin-address"`
+	Nodes   []string `arg:"" help:"Admin addresses of balancers, IP:PORT or a base URL each; one or two for each zone are enough." name:"admin-address"`
 	Service string   `help:"Show this service only."`
 	Zone    string   `help:"Show this zone only."`
 }
 
-// Run prints what the balancers tell; also when some of them have not answered.
+// Run queries the balancers and prints the load that they report. It prints the load even if some
+// balancers don't respond.
 func (command *loadCommand) Run(session *session) error {
 	filter := operator.LoadFilter{Service: lb.ServiceName(command.Service), Zone: lb.Zone(command.Zone)}
 	load, err := operator.ReadLoad(session.ctx, command.Nodes, filter)
@@ -28,40 +29,41 @@
 	return errors.CombineErrors(err, session.printer.load(load))
 }
 
+// load prints one row for each service, zone and priority.
 func (printer *printer) load(load *operator.Load) error {
 	return printer.print(load, func(table io.Writer) {
 		fmt.Fprintln(table, "SERVICE\tZONE\tPRIORITY\tASKED\tCAPACITY\tROOM\tLOAD\tHOME\tADMITTED\tWAITING\tREFUSED\tAGE")
 		for index := range load.Rows {
 			row := &load.Rows[index]
 			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%.1f\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", row.Service, row.Zone, row.Priority,
-				ofFleet(row, "%.1f", row.Demand), row.Capacity, ofFleet(row, "%.1f", row.SpareCapacity), loadOf(row),
-				ofNodes(row, "%.2f", row.LocalWeight), ofNodes(row, "%.2f", row.AdmissionRate), ofNodes(row, "%d", row.Queued),
-				ofFleet(row, "%.1f", row.Refused), ofFleet(row, "%d ms", row.AgeMillis))
+				formatFleetValue(row, "%.1f", row.Demand), row.Capacity, formatFleetValue(row, "%.1f", row.SpareCapacity), formatLoad(row),
+				formatNodeValue(row, "%.2f", row.LocalWeight), formatNodeValue(row, "%.2f", row.AdmissionRate), formatNodeValue(row, "%d", row.Queued),
+				formatFleetValue(row, "%.1f", row.Refused), formatFleetValue(row, "%d ms", row.AgeMillis))
 		}
 	})
 }
 
-// unknown stands for what nobody has told.
+// unknown is printed in place of a value that no balancer has reported.
 const unknown = "-"
 
-// ofFleet prints a value that is known while a service is near its limit.
-func ofFleet(row *loadreport.Row, format string, value any) string {
+// formatFleetValue formats a value that balancers exchange only while the service is near its limit.
+func formatFleetValue(row *loadreport.Row, format string, value any) string {
 	if !row.Known {
 		return unknown
 	}
 	return fmt.Sprintf(format, value)
 }
 
-// ofNodes prints a value that the balancers of the row's zone tell.
-func ofNodes(row *loadreport.Row, format string, value any) string {
+// formatNodeValue formats a value that only balancers in the row's zone report.
+func formatNodeValue(row *loadreport.Row, format string, value any) string {
 	if row.Nodes == 0 {
 		return unknown
 	}
 	return fmt.Sprintf(format, value)
 }
 
-// loadOf prints the load of back ends that have answered lately.
-func loadOf(row *loadreport.Row) string {
+// formatLoad formats the load of the back ends, which is 0 if none has responded recently.
+func formatLoad(row *loadreport.Row) string {
 	if row.Load == 0 {
 		return unknown
 	}
--- a/cmd/robinctl/load_test.go
+++ b/cmd/robinctl/load_test.go
@@ -10,8 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// nodeOf answers as a balancer with one body for every request.
-func nodeOf(t *testing.T, status int, body string) string {
+// newFakeNode starts a fake balancer, which returns the same body for every request, and returns its
+// URL.
+func newFakeNode(t *testing.T, status int, body string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != "/load" {
@@ -24,15 +25,15 @@
 	return server.URL
 }
 
-const crowdedReport = `{"node":"n-1","zone":"za","services":[{"service":"web","known":true,"age_ms":120,"pressure":1.2,"refused_total":9,
+const overloadedReport = `{"node":"n-1","zone":"za","services":[{"service":"web","known":true,"age_ms":120,"pressure":1.2,"refused_total":9,
 "zones":[{"zone":"za","capacity":10,"part":0.6,"load":1.5,"answers":80,"demand":[{"priority":0,"begun":8,"refused":0.5},{"priority":1,"begun":3,"refused":1}]},
 {"zone":"zb","capacity":8,"part":0.4,"demand":[{"priority":0,"begun":2,"refused":0}]}],
 "levels":[{"priority":0,"admitted":1,"waiting":2},{"priority":1,"admitted":0.4,"waiting":0}]},
 {"service":"idle","known":false,"pressure":0,"refused_total":0,"zones":[{"zone":"za","capacity":4,"part":0.98}],"levels":[]}]}`
 
-func TestLoadIsShownByServiceZoneAndPriority(t *testing.T) {
+func TestLoadPrintsServiceZoneAndPriority(t *testing.T) {
 	is := is.New(t)
-	url := nodeOf(t, http.StatusOK, crowdedReport)
+	url := newFakeNode(t, http.StatusOK, overloadedReport)
 	got := robinctl(t, "", "load", strings.TrimPrefix(url, "http://"))
 	is.Equal(got.stderr, "")
 	is.Equal(got.code, exitOK)
@@ -49,27 +50,27 @@
 	is.True(strings.Contains(got.stdout, `"room": 6`))
 }
 
-func TestLoadSaysWhatIsWrong(t *testing.T) {
+func TestLoadReportsErrors(t *testing.T) {
 	is := is.New(t)
-	good := nodeOf(t, http.StatusOK, crowdedReport)
+	valid := newFakeNode(t, http.StatusOK, overloadedReport)
 	for _, test := range []struct {
 		arguments []string
 		code      int
-		says      string
-		shows     string
+		stderr    string
+		stdout    string
 	}{
 		{[]string{}, exitBadInput, "admin-address", ""},
 		{[]string{"front-1"}, exitBadInput, `admin address "front-1": want IP:PORT`, ""},
 		{[]string{"ftp://127.0.0.1:1"}, exitBadInput, `admin address "ftp://127.0.0.1:1"`, ""},
-		{[]string{good, "--service", "wep"}, exitBadInput, `service "wep"`, ""},
+		{[]string{valid, "--service", "wep"}, exitBadInput, `service "wep"`, ""},
 		{[]string{"127.0.0.1:1"}, exitUnavailable, "1 of 1 balancers; the first is 127.0.0.1:1", ""},
-		{[]string{good, nodeOf(t, http.StatusNotFound, "")}, exitUnavailable, "status 404", "web"},
-		{[]string{nodeOf(t, http.StatusOK, "<html>")}, exitUnavailable, "answer", ""},
-		{[]string{nodeOf(t, http.StatusOK, `{"node":"","zone":"za"}`)}, exitUnavailable, `node ""`, ""},
+		{[]string{valid, newFakeNode(t, http.StatusNotFound, "")}, exitUnavailable, "status 404", "web"},
+		{[]string{newFakeNode(t, http.StatusOK, "<html>")}, exitUnavailable, "answer", ""},
+		{[]string{newFakeNode(t, http.StatusOK, `{"node":"","zone":"za"}`)}, exitUnavailable, `node ""`, ""},
 	} {
 		got := robinctl(t, "", append([]string{"load"}, test.arguments...)...)
 		is.Equal(got.code, test.code)
-		is.True(strings.Contains(got.stderr, test.says)) // the value is named
-		is.True(strings.Contains(got.stdout, test.shows))
+		is.True(strings.Contains(got.stderr, test.stderr)) // the message contains the invalid value
+		is.True(strings.Contains(got.stdout, test.stdout))
 	}
 }
--- a/cmd/robinctl/main.go
+++ b/cmd/robinctl/main.go
@@ -1,6 +1,6 @@
-// Command robinctl is the operators' command: it changes the configuration in
-// the store by compare-and-swap and tells what is in force. Commands, output
-// and exit codes are described in docs/operations-robinctl.md.
+// Command robinctl is the command-line tool for operators. It changes the configuration in the store
+// by compare-and-swap, and shows the configuration that is in force. docs/operations-robinctl.md
+// describes its commands, output and exit codes.
 package main
 
 import (
--- a/cmd/robinctl/print.go
+++ b/cmd/robinctl/print.go
@@ -14,19 +14,19 @@
 	"robinpulley.example/robinpulley/internal/operator"
 )
 
-// Forms of the output.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// printer writes results.
+// printer writes results in the chosen output format.
 type printer struct {
 	output string
 	writer io.Writer
 }
 
-// print writes the result as JSON, or as the table that rows fills.
+// print writes the result as JSON, or as a table whose rows the function writes.
 func (printer *printer) print(result any, rows func(table io.Writer)) error {
 	if printer.output == outputJSON {
 		encoder := json.NewEncoder(printer.writer)
--- a/cmd/robinctl/robinctl_test.go
+++ b/cmd/robinctl/robinctl_test.go
@@ -18,16 +18,19 @@
 	"robinpulley.example/robinpulley/internal/operator"
 )
 
+// result is the exit code and output of one command.
 type result struct {
 	code           int
 	stdout, stderr string
 }
 
+// robinctl runs one command with the store at the given URL.
 func robinctl(t *testing.T, url string, arguments ...string) result {
 	t.Helper()
 	return robinctlUntil(t.Context(), t, url, arguments...)
 }
 
+// robinctlUntil is like robinctl, and cancels the command at the end of the context.
 func robinctlUntil(ctx context.Context, t *testing.T, url string, arguments ...string) result {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -48,7 +51,7 @@
 	for _, test := range []struct {
 		line   string // arguments, separated by '|'
 		code   int
-		output string // part of what is printed
+		output string // part of the output
 	}{
 		{"--help", exitOK, "Usage: robinctl"},
 		{"backend|create|web-1|--host|10.0.1.1:6081|--zone|a|--label|app=wallet", exitOK, "backend web-1  created  revision 2"},
@@ -90,7 +93,8 @@
 	}
 }
 
-// cancelAt ends a context when the request of the given number to the path arrives.
+// cancelAt is a handler that cancels a context when the nth request to a path arrives, and then
+// serves the request.
 type cancelAt struct {
 	http.Handler
 	path   string
@@ -106,8 +110,8 @@
 	handler.Handler.ServeHTTP(response, request)
 }
 
-// TestExitCodesWhenTimeIsOver ends each command at a certain request.
-func TestExitCodesWhenTimeIsOver(t *testing.T) {
+// TestExitCodesAtTimeout cancels each command at a given request.
+func TestExitCodesAtTimeout(t *testing.T) {
 	for _, test := range []struct {
 		line   string
 		faults storesim.Faults
@@ -160,7 +164,7 @@
 	is.Equal(status.LastChange, int64(2))
 }
 
-func TestRateLimitedStoreIsWaitedFor(t *testing.T) {
+func TestRateLimitedRequestsAreRetried(t *testing.T) {
 	is := is.New(t)
 	server := storesim.NewServer(storesim.Faults{RatePerSecond: 5}, 1)
 	listener := httptest.NewServer(server)
@@ -179,7 +183,7 @@
 	for _, test := range []struct {
 		arguments []string
 		code      int
-		output    string // part of what is printed
+		output    string // part of the output
 	}{
 		{[]string{"trace", "1.2.3.4:5>6.7.8.9:443", log}, exitOK, "15:08:44.100  a     opening  1       10.0.0.1:80          26"},
 		{[]string{"-o", "json", "trace", "1.2.3.4:5>6.7.8.9:443", log}, exitOK, `"host": "10.0.0.1:80"`},
@@ -188,7 +192,7 @@
 		{[]string{"trace", "1.2.3.4:5>6.7.8.9:443"}, exitBadInput, "<logs>"},
 	} {
 		var stdout, stderr bytes.Buffer
-		is.Equal(run(t.Context(), test.arguments, &stdout, &stderr), test.code) // needs no store
+		is.Equal(run(t.Context(), test.arguments, &stdout, &stderr), test.code) // without --store
 		is.True(strings.Contains(stdout.String()+stderr.String(), test.output))
 	}
 }
--- a/cmd/robinctl/zone.go
+++ b/cmd/robinctl/zone.go
@@ -2,29 +2,30 @@
 
 import "robinpulley.example/robinpulley/internal/lb"
 
+// zoneCommands are the commands for zones.
 type zoneCommands struct {
-	Evacuate zoneEvacuate `cmd:"" help:"Take new flows away from all back ends of a zone; open flows stay."`
-	Restore  zoneRestore  `cmd:"" help:"Let the back ends of an evacuated zone take new flows again."`
+	Evacuate zoneEvacuate `cmd:"" help:"Stop sending new flows to all back ends of a zone; open flows stay."`
+	Restore  zoneRestore  `cmd:"" help:"Send new flows to the back ends of an evacuated zone again."`
 }
 
 type zoneEvacuate struct {
-	waiting
+	waitFlag
 	Zone string `arg:"" help:"Name of the zone."`
 }
 
 // Run evacuates a zone.
 func (command *zoneEvacuate) Run(session *session) error {
 	change, err := session.operator.Evacuate(session.ctx, lb.Zone(command.Zone))
-	return command.done(session, change, err)
+	return command.finishOne(session, change, err)
 }
 
 type zoneRestore struct {
-	waiting
+	waitFlag
 	Zone string `arg:"" help:"Name of the zone."`
 }
 
 // Run restores a zone.
 func (command *zoneRestore) Run(session *session) error {
 	change, err := session.operator.Restore(session.ctx, lb.Zone(command.Zone))
-	return command.done(session, change, err)
+	return command.finishOne(session, change, err)
 }
--- a/cmd/robinlab/demo.go
+++ b/cmd/robinlab/demo.go
@@ -11,12 +11,12 @@
 	"robinpulley.example/robinpulley/internal/lab/runs"
 )
 
-// demoCommand runs the demo.
+// demoCommand implements "robinlab demo".
 type demoCommand struct {
 	Out string `help:"Directory for logs and settings files." default:"out/demo"`
 }
 
-// Run starts everything, prints the table and ends every process it started.
+// Run starts all processes, runs the demo, prints its table and ends the processes.
 func (command *demoCommand) Run(ctx context.Context) error {
 	binaries, err := binaryDirectory()
 	if err != nil {
@@ -25,8 +25,8 @@
 	return runs.Demo(ctx, cluster.Options{Binaries: binaries, Directory: command.Out}, os.Stdout)
 }
 
-// binaryDirectory is where this program is, and the others beside it.
+// binaryDirectory returns the directory of this program, which also contains the other programs.
 func binaryDirectory() (string, error) {
 	program, err := os.Executable()
-	return filepath.Dir(program), errors.Wrap(err, "find this program")
+	return filepath.Dir(program), errors.Wrap(err, "find the path of this program")
 }
--- a/cmd/robinlab/faults.go
+++ b/cmd/robinlab/faults.go
@@ -8,15 +8,15 @@
 	"robinpulley.example/robinpulley/internal/lab/runs"
 )
 
-// faultsCommand does fault runs.
+// faultsCommand implements "robinlab faults".
 type faultsCommand struct {
-	Names   []string `arg:"" optional:"" help:"Runs to do; all when none is named."`
+	Names   []string `arg:"" optional:"" help:"Names of fault runs; default: all."`
 	Out     string   `help:"Directory for logs and settings files." default:"out/faults"`
-	Stops   int      `help:"Planned stops in the run planned-stop." default:"50"`
-	Changes int      `help:"Changes in the run racing-operators." default:"1000"`
+	Stops   int      `help:"Number of planned stops in the run planned-stop." default:"50"`
+	Changes int      `help:"Number of changes in the run racing-operators." default:"1000"`
 }
 
-// Run does the runs one after the other and prints a table.
+// Run executes the fault runs one after the other and prints a table.
 func (command *faultsCommand) Run(ctx context.Context) error {
 	binaries, err := binaryDirectory()
 	if err != nil {
--- a/cmd/robinlab/platform.go
+++ b/cmd/robinlab/platform.go
@@ -11,15 +11,15 @@
 	"robinpulley.example/robinpulley/internal/lab/soak/faults"
 )
 
-// platformCommand runs the demo of the users' platform.
+// platformCommand implements "robinlab platform", the demo on the users' platform.
 type platformCommand struct {
 	Out string `help:"Directory for logs and settings files." default:"out/platform"`
 }
 
-// demoSteps is what befalls the platform, one thing after the other: a host
-// is replaced, one balancer is stopped as planned, one is killed, a route
-// comes, the store falls silent and comes back, a route changes its service, a
-// zone is taken out of use and back.
+// demoSteps returns the faults and changes of the demo, in order: a host is replaced, one balancer
+// is stopped as planned, one is killed, a route is added, the store becomes unresponsive and
+// recovers, the service of a route changes, a zone is evacuated and restored, and the settings are
+// reloaded.
 func demoSteps() []soak.Step {
 	return []soak.Step{
 		{At: 2 * time.Second, Fault: "drain", Target: 0},
@@ -33,7 +33,7 @@
 	}
 }
 
-// Run starts everything, prints the table and ends every process it started.
+// Run starts all processes, runs the demo, prints its table and ends the processes.
 func (command *platformCommand) Run(ctx context.Context) error {
 	settings, err := soakSettings(command.Out)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 	settings.Seed = 1
 	settings.Steps = demoSteps()
-	settings.Size = soak.Size{Nodes: 4, Hosts: 3, Zones: 2, Flows: 20} // one zone bears them alone
+	settings.Size = soak.Size{Nodes: 4, Hosts: 3, Zones: 2, Flows: 20} // few enough for one zone to serve all flows
 	report, err := soak.Run(ctx, settings, faults.All(), os.Stdout)
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 		return err
 	}
 	if len(report.Violations) > 0 || report.Unknown > 0 {
-		return errors.Newf("%d promises were not kept, %d packets came to the wrong host; logs are in %s",
+		return errors.Newf("%d rule violations, %d packets arrived at the wrong host; logs are in %s",
 			len(report.Violations), report.Unknown, command.Out)
 	}
 	return nil
--- a/cmd/robinlab/standins.go
+++ b/cmd/robinlab/simulators.go
@@ -20,10 +20,10 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// headerTimeout bounds how long a client may take to send a request's header.
+// headerTimeout is the maximum time for an HTTP client to send the header of a request.
 const headerTimeout = 5 * time.Second
 
-// serveHTTP serves until the context ends.
+// serveHTTP serves HTTP on an address until the context ends.
 func serveHTTP(ctx context.Context, logger *zerolog.Logger, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -41,17 +41,17 @@
 	return nil
 }
 
-// storeCommand runs the key-value service.
+// storeCommand implements "robinlab store".
 type storeCommand struct {
 	Listen        string `help:"Address of the HTTP gateway." default:"127.0.0.1:2379"`
-	Seed          uint64 `help:"Seed for lost answers." default:"1"`
-	DelayMs       int    `help:"Delay of each answer in milliseconds."`
-	LostAnswers   int    `help:"Share of writes whose answer is lost, in thousandths."`
-	RatePerSecond int    `help:"Requests a second above which the store refuses; 0 is unlimited."`
-	MachineLagMs  int    `help:"Age of the machine list in milliseconds."`
+	Seed          uint64 `help:"Random seed for lost responses." default:"1"`
+	DelayMs       int    `help:"Delay of each response, in milliseconds."`
+	LostAnswers   int    `help:"Share of writes whose response is lost, in thousandths."`
+	RatePerSecond int    `help:"Maximum rate of requests per second; 0 is unlimited."`
+	MachineLagMs  int    `help:"Age of the machine list, in milliseconds."`
 }
 
-// Run serves until the process is told to stop.
+// Run serves the store until the context ends.
 func (command *storeCommand) Run(ctx context.Context, logger *zerolog.Logger) error {
 	faults := storesim.Faults{
 		DelayMillis:      command.DelayMs,
@@ -62,10 +62,10 @@
 	return serveHTTP(ctx, logger, command.Listen, storesim.NewServer(faults, command.Seed))
 }
 
-// tickInterval is the time between two ticks of hosts and callers.
+// tickInterval is the time between two ticks of simulated hosts and clients.
 const tickInterval = 5 * time.Millisecond
 
-// listenUDP opens a socket that is closed when the context ends.
+// listenUDP opens a UDP socket, which is closed when the context ends.
 func listenUDP(ctx context.Context, address string) (*net.UDPConn, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %q", address)
 	}
-	_ = socket.SetReadBuffer(socketBuffer) // the system may give less
+	_ = socket.SetReadBuffer(socketBuffer) // the kernel may limit the size
 	go func() {
 		<-ctx.Done()
 		_ = socket.Close()
@@ -86,8 +86,8 @@
 // socketBuffer is the receive buffer of a UDP socket, in bytes.
 const socketBuffer = 4 << 20
 
-// every calls step with the time until the context ends.
-func every(ctx context.Context, interval time.Duration, step func(now time.Time)) {
+// runEvery calls step with the current time at the given interval until the context ends.
+func runEvery(ctx context.Context, interval time.Duration, step func(now time.Time)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -100,22 +100,22 @@
 	}
 }
 
-// fabricCommand runs the fabric.
+// fabricCommand implements "robinlab fabric".
 type fabricCommand struct {
 	Listen     string         `help:"UDP address for packets and refusals." default:"127.0.0.1:6081"`
 	Admin      string         `help:"HTTP address for counters and faults." default:"127.0.0.1:6082"`
 	Machines   string         `help:"URL of the machine list." required:""`
-	Seed       uint64         `help:"Seed of every random choice." default:"1"`
-	Loss       int            `help:"Packets lost, in thousandths."`
-	Duplicate  int            `help:"Packets sent twice, in thousandths."`
-	Reorder    int            `help:"Packets held back, in thousandths."`
-	ReorderUs  int            `help:"How long they are held back, in microseconds." default:"2000"`
-	LeavingMs  int            `help:"How long a leaving balancer still gets packets, in milliseconds." default:"1000"`
+	Seed       uint64         `help:"Random seed." default:"1"`
+	Loss       int            `help:"Share of packets that are lost, in thousandths."`
+	Duplicate  int            `help:"Share of packets that are duplicated, in thousandths."`
+	Reorder    int            `help:"Share of packets that are delayed and so reordered, in thousandths."`
+	ReorderUs  int            `help:"Delay of reordered packets, in microseconds." default:"2000"`
+	LeavingMs  int            `help:"Time for which a leaving balancer still receives packets, in milliseconds." default:"1000"`
 	DelayUs    map[string]int `help:"Delay to the balancers of a zone, in microseconds: ZONE=N." mapsep:","`
-	PollMillis int            `help:"Time between reads of the machine list, in milliseconds." default:"200"`
+	PollMillis int            `help:"Interval between reads of the machine list, in milliseconds." default:"200"`
 }
 
-// Run sprays until the process is told to stop.
+// Run distributes packets over the balancers until the context ends.
 func (command *fabricCommand) Run(ctx context.Context, logger *zerolog.Logger) error {
 	socket, err := listenUDP(ctx, command.Listen)
 	if err != nil {
@@ -134,10 +134,10 @@
 	}
 	fabric := fabricsim.New(faults, command.Seed, wire.SocketSender(socket))
 	go wire.Serve(socket, fabric.Receive)
-	go every(ctx, time.Duration(command.PollMillis)*time.Millisecond, func(now time.Time) {
+	go runEvery(ctx, time.Duration(command.PollMillis)*time.Millisecond, func(now time.Time) {
 		machines, err := fetchMachines(ctx, command.Machines)
 		if err != nil {
-			logger.Warn().Err(err).Msg("machine list not read")
+			logger.Warn().Err(err).Msg("reading the machine list failed")
 			return
 		}
 		fabric.SetMachines(now, machines)
@@ -145,6 +145,7 @@
 	return serveHTTP(ctx, logger, command.Admin, fabric.Handler())
 }
 
+// fetchMachines reads the machine list at a URL.
 func fetchMachines(ctx context.Context, url string) ([]storesim.Machine, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -160,23 +161,23 @@
 	return machines, errors.Wrapf(err, "machine list %q", url)
 }
 
-// hostCommand runs one back-end host.
+// hostCommand implements "robinlab host".
 type hostCommand struct {
-	Name      string   `help:"Name in answers." required:""`
-	Service   string   `help:"Service in answers." required:""`
-	Frontends []string `help:"Virtual addresses that it serves." required:""`
+	Name      string   `help:"Name of the host in responses." required:""`
+	Service   string   `help:"Name of the service in responses." required:""`
+	Frontends []string `help:"Virtual addresses that the host serves." required:""`
 	Listen    string   `help:"UDP address for Geneve." required:""`
 	Admin     string   `help:"HTTP address for health, report and faults." required:""`
-	Slots     int      `help:"Requests served at once." default:"2"`
-	Queue     int      `help:"Requests waiting at most." default:"64"`
-	Conns     int      `help:"Flows at most." default:"2000"`
-	RequestMs int      `help:"Time of one request in a slot, in milliseconds." default:"5"`
-	ColdMs    int      `help:"Cold start, in milliseconds." default:"0"`
-	PushMs    int      `help:"Time between pushes on a feed, in milliseconds." default:"200"`
-	Seed      uint64   `help:"Seed of sequence numbers." default:"1"`
+	Slots     int      `help:"Number of requests served concurrently." default:"2"`
+	Queue     int      `help:"Maximum number of queued requests." default:"64"`
+	Conns     int      `help:"Maximum number of flows." default:"2000"`
+	RequestMs int      `help:"Service time of one request, in milliseconds." default:"5"`
+	ColdMs    int      `help:"Duration of the cold start, in milliseconds." default:"0"`
+	PushMs    int      `help:"Interval between messages on a feed, in milliseconds." default:"200"`
+	Seed      uint64   `help:"Random seed of sequence numbers." default:"1"`
 }
 
-// Run serves until the process is told to stop.
+// Run serves flows until the context ends.
 func (command *hostCommand) Run(ctx context.Context, logger *zerolog.Logger) error {
 	socket, err := listenUDP(ctx, command.Listen)
 	if err != nil {
@@ -199,29 +200,29 @@
 	}
 	host := hostsim.New(time.Now(), settings, wire.SocketSender(socket))
 	go wire.Serve(socket, func(datagram []byte) { host.Receive(time.Now(), datagram) })
-	go every(ctx, tickInterval, host.Tick)
+	go runEvery(ctx, tickInterval, host.Tick)
 	return serveHTTP(ctx, logger, command.Admin, host.Handler())
 }
 
-// callerCommand runs the callers of one service.
+// callerCommand implements "robinlab caller", the simulated clients of one service.
 type callerCommand struct {
-	Name        string        `help:"Begins each request id." default:"c"`
-	Service     string        `help:"Service that must answer." required:""`
+	Name        string        `help:"Prefix of each request ID." default:"c"`
+	Service     string        `help:"Name of the service that must respond." required:""`
 	Frontend    string        `help:"Virtual address of the service." required:""`
 	Fabric      string        `help:"UDP address of the fabric." required:""`
-	Listen      string        `help:"UDP address on 127.0.0.1 for answers." required:""`
+	Listen      string        `help:"UDP address on 127.0.0.1 for responses." required:""`
 	Admin       string        `help:"HTTP address for the report." required:""`
-	Feeds       int           `help:"Feeds kept open."`
-	UDPFlows    int           `help:"UDP flows kept open." name:"udp-flows"`
-	TapRate     float64       `help:"Taps a second."`
-	UploadRate  float64       `help:"Uploads a second."`
-	UploadBytes int           `help:"Size of an upload in bytes." default:"50000"`
-	StallLimit  time.Duration `help:"An open flow without progress for this long is broken." default:"5s"`
-	OpenLimit   time.Duration `help:"An opening is given up after this long." default:"5s"`
-	Seed        uint64        `help:"Seed of every random choice." default:"1"`
+	Feeds       int           `help:"Number of feeds to keep open."`
+	UDPFlows    int           `help:"Number of UDP flows to keep open." name:"udp-flows"`
+	TapRate     float64       `help:"Taps (short requests) per second."`
+	UploadRate  float64       `help:"Uploads per second."`
+	UploadBytes int           `help:"Size of an upload, in bytes." default:"50000"`
+	StallLimit  time.Duration `help:"Time without progress after which an open flow counts as broken." default:"5s"`
+	OpenLimit   time.Duration `help:"Timeout of an opening." default:"5s"`
+	Seed        uint64        `help:"Random seed." default:"1"`
 }
 
-// Run calls until the process is told to stop, then prints its report as one JSON line.
+// Run opens flows until the context ends, and then prints its report as one JSON line.
 func (command *callerCommand) Run(ctx context.Context, logger *zerolog.Logger) error {
 	frontend, err := netip.ParseAddrPort(command.Frontend)
 	if err != nil {
@@ -243,7 +244,7 @@
 		StallLimit: command.StallLimit, OpenLimit: command.OpenLimit, Seed: command.Seed,
 	}, wire.SocketSender(socket))
 	go wire.Serve(socket, func(datagram []byte) { caller.Receive(time.Now(), datagram) })
-	go every(ctx, tickInterval, caller.Tick)
+	go runEvery(ctx, tickInterval, caller.Tick)
 	err = serveHTTP(ctx, logger, command.Admin, caller.Handler())
 	return errors.CombineErrors(err, json.NewEncoder(os.Stdout).Encode(caller.Report()))
 }
--- a/cmd/robinlab/soak.go
+++ b/cmd/robinlab/soak.go
@@ -19,18 +19,18 @@
 	"robinpulley.example/robinpulley/internal/lab/soak/faults"
 )
 
-// soakCommand does a fault soak.
+// soakCommand implements "robinlab soak", a run under random faults.
 type soakCommand struct {
-	Seed     uint64        `help:"Seed of the faults; 0 draws one."`
-	Duration time.Duration `help:"How long faults are injected." default:"2m"`
-	Seeds    string        `help:"File of seeds that once failed: each is played instead, one line each, SEED [only=KIND,...] CAUSE." type:"existingfile"`
-	Only     []string      `help:"Kinds of fault that are drawn, separated by commas; empty: all." placeholder:"KIND"`
-	Nodes    int           `help:"Balancers; 0 is the usual number." default:"0"`
-	Zones    int           `help:"Zones of the balancers; 0 is the usual number." default:"0"`
+	Seed     uint64        `help:"Random seed of the faults; 0 chooses one at random."`
+	Duration time.Duration `help:"Duration of fault injection." default:"2m"`
+	Seeds    string        `help:"File of seeds that once failed, to run instead; one per line: SEED [only=KIND,...] CAUSE." type:"existingfile"`
+	Only     []string      `help:"Kinds of fault to inject, separated by commas; default: all." placeholder:"KIND"`
+	Nodes    int           `help:"Number of balancers; 0 selects the default." default:"0"`
+	Zones    int           `help:"Number of zones of the balancers; 0 selects the default." default:"0"`
 	Out      string        `help:"Directory for logs and settings files." default:"out/soak"`
 }
 
-// Validate is called by kong.
+// Validate checks the flags; kong calls it after parsing.
 func (command *soakCommand) Validate() error {
 	if command.Nodes < 0 || command.Zones < 0 {
 		return errors.Newf("--nodes %d and --zones %d must not be negative", command.Nodes, command.Zones)
@@ -38,12 +38,12 @@
 	if command.Nodes > 0 && command.Zones > command.Nodes {
 		return errors.Newf("--zones %d: there are only %d nodes", command.Zones, command.Nodes)
 	}
-	_, err := kindsOf(command.Only)
+	_, err := faultKinds(command.Only)
 	return err
 }
 
-// kindsOf gives the kinds of fault with these names; all if there are none.
-func kindsOf(names []string) ([]soak.Fault, error) {
+// faultKinds returns the kinds of fault with the given names, or all kinds if no names are given.
+func faultKinds(names []string) ([]soak.Fault, error) {
 	if len(names) == 0 {
 		return faults.All(), nil
 	}
@@ -51,23 +51,23 @@
 	for _, name := range names {
 		index := slices.IndexFunc(faults.All(), func(kind soak.Fault) bool { return kind.Name() == name })
 		if index < 0 {
-			return nil, errors.Newf("only %q: no kind of fault", name)
+			return nil, errors.Newf("only %q: unknown kind of fault", name)
 		}
 		kinds = append(kinds, faults.All()[index])
 	}
 	return kinds, nil
 }
 
-// Run does the soak, or one for each seed of the file.
+// Run executes one soak, or one for each seed in the file.
 func (command *soakCommand) Run(ctx context.Context) error {
-	seeds, err := command.seeds()
+	seeds, err := command.selectSeeds()
 	if err != nil {
 		return err
 	}
 	var failed, unchecked []uint64
-	for _, played := range seeds {
-		seed := played.seed
-		report, err := command.play(ctx, played)
+	for _, selected := range seeds {
+		seed := selected.seed
+		report, err := command.runSeed(ctx, selected)
 		if err != nil {
 			return err
 		}
@@ -79,20 +79,21 @@
 			unchecked = append(unchecked, seed)
 		}
 		if rules := report.Unreached(); len(rules) > 0 {
-			fmt.Printf("seed %d had faults for %v, but no opening came to test it: most nodes were disturbed, or had just started\n", seed, rules)
+			fmt.Printf("seed %d had faults for %v, but no opening tested the rule: most nodes were disturbed, or had just started\n", seed, rules)
 		}
 	}
 	if len(failed) > 0 {
-		return errors.Newf("promises were not kept with the seeds %d; logs are in %s", failed, command.Out)
+		return errors.Newf("rules were violated with the seeds %d; logs are in %s", failed, command.Out)
 	}
 	if len(unchecked) > 0 {
-		return errors.Newf("the runs with the seeds %d show nothing of some promises; a longer duration does", unchecked)
+		return errors.Newf("the runs with the seeds %d did not check some rules; use a longer duration", unchecked)
 	}
 	return nil
 }
 
-func (command *soakCommand) play(ctx context.Context, played soakSeed) (*soak.Report, error) {
-	seed := played.seed
+// runSeed runs one soak and prints its report.
+func (command *soakCommand) runSeed(ctx context.Context, selected soakSeed) (*soak.Report, error) {
+	seed := selected.seed
 	settings, err := soakSettings(filepath.Join(command.Out, strconv.FormatUint(seed, 10)))
 	if err != nil {
 		return nil, err
@@ -102,7 +103,7 @@
 	settings.Size.Nodes = cmp.Or(command.Nodes, settings.Size.Nodes)
 	settings.Size.Zones = cmp.Or(command.Zones, settings.Size.Zones)
 	fmt.Printf("soak with seed %d for %s\n", seed, command.Duration)
-	kinds, err := kindsOf(played.only)
+	kinds, err := faultKinds(selected.only)
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +114,8 @@
 	return report, report.Print(os.Stdout)
 }
 
-// soakSettings gives the defaults for the balancer beside this program.
+// soakSettings returns the default settings for the balancer program in the directory of this
+// program.
 func soakSettings(directory string) (soak.Settings, error) {
 	binaries, err := binaryDirectory()
 	return soak.Settings{
@@ -124,14 +126,15 @@
 	}, err
 }
 
-// soakSeed is one soak to be played.
+// soakSeed is one soak to run.
 type soakSeed struct {
 	seed uint64
-	only []string // kinds of fault; empty: all
+	only []string // kinds of fault to inject; all if empty
 }
 
-// seeds gives those to be played.
-func (command *soakCommand) seeds() ([]soakSeed, error) {
+// selectSeeds returns the seeds in the file if there is one, and otherwise the seed of the flag or a
+// random one.
+func (command *soakCommand) selectSeeds() ([]soakSeed, error) {
 	if command.Seeds != "" {
 		return readSeeds(command.Seeds)
 	}
@@ -141,10 +144,10 @@
 	return []soakSeed{{command.Seed, command.Only}}, nil
 }
 
-// onlyMark begins the kinds of fault of a seed that was played with --only.
-const onlyMark = "only="
+// onlyPrefix precedes the kinds of fault in a line of the seeds file, as given to --only.
+const onlyPrefix = "only="
 
-// readSeeds reads a file of seeds. Empty lines and those that begin with # are passed over.
+// readSeeds reads a file of seeds. It ignores empty lines and lines that begin with #.
 func readSeeds(path string) ([]soakSeed, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -161,16 +164,16 @@
 		number, rest, _ := strings.Cut(text, " ")
 		seed, err := strconv.ParseUint(number, 10, 64)
 		if err != nil || seed == 0 {
-			return nil, errors.Newf("%s: line %d: seed %q is no number above 0", path, line, number)
+			return nil, errors.Newf("%s: line %d: seed %q is not a number above 0", path, line, number)
 		}
-		played := soakSeed{seed: seed}
-		if first, _, _ := strings.Cut(rest, " "); strings.HasPrefix(first, onlyMark) {
-			played.only = strings.Split(strings.TrimPrefix(first, onlyMark), ",")
+		selected := soakSeed{seed: seed}
+		if first, _, _ := strings.Cut(rest, " "); strings.HasPrefix(first, onlyPrefix) {
+			selected.only = strings.Split(strings.TrimPrefix(first, onlyPrefix), ",")
 		}
-		if _, err := kindsOf(played.only); err != nil {
+		if _, err := faultKinds(selected.only); err != nil {
 			return nil, errors.Newf("%s: line %d: %v", path, line, err)
 		}
-		seeds = append(seeds, played)
+		seeds = append(seeds, selected)
 	}
 	return seeds, errors.Wrap(scanner.Err(), path)
 }
--- a/cmd/robinlab/soak_test.go
+++ b/cmd/robinlab/soak_test.go
@@ -16,9 +16,9 @@
 	}{
 		{"comments and causes", "# seeds\n\n17 a lost removal\n 18\n", []soakSeed{{seed: 17}, {seed: 18}}, ""},
 		{"kinds of fault", "19 only=crowd,move a cause\n", []soakSeed{{19, []string{"crowd", "move"}}}, ""},
-		{"no kind of fault", "19 only=crowd,muve a cause\n", nil, `line 1: only "muve": no kind of fault`},
-		{"a word", "17 ok\nseventeen a cause\n", nil, `line 2: seed "seventeen" is no number above 0`},
-		{"zero, which would draw one", "0\n", nil, `line 1: seed "0" is no number above 0`},
+		{"unknown kind of fault", "19 only=crowd,muve a cause\n", nil, `line 1: only "muve": unknown kind of fault`},
+		{"not a number", "17 ok\nseventeen a cause\n", nil, `line 2: seed "seventeen" is not a number above 0`},
+		{"zero, which would select a random seed", "0\n", nil, `line 1: seed "0" is not a number above 0`},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -36,14 +36,14 @@
 	}
 }
 
-func TestOnlyKnownKindsOfFaultAreDrawn(t *testing.T) {
+func TestOnlyRejectsUnknownFaultKinds(t *testing.T) {
 	is := is.New(t)
 	command := &soakCommand{Only: []string{"crowd", "move"}}
 	is.NoErr(command.Validate())
-	kinds, err := kindsOf(command.Only)
+	kinds, err := faultKinds(command.Only)
 	is.NoErr(err)
 	is.Equal(len(kinds), 2)
 	is.Equal(kinds[1].Name(), "move")
 	command.Only = []string{"crwd"}
-	is.Equal(command.Validate().Error(), `only "crwd": no kind of fault`)
+	is.Equal(command.Validate().Error(), `only "crwd": unknown kind of fault`)
 }
--- a/cmd/robinpulley/commands.go
+++ b/cmd/robinpulley/commands.go
@@ -19,7 +19,7 @@
 	"robinpulley.example/robinpulley/platform"
 )
 
-// runCommand runs a balancer. Its flags override the settings file.
+// runCommand implements "robinpulley run". Its flags override the settings file.
 type runCommand struct {
 	Config              string   `help:"Settings file (YAML)." type:"path" placeholder:"FILE"`
 	Node                string   `help:"Name of this node." placeholder:"NAME"`
@@ -28,14 +28,15 @@
 	DataAddress         string   `help:"IP and port for Geneve over UDP." placeholder:"IP:PORT"`
 	ControlAddress      string   `help:"IP and port for peers, UDP and TCP." placeholder:"IP:PORT"`
 	AdminAddress        string   `help:"IP and port for metrics and health." placeholder:"IP:PORT"`
-	FabricReply         []string `help:"Fabric endpoints that take refusals." placeholder:"IP:PORT"`
+	FabricReply         []string `help:"Fabric endpoints that accept refusals." placeholder:"IP:PORT"`
 	StoreEndpoint       []string `help:"Base URLs of the store." placeholder:"URL"`
 	MachinesURL         string   `help:"URL of the platform's machine list." placeholder:"URL"`
 	Seed                []string `help:"Control addresses of peers." placeholder:"IP:PORT"`
 	LogLevel            string   `help:"debug, info, warn or error." placeholder:"LEVEL"`
-	AllowFaultInjection bool     `help:"Accept faults on the admin address; for tests only."`
+	AllowFaultInjection bool     `help:"Permit fault injection through the admin address; for tests only."`
 }
 
+// overrides returns the settings that are given as flags.
 func (command *runCommand) overrides() config.Overrides {
 	return config.Overrides{
 		Node:                command.Node,
@@ -53,8 +54,8 @@
 	}
 }
 
-// Run runs the balancer: the first signal begins a planned stop, the second
-// ends it at once.
+// Run runs the balancer until it stops. The first SIGTERM or SIGINT starts a planned stop; the
+// second one ends the balancer immediately.
 func (command *runCommand) Run() error {
 	settings, err := config.Load(command.Config, command.overrides())
 	if err != nil {
@@ -63,7 +64,7 @@
 	output := logging.NonBlocking(os.Stdout, func(lines int) {
 		fmt.Fprintf(os.Stderr, "robinpulley: %d log lines dropped\n", lines)
 	})
-	defer output.Close() // writes what waits; there is nobody to tell of an error
+	defer output.Close() // flushes buffered lines; an error could no longer be logged
 	logger, err := logging.New(output, settings.LogLevel, string(settings.Node), string(settings.Zone))
 	if err != nil {
 		return err
@@ -72,24 +73,25 @@
 	if err != nil {
 		return err
 	}
-	running, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	followSignals(balancer, cancel)
-	return balancer.Run(running)
+	handleSignals(balancer, cancel)
+	return balancer.Run(ctx)
 }
 
-// runner is a node of either affinity.
+// runner is a node with chain or token affinity.
 type runner interface {
 	Run(ctx context.Context) error
 	Stop()
 	Reload()
 }
 
-// tokenGCPercent keeps the heap of a node small: it holds a view of some
-// kilobytes and makes little garbage, so that collecting more often costs little.
+// tokenGCPercent is the garbage collection target of a node with token affinity. The low value keeps
+// the heap small. The cost is low, since the node holds a view of a few kilobytes and allocates
+// little.
 const tokenGCPercent = 25
 
-// newBalancer makes the node for the affinity of the settings.
+// newBalancer returns the node for the affinity in the settings.
 func (command *runCommand) newBalancer(settings *config.Settings, logger zerolog.Logger) (runner, error) {
 	if settings.Affinity == core.AffinityChain {
 		return node.New(settings, logger)
@@ -106,16 +108,16 @@
 	})
 }
 
-// followSignals stops the balancer as planned at the first SIGTERM or SIGINT
-// and at once at the second. SIGHUP has it read its settings again.
-func followSignals(balancer runner, stopAtOnce func()) {
+// handleSignals starts a planned stop at the first SIGTERM or SIGINT, and calls stopNow at the
+// second one. SIGHUP makes the balancer reload its settings.
+func handleSignals(balancer runner, stopNow func()) {
 	stops := make(chan os.Signal, 2)
 	signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
 	go func() {
 		<-stops
 		balancer.Stop()
 		<-stops
-		stopAtOnce()
+		stopNow()
 	}()
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -126,12 +128,12 @@
 	}()
 }
 
-// checkCommand checks a settings file.
+// checkCommand implements "robinpulley check".
 type checkCommand struct {
 	File string `arg:"" help:"Settings file (YAML)." type:"path"`
 }
 
-// Run prints the problems of the file, or that there are none.
+// Run prints that the file has no problems, or returns all its problems as an error.
 func (command *checkCommand) Run() error {
 	if _, err := config.Load(command.File, config.Overrides{}); err != nil {
 		return err
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// versionCommand prints the version.
+// versionCommand implements "robinpulley version".
 type versionCommand struct{}
 
 // Run prints the version.
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// version is what the Go toolchain recorded in the binary.
+// version returns the module version that the Go toolchain recorded in the binary.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
--- a/cmd/robinpulley/main.go
+++ b/cmd/robinpulley/main.go
@@ -1,6 +1,5 @@
-// Command robinpulley runs one balancer. Its settings come from a YAML file,
-// over which flags go; see docs/operations-node.md for every setting, metric,
-// log event and exit code.
+// Command robinpulley runs one balancer. It reads its settings from a YAML file; flags override
+// them. docs/operations-node.md describes every setting, metric, log event and exit code.
 package main
 
 import (
@@ -16,14 +15,15 @@
 
 // The exit codes.
 const (
-	exitDone          = 0 // planned stop finished, or the command did its work
-	exitFailed        = 1 // a fault while running
-	exitBadSettings   = 2 // bad settings or command line
-	exitStoppedAtOnce = 3 // a second signal ended a planned stop
+	exitDone          = 0 // the planned stop or the command has finished
+	exitFailed        = 1 // an error while running
+	exitBadSettings   = 2 // invalid settings or command line
+	exitStoppedAtOnce = 3 // a second signal ended the planned stop
 )
 
+// commandLine defines the commands and flags.
 type commandLine struct {
-	Run     runCommand     `cmd:"" help:"Run a balancer until SIGTERM or SIGINT (planned stop; a second signal ends at once)."`
+	Run     runCommand     `cmd:"" help:"Run a balancer until SIGTERM or SIGINT (planned stop; a second signal ends it immediately)."`
 	Check   checkCommand   `cmd:"" help:"Check a settings file and list all its problems."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 
@@ -34,20 +34,20 @@
 	os.Exit(execute(os.Args[1:]))
 }
 
-// execute runs one command line and gives the exit code.
+// execute runs one command line and returns the exit code.
 func execute(arguments []string) int {
 	var commands commandLine
-	answered := false // by the help or the version
+	printed := false // kong has printed the help or the version
 	parser, err := kong.New(&commands,
 		kong.Name("robinpulley"),
 		kong.Description("A layer-4 load balancer that keeps every flow on its back end."),
-		kong.Exit(func(int) { answered = true }),
+		kong.Exit(func(int) { printed = true }),
 		kong.Vars{"version": "robinpulley " + version()})
 	if err != nil {
 		return report(err)
 	}
 	context, err := parser.Parse(arguments)
-	if answered {
+	if printed {
 		return exitDone
 	}
 	if err != nil {
@@ -57,7 +57,7 @@
 	return report(context.Run())
 }
 
-// report prints an error and gives its exit code.
+// report prints the error, if any, and returns its exit code.
 func report(err error) int {
 	if err == nil {
 		return exitDone
--- a/cmd/robinpulley/main_test.go
+++ b/cmd/robinpulley/main_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestExitCodes(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.yaml")
-	if err := os.WriteFile(bad, []byte("node: b1\ncolour: red\n"), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "bad.yaml")
+	if err := os.WriteFile(invalid, []byte("node: b1\ncolour: red\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cases := []struct {
@@ -18,9 +18,9 @@
 		arguments []string
 		want      int
 	}{
-		{"good settings", []string{"check", "../../deploy/robinpulley.yaml"}, exitDone},
-		{"bad settings", []string{"check", bad}, exitBadSettings},
-		{"run with bad settings", []string{"run", "--config", bad}, exitBadSettings},
+		{"valid settings", []string{"check", "../../deploy/robinpulley.yaml"}, exitDone},
+		{"invalid settings", []string{"check", invalid}, exitBadSettings},
+		{"run with invalid settings", []string{"run", "--config", invalid}, exitBadSettings},
 		{"no settings", []string{"run"}, exitBadSettings},
 		{"missing file", []string{"check", filepath.Join(t.TempDir(), "none.yaml")}, exitBadSettings},
 		{"unknown command", []string{"walk"}, exitBadSettings},
@@ -28,7 +28,7 @@
 		{"version", []string{"version"}, exitDone},
 		{"version as a flag", []string{"--version"}, exitDone},
 		{"help", []string{"run", "--help"}, exitDone},
-		{"address not of this machine", []string{
+		{"address of another machine", []string{
 			"run", "--config", "../../deploy/robinpulley.yaml", "--admin-address", "192.0.2.1:9090",
 		}, exitFailed},
 	}
--- a/cmd/robinpulley/process_test.go
+++ b/cmd/robinpulley/process_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-// runMain in the environment makes the test binary run the command itself.
+// runMain is an environment variable that makes the test binary run the robinpulley command.
 const runMain = "ROBINPULLEY_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
@@ -25,28 +25,28 @@
 	os.Exit(m.Run())
 }
 
-// freeAddresses gives different loopback addresses with free ports.
+// freeAddresses returns different loopback addresses with unused ports.
 func freeAddresses(t *testing.T, count int) []string {
 	is := is.New(t)
 	addresses := make([]string, count)
 	for index := range addresses {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
-		defer listener.Close() // kept until all are found
+		defer listener.Close() // not before all are found, so that they differ
 		addresses[index] = listener.Addr().String()
 	}
 	return addresses
 }
 
-// balancer is a balancer without store and peers, as a process of its own.
+// balancer is a balancer process without a reachable store or peers.
 type balancer struct {
 	command *exec.Cmd
 	admin   string
 	ended   chan struct{}
-	log     string // file of its standard output
+	log     string // path of the file with its standard output
 }
 
-// waitForLog waits until the log holds a text.
+// waitForLog waits until the log contains a text.
 func (balancer *balancer) waitForLog(t *testing.T, text string) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -55,10 +55,10 @@
 			return
 		}
 	}
-	t.Fatalf("the log does not have %s", text)
+	t.Fatalf("the log does not contain %s", text)
 }
 
-// startBalancer gives a balancer that serves its admin address.
+// startBalancer starts a balancer and returns it once it serves its admin address.
 func startBalancer(t *testing.T, drainGrace string, settings ...string) *balancer {
 	deadline := time.Now().Add(30 * time.Second)
 	for time.Now().Before(deadline) {
@@ -66,12 +66,13 @@
 		if started.serves(deadline) {
 			return started
 		}
-		// It has ended: another process took one of its addresses.
+		// The process has exited, since another one has bound one of its addresses meanwhile.
 	}
 	t.Fatal("no balancer serves its admin address")
 	return nil
 }
 
+// launch starts a balancer process with unused addresses and additional settings.
 func launch(t *testing.T, drainGrace string, more ...string) *balancer {
 	is := is.New(t)
 	addresses := freeAddresses(t, 3)
@@ -83,7 +84,7 @@
 	}, "\n")
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	is.NoErr(err)
-	defer log.Close() // the process has its own
+	defer log.Close() // the process has its own descriptor
 	is.NoErr(os.WriteFile(file, []byte(settings), 0o600))
 	command := exec.Command(os.Args[0], "run", "--config", file)
 	command.Env = append(os.Environ(), runMain+"=1")
@@ -92,16 +93,17 @@
 	started := &balancer{command: command, admin: addresses[2], ended: make(chan struct{}), log: log.Name()}
 	go func() {
 		defer close(started.ended)
-		_ = command.Wait() // its result is in the exit code
+		_ = command.Wait() // exitCode returns the result
 	}()
 	t.Cleanup(func() {
-		_ = command.Process.Kill() // it has ended, or the test has failed
+		_ = command.Process.Kill() // an error means that the process has already exited
 		<-started.ended
 	})
 	return started
 }
 
-// serves waits for the admin address and gives false if the process ends before.
+// serves waits until the balancer serves its admin address. It returns false if the process exits
+// or the deadline passes first.
 func (balancer *balancer) serves(deadline time.Time) bool {
 	for time.Now().Before(deadline) {
 		response, err := http.Get("http://" + balancer.admin + "/healthz")
@@ -118,13 +120,13 @@
 	return false
 }
 
-// exitCode waits for the end of the process.
+// exitCode waits for the process to exit and returns its exit code.
 func (balancer *balancer) exitCode() int {
 	<-balancer.ended
 	return balancer.command.ProcessState.ExitCode()
 }
 
-func TestSignalBeginsPlannedStop(t *testing.T) {
+func TestFirstSignalStartsPlannedStop(t *testing.T) {
 	is := is.New(t)
 	balancer := startBalancer(t, "10ms")
 	is.NoErr(balancer.command.Process.Signal(syscall.SIGTERM))
@@ -135,7 +137,7 @@
 	is := is.New(t)
 	balancer := startBalancer(t, "200s")
 	for {
-		// Signals in quick succession may be merged, so it is repeated.
+		// The kernel may merge signals in quick succession, so the signal is repeated.
 		_ = balancer.command.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-balancer.ended:
@@ -146,8 +148,8 @@
 	}
 }
 
-// TestHangupReloadsSettings: SIGHUP ends no balancer of either affinity, and
-// that of the token path says what it has read.
+// TestHangupReloadsSettings checks that SIGHUP ends no balancer. With token affinity the balancer
+// reloads its settings and logs the result; with chain affinity it logs that it ignores the signal.
 func TestHangupReloadsSettings(t *testing.T) {
 	for _, affinity := range []string{"chain", "token"} {
 		t.Run(affinity, func(t *testing.T) {
