--- a/cmd/robinctl/commands.go
+++ b/cmd/robinctl/commands.go
@@ -49,6 +49,7 @@
 	return session.printer.inForce(result)
 }
 
+// labelCommand implements "robinctl label".
 type labelCommand struct {
 	waitFlag
 	Backend string   `arg:"" help:"Name of the back end."`
@@ -61,6 +62,7 @@
 	return command.finishOne(session, change, err)
 }
 
+// selectorCommand implements "robinctl selector".
 type selectorCommand struct {
 	waitFlag
 	Service  string `arg:"" help:"Name of the service."`
@@ -76,17 +78,19 @@
 	return command.finishOne(session, change, err)
 }
 
+// drainCommand implements "robinctl drain".
 type drainCommand struct {
 	waitFlag
 	Backend string `arg:"" help:"Name of the back end."`
 }
 
-// Run drains a back end.
+// Run drains a back end: it gets no new flows and keeps its open flows.
 func (command *drainCommand) Run(session *session) error {
 	change, err := session.operator.Drain(session.ctx, lb.BackendName(command.Backend), true)
 	return command.finishOne(session, change, err)
 }
 
+// undrainCommand implements "robinctl undrain".
 type undrainCommand struct {
 	waitFlag
 	Backend string `arg:"" help:"Name of the back end."`
@@ -98,6 +102,7 @@
 	return command.finishOne(session, change, err)
 }
 
+// statusCommand implements "robinctl status".
 type statusCommand struct{}
 
 // Run prints the status of zones and services.
@@ -109,6 +114,7 @@
 	return session.printer.status(status)
 }
 
+// waitCommand implements "robinctl wait".
 type waitCommand struct {
 	Revision int64  `help:"Store revision to wait for; default: the revision of the last change." xor:"what"`
 	Service  string `help:"Wait for the last change that affects this service." xor:"what"`
@@ -134,6 +140,7 @@
 	return session.operator.LastChange(session.ctx)
 }
 
+// applyCommand implements "robinctl apply".
 type applyCommand struct {
 	waitFlag
 	File string `short:"f" required:"" help:"YAML file, or - for standard input." placeholder:"FILE"`
@@ -164,6 +171,7 @@
 	return objects, errors.Wrap(err, command.File)
 }
 
+// exportCommand implements "robinctl export".
 type exportCommand struct{}
 
 // Run writes all objects as YAML, or as JSON if that is the output format.
--- a/cmd/robinctl/load_test.go
+++ b/cmd/robinctl/load_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// newFakeNode starts a fake balancer, which returns the same body for every request, and returns its
+// newFakeNode starts a fake balancer that serves the given body for every request, and returns its
 // URL.
 func newFakeNode(t *testing.T, status int, body string) string {
 	t.Helper()
@@ -54,10 +54,10 @@
 	is := is.New(t)
 	valid := newFakeNode(t, http.StatusOK, overloadedReport)
 	for _, test := range []struct {
-		arguments []string
-		code      int
-		stderr    string
-		stdout    string
+		arguments  []string
+		code       int
+		wantStderr string
+		wantStdout string
 	}{
 		{[]string{}, exitBadInput, "admin-address", ""},
 		{[]string{"front-1"}, exitBadInput, `admin address "front-1": want IP:PORT`, ""},
@@ -70,7 +70,7 @@
 	} {
 		got := robinctl(t, "", append([]string{"load"}, test.arguments...)...)
 		is.Equal(got.code, test.code)
-		is.True(strings.Contains(got.stderr, test.stderr)) // the message contains the invalid value
-		is.True(strings.Contains(got.stdout, test.stdout))
+		is.True(strings.Contains(got.stderr, test.wantStderr)) // the message contains the invalid value
+		is.True(strings.Contains(got.stdout, test.wantStdout))
 	}
 }
--- a/cmd/robinctl/objects.go
+++ b/cmd/robinctl/objects.go
@@ -19,7 +19,7 @@
 	Get    serviceGet    `cmd:"" help:"Show one service."`
 }
 
-// serviceFlags are the flags that set flags of a service. A flag that isn't given is nil.
+// serviceFlags are the flags that set fields of a service. A flag that isn't given is nil.
 type serviceFlags struct {
 	Frontend       []string `help:"Front end, tcp://IP:PORT or udp://IP:PORT; may be repeated." placeholder:"URL"`
 	Selector       *string  `help:"Selector of its back ends." placeholder:"EXPR"`
@@ -47,6 +47,7 @@
 	return nil
 }
 
+// serviceCreate implements "robinctl service create".
 type serviceCreate struct {
 	waitFlag
 	serviceFlags
@@ -63,6 +64,7 @@
 	return command.finishOne(session, change, err)
 }
 
+// serviceSet implements "robinctl service set".
 type serviceSet struct {
 	waitFlag
 	serviceFlags
@@ -75,6 +77,7 @@
 	return command.finishOne(session, change, err)
 }
 
+// serviceDelete implements "robinctl service delete".
 type serviceDelete struct {
 	waitFlag
 	Name string `arg:"" help:"Name of the service."`
@@ -86,6 +89,7 @@
 	return command.finishOne(session, change, err)
 }
 
+// serviceList implements "robinctl service list".
 type serviceList struct{}
 
 // Run prints all services.
@@ -97,6 +101,7 @@
 	return errors.CombineErrors(err, session.printer.services(objects.Services)) // err reports invalid documents
 }
 
+// serviceGet implements "robinctl service get".
 type serviceGet struct {
 	Name string `arg:"" help:"Name of the service."`
 }
@@ -119,7 +124,7 @@
 	Get    backendGet    `cmd:"" help:"Show one back end."`
 }
 
-// backendFlags are the flags that set flags of a back end. A flag that isn't given is nil.
+// backendFlags are the flags that set fields of a back end. A flag that isn't given is nil.
 type backendFlags struct {
 	Host   *string           `help:"Geneve endpoint of the host (UDP)." placeholder:"IP:PORT"`
 	Zone   *string           `help:"Zone of the host." placeholder:"ZONE"`
@@ -156,6 +161,7 @@
 	return nil
 }
 
+// backendCreate implements "robinctl backend create".
 type backendCreate struct {
 	waitFlag
 	backendFlags
@@ -172,6 +178,7 @@
 	return command.finishOne(session, change, err)
 }
 
+// backendSet implements "robinctl backend set".
 type backendSet struct {
 	waitFlag
 	backendFlags
@@ -184,6 +191,7 @@
 	return command.finishOne(session, change, err)
 }
 
+// backendDelete implements "robinctl backend delete".
 type backendDelete struct {
 	waitFlag
 	Name string `arg:"" help:"Name of the back end."`
@@ -195,6 +203,7 @@
 	return command.finishOne(session, change, err)
 }
 
+// backendList implements "robinctl backend list".
 type backendList struct{}
 
 // Run prints all back ends.
@@ -206,6 +215,7 @@
 	return errors.CombineErrors(err, session.printer.backends(objects.Backends)) // err reports invalid documents
 }
 
+// backendGet implements "robinctl backend get".
 type backendGet struct {
 	Name string `arg:"" help:"Name of the back end."`
 }
--- a/cmd/robinctl/print.go
+++ b/cmd/robinctl/print.go
@@ -39,6 +39,7 @@
 	return table.Flush()
 }
 
+// changes prints the result of each change.
 func (printer *printer) changes(changes []operator.Change) error {
 	return printer.print(changes, func(table io.Writer) {
 		for _, change := range changes {
@@ -47,6 +48,7 @@
 	})
 }
 
+// services prints the configuration of services.
 func (printer *printer) services(services []catalog.Service) error {
 	return printer.print(services, func(table io.Writer) {
 		fmt.Fprintln(table, "NAME\tFRONT ENDS\tSELECTOR\tOPENS/S")
@@ -60,6 +62,7 @@
 	})
 }
 
+// backends prints the configuration of back ends.
 func (printer *printer) backends(backends []catalog.Backend) error {
 	return printer.print(backends, func(table io.Writer) {
 		fmt.Fprintln(table, "NAME\tHOST\tZONE\tWEIGHT\tDRAIN\tLABELS")
@@ -71,6 +74,7 @@
 	})
 }
 
+// status prints the configuration in force in each zone, and the state of each service.
 func (printer *printer) status(status *operator.Status) error {
 	return printer.print(status, func(table io.Writer) {
 		fmt.Fprintf(table, "last change: revision %d\n\n", status.LastChange)
@@ -94,6 +98,7 @@
 	})
 }
 
+// inForce prints the zones in which a revision is in force, and the stale zones.
 func (printer *printer) inForce(result *operator.InForce) error {
 	return printer.print(result, func(table io.Writer) {
 		fmt.Fprintf(table, "revision %d is in force in %s\n", result.Revision, joinZones(result.Zones))
@@ -103,6 +108,7 @@
 	})
 }
 
+// freshness returns the word for a report that is fresh or stale.
 func freshness(fresh bool) string {
 	if fresh {
 		return "fresh"
