--- a/cmd/robinpulley/main.go
+++ b/cmd/robinpulley/main.go
@@ -15,10 +15,10 @@
 
 // The exit codes.
 const (
-	exitDone          = 0 // the planned stop or the command has finished
-	exitFailed        = 1 // an error while running
-	exitBadSettings   = 2 // invalid settings or command line
-	exitStoppedAtOnce = 3 // a second signal ended the planned stop
+	exitDone               = 0 // the planned stop or the command has finished
+	exitFailed             = 1 // an error while running
+	exitBadSettings        = 2 // invalid settings or command line
+	exitStoppedImmediately = 3 // a second signal ended the planned stop
 )
 
 // commandLine defines the commands and flags.
@@ -72,7 +72,7 @@
 	case errors.Is(err, os.ErrNotExist), errors.Is(err, os.ErrPermission):
 		return exitBadSettings
 	case errors.Is(err, lb.ErrStoppedAtOnce):
-		return exitStoppedAtOnce
+		return exitStoppedImmediately
 	}
 	return exitFailed
 }
--- a/cmd/robinpulley/process_test.go
+++ b/cmd/robinpulley/process_test.go
@@ -133,7 +133,7 @@
 	is.Equal(balancer.exitCode(), exitDone)
 }
 
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+func TestSecondSignalStopsImmediately(t *testing.T) {
 	is := is.New(t)
 	balancer := startBalancer(t, "200s")
 	for {
@@ -141,7 +141,7 @@
 		_ = balancer.command.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-balancer.ended:
-			is.Equal(balancer.exitCode(), exitStoppedAtOnce)
+			is.Equal(balancer.exitCode(), exitStoppedImmediately)
 			return
 		case <-time.After(10 * time.Millisecond):
 		}
