--- a/internal/lab/surge/fleet.go
+++ b/internal/lab/surge/fleet.go
@@ -12,109 +12,113 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// newsInterval is the time between news of what all nodes see, and sumTime that over which sums are taken.
+// summaryInterval is the time between two publications of the fleet's load. smoothingTime is the
+// time constant with which the rates in it are smoothed.
 const (
-	newsInterval = 200 * time.Millisecond
-	sumTime      = 300 * time.Millisecond
+	summaryInterval = 200 * time.Millisecond
+	smoothingTime   = 300 * time.Millisecond
 )
 
-// fleet is what all nodes see together, by plain sums.
-type fleet struct {
-	at      time.Duration
-	seen    map[lb.Zone]map[uint16]fleetload.Level // since the last news, by the zone of the callers
-	answers map[lb.Zone]fleetload.Answers          // by the zone of the back ends
-	rates   map[lb.Zone]map[uint16]fleetload.Level // smoothed
-	loads   map[lb.Zone]fleetload.Answers
+// fleetSums holds the load of all nodes together. It stands in for the fleet's aggregation by
+// plain summation.
+type fleetSums struct {
+	summedAt    time.Duration
+	newLevels   map[lb.Zone]map[uint16]fleetload.Level // since the last summary, by the zone of the clients
+	newAnswers  map[lb.Zone]fleetload.Answers          // since the last summary, by the zone of the back ends
+	levelRates  map[lb.Zone]map[uint16]fleetload.Level // smoothed rates per second rates per second
+	answerRates map[lb.Zone]fleetload.Answers
 }
 
-// note adds what a node in a zone has seen.
-func (f *fleet) note(samples []fleetload.Sample, zone lb.Zone) {
-	if f.seen == nil {
-		f.seen, f.answers = make(map[lb.Zone]map[uint16]fleetload.Level), make(map[lb.Zone]fleetload.Answers)
-		f.rates, f.loads = make(map[lb.Zone]map[uint16]fleetload.Level), make(map[lb.Zone]fleetload.Answers)
+// add adds the load samples of a node in a zone.
+func (f *fleetSums) add(samples []fleetload.Sample, zone lb.Zone) {
+	if f.newLevels == nil {
+		f.newLevels, f.newAnswers = make(map[lb.Zone]map[uint16]fleetload.Level), make(map[lb.Zone]fleetload.Answers)
+		f.levelRates, f.answerRates = make(map[lb.Zone]map[uint16]fleetload.Level), make(map[lb.Zone]fleetload.Answers)
 	}
-	if f.seen[zone] == nil {
-		f.seen[zone], f.rates[zone] = make(map[uint16]fleetload.Level), make(map[uint16]fleetload.Level)
+	if f.newLevels[zone] == nil {
+		f.newLevels[zone], f.levelRates[zone] = make(map[uint16]fleetload.Level), make(map[uint16]fleetload.Level)
 	}
 	for _, sample := range samples {
 		for _, level := range sample.Levels {
-			sum := f.seen[zone][level.Priority]
+			sum := f.newLevels[zone][level.Priority]
 			sum.Begun += level.Begun
 			sum.Refused += level.Refused
-			f.seen[zone][level.Priority] = sum
-			if _, known := f.rates[zone][level.Priority]; !known {
-				f.rates[zone][level.Priority] = fleetload.Level{}
+			f.newLevels[zone][level.Priority] = sum
+			if _, known := f.levelRates[zone][level.Priority]; !known {
+				f.levelRates[zone][level.Priority] = fleetload.Level{}
 			}
 		}
 		for _, answers := range sample.Answers {
-			sum := f.answers[answers.Zone]
+			sum := f.newAnswers[answers.Zone]
 			sum.Count += answers.Count
 			sum.LogSum += answers.LogSum
 			sum.Rejected += answers.Rejected
-			f.answers[answers.Zone] = sum
-			if _, known := f.loads[answers.Zone]; !known {
-				f.loads[answers.Zone] = fleetload.Answers{}
+			f.newAnswers[answers.Zone] = sum
+			if _, known := f.answerRates[answers.Zone]; !known {
+				f.answerRates[answers.Zone] = fleetload.Answers{}
 			}
 		}
 	}
 }
 
-// sum takes the rates, and gives what is known.
-func (f *fleet) sum(now time.Duration) fleetload.Service {
-	elapsed := (now - f.at).Seconds()
-	f.at = now
-	part := 1 - math.Exp(-elapsed/sumTime.Seconds())
-	follow := func(rate *float64, seen float64) { *rate += (seen/elapsed - *rate) * part }
-	known := fleetload.Service{SummedAt: now}
-	for _, name := range slices.Sorted(maps.Keys(f.rates)) {
+// summarize updates the smoothed rates, resets the sums and returns the resulting load of the
+// service.
+func (f *fleetSums) summarize(now time.Duration) fleetload.Service {
+	elapsed := (now - f.summedAt).Seconds()
+	f.summedAt = now
+	weight := 1 - math.Exp(-elapsed/smoothingTime.Seconds())
+	smooth := func(rate *float64, sum float64) { *rate += (sum/elapsed - *rate) * weight }
+	service := fleetload.Service{SummedAt: now}
+	for _, name := range slices.Sorted(maps.Keys(f.levelRates)) {
 		zone := fleetload.Zone{Zone: name}
-		for priority, rate := range f.rates[name] {
-			seen := f.seen[name][priority]
+		for priority, rate := range f.levelRates[name] {
+			sum := f.newLevels[name][priority]
 			rate.Priority = priority
-			follow(&rate.Begun, seen.Begun)
-			follow(&rate.Refused, seen.Refused)
-			f.rates[name][priority] = rate
+			smooth(&rate.Begun, sum.Begun)
+			smooth(&rate.Refused, sum.Refused)
+			f.levelRates[name][priority] = rate
 			zone.Levels = append(zone.Levels, rate)
 		}
 		slices.SortFunc(zone.Levels, func(a, b fleetload.Level) int { return cmp.Compare(a.Priority, b.Priority) })
-		load := f.loads[name]
-		follow(&load.Count, f.answers[name].Count)
-		follow(&load.LogSum, f.answers[name].LogSum)
-		follow(&load.Rejected, f.answers[name].Rejected)
-		f.loads[name] = load
+		load := f.answerRates[name]
+		smooth(&load.Count, f.newAnswers[name].Count)
+		smooth(&load.LogSum, f.newAnswers[name].LogSum)
+		smooth(&load.Rejected, f.newAnswers[name].Rejected)
+		f.answerRates[name] = load
 		zone.Answers, zone.Rejected = load.Count, load.Rejected
 		if load.Count > 0 {
 			zone.Load = math.Exp(load.LogSum / load.Count)
 		}
-		known.Zones = append(known.Zones, zone)
-		clear(f.seen[name])
+		service.Zones = append(service.Zones, zone)
+		clear(f.newLevels[name])
 	}
-	clear(f.answers)
-	return known
+	clear(f.newAnswers)
+	return service
 }
 
-// tell tells all nodes what all of them see, some time later.
-func (w *world) tell() {
-	known := w.fleet.sum(w.now)
-	w.after(w.scenario.News, func() {
-		for index := range w.nodes {
-			known := known
-			known.SummedAt = w.now
-			w.step(index, &core.Event{Loads: map[lb.ServiceName]fleetload.Service{"web": known}})
+// publishFleetLoad sends the load of the whole fleet to every node, where it arrives after
+// FleetLoadDelay.
+func (s *simulation) publishFleetLoad() {
+	summary := s.fleet.summarize(s.now)
+	s.after(s.scenario.FleetLoadDelay, func() {
+		for index := range s.nodes {
+			summary := summary
+			summary.SummedAt = s.now
+			s.step(index, &core.Event{Loads: map[lb.ServiceName]fleetload.Service{"web": summary}})
 		}
 	})
 }
 
-// noteParts notes the admitted parts of the least important class.
-func (w *world) noteParts() {
-	parts := make([]float64, len(w.nodes))
-	for index := range w.nodes {
-		parts[index] = 1
-		for _, status := range w.nodes[index].core.OverloadStatus() {
+// recordAdmissionRates records the share of the least important class that each node admits.
+func (s *simulation) recordAdmissionRates() {
+	rates := make([]float64, len(s.nodes))
+	for index := range s.nodes {
+		rates[index] = 1
+		for _, status := range s.nodes[index].core.OverloadStatus() {
 			for _, level := range status.Levels {
-				parts[index] = min(parts[index], level.Admitted)
+				rates[index] = min(rates[index], level.Admitted)
 			}
 		}
 	}
-	w.result.Parts = append(w.result.Parts, parts)
+	s.result.AdmissionRates = append(s.result.AdmissionRates, rates)
 }
--- a/internal/lab/surge/fleet_test.go
+++ b/internal/lab/surge/fleet_test.go
@@ -8,73 +8,78 @@
 	"github.com/matryer/is"
 )
 
-// fleetScenario has callers of three zones, each of which asks for half more than the one before, ask for
-// more than all back ends can do, with flows for one request each. News of it are half a second old.
+// fleetScenario returns a scenario with clients in three zones, each with half as much demand again
+// as the zone before. Their total demand exceeds the capacity of all back ends, and each flow
+// carries one request. The fleet's load reaches the nodes about half a second late.
 func fleetScenario(seed uint64) Scenario {
 	s := Default(seed, Adaptive, 2.5)
-	s.Nodes, s.Hosts, s.Callers = 24, 30, 300
-	s.Classes[0].Long = false
+	s.Nodes, s.Hosts, s.Clients = 24, 30, 300
+	s.Classes[0].ReuseFlows = false
 	for index := range s.Classes {
 		s.Classes[index].Rate *= 2.5
 	}
-	s.Uneven, s.News = 1.5, 400*time.Millisecond
+	s.ZoneDemandRatio, s.FleetLoadDelay = 1.5, 400*time.Millisecond
 	return s
 }
 
-// shareOf is the part of a class's requests of one zone's callers that was answered in time.
-func shareOf(result *Result, zone int, class string) float64 {
+// inTimeShare returns the share of the requests of a class from one zone's clients that were
+// answered in time.
+func inTimeShare(result *Result, zone int, class string) float64 {
 	count := result.Zones[zone][class]
 	return count.Share()
 }
 
-// TestZonesAreServedAlike: callers of all zones get the same, within a tenth of all requests, though they ask
-// for different amounts; and without the fleet's news they do not.
-func TestZonesAreServedAlike(t *testing.T) {
-	for _, seed := range seeds {
+// TestZonesAreServedEquallyWithFleetLoad verifies that the shares of requests answered in time
+// differ by less than 0.1 between zones although their demand differs, and that they differ by
+// more than 0.3 if the nodes do not receive the fleet's load.
+func TestZonesAreServedEquallyWithFleetLoad(t *testing.T) {
+	for _, seed := range testSeeds {
 		is := is.New(t)
-		apart := func(result *Result) float64 {
-			least, most := 1.0, 0.0
+		spread := func(result *Result) float64 {
+			lowest, highest := 1.0, 0.0
 			for zone := range result.Zones {
-				least, most = min(least, shareOf(result, zone, Ordinary)), max(most, shareOf(result, zone, Ordinary))
+				lowest, highest = min(lowest, inTimeShare(result, zone, Ordinary)), max(highest, inTimeShare(result, zone, Ordinary))
 			}
-			return most - least
+			return highest - lowest
 		}
 		scenario := fleetScenario(seed)
-		together := Run(scenario)
-		is.True(apart(together) < 0.1)
-		is.True(together.Class(Important, 3, 20).Share() > 0.95)
-		scenario.News = 0
-		is.True(apart(Run(scenario)) > 0.3)
+		withFleetLoad := Run(scenario)
+		is.True(spread(withFleetLoad) < 0.1)
+		is.True(withFleetLoad.Class(Important, 3, 20).Share() > 0.95)
+		scenario.FleetLoadDelay = 0
+		is.True(spread(Run(scenario)) > 0.3)
 	}
 }
 
-// TestRestartedNodesDecideAlike: what nodes that have forgotten all let in is, in the mean of three runs,
-// what the others let in, within 0.05, from a second after the restart on.
-func TestRestartedNodesDecideAlike(t *testing.T) {
+// TestRestartedNodesConvergeToSameAdmissionRate verifies that, from one second after their restart
+// on, nodes that lost their state admit on average over all runs the same share as the other
+// nodes, within 0.05.
+func TestRestartedNodesConvergeToSameAdmissionRate(t *testing.T) {
 	is := is.New(t)
 	sums, ticks := [2]float64{}, 0.0
-	for _, seed := range seeds {
+	for _, seed := range testSeeds {
 		scenario := fleetScenario(seed)
 		scenario.Restart = 10 * time.Second
-		for tick, parts := range Run(scenario).Parts {
+		for tick, rates := range Run(scenario).AdmissionRates {
 			if at := time.Duration(tick) * tickInterval; at < 11*time.Second || at > 18*time.Second {
 				continue
 			}
 			ticks++
-			for node, part := range parts {
-				sums[node%2] += part * 2 / float64(len(parts))
+			for node, rate := range rates {
+				sums[node%2] += rate * 2 / float64(len(rates))
 			}
 		}
 	}
 	is.True(math.Abs(sums[0]-sums[1])/ticks < 0.05)
 }
 
-// TestCalmFleetRefusesNothing: with half of the work that back ends can do, whatever zones ask for.
-func TestCalmFleetRefusesNothing(t *testing.T) {
-	for _, seed := range seeds {
+// TestNoRefusalsAtHalfLoadWithUnevenZones verifies that nothing is refused at half of the back
+// ends' capacity although the zones' demand differs.
+func TestNoRefusalsAtHalfLoadWithUnevenZones(t *testing.T) {
+	for _, seed := range testSeeds {
 		is := is.New(t)
 		scenario := fleetScenario(seed)
-		scenario.Uneven = 1.2
+		scenario.ZoneDemandRatio = 1.2
 		scenario.Load = func(time.Duration) float64 { return 1 }
 		result := Run(scenario)
 		is.Equal(sum(result.Refused), 0)
--- a/internal/lab/surge/request.go
+++ b/internal/lab/surge/request.go
@@ -9,161 +9,164 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// request is one request of a caller, over all its tries.
+// request is one request of a client with all its attempts.
 type request struct {
-	world  *world
-	class  int
-	caller *caller
-	begun  time.Duration
-	tried  int
-	ended  bool
+	simulation *simulation
+	class      int
+	client     *client
+	startedAt  time.Duration
+	attempts   int
+	ended      bool
 }
 
-func (r *request) settings() *Class { return &r.world.scenario.Classes[r.class] }
+func (r *request) classSettings() *Class { return &r.simulation.scenario.Classes[r.class] }
 
 func (r *request) count() *Count {
-	return &r.world.result.Classes[r.settings().Name][int(r.begun/time.Second)]
+	return &r.simulation.result.Classes[r.classSettings().Name][int(r.startedAt/time.Second)]
 }
 
-// try sends the request on a flow that rests, or opens one.
+// try sends the request on an idle flow, or opens a new flow. Only the first attempt may use an
+// idle flow.
 func (r *request) try() {
-	w := r.world
-	r.tried++
-	if r.tried == 1 {
-		w.after(r.settings().Deadline, r.fail)
+	s := r.simulation
+	r.attempts++
+	if r.attempts == 1 {
+		s.after(r.classSettings().Deadline, r.fail)
 	}
-	resting := r.caller.idle[r.class]
-	if r.settings().Long && r.tried == 1 && len(resting) > 0 {
-		last := resting[len(resting)-1]
-		r.caller.idle[r.class] = resting[:len(resting)-1]
+	idle := r.client.idle[r.class]
+	if r.classSettings().ReuseFlows && r.attempts == 1 && len(idle) > 0 {
+		last := idle[len(idle)-1]
+		r.client.idle[r.class] = idle[:len(idle)-1]
 		r.send(last)
 		return
 	}
 	r.open()
 }
 
-// open has a node place a new flow.
+// open sends an opening to a node, which selects a host for the new flow.
 func (r *request) open() {
-	w := r.world
-	r.caller.port++
-	source := netip.AddrPortFrom(r.caller.address, r.caller.port)
+	s := r.simulation
+	r.client.port++
+	source := netip.AddrPortFrom(r.client.address, r.client.port)
 	f := &flow{key: lb.NewFlowKey(source, frontend(r.class), lb.TCP)}
-	zone := w.byZone[r.caller.zone]
+	zone := s.byZone[r.client.zone]
 	f.node = zone[uint64(f.key.ID())%uint64(len(zone))]
-	w.after(hop, func() {
-		decision := w.step(f.node, &core.Event{Packet: &core.Packet{
-			Key: f.key, Kind: core.PacketOpening, OpeningID: uint32(w.order), Datagram: anyDatagram,
+	s.after(linkDelay, func() {
+		decision := s.step(f.node, &core.Event{Packet: &core.Packet{
+			Key: f.key, Kind: core.PacketOpening, OpeningID: uint32(s.eventCount), Datagram: placeholderDatagram,
 		}})
 		if decision.Action == core.ActionHold {
-			w.hold(f.node, f.key, func(decision core.Decision) { r.placed(f, decision) })
+			s.holdOpening(f.node, f.key, func(decision core.Decision) { r.placed(f, decision) })
 			return
 		}
 		r.placed(f, decision)
 	})
 }
 
-// anyDatagram stands for those of all openings.
-var anyDatagram = make([]byte, 34)
+// placeholderDatagram is used as the datagram of every opening.
+var placeholderDatagram = make([]byte, 34)
 
-// placed goes on once the node has decided on an opening.
+// placed continues the request after the node has decided on its opening.
 func (r *request) placed(f *flow, decision core.Decision) {
-	w := r.world
-	forwarded := decision.Action == core.ActionForward && r.withinQueue(f.node, int(decision.Identity)-1)
-	r.noteOpening(f.node, forwarded)
+	s := r.simulation
+	forwarded := decision.Action == core.ActionForward && r.belowQueueLimit(f.node, int(decision.Identity)-1)
+	r.recordOpening(f.node, forwarded)
 	if !forwarded {
-		w.after(hop, r.again)
+		s.after(linkDelay, r.retry)
 		return
 	}
 	f.host = int(decision.Identity) - 1
 	f.token = decision.Token
-	w.after(3*hop, func() { r.send(f) })
+	s.after(3*linkDelay, func() { r.send(f) })
 }
 
-func (r *request) noteOpening(node int, forwarded bool) {
-	w := r.world
+func (r *request) recordOpening(node int, forwarded bool) {
+	s := r.simulation
 	if !forwarded {
-		w.result.Refused[int(w.now/time.Second)]++
+		s.result.Refused[int(s.now/time.Second)]++
 	}
-	if !r.settings().Long {
+	if !r.classSettings().ReuseFlows {
 		return
 	}
-	w.result.Offered[node]++
+	s.result.Offered[node]++
 	if forwarded {
-		w.result.Admitted[node]++
+		s.result.Admitted[node]++
 	}
 }
 
-// withinQueue is the rule of QueueLimit.
-func (r *request) withinQueue(node, host int) bool {
-	w := r.world
-	if w.scenario.Policy != QueueLimit {
+// belowQueueLimit applies the rule of the QueueLimit policy. It returns true under other policies.
+func (r *request) belowQueueLimit(node, host int) bool {
+	s := r.simulation
+	if s.scenario.Policy != QueueLimit {
 		return true
 	}
-	zoneNodes := len(w.byZone[node%w.scenario.Zones])
-	limit := max(1, (w.scenario.Slots+w.scenario.Queue/2)/zoneNodes)
-	return w.nodes[node].underWay[host] < limit
+	zoneNodes := len(s.byZone[node%s.scenario.Zones])
+	limit := max(1, (s.scenario.Slots+s.scenario.Queue/2)/zoneNodes)
+	return s.nodes[node].inFlight[host] < limit
 }
 
-// send has the request pass the node to the host, and the answer come back.
+// send sends the request through the node to the host, and the host's answer back to the client.
 func (r *request) send(f *flow) {
-	w := r.world
-	w.after(hop, func() {
-		w.later(f, true)
-		w.nodes[f.node].underWay[f.host]++
-		w.after(hop, func() {
-			w.serve(f.host, r.work(), func(ran bool) { w.after(hop, func() { r.answered(f, ran) }) })
+	s := r.simulation
+	s.after(linkDelay, func() {
+		s.deliverMiddlePacket(f, true)
+		s.nodes[f.node].inFlight[f.host]++
+		s.after(linkDelay, func() {
+			s.serve(f.host, r.drawWork(), func(ran bool) { s.after(linkDelay, func() { r.answered(f, ran) }) })
 		})
 	})
 }
 
-// later has the node see a packet of an open flow.
-func (w *world) later(f *flow, hasData bool) {
+// deliverMiddlePacket delivers a packet of an open flow to the flow's node, after the observation
+// delay.
+func (s *simulation) deliverMiddlePacket(f *flow, hasData bool) {
 	event := &core.Event{Packet: &core.Packet{
 		Key: f.key, Kind: core.PacketMiddle, Token: f.token, Acknowledged: f.acked, HasData: hasData,
 	}}
-	if w.scenario.NewsDelay == 0 {
-		w.step(f.node, event)
+	if s.scenario.ObservationDelay == 0 {
+		s.step(f.node, event)
 		return
 	}
-	w.after(w.scenario.NewsDelay, func() { w.step(f.node, event) })
+	s.after(s.scenario.ObservationDelay, func() { s.step(f.node, event) })
 }
 
-// work draws the time at a slot: lognormal around the mean, with a deviation of half of it.
-func (r *request) work() time.Duration {
+// drawWork returns a random time for which the request occupies a slot: log-normally distributed
+// around the mean of the class, with a standard deviation of half the mean.
+func (r *request) drawWork() time.Duration {
 	const sigma = 0.47
-	factor := math.Exp(sigma*r.world.random.NormFloat64() - sigma*sigma/2)
-	return time.Duration(float64(r.settings().Work) * factor)
+	factor := math.Exp(sigma*r.simulation.random.NormFloat64() - sigma*sigma/2)
+	return time.Duration(float64(r.classSettings().Work) * factor)
 }
 
-// answered is the answer's arrival at the caller, who acknowledges it.
+// answered handles the arrival of the answer at the client, which acknowledges it.
 func (r *request) answered(f *flow, ran bool) {
-	w := r.world
+	s := r.simulation
 	f.acked++
-	w.after(hop, func() {
-		w.later(f, false)
-		w.nodes[f.node].underWay[f.host]--
+	s.after(linkDelay, func() {
+		s.deliverMiddlePacket(f, false)
+		s.nodes[f.node].inFlight[f.host]--
 	})
-	if r.settings().Long {
-		r.caller.idle[r.class] = append(r.caller.idle[r.class], f)
+	if r.classSettings().ReuseFlows {
+		r.client.idle[r.class] = append(r.client.idle[r.class], f)
 	}
 	switch {
 	case r.ended:
 	case !ran:
-		r.again()
-	case w.now-r.begun <= r.settings().Target:
-		w.result.Times = append(w.result.Times, w.now-r.begun)
+		r.retry()
+	case s.now-r.startedAt <= r.classSettings().Target:
+		s.result.Latencies = append(s.result.Latencies, s.now-r.startedAt)
 		r.end(Count{InTime: 1})
 	default:
-		w.result.Times = append(w.result.Times, w.now-r.begun)
+		s.result.Latencies = append(s.result.Latencies, s.now-r.startedAt)
 		r.end(Count{Late: 1})
 	}
 }
 
-// again tries once more, or gives up.
-func (r *request) again() {
+// retry makes another attempt, or fails the request after the last one.
+func (r *request) retry() {
 	switch {
 	case r.ended:
-	case r.tried >= tries:
+	case r.attempts >= maxAttempts:
 		r.fail()
 	default:
 		r.try()
@@ -177,45 +180,47 @@
 	r.end(Count{Failed: 1})
 }
 
-// settled is from when on requests count in Result.Zones: what the fleet knows comes late at first.
-const settled = 3 * time.Second
+// zoneCountsFrom is the time from which on requests count in Result.Zones. Before it, the nodes do
+// not have the fleet's load yet.
+const zoneCountsFrom = 3 * time.Second
 
-// end counts what became of the request.
-func (r *request) end(end Count) {
+// end ends the request and counts its outcome.
+func (r *request) end(outcome Count) {
 	r.ended = true
-	r.count().add(end)
-	if r.begun < settled {
+	r.count().add(outcome)
+	if r.startedAt < zoneCountsFrom {
 		return
 	}
-	end.Asked = 1
-	ends := r.world.result.Zones[r.caller.zone]
-	sum := ends[r.settings().Name]
-	sum.add(end)
-	ends[r.settings().Name] = sum
+	outcome.Asked = 1
+	counts := r.simulation.result.Zones[r.client.zone]
+	sum := counts[r.classSettings().Name]
+	sum.add(outcome)
+	counts[r.classSettings().Name] = sum
 }
 
-// serve has a host work on a request, queue it, or shed it at once.
-func (w *world) serve(index int, work time.Duration, done func(ran bool)) {
-	h := &w.hosts[index]
+// serve starts a request on a host if a slot is free, queues it, or rejects it if the queue is
+// full.
+func (s *simulation) serve(index int, work time.Duration, done func(ran bool)) {
+	h := &s.hosts[index]
 	switch {
-	case h.busy < w.scenario.Slots:
+	case h.busy < s.scenario.Slots:
 		h.busy++
-		w.run(index, job{work, done})
-	case len(h.queue) < w.scenario.Queue:
+		s.startJob(index, job{work, done})
+	case len(h.queue) < s.scenario.Queue:
 		h.queue = append(h.queue, job{work, done})
 	default:
-		w.result.Shed++
+		s.result.Shed++
 		done(false)
 	}
 }
 
-func (w *world) run(index int, j job) {
-	if w.scenario.Slow != nil {
-		j.work = time.Duration(float64(j.work) * w.scenario.Slow(index, w.now))
+func (s *simulation) startJob(index int, j job) {
+	if s.scenario.Slowdown != nil {
+		j.work = time.Duration(float64(j.work) * s.scenario.Slowdown(index, s.now))
 	}
-	w.result.HostBusy[index] += j.work
-	w.after(j.work, func() {
-		h := &w.hosts[index]
+	s.result.HostBusy[index] += j.work
+	s.after(j.work, func() {
+		h := &s.hosts[index]
 		j.done(true)
 		if len(h.queue) == 0 {
 			h.busy--
@@ -223,6 +228,6 @@
 		}
 		next := h.queue[0]
 		h.queue = h.queue[1:]
-		w.run(index, next)
+		s.startJob(index, next)
 	})
 }
--- a/internal/lab/surge/run.go
+++ b/internal/lab/surge/run.go
@@ -14,25 +14,25 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// hop is the time of a packet on one link.
-const hop = 2 * time.Millisecond
+// linkDelay is the time that a packet takes on one link.
+const linkDelay = 2 * time.Millisecond
 
 // tickInterval is the time between ticks of the cores.
 const tickInterval = 100 * time.Millisecond
 
-// tries is how often a caller tries one request.
-const tries = 3
+// maxAttempts is the number of attempts after which a client gives up a request.
+const maxAttempts = 3
 
 // node is one balancer.
 type node struct {
 	core    *core.Core
 	effects core.Effects
-	// underWay counts this node's requests at each host, for QueueLimit.
-	underWay []int
-	// held are openings that wait, and what follows on the decision; looks tells
-	// that they are looked at.
-	held  map[lb.FlowKey]func(core.Decision)
-	looks bool
+	// inFlight counts this node's requests at each host, for QueueLimit.
+	inFlight []int
+	// held maps each opening in the admission queue to the function that is called with its
+	// decision. retryScheduled is set while the next retry of the queue is scheduled.
+	held           map[lb.FlowKey]func(core.Decision)
+	retryScheduled bool
 }
 
 // host is one back end.
@@ -41,13 +41,13 @@
 	queue []job
 }
 
-// job is a request at a host.
+// job is a request that a host serves or has queued.
 type job struct {
 	work time.Duration
 	done func(ran bool)
 }
 
-// flow is an open flow of a caller.
+// flow is a flow of a client.
 type flow struct {
 	key   lb.FlowKey
 	node  int
@@ -56,79 +56,79 @@
 	acked uint32
 }
 
-// caller has flows that rest, which it uses again.
-type caller struct {
+// client sends requests. It keeps idle flows for reuse.
+type client struct {
 	address netip.Addr
 	zone    int
 	port    uint16
 	idle    [][]*flow // by class
 }
 
-// world is one run under way.
-type world struct {
-	scenario Scenario
-	random   *rand.Rand
-	now      time.Duration
-	events   sim.Queue[func()]
-	order    int // counts the events
-	nodes    []node
-	byZone   [][]int // nodes
-	hosts    []host
-	callers  []caller
-	result   *Result
-	fleet    fleet
+// simulation is the state of one run.
+type simulation struct {
+	scenario   Scenario
+	random     *rand.Rand
+	now        time.Duration
+	events     sim.Queue[func()]
+	eventCount int // number of scheduled events
+	nodes      []node
+	byZone     [][]int // node indexes by zone
+	hosts      []host
+	clients    []client
+	result     *Result
+	fleet      fleetSums
 }
 
-// Run plays a scenario.
+// Run simulates a scenario and returns its results.
 func Run(scenario Scenario) *Result {
-	w := newWorld(scenario)
-	w.every(tickInterval, func() {
-		for i := range w.nodes {
-			w.step(i, &core.Event{Tick: true})
-			w.fleet.note(w.nodes[i].effects.LoadSamples, w.zoneOf(i))
+	s := newSimulation(scenario)
+	s.every(tickInterval, func() {
+		for i := range s.nodes {
+			s.step(i, &core.Event{Tick: true})
+			s.fleet.add(s.nodes[i].effects.LoadSamples, s.zoneOf(i))
 		}
-		w.noteParts()
+		s.recordAdmissionRates()
 	})
-	if scenario.News > 0 {
-		w.every(newsInterval, w.tell)
+	if scenario.FleetLoadDelay > 0 {
+		s.every(summaryInterval, s.publishFleetLoad)
 	}
 	if scenario.Restart > 0 {
-		w.after(scenario.Restart, w.restart)
+		s.after(scenario.Restart, s.restartNodes)
 	}
 	for i := range scenario.Classes {
-		w.ask(i)
+		s.scheduleRequest(i)
 	}
 	for {
-		run, more := w.events.Next()
-		w.now = w.events.Now()
-		if !more || w.now > scenario.Duration {
-			return w.finish()
+		run, more := s.events.Next()
+		s.now = s.events.Now()
+		if !more || s.now > scenario.Duration {
+			return s.finish()
 		}
 		run()
 	}
 }
 
-// finish adds what the nodes have counted.
-func (w *world) finish() *Result {
-	for i := range w.nodes {
-		waits := w.nodes[i].core.Stats().HeldOpenings
-		w.result.Waits.Held += waits.Held
-		w.result.Waits.Forwarded += waits.Forwarded
-		w.result.Waits.ToFreedBackends += waits.ToFreedBackends
-		w.result.Waits.HeldTime += waits.HeldTime
+// finish adds the counters of the nodes to the result.
+func (s *simulation) finish() *Result {
+	for i := range s.nodes {
+		held := s.nodes[i].core.Stats().HeldOpenings
+		s.result.HeldOpenings.Held += held.Held
+		s.result.HeldOpenings.Forwarded += held.Forwarded
+		s.result.HeldOpenings.ToFreedBackends += held.ToFreedBackends
+		s.result.HeldOpenings.HeldTime += held.HeldTime
 	}
-	return w.result
+	return s.result
 }
 
-func newWorld(scenario Scenario) *world {
+func newSimulation(scenario Scenario) *simulation {
 	seconds := int(scenario.Duration/time.Second) + 1
-	w := &world{
+	s := &simulation{
 		scenario: scenario,
 		random:   rand.New(rand.NewPCG(scenario.Seed, 1)),
 		nodes:    make([]node, scenario.Nodes),
 		byZone:   make([][]int, scenario.Zones),
 		hosts:    make([]host, scenario.Hosts),
-		callers:  make([]caller, int(math.Ceil(float64(scenario.Callers)*max(scenario.MostLoad, 1)))),
+		clients:  make([]client, int(math.Ceil(float64(scenario.Clients)*max(scenario.MaxLoad, 1)))),
 		result: &Result{
 			Classes: make(map[string][]Count),
 			Refused: make([]int, seconds), Admitted: make([]int, scenario.Nodes), Offered: make([]int, scenario.Nodes),
@@ -137,113 +137,113 @@
 		},
 	}
 	for _, class := range scenario.Classes {
-		w.result.Classes[class.Name] = make([]Count, seconds)
+		s.result.Classes[class.Name] = make([]Count, seconds)
 	}
-	for zone := range w.result.Zones {
-		w.result.Zones[zone] = make(map[string]Count)
+	for zone := range s.result.Zones {
+		s.result.Zones[zone] = make(map[string]Count)
 	}
-	for i := range w.nodes {
+	for i := range s.nodes {
 		zone := i % scenario.Zones
-		w.byZone[zone] = append(w.byZone[zone], i)
-		w.start(i)
+		s.byZone[zone] = append(s.byZone[zone], i)
+		s.startNode(i)
 	}
-	w.meet()
-	for i := range w.callers {
+	s.setMembers()
+	for i := range s.clients {
 		address := netip.AddrFrom4([4]byte{198, 51, byte(i >> 8), byte(i)})
-		w.callers[i] = caller{address: address, zone: i % scenario.Zones, port: 1024, idle: make([][]*flow, len(scenario.Classes))}
+		s.clients[i] = client{address: address, zone: i % scenario.Zones, port: 1024, idle: make([][]*flow, len(scenario.Classes))}
 	}
-	return w
+	return s
 }
 
-// meet has the nodes of each zone know each other.
-func (w *world) meet() {
-	for zone, nodes := range w.byZone {
+// setMembers sends each node the list of the nodes in its zone.
+func (s *simulation) setMembers() {
+	for zone, nodes := range s.byZone {
 		var members []core.Member
 		for _, i := range nodes {
 			members = append(members, core.Member{ID: nodeName(i), Zone: zoneName(zone)})
 		}
 		for _, i := range nodes {
-			w.step(i, &core.Event{Members: members})
+			s.step(i, &core.Event{Members: members})
 		}
 	}
 }
 
 func nodeName(index int) lb.NodeID { return lb.NodeID(fmt.Sprintf("n%d", index)) }
 
-// start starts a node, which knows nothing.
-func (w *world) start(index int) {
-	zone := w.zoneOf(index)
+// startNode starts a node without any state and compiles its table.
+func (s *simulation) startNode(index int) {
+	zone := s.zoneOf(index)
 	settings := core.DefaultSettings(nodeName(index), zone)
 	settings.Affinity = core.AffinityToken
-	settings.Overload.Off = w.scenario.Policy != Adaptive
-	if w.scenario.Adjust != nil {
-		w.scenario.Adjust(&settings)
+	settings.Overload.Off = s.scenario.Policy != Adaptive
+	if s.scenario.Adjust != nil {
+		s.scenario.Adjust(&settings)
 	}
-	settings.AdmissionQueue = w.scenario.Waiting
+	settings.AdmissionQueue = s.scenario.AdmissionQueue
 	settings.AdmissionQueue.Off = settings.AdmissionQueue.Off || settings.AdmissionQueue.Capacity == 0
-	w.nodes[index] = node{
-		core: core.New(settings), underWay: make([]int, w.scenario.Hosts), held: make(map[lb.FlowKey]func(core.Decision)),
+	s.nodes[index] = node{
+		core: core.New(settings), inFlight: make([]int, s.scenario.Hosts), held: make(map[lb.FlowKey]func(core.Decision)),
 	}
 	replica := view.NewReplica()
-	replica.ApplyListing(w.now, w.listing())
-	w.step(index, &core.Event{Table: steering.Compile(replica, zone, w.now)})
+	replica.ApplyListing(s.now, s.listing())
+	s.step(index, &core.Event{Table: steering.Compile(replica, zone, s.now)})
 }
 
-// restart has every other node forget all.
-func (w *world) restart() {
-	for index := 0; index < len(w.nodes); index += 2 {
-		w.start(index)
+// restartNodes restarts every other node, which loses its state.
+func (s *simulation) restartNodes() {
+	for index := 0; index < len(s.nodes); index += 2 {
+		s.startNode(index)
 	}
-	w.meet()
+	s.setMembers()
 }
 
-func (w *world) zoneOf(index int) lb.Zone { return zoneName(index % w.scenario.Zones) }
+func (s *simulation) zoneOf(index int) lb.Zone { return zoneName(index % s.scenario.Zones) }
 
 func zoneName(zone int) lb.Zone { return lb.Zone(fmt.Sprintf("zone-%d", zone)) }
 
-// firstPort is the front end of the first class; the others follow.
+// firstPort is the front-end port of the first class. The following classes use the next ports.
 const firstPort = 8000
 
 func frontend(class int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), uint16(firstPort+class))
 }
 
-func (w *world) listing() *view.Listing {
+func (s *simulation) listing() *view.Listing {
 	listing := &view.Listing{Revision: 10, Configuration: &view.StoredConfiguration{
 		Revision: 1, Configuration: view.Configuration{Version: 1},
 	}}
-	for i, class := range w.scenario.Classes {
+	for i, class := range s.scenario.Classes {
 		listing.Configuration.Configuration.Routes = append(listing.Configuration.Configuration.Routes, view.Route{
 			Frontend:  lb.Frontend{Address: frontend(i), Protocol: lb.TCP},
 			Targets:   []view.Target{{Service: "web", Weight: 1}},
 			Objective: lb.Objective{Priority: class.Priority, TargetMillis: uint32(class.Target.Milliseconds())},
 		})
 	}
-	for i := range w.hosts {
+	for i := range s.hosts {
 		listing.Backends = append(listing.Backends, view.StoredBackend{Revision: 2, Backend: view.Backend{
 			Name: lb.BackendName(fmt.Sprintf("h-%d", i)), Identity: uint64(i + 1), Service: "web",
-			Zone: zoneName(i % w.scenario.Zones), State: lb.BackendActive, Created: int64(i + 1), Slots: w.scenario.Slots,
+			Zone: zoneName(i % s.scenario.Zones), State: lb.BackendActive, Created: int64(i + 1), Slots: s.scenario.Slots,
 			Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(7000+i)),
 		}})
 	}
 	return listing
 }
 
-func (w *world) after(wait time.Duration, run func()) {
-	w.order++
-	w.events.After(wait, run)
+func (s *simulation) after(wait time.Duration, run func()) {
+	s.eventCount++
+	s.events.After(wait, run)
 }
 
-func (w *world) every(interval time.Duration, run func()) {
-	w.after(interval, func() {
+func (s *simulation) every(interval time.Duration, run func()) {
+	s.after(interval, func() {
 		run()
-		w.every(interval, run)
+		s.every(interval, run)
 	})
 }
 
-func (w *world) step(index int, event *core.Event) core.Decision {
-	n := &w.nodes[index]
-	n.core.Step(w.now, event, &n.effects)
+func (s *simulation) step(index int, event *core.Event) core.Decision {
+	n := &s.nodes[index]
+	n.core.Step(s.now, event, &n.effects)
 	decision := n.effects.Decision
 	for i := range n.effects.Released {
 		released := &n.effects.Released[i]
@@ -254,52 +254,56 @@
 	return decision
 }
 
-// hold has an opening wait at a node until it is decided.
-func (w *world) hold(index int, key lb.FlowKey, then func(core.Decision)) {
-	n := &w.nodes[index]
+// holdOpening records an opening that waits in a node's admission queue and schedules the retry of
+// the queue. The function then is called with the decision.
+func (s *simulation) holdOpening(index int, key lb.FlowKey, then func(core.Decision)) {
+	n := &s.nodes[index]
 	n.held[key] = then
-	if !n.looks {
-		n.looks = true
-		w.after(w.scenario.Waiting.Interval, func() { w.look(index) })
+	if !n.retryScheduled {
+		n.retryScheduled = true
+		s.after(s.scenario.AdmissionQueue.Interval, func() { s.retryQueued(index) })
 	}
 }
 
-// look has a node look at what waits, as long as anything does.
-func (w *world) look(index int) {
-	n := &w.nodes[index]
-	w.step(index, &core.Event{RetryQueued: true})
-	if n.looks = n.core.HeldOpenings() > 0; n.looks {
-		w.after(w.scenario.Waiting.Interval, func() { w.look(index) })
+// retryQueued lets a node decide again on its queued openings, and repeats this until the queue is
+// empty.
+func (s *simulation) retryQueued(index int) {
+	n := &s.nodes[index]
+	s.step(index, &core.Event{RetryQueued: true})
+	if n.retryScheduled = n.core.HeldOpenings() > 0; n.retryScheduled {
+		s.after(s.scenario.AdmissionQueue.Interval, func() { s.retryQueued(index) })
 	}
 }
 
-// caller draws one of the first callers, more of them from the later zones where these ask for more.
-func (w *world) caller(count int) *caller {
-	if w.scenario.Uneven == 0 {
-		return &w.callers[w.random.IntN(count)]
+// pickClient returns a random one of the first count clients. The zones are weighted by their
+// demand according to ZoneDemandRatio.
+func (s *simulation) pickClient(count int) *client {
+	if s.scenario.ZoneDemandRatio == 0 {
+		return &s.clients[s.random.IntN(count)]
 	}
 	total := 0.0
-	for zone := range w.scenario.Zones {
-		total += math.Pow(w.scenario.Uneven, float64(zone))
+	for zone := range s.scenario.Zones {
+		total += math.Pow(s.scenario.ZoneDemandRatio, float64(zone))
 	}
-	point, zone := w.random.Float64()*total, 0
-	for ; zone < w.scenario.Zones-1; zone++ {
-		if point -= math.Pow(w.scenario.Uneven, float64(zone)); point < 0 {
+	point, zone := s.random.Float64()*total, 0
+	for ; zone < s.scenario.Zones-1; zone++ {
+		if point -= math.Pow(s.scenario.ZoneDemandRatio, float64(zone)); point < 0 {
 			break
 		}
 	}
-	return &w.callers[w.random.IntN(count/w.scenario.Zones)*w.scenario.Zones+zone]
+	return &s.clients[s.random.IntN(count/s.scenario.Zones)*s.scenario.Zones+zone]
 }
 
-// ask has a caller begin a request of a class now and then.
-func (w *world) ask(class int) {
-	load := w.scenario.Load(w.now)
-	wait := time.Duration(w.random.ExpFloat64() / (w.scenario.Classes[class].Rate * max(load, 0.01)) * float64(time.Second))
-	w.after(wait, func() {
-		callers := int(math.Ceil(float64(w.scenario.Callers) * max(load, 1)))
-		r := &request{world: w, class: class, caller: w.caller(min(callers, len(w.callers))), begun: w.now}
+// scheduleRequest schedules the next request of a class after a random, exponentially distributed
+// time. The request schedules the one after it.
+func (s *simulation) scheduleRequest(class int) {
+	load := s.scenario.Load(s.now)
+	wait := time.Duration(s.random.ExpFloat64() / (s.scenario.Classes[class].Rate * max(load, 0.01)) * float64(time.Second))
+	s.after(wait, func() {
+		clients := int(math.Ceil(float64(s.scenario.Clients) * max(load, 1)))
+		r := &request{simulation: s, class: class, client: s.pickClient(min(clients, len(s.clients))), startedAt: s.now}
 		r.count().Asked++
 		r.try()
-		w.ask(class)
+		s.scheduleRequest(class)
 	})
 }
--- a/internal/lab/surge/crowd_test.go
+++ b/internal/lab/surge/surge_test.go
@@ -9,10 +9,11 @@
 	"robinpulley.example/robinpulley/internal/core"
 )
 
-// seeds are those of all tests here.
-var seeds = []uint64{1, 2, 3}
+// testSeeds are the seeds with which the tests of this package run.
+var testSeeds = []uint64{1, 2, 3}
 
-// goodput is the part of all requests that is answered in time, taps counting twice.
+// goodput returns the share of all requests that are answered in time. Important requests count
+// twice.
 func goodput(result *Result) float64 {
 	feed, tap := result.Class(Ordinary, 0, 1000), result.Class(Important, 0, 1000)
 	return float64(feed.InTime+2*tap.InTime) / float64(feed.Asked+2*tap.Asked)
@@ -26,9 +27,10 @@
 	return total
 }
 
-// TestNothingIsRefusedBelowWhatBackendsCanDo: half of it, on the mean.
-func TestNothingIsRefusedBelowWhatBackendsCanDo(t *testing.T) {
-	for _, seed := range seeds {
+// TestNoRefusalsBelowCapacity verifies that balancers refuse no opening at a mean load of half the
+// back ends' capacity.
+func TestNoRefusalsBelowCapacity(t *testing.T) {
+	for _, seed := range testSeeds {
 		is := is.New(t)
 		result := Run(Default(seed, Adaptive, 1))
 		is.Equal(sum(result.Refused), 0)
@@ -36,13 +38,13 @@
 	}
 }
 
-// TestOverloadIsServedByImportance: with a quarter and with half more than back
-// ends can do, more is answered in time than without control, and most of
-// the more important class.
-func TestOverloadIsServedByImportance(t *testing.T) {
+// TestOverloadPrefersImportantRequests verifies that, with demand a quarter and a half above the
+// back ends' capacity, more requests are answered in time than without overload control, and most
+// requests of the more important class.
+func TestOverloadPrefersImportantRequests(t *testing.T) {
 	gains := map[float64]float64{2.5: 0.13, 3: 0.09} // by load
 	for load, gain := range gains {
-		for _, seed := range seeds {
+		for _, seed := range testSeeds {
 			is := is.New(t)
 			with, without := Run(Default(seed, Adaptive, load)), Run(Default(seed, None, load))
 			is.True(goodput(with) > goodput(without)+gain)
@@ -54,47 +56,50 @@
 	}
 }
 
-// TestNoNodeStarves: each node lets in a like part of the long flows, by what
-// comes to it: zones have the same callers, and one of them a node less.
-func TestNoNodeStarves(t *testing.T) {
-	for _, seed := range seeds {
+// TestNodesAdmitSimilarAmounts verifies that each node admits a similar number of long-lived flows
+// in proportion to the openings it receives. All zones have equal demand, and one of them has a
+// node less than the others.
+func TestNodesAdmitSimilarAmounts(t *testing.T) {
+	for _, seed := range testSeeds {
 		is := is.New(t)
 		scenario := Default(seed, Adaptive, 3)
 		result := Run(scenario)
 		for node, admitted := range result.Admitted {
-			nodes := (scenario.Nodes - node%scenario.Zones + scenario.Zones - 1) / scenario.Zones // of its zone
-			part := sum(result.Admitted) / scenario.Zones / nodes
-			is.True(admitted > part/2 && admitted < 2*part)
+			nodes := (scenario.Nodes - node%scenario.Zones + scenario.Zones - 1) / scenario.Zones // in the node's zone
+			expected := sum(result.Admitted) / scenario.Zones / nodes
+			is.True(admitted > expected/2 && admitted < 2*expected)
 		}
 	}
 }
 
-// TestNoNodeStarvesAnywhere is TestNoNodeStarves at other loads, numbers of zones and of nodes.
-func TestNoNodeStarvesAnywhere(t *testing.T) {
+// TestNodesAdmitSimilarAmountsAtOtherSizes repeats TestNodesAdmitSimilarAmounts with other loads
+// and other numbers of zones and nodes.
+func TestNodesAdmitSimilarAmountsAtOtherSizes(t *testing.T) {
 	cases := []struct {
 		load         float64
 		zones, nodes int
 	}{{2.5, 3, 8}, {4, 3, 8}, {3, 4, 7}, {3, 3, 14}, {3, 2, 3}}
 	for _, test := range cases {
-		for _, seed := range seeds {
+		for _, seed := range testSeeds {
 			is := is.New(t)
 			scenario := Default(seed, Adaptive, test.load)
 			scenario.Zones, scenario.Nodes = test.zones, test.nodes
 			result := Run(scenario)
 			for node, admitted := range result.Admitted {
-				nodes := (scenario.Nodes - node%scenario.Zones + scenario.Zones - 1) / scenario.Zones // of its zone
-				part := sum(result.Admitted) / scenario.Zones / nodes
-				is.True(admitted > part/2 && admitted < 2*part)
+				nodes := (scenario.Nodes - node%scenario.Zones + scenario.Zones - 1) / scenario.Zones // in the node's zone
+				expected := sum(result.Admitted) / scenario.Zones / nodes
+				is.True(admitted > expected/2 && admitted < 2*expected)
 			}
 		}
 	}
 }
 
-// TestFlowsOfACrowdLeaveRoom: with the forecast of what open flows bring, more of all is answered in
-// time than without it, and more of the more important class.
-func TestFlowsOfACrowdLeaveRoom(t *testing.T) {
+// TestCommittedLoadForecastImprovesGoodput verifies that, with the forecast of the load that open
+// flows are committed to, more requests are answered in time than without it, both in total and of
+// the more important class.
+func TestCommittedLoadForecastImprovesGoodput(t *testing.T) {
 	for _, load := range []float64{2.5, 3} {
-		for _, seed := range seeds {
+		for _, seed := range testSeeds {
 			is := is.New(t)
 			scenario := Default(seed, Adaptive, load)
 			with := Run(scenario)
@@ -106,8 +111,8 @@
 	}
 }
 
-// TestBackendsShareTheCrowd: no back end works much more than the others.
-func TestBackendsShareTheCrowd(t *testing.T) {
+// TestBackendsAreEvenlyBusy verifies that no back end is much busier than the others.
+func TestBackendsAreEvenlyBusy(t *testing.T) {
 	is := is.New(t)
 	result := Run(Default(1, Adaptive, 2))
 	busiest, total := time.Duration(0), time.Duration(0)
@@ -118,9 +123,11 @@
 	is.True(float64(busiest)*float64(len(result.HostBusy)) < 1.15*float64(total))
 }
 
-// TestCalmReturnsWithinThreeSeconds of the end of an overload.
-func TestCalmReturnsWithinThreeSeconds(t *testing.T) {
-	for _, seed := range seeds {
+// TestRecoveryWithinThreeSecondsOfOverload verifies that three seconds after the end of an
+// overload, requests are answered in time as in a run without overload, and that almost no opening
+// is refused.
+func TestRecoveryWithinThreeSecondsOfOverload(t *testing.T) {
+	for _, seed := range testSeeds {
 		is := is.New(t)
 		scenario := Default(seed, Adaptive, 3)
 		scenario.Load = func(at time.Duration) float64 {
@@ -129,19 +136,19 @@
 			}
 			return 1
 		}
-		result, calm := Run(scenario), Run(Default(seed, Adaptive, 1))
-		asked := 0
+		result, unloaded := Run(scenario), Run(Default(seed, Adaptive, 1))
+		requests := 0
 		for _, class := range scenario.Classes {
 			count := result.Class(class.Name, 13, 20)
-			is.True(count.Share() > calm.Class(class.Name, 13, 20).Share()-0.02)
-			asked += count.Asked
+			is.True(count.Share() > unloaded.Class(class.Name, 13, 20).Share()-0.02)
+			requests += count.Asked
 		}
-		is.True(100*sum(result.Refused[13:]) < asked)
+		is.True(100*sum(result.Refused[13:]) < requests)
 	}
 }
 
-// TestRunsAreAlike: the same scenario gives the same result.
-func TestRunsAreAlike(t *testing.T) {
+// TestRunIsDeterministic verifies that the same scenario produces the same result.
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Run(Default(5, Adaptive, 2.5)), Run(Default(5, Adaptive, 2.5)))
 }
