--- a/internal/lab/platformsim/host.go
+++ b/internal/lab/platformsim/host.go
@@ -10,72 +10,73 @@
 	"time"
 )
 
-// identityBytes stand before a packet for a host: which host is meant.
+// identityBytes is the size of the prefix of each packet to a host, which holds the identity of
+// the host that the packet is for.
 const identityBytes = 8
 
-// HostCounts is what a host has seen.
+// HostCounts holds the counters of a host.
 type HostCounts struct {
 	Opened   uint64 // flows
-	Ran      uint64 // requests, each once
-	Unknown  uint64 // later packets of flows that it does not hold
-	NotMeant uint64 // packets for another host at this address
-	Forged   uint64 // packets that their sender did not write that way
+	Ran      uint64 // requests, without their copies
+	Unknown  uint64 // packets of flows that the host does not have, other than openings
+	NotMeant uint64 // packets for another host at the same address
+	Forged   uint64 // packets that are malformed or have a wrong checksum
 	NoToken  uint64 // openings without a token
 	Openings uint64 // openings received, copies included
 }
 
-// HostEvent is something that a host has seen, for those who check it.
+// HostEvent is an event at a host that is reported to its observer.
 type HostEvent struct {
 	Host *Host
 	Kind HostEventKind
-	// Node is where the packet came from.
+	// Node is the address that the packet was sent from.
 	Node netip.AddrPort
-	// Front and Caller are the two ends of the flow.
+	// Front is the flow's front end, and Caller its client's address.
 	Front, Caller netip.AddrPort
-	// Request is the id of a request that ran.
+	// Request is the id of the request, for HostRan.
 	Request uint64
 }
 
 // HostEventKind is the kind of a HostEvent.
 type HostEventKind string
 
-// The kinds.
+// The kinds of host events.
 const (
-	HostOpening HostEventKind = "opening" // a packet that opens a flow, or a copy of it
+	HostOpening HostEventKind = "opening" // an opening or a copy of it arrived
 	HostRan     HostEventKind = "ran"     // a request ran
 )
 
-// hostFlow is one flow at its host.
+// hostFlow is the state of one flow at its host.
 type hostFlow struct {
 	initial uint32 // the host's own first sequence number
 	open    bool
-	answers map[uint32][]byte    // answers, by the sequence number of the request
-	ready   map[uint32]time.Time // when each is ready
+	answers map[uint32][]byte    // by the sequence number of the request
+	readyAt map[uint32]time.Time // when each answer is ready
 }
 
-// Host is one host that takes packets in the form that the platform calls echo.
+// Host is one host. It receives packets in the format that the platform calls echo.
 type Host struct {
-	ID       string
-	Service  string
-	Zone     string
-	identity uint64
-	socket   *net.UDPConn
-	reply    uint16
-	answers  atomic.Bool  // false: it has fallen silent
-	cold     atomic.Int64 // nanoseconds since 1970; until then it takes coldAnswer for each packet
-	work     atomic.Int64 // nanoseconds that a request takes in one of its slots
-	running  sync.Mutex   // held while the host handles a packet, or is stalled
-
-	mutex   sync.Mutex
-	flows   map[flowKey]*hostFlow
-	busy    []time.Time // when each slot is free again
-	counts  HostCounts
-	observe func(HostEvent) // nil: nobody
-	ended   chan struct{}
+	ID         string
+	Service    string
+	Zone       string
+	identity   uint64
+	socket     *net.UDPConn
+	replyPort  uint16
+	responsive atomic.Bool  // false: the host answers nothing
+	coldUntil  atomic.Int64 // Unix time in nanoseconds, until which each packet takes coldDelay
+	work       atomic.Int64 // time of a request in a slot, in nanoseconds
+	handling   sync.Mutex   // locked while the host handles a packet or is stalled
+
+	mutex       sync.Mutex
+	flows       map[flowKey]*hostFlow
+	slotsFreeAt []time.Time // by slot
+	counts      HostCounts
+	observe     func(HostEvent) // nil: no observer
+	done        chan struct{}
 }
 
-// NewHost starts a host at a loopback address, port 0 for a free one. Packets
-// for callers go to replyPort at the caller's address.
+// NewHost starts a host at a loopback address. Port 0 selects a free port. The host sends packets
+// for a client to replyPort at the client's address.
 func NewHost(id, service, zone string, listen netip.AddrPort, replyPort uint16) (*Host, error) {
 	identity, err := strconv.ParseUint(id[len("i-"):], 16, 64)
 	if err != nil {
@@ -86,92 +87,93 @@
 		return nil, err
 	}
 	host := &Host{
-		ID: id, Service: service, Zone: zone, identity: identity, socket: socket, reply: replyPort,
-		flows: map[flowKey]*hostFlow{}, busy: make([]time.Time, defaultSlots), ended: make(chan struct{}),
+		ID: id, Service: service, Zone: zone, identity: identity, socket: socket, replyPort: replyPort,
+		flows: map[flowKey]*hostFlow{}, slotsFreeAt: make([]time.Time, defaultSlots), done: make(chan struct{}),
 	}
-	host.answers.Store(true)
+	host.responsive.Store(true)
 	go host.run()
 	return host, nil
 }
 
-// defaultSlots is how many requests a host works on at once.
+// defaultSlots is the number of requests that a host serves concurrently by default.
 const defaultSlots = 2
 
-// SetSlots has the host work on so many requests at once, before it announces itself.
+// SetSlots sets the number of requests that the host serves concurrently. It must be called before
+// Announce.
 func (host *Host) SetSlots(slots int) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	host.busy = make([]time.Time, slots)
+	host.slotsFreeAt = make([]time.Time, slots)
 }
 
-// slots is how many requests the host works on at once.
+// slots returns the number of requests that the host serves concurrently.
 func (host *Host) slots() int {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	return len(host.busy)
+	return len(host.slotsFreeAt)
 }
 
-// SetWork has each new request take a time in one of the host's slots, and wait for one
-// first; 0, as at the start: it is answered at once.
+// SetWork sets the time that each new request occupies one of the host's slots, after it has
+// waited for a free slot. With the initial value, 0, requests are answered immediately.
 func (host *Host) SetWork(work time.Duration) { host.work.Store(int64(work)) }
 
-// coldAnswer is what a host that has just started takes for each packet.
-const coldAnswer = 5 * time.Millisecond
+// coldDelay is the time that a host takes for each packet after a cold start.
+const coldDelay = 5 * time.Millisecond
 
-// StartCold has the host be slow for a while from now on.
+// StartCold makes the host slow for a duration from now on.
 func (host *Host) StartCold(duration time.Duration) {
-	host.cold.Store(time.Now().Add(duration).UnixNano())
+	host.coldUntil.Store(time.Now().Add(duration).UnixNano())
 }
 
-// Cold tells whether the host is slow at a time.
-func (host *Host) Cold(now time.Time) bool { return now.UnixNano() < host.cold.Load() }
+// Cold reports whether the host is slow at a time because of StartCold.
+func (host *Host) Cold(now time.Time) bool { return now.UnixNano() < host.coldUntil.Load() }
 
-// Address is where the host takes packets.
+// Address returns the address at which the host receives packets.
 func (host *Host) Address() netip.AddrPort { return host.socket.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Announce writes the host's entry.
+// Announce writes the host's entry, with the given state, into the store.
 func (host *Host) Announce(store *Store, state string) {
 	store.Put("servers/"+host.ID, map[string]any{
 		"service": host.Service, "address": host.Address().String(), "zone": host.Zone,
-		"version": "v1", "slots": host.slots(), "state": state, "cold_remaining_ms": max(0, time.Until(time.Unix(0, host.cold.Load())).Milliseconds()), "call_seq": 1,
+		"version": "v1", "slots": host.slots(), "state": state, "cold_remaining_ms": max(0, time.Until(time.Unix(0, host.coldUntil.Load())).Milliseconds()), "call_seq": 1,
 	})
 }
 
-// Silence has the host answer nothing, or answer again.
-func (host *Host) Silence(silent bool) { host.answers.Store(!silent) }
+// Silence makes the host ignore all packets, or handle them again.
+func (host *Host) Silence(silent bool) { host.responsive.Store(!silent) }
 
-// Observe has a function called for all that the host sees from now on. It must
-// not block, nor call the host.
+// Observe sets the function that is called for each event at the host from now on. The function
+// must not block and must not call methods of the host.
 func (host *Host) Observe(observe func(HostEvent)) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	host.observe = observe
 }
 
-// tell tells the observer of a packet.
-func (host *Host) tell(kind HostEventKind, packet *head, request uint64) {
+// notify reports an event about a packet to the observer, if there is one.
+func (host *Host) notify(kind HostEventKind, packet *wirePacket, request uint64) {
 	if host.observe == nil {
 		return
 	}
 	flow := packet.flow()
-	host.observe(HostEvent{Host: host, Kind: kind, Node: packet.from, Front: flow.front, Caller: flow.caller, Request: request})
+	host.observe(HostEvent{Host: host, Kind: kind, Node: packet.from, Front: flow.frontend, Caller: flow.client, Request: request})
 }
 
-// Counts gives what the host has seen.
+// Counts returns the host's counters.
 func (host *Host) Counts() HostCounts {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	return host.counts
 }
 
-// Close ends the host.
+// Close closes the host's socket and waits for its goroutine to end.
 func (host *Host) Close() {
 	_ = host.socket.Close()
-	<-host.ended
+	<-host.done
 }
 
 func (host *Host) run() {
-	defer close(host.ended)
+	defer close(host.done)
 	buffer := make([]byte, 2048)
 	for {
 		size, from, err := host.socket.ReadFromUDPAddrPort(buffer)
@@ -179,24 +181,24 @@
 			return
 		}
 		if host.Cold(time.Now()) {
-			time.Sleep(coldAnswer)
+			time.Sleep(coldDelay)
 		}
-		if size >= identityBytes && host.answers.Load() {
-			host.running.Lock()
-			host.take(from, binary.BigEndian.Uint64(buffer), buffer[identityBytes:size])
-			host.running.Unlock()
+		if size >= identityBytes && host.responsive.Load() {
+			host.handling.Lock()
+			host.receive(from, binary.BigEndian.Uint64(buffer), buffer[identityBytes:size])
+			host.handling.Unlock()
 		}
 	}
 }
 
-// Stall has the host handle nothing until resume is called. What comes meanwhile waits in
-// its socket, as while a process is paused.
+// Stall stops the host from handling packets until resume is called. Packets that arrive meanwhile
+// stay in the socket's buffer, as when a process is paused.
 func (host *Host) Stall() (resume func()) {
-	host.running.Lock()
-	return host.running.Unlock
+	host.handling.Lock()
+	return host.handling.Unlock
 }
 
-func (host *Host) take(from netip.AddrPort, meant uint64, datagram []byte) {
+func (host *Host) receive(from netip.AddrPort, identity uint64, datagram []byte) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	packet, forged, ok := decode(datagram)
@@ -204,37 +206,37 @@
 	switch {
 	case !ok || forged:
 		host.counts.Forged++
-	case meant != 0 && meant != host.identity:
+	case identity != 0 && identity != host.identity:
 		host.counts.NotMeant++
 	case packet.has(flagSYN):
 		host.open(&packet)
 	default:
-		host.later(&packet)
+		host.receiveMiddle(&packet)
 	}
 }
 
-func (host *Host) open(packet *head) {
+func (host *Host) open(packet *wirePacket) {
 	host.counts.Openings++
-	host.tell(HostOpening, packet, 0)
+	host.notify(HostOpening, packet, 0)
 	if packet.Echo == 0 {
 		host.counts.NoToken++
 	}
 	flow := host.flows[packet.flow()]
 	if flow == nil {
-		flow = &hostFlow{initial: uint32(host.identity)<<8 | 1, answers: map[uint32][]byte{}, ready: map[uint32]time.Time{}}
+		flow = &hostFlow{initial: uint32(host.identity)<<8 | 1, answers: map[uint32][]byte{}, readyAt: map[uint32]time.Time{}}
 		host.flows[packet.flow()] = flow
 	}
-	answer := packet.answer(flagSYN | flagACK)
+	answer := packet.reply(flagSYN | flagACK)
 	answer.Sequence = flow.initial
 	answer.Acknowledgment = packet.Sequence + 1
 	host.send(packet, &answer)
 }
 
-func (host *Host) later(packet *head) {
+func (host *Host) receiveMiddle(packet *wirePacket) {
 	flow := host.flows[packet.flow()]
 	if flow == nil || !flow.open && packet.Acknowledgment != flow.initial+1 {
 		host.counts.Unknown++
-		answer := packet.answer(flagRST)
+		answer := packet.reply(flagRST)
 		answer.Sequence = packet.Acknowledgment
 		host.send(packet, &answer)
 		return
@@ -245,7 +247,7 @@
 	}
 	if packet.has(flagFIN) {
 		delete(host.flows, packet.flow())
-		answer := packet.answer(flagFIN | flagACK)
+		answer := packet.reply(flagFIN | flagACK)
 		host.send(packet, &answer)
 		return
 	}
@@ -254,60 +256,62 @@
 	}
 }
 
-// answer runs a request once and answers it as often as it comes.
-func (host *Host) answer(flow *hostFlow, packet *head) {
-	kept, known := flow.answers[packet.Sequence]
+// answer runs a request when it arrives for the first time, and sends the same answer again for
+// each copy. Copies that arrive while the request is in a slot are ignored.
+func (host *Host) answer(flow *hostFlow, packet *wirePacket) {
+	data, known := flow.answers[packet.Sequence]
 	if !known {
 		host.counts.Ran++
 		if len(packet.Data) == requestBytes {
-			host.tell(HostRan, packet, binary.BigEndian.Uint64(packet.Data))
+			host.notify(HostRan, packet, binary.BigEndian.Uint64(packet.Data))
 		}
-		kept = append([]byte(host.ID+" "), packet.Data...)
-		flow.answers[packet.Sequence] = kept
+		data = append([]byte(host.ID+" "), packet.Data...)
+		flow.answers[packet.Sequence] = data
 	}
 	now := time.Now()
-	ready := flow.ready[packet.Sequence]
+	ready := flow.readyAt[packet.Sequence]
 	if !known {
-		ready = host.takeSlot(now)
-		flow.ready[packet.Sequence] = ready
+		ready = host.claimSlot(now)
+		flow.readyAt[packet.Sequence] = ready
 	}
 	if ready.After(now) && known {
-		return // it is being worked on
+		return // the request is still in its slot
 	}
-	answer := packet.answer(flagACK)
+	answer := packet.reply(flagACK)
 	answer.Sequence = packet.Acknowledgment
 	answer.Acknowledgment = packet.Sequence + uint32(len(packet.Data))
-	answer.Data = kept
+	answer.Data = data
 	if !ready.After(now) {
 		host.send(packet, &answer)
 		return
 	}
-	about := *packet
+	request := *packet
 	time.AfterFunc(ready.Sub(now), func() {
-		host.running.Lock()
-		defer host.running.Unlock()
-		host.send(&about, &answer)
+		host.handling.Lock()
+		defer host.handling.Unlock()
+		host.send(&request, &answer)
 	})
 }
 
-// takeSlot gives when a request that comes now is done.
-func (host *Host) takeSlot(now time.Time) time.Time {
+// claimSlot assigns a request that arrives now to the slot that is free first and returns the time
+// at which the request is done.
+func (host *Host) claimSlot(now time.Time) time.Time {
 	work := time.Duration(host.work.Load())
 	first := 0
-	for index := range host.busy {
-		if host.busy[index].Before(host.busy[first]) {
+	for index := range host.slotsFreeAt {
+		if host.slotsFreeAt[index].Before(host.slotsFreeAt[first]) {
 			first = index
 		}
 	}
 	begin := now
-	if host.busy[first].After(now) {
-		begin = host.busy[first]
+	if host.slotsFreeAt[first].After(now) {
+		begin = host.slotsFreeAt[first]
 	}
-	host.busy[first] = begin.Add(work)
-	return host.busy[first]
+	host.slotsFreeAt[first] = begin.Add(work)
+	return host.slotsFreeAt[first]
 }
 
-func (host *Host) send(about, answer *head) {
-	caller := netip.AddrPortFrom(netip.AddrFrom4(about.Source), host.reply)
-	_, _ = host.socket.WriteToUDPAddrPort(answer.encode(nil), caller) // a lost answer is asked for again
+func (host *Host) send(request, answer *wirePacket) {
+	client := netip.AddrPortFrom(netip.AddrFrom4(request.Source), host.replyPort)
+	_, _ = host.socket.WriteToUDPAddrPort(answer.encode(nil), client) // if the answer is lost, the client sends the request again
 }
--- a/internal/lab/platformsim/router.go
+++ b/internal/lab/platformsim/router.go
@@ -11,35 +11,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RouterNode is one balancer as a router knows it.
+// RouterNode is the configuration of one balancer at a router.
 type RouterNode struct {
 	Data  netip.AddrPort
-	Ready string // URL of its readiness
+	Ready string // URL of its readiness probe
 	Zone  string
 }
 
-// Times of the probes.
+// Timing of the readiness probes.
 const (
-	probeInterval = 100 * time.Millisecond // the platform's is 500 ms
-	probeTimeout  = 300 * time.Millisecond
-	probeMisses   = 2
+	probeInterval      = 100 * time.Millisecond // shorter than the platform's 500 ms
+	probeTimeout       = 300 * time.Millisecond
+	unreadyAfterProbes = 2
 )
 
-// Router picks a node for each packet, by hash modulo the number of nodes that are in; of
-// those in the zone of its caller, if the caller has one and any of them is.
+// Router selects a node for each packet: the hash of the flow modulo the number of ready nodes.
+// If the client has a zone and any ready node is in it, only the nodes of that zone are used.
 type Router struct {
-	client http.Client
-	mutex  sync.Mutex
-	nodes  []RouterNode
-	misses []int
-	loss   float64 // part of the packets that is lost
+	client       http.Client
+	mutex        sync.Mutex
+	nodes        []RouterNode
+	failedProbes []int
+	loss         float64 // share of the packets that is lost
 }
 
-// NewRouter probes the nodes until ctx ends. All are out at first.
+// NewRouter returns a router that probes the nodes until ctx ends. All nodes start as not ready.
 func NewRouter(ctx context.Context, nodes []RouterNode) *Router {
-	router := &Router{client: http.Client{Timeout: probeTimeout}, nodes: nodes, misses: make([]int, len(nodes))}
+	router := &Router{client: http.Client{Timeout: probeTimeout}, nodes: nodes, failedProbes: make([]int, len(nodes))}
 	for index := range nodes {
-		router.misses[index] = probeMisses
+		router.failedProbes[index] = unreadyAfterProbes
 		go router.probe(ctx, index)
 	}
 	return router
@@ -51,9 +51,9 @@
 	for {
 		ready := router.isReady(ctx, router.nodes[index].Ready)
 		router.mutex.Lock()
-		router.misses[index]++
+		router.failedProbes[index]++
 		if ready {
-			router.misses[index] = 0
+			router.failedProbes[index] = 0
 		}
 		router.mutex.Unlock()
 		select {
@@ -77,59 +77,59 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// In is how many nodes are in.
+// In returns the number of ready nodes.
 func (router *Router) In() int {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	return len(router.answering())
+	return len(router.readyNodes())
 }
 
-// in gives the nodes that are in, or all if fewer than half are.
-func (router *Router) in() []RouterNode {
-	in := router.answering()
-	if 2*len(in) < len(router.nodes) {
+// selectableNodes returns the ready nodes, or all nodes if fewer than half are ready.
+func (router *Router) selectableNodes() []RouterNode {
+	ready := router.readyNodes()
+	if 2*len(ready) < len(router.nodes) {
 		return router.nodes
 	}
-	return in
+	return ready
 }
 
-// answering gives the nodes that have answered their last probes.
-func (router *Router) answering() []RouterNode {
-	var in []RouterNode
+// readyNodes returns the nodes with fewer than unreadyAfterProbes failed probes in a row.
+func (router *Router) readyNodes() []RouterNode {
+	var ready []RouterNode
 	for index, node := range router.nodes {
-		if router.misses[index] < probeMisses {
-			in = append(in, node)
+		if router.failedProbes[index] < unreadyAfterProbes {
+			ready = append(ready, node)
 		}
 	}
-	return in
+	return ready
 }
 
-// SetLoss has a part of all packets, from 0 to 1, lost from now on.
-func (router *Router) SetLoss(part float64) {
+// SetLoss sets the share of the packets, from 0 to 1, that is lost from now on.
+func (router *Router) SetLoss(share float64) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	router.loss = part
+	router.loss = share
 }
 
-// pick gives the node for a flow's packets at present, and whether this one is lost.
+// pick returns the node that gets a packet of the flow, and whether the packet is lost instead.
 func (router *Router) pick(flow flowKey, zone string) (node netip.AddrPort, lost bool) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	in := inZone(router.in(), zone)
-	hash := xxhash.Sum64String(flow.caller.String() + flow.front.String())
-	return in[hash%uint64(len(in))].Data, rand.Float64() < router.loss
+	nodes := nodesInZone(router.selectableNodes(), zone)
+	hash := xxhash.Sum64String(flow.client.String() + flow.frontend.String())
+	return nodes[hash%uint64(len(nodes))].Data, rand.Float64() < router.loss
 }
 
-// inZone gives the nodes of a zone, or all if it has none or no zone is meant.
-func inZone(nodes []RouterNode, zone string) []RouterNode {
-	var near []RouterNode
+// nodesInZone returns the nodes of a zone, or all nodes if the zone has none or is empty.
+func nodesInZone(nodes []RouterNode, zone string) []RouterNode {
+	var inZone []RouterNode
 	for _, node := range nodes {
 		if node.Zone == zone {
-			near = append(near, node)
+			inZone = append(inZone, node)
 		}
 	}
-	if zone == "" || len(near) == 0 {
+	if zone == "" || len(inZone) == 0 {
 		return nodes
 	}
-	return near
+	return inZone
 }
--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -12,42 +12,42 @@
 	"time"
 )
 
-// Fault is how the store fails.
+// Fault is the way in which the store fails.
 type Fault string
 
 // The faults.
 const (
 	FaultNone      Fault = ""
-	FaultBusy      Fault = "busy"      // 503 to every call
-	FaultSilent    Fault = "silent"    // no answer
-	FaultReset     Fault = "reset"     // the connection is broken off
-	FaultThrottled Fault = "throttled" // 429 to every call
-	FaultSlow      Fault = "slow"      // answers take slowAnswer longer
+	FaultBusy      Fault = "busy"      // every request is answered with status 503
+	FaultSilent    Fault = "silent"    // requests are not answered
+	FaultReset     Fault = "reset"     // the connection is closed without an answer
+	FaultThrottled Fault = "throttled" // every request is answered with status 429
+	FaultSlow      Fault = "slow"      // every answer is delayed by slowAnswerDelay
 )
 
-// Item is one entry, or, in a watch, the news of its removal.
+// Item is one entry of the store or, in the answer to a watch, the deletion of an entry.
 type Item struct {
 	Key      string `json:"tls_key"`
 	Value    []byte `json:"value,omitempty"`
 	Revision int64  `json:"revision"`
-	Made     int64  `json:"made,omitempty"`
-	Gone     bool   `json:"gone,omitempty"`
+	Created  int64  `json:"made,omitempty"`
+	Deleted  bool   `json:"gone,omitempty"`
 }
 
-// slowAnswer is what FaultSlow adds to every answer.
-const slowAnswer = 300 * time.Millisecond
+// slowAnswerDelay is the delay that FaultSlow adds to every answer.
+const slowAnswerDelay = 300 * time.Millisecond
 
-// pageSize is how many items one answer holds.
+// pageSize is the maximum number of items in one answer.
 const pageSize = 4
 
-// staleAge is how old an answer is with which a caller puts up with a stale one.
+// staleAge is the age of the state that is returned to requests that accept a stale answer.
 const staleAge = 2 * time.Second
 
-// snapshot is what the store held until a change.
+// snapshot is the content of the store before a change.
 type snapshot struct {
-	until    time.Time
-	revision int64
-	items    map[string]Item
+	replacedAt time.Time
+	revision   int64
+	items      map[string]Item
 }
 
 // Store is the platform's metadata store. It is safe for concurrent use.
@@ -58,7 +58,7 @@
 	mutex     sync.Mutex
 	revision  int64
 	items     map[string]Item
-	past      []snapshot // older states, the newest of them at least staleAge old
+	snapshots []snapshot // older states, oldest first; kept for staleAge
 	history   []Item
 	compacted int64
 	fault     Fault
@@ -66,7 +66,7 @@
 	changed   chan struct{} // closed at each change
 }
 
-// NewStore starts a store on a free loopback port.
+// NewStore starts an empty store on a free loopback port.
 func NewStore() (*Store, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,26 +74,26 @@
 	}
 	store := &Store{listener: listener, revision: 1, items: map[string]Item{}, changed: make(chan struct{})}
 	routes := http.NewServeMux()
-	routes.HandleFunc("GET /-/kv-key", store.serve(store.serveKey))
-	routes.HandleFunc("GET /-/kv-range", store.serve(store.serveRange))
-	routes.HandleFunc("POST /-/kv-txn", store.serve(store.serveTransaction))
-	routes.HandleFunc("GET /-/kv-watch", store.serve(store.serveWatch))
+	routes.HandleFunc("GET /-/kv-key", store.withFault(store.serveKey))
+	routes.HandleFunc("GET /-/kv-range", store.withFault(store.serveRange))
+	routes.HandleFunc("POST /-/kv-txn", store.withFault(store.serveTransaction))
+	routes.HandleFunc("GET /-/kv-watch", store.withFault(store.serveWatch))
 	store.server = &http.Server{Handler: routes, ReadHeaderTimeout: time.Second}
 	go func() { _ = store.server.Serve(listener) }() // ends with Close
 	return store, nil
 }
 
-// URL is the store's base URL.
+// URL returns the store's base URL.
 func (store *Store) URL() string { return "http://" + store.listener.Addr().String() }
 
-// Close ends the store.
+// Close stops the store's server.
 func (store *Store) Close() { _ = store.server.Close() }
 
-// Put writes an entry as JSON.
+// Put writes an entry whose value is encoded as JSON.
 func (store *Store) Put(key string, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // the caller's own types
+		panic(err) // callers pass only types that can be encoded
 	}
 	store.PutBytes(key, text)
 }
@@ -107,50 +107,52 @@
 
 // put writes an entry. The caller holds the mutex.
 func (store *Store) put(key string, value []byte) {
-	store.keepPast()
+	store.keepSnapshot()
 	store.revision++
-	item := Item{Key: key, Value: value, Revision: store.revision, Made: store.revision}
+	item := Item{Key: key, Value: value, Revision: store.revision, Created: store.revision}
 	if known, found := store.items[key]; found {
-		item.Made = known.Made
+		item.Created = known.Created
 	}
 	store.items[key] = item
-	store.note(item)
+	store.record(item)
 }
 
 // Delete removes an entry.
 func (store *Store) Delete(key string) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	store.keepPast()
+	store.keepSnapshot()
 	store.revision++
 	delete(store.items, key)
-	store.note(Item{Key: key, Revision: store.revision, Gone: true})
+	store.record(Item{Key: key, Revision: store.revision, Deleted: true})
 }
 
-// keepPast keeps the present state before a change, and forgets what is older than any stale answer.
-func (store *Store) keepPast() {
+// keepSnapshot saves the present state before a change and discards snapshots that are too old for
+// any stale answer. The caller holds the mutex.
+func (store *Store) keepSnapshot() {
 	now := time.Now()
-	store.past = append(store.past, snapshot{now, store.revision, maps.Clone(store.items)})
-	store.past = slices.DeleteFunc(store.past, func(past snapshot) bool { return now.Sub(past.until) > staleAge })
+	store.snapshots = append(store.snapshots, snapshot{now, store.revision, maps.Clone(store.items)})
+	store.snapshots = slices.DeleteFunc(store.snapshots, func(old snapshot) bool { return now.Sub(old.replacedAt) > staleAge })
 }
 
-// stale gives the state of staleAge ago, or the present one.
-func (store *Store) stale() (revision int64, items map[string]Item) {
-	for _, past := range store.past {
-		if time.Since(past.until) < staleAge {
-			return past.revision, past.items
+// staleState returns the state of staleAge ago, or the present state if it has not changed since
+// then. The caller holds the mutex.
+func (store *Store) staleState() (revision int64, items map[string]Item) {
+	for _, old := range store.snapshots {
+		if time.Since(old.replacedAt) < staleAge {
+			return old.revision, old.items
 		}
 	}
 	return store.revision, store.items
 }
 
-func (store *Store) note(change Item) {
+func (store *Store) record(change Item) {
 	store.history = append(store.history, change)
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
 
-// Compact forgets the history.
+// Compact discards the history of changes, so that watches from an older revision fail.
 func (store *Store) Compact() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -158,22 +160,22 @@
 	store.history = nil
 }
 
-// SetFault has the store fail from now on, or not.
+// SetFault sets the way in which the store fails from now on. FaultNone makes it work again.
 func (store *Store) SetFault(fault Fault) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.fault = fault
 }
 
-// Calls is how many calls were made.
+// Calls returns the number of requests that the store has received.
 func (store *Store) Calls() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.calls
 }
 
-// serve applies the fault, or answers.
-func (store *Store) serve(answer http.HandlerFunc) http.HandlerFunc {
+// withFault wraps a handler so that it fails in the way that SetFault has set.
+func (store *Store) withFault(answer http.HandlerFunc) http.HandlerFunc {
 	return func(response http.ResponseWriter, request *http.Request) {
 		store.mutex.Lock()
 		store.calls++
@@ -189,7 +191,7 @@
 		case FaultSilent:
 			<-request.Context().Done()
 		case FaultSlow:
-			time.Sleep(slowAnswer)
+			time.Sleep(slowAnswerDelay)
 			answer(response, request)
 		default:
 			answer(response, request)
@@ -201,12 +203,12 @@
 	query := request.URL.Query()
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	revision, held := store.revision, store.items
+	revision, entries := store.revision, store.items
 	if query.Get("stale") == "1" {
-		revision, held = store.stale()
+		revision, entries = store.staleState()
 	}
 	items := []Item{}
-	for _, item := range held {
+	for _, item := range entries {
 		if strings.HasPrefix(item.Key, query.Get("path_prefix")) && item.Key > query.Get("after") {
 			items = append(items, item)
 		}
@@ -222,11 +224,11 @@
 func (store *Store) serveKey(response http.ResponseWriter, request *http.Request) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	held := store.items
+	entries := store.items
 	if request.URL.Query().Get("stale") == "1" {
-		_, held = store.stale()
+		_, entries = store.staleState()
 	}
-	item, found := held[request.URL.Query().Get("tls_key")]
+	item, found := entries[request.URL.Query().Get("tls_key")]
 	if !found {
 		response.WriteHeader(http.StatusNotFound)
 		return
@@ -234,7 +236,7 @@
 	writeJSON(response, item)
 }
 
-// transaction is the part of a transaction that balancers use.
+// transaction is the part of the platform's transaction request that balancers use.
 type transaction struct {
 	Conditions []struct {
 		Key      string `json:"tls_key"`
@@ -247,29 +249,29 @@
 }
 
 func (store *Store) serveTransaction(response http.ResponseWriter, request *http.Request) {
-	var asked transaction
-	if err := json.NewDecoder(request.Body).Decode(&asked); err != nil {
+	var requested transaction
+	if err := json.NewDecoder(request.Body).Decode(&requested); err != nil {
 		http.Error(response, err.Error(), http.StatusBadRequest)
 		return
 	}
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	held := []Item{}
-	fails := false
-	for _, condition := range asked.Conditions {
-		item, found := store.items[condition.Key]
-		if found {
-			held = append(held, item)
+	found := []Item{}
+	failed := false
+	for _, condition := range requested.Conditions {
+		item, exists := store.items[condition.Key]
+		if exists {
+			found = append(found, item)
 		}
-		fails = fails || item.Revision != condition.Revision
+		failed = failed || item.Revision != condition.Revision
 	}
-	if fails {
+	if failed {
 		response.Header().Set("Content-Type", "application/json")
 		response.WriteHeader(http.StatusPreconditionFailed)
-		_ = json.NewEncoder(response).Encode(map[string]any{"items": held}) // a caller that has gone needs no answer
+		_ = json.NewEncoder(response).Encode(map[string]any{"items": found}) // fails only if the client has disconnected
 		return
 	}
-	for _, write := range asked.Put {
+	for _, write := range requested.Put {
 		store.put(write.Key, write.Value)
 	}
 	writeJSON(response, map[string]any{"revision": store.revision})
@@ -285,27 +287,30 @@
 	}
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
-	for ended := false; ; {
-		events, at, gone, changed := store.eventsAfter(after, query.Get("path_prefix"))
-		if gone {
+	for timedOut := false; ; {
+		events, at, compacted, changed := store.eventsAfter(after, query.Get("path_prefix"))
+		if compacted {
 			response.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(events) > 0 || ended {
+		if len(events) > 0 || timedOut {
 			writeJSON(response, map[string]any{"events": events, "at": at})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			ended = true
+			timedOut = true
 		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-func (store *Store) eventsAfter(after int64, prefix string) (events []Item, at int64, gone bool, changed chan struct{}) {
+// eventsAfter returns the changes after a revision to keys with the prefix, the present revision,
+// whether the changes are incomplete because of a compaction, and the channel that is closed at the
+// next change.
+func (store *Store) eventsAfter(after int64, prefix string) (events []Item, at int64, compacted bool, changed chan struct{}) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	events = []Item{}
@@ -319,5 +324,5 @@
 
 func writeJSON(response http.ResponseWriter, value any) {
 	response.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(response).Encode(value) // a caller that has gone needs no answer
+	_ = json.NewEncoder(response).Encode(value) // fails only if the client has disconnected
 }
--- a/internal/lab/surge/fleet.go
+++ b/internal/lab/surge/fleet.go
@@ -25,7 +25,7 @@
 	summedAt    time.Duration
 	newLevels   map[lb.Zone]map[uint16]fleetload.Level // since the last summary, by the zone of the clients
 	newAnswers  map[lb.Zone]fleetload.Answers          // since the last summary, by the zone of the back ends
-	levelRates  map[lb.Zone]map[uint16]fleetload.Level // smoothed rates per second rates per second
+	levelRates  map[lb.Zone]map[uint16]fleetload.Level // smoothed rates per second
 	answerRates map[lb.Zone]fleetload.Answers
 }
 
--- a/internal/lab/surge/run.go
+++ b/internal/lab/surge/run.go
@@ -255,7 +255,7 @@
 }
 
 // holdOpening records an opening that waits in a node's admission queue and schedules the retry of
-// the queue. The function then is called with the decision.
+// the queue. It calls then with the decision once the node has made it.
 func (s *simulation) holdOpening(index int, key lb.FlowKey, then func(core.Decision)) {
 	n := &s.nodes[index]
 	n.held[key] = then
