--- a/cmd/robinlab/standins.go
+++ b/cmd/robinlab/standins.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rs/zerolog"
 
-	"robinpulley.example/robinpulley/internal/lab/callersim"
+	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/fabricsim"
 	"robinpulley.example/robinpulley/internal/lab/hostsim"
 	"robinpulley.example/robinpulley/internal/lab/storesim"
@@ -235,7 +235,7 @@
 	if err != nil {
 		return err
 	}
-	caller := callersim.New(callersim.Settings{
+	caller := clientsim.New(clientsim.Settings{
 		Name: command.Name, Service: command.Service, Frontend: frontend, Fabric: fabric,
 		Port:  uint16(socket.LocalAddr().(*net.UDPAddr).Port),
 		Feeds: command.Feeds, UDPFlows: command.UDPFlows,
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"robinpulley.example/robinpulley/internal/lab/callersim"
+	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/hostsim"
 )
 
@@ -22,8 +22,8 @@
 	MayHaveRun int // openings refused as may have run
 	Shed       int // requests refused by hosts
 
-	Broken       []callersim.Failure // flows that were open
-	Unanswered   []callersim.Failure // requests that never opened
+	Broken       []clientsim.Failure // flows that were open
+	Unanswered   []clientsim.Failure // requests that never opened
 	RunTwice     []string            // requests that ran more than once, over all tries
 	OpenedTwice  []string            // openings that reached two hosts
 	FalseNotRun  []string            // refused as not run, but ran or opened
@@ -37,7 +37,7 @@
 }
 
 // Run checks the reports of all callers and hosts of one run.
-func Run(callers []callersim.Report, hosts []hostsim.Report) Result {
+func Run(callers []clientsim.Report, hosts []hostsim.Report) Result {
 	result := Result{Imbalance: Imbalance(hosts)}
 	for i := range callers {
 		result.addCaller(&callers[i])
@@ -63,7 +63,7 @@
 		len(result.Mixed) == 0 && len(result.Truncated) == 0
 }
 
-func (result *Result) addCaller(caller *callersim.Report) {
+func (result *Result) addCaller(caller *clientsim.Report) {
 	result.Started += caller.Started
 	result.Opened += caller.Opened
 	result.Answered += caller.Answered
@@ -111,7 +111,7 @@
 	return over
 }
 
-func falseNotRun(caller *callersim.Report, runs *runCounts) []string {
+func falseNotRun(caller *clientsim.Report, runs *runCounts) []string {
 	found := slices.Clone(caller.FalseNotRun)
 	for _, opening := range caller.NotRun {
 		if runs.openings[opening] > 0 {
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"robinpulley.example/robinpulley/internal/core"
-	"robinpulley.example/robinpulley/internal/lab/callersim"
+	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/fabricsim"
 	"robinpulley.example/robinpulley/internal/lab/hostsim"
 	"robinpulley.example/robinpulley/internal/lab/storesim"
@@ -40,7 +40,7 @@
 type lab struct {
 	now    time.Time
 	queue  []delivery
-	caller *callersim.Caller
+	caller *clientsim.Caller
 	fabric *fabricsim.Fabric
 	hosts  []*hostsim.Host
 	policy policy
@@ -56,7 +56,7 @@
 	send := func(to netip.AddrPort, datagram []byte) { world.queue = append(world.queue, delivery{to, datagram}) }
 	world.fabric = fabricsim.New(faults, 1, send)
 	world.fabric.SetMachines(world.now, []storesim.Machine{{Node: "b", Zone: "z1", Data: balancer.String()}})
-	world.caller = callersim.New(callersim.Settings{
+	world.caller = clientsim.New(clientsim.Settings{
 		Name: "c", Service: "wallet", Frontend: frontend, Fabric: fabricAddress, Port: callerAddress.Port(),
 		Feeds: 20, UDPFlows: 5, TapRate: 100, UploadRate: 5, UploadBytes: 20_000,
 		StallLimit: 5 * time.Second, OpenLimit: 5 * time.Second, Seed: 1,
@@ -138,7 +138,7 @@
 	for _, host := range world.hosts {
 		reports = append(reports, host.Report())
 	}
-	return Run([]callersim.Report{world.caller.Report()}, reports)
+	return Run([]clientsim.Report{world.caller.Report()}, reports)
 }
 
 func TestGoodBalancerIsClean(t *testing.T) {
@@ -165,12 +165,12 @@
 		return []int{(int(decoded.Key.ID().Bucket()) + moved) % hostCount}, 0
 	}
 	result := world.run(2 * time.Second)
-	causes := map[callersim.Cause]int{}
+	causes := map[clientsim.Cause]int{}
 	for _, failure := range result.Broken {
 		causes[failure.Cause]++
 	}
-	is.True(causes[callersim.CauseReset] >= 20) // the feeds
-	is.Equal(causes[callersim.CauseMoved], 5)   // the UDP flows
+	is.True(causes[clientsim.CauseReset] >= 20) // the feeds
+	is.Equal(causes[clientsim.CauseMoved], 5)   // the UDP flows
 }
 
 func TestStallIsSeen(t *testing.T) {
--- a/internal/lab/cluster/load.go
+++ b/internal/lab/cluster/load.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"robinpulley.example/robinpulley/internal/catalog"
-	"robinpulley.example/robinpulley/internal/lab/callersim"
+	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/check"
 	"robinpulley.example/robinpulley/internal/lab/hostsim"
 	"robinpulley.example/robinpulley/internal/lb"
@@ -135,8 +135,8 @@
 }
 
 // CallerReports reads the reports of all callers.
-func (cluster *Cluster) CallerReports(ctx context.Context) ([]callersim.Report, error) {
-	reports := make([]callersim.Report, len(cluster.Callers))
+func (cluster *Cluster) CallerReports(ctx context.Context) ([]clientsim.Report, error) {
+	reports := make([]clientsim.Report, len(cluster.Callers))
 	for i, caller := range cluster.Callers {
 		if err := fetch(ctx, "http://"+caller.Admin+"/report", &reports[i]); err != nil {
 			return nil, err
--- a/internal/lab/fabricsim/fabric.go
+++ b/internal/lab/fabricsim/fabric.go
@@ -43,13 +43,13 @@
 
 // Fabric sprays packets. All methods may be called from several goroutines.
 type Fabric struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	send     wire.Sender
-	faults   Faults
-	targets  []target
-	leaving  map[lb.NodeID]time.Time // first seen as leaving
-	counters Counters
+	mutex        sync.Mutex
+	random       *rand.Rand
+	send         wire.Sender
+	faults       Faults
+	targets      []target
+	leavingSince map[lb.NodeID]time.Time // first seen as leaving
+	counters     Counters
 }
 
 // target is a balancer that gets packets.
@@ -61,10 +61,10 @@
 // New gives a fabric without balancers. The seed decides every random choice.
 func New(faults Faults, seed uint64, send wire.Sender) *Fabric {
 	return &Fabric{
-		random:  rand.New(rand.NewPCG(seed, seed)),
-		send:    send,
-		faults:  faults,
-		leaving: map[lb.NodeID]time.Time{},
+		random:       rand.New(rand.NewPCG(seed, seed)),
+		send:         send,
+		faults:       faults,
+		leavingSince: map[lb.NodeID]time.Time{},
 	}
 }
 
@@ -75,23 +75,23 @@
 	fabric.targets = fabric.targets[:0]
 	for _, machine := range machines {
 		data, err := netip.ParseAddrPort(machine.Data)
-		if err != nil || !fabric.stillUsed(now, machine) {
+		if err != nil || !fabric.receivesPackets(now, machine) {
 			continue
 		}
 		fabric.targets = append(fabric.targets, target{zone: machine.Zone, data: data})
 	}
 }
 
-func (fabric *Fabric) stillUsed(now time.Time, machine storesim.Machine) bool {
+func (fabric *Fabric) receivesPackets(now time.Time, machine storesim.Machine) bool {
 	if !machine.Leaving {
-		delete(fabric.leaving, machine.Node)
+		delete(fabric.leavingSince, machine.Node)
 		return true
 	}
-	if _, seen := fabric.leaving[machine.Node]; !seen {
-		fabric.leaving[machine.Node] = now
+	if _, seen := fabric.leavingSince[machine.Node]; !seen {
+		fabric.leavingSince[machine.Node] = now
 	}
 	grace := time.Duration(fabric.faults.LeavingMillis) * time.Millisecond
-	return now.Sub(fabric.leaving[machine.Node]) < grace
+	return now.Sub(fabric.leavingSince[machine.Node]) < grace
 }
 
 // Receive takes a datagram: a refusal from a balancer goes to its caller,
@@ -102,13 +102,13 @@
 		fabric.mutex.Lock()
 		fabric.counters.Refusals++
 		fabric.mutex.Unlock()
-		fabric.send(wire.CallerSocket(decoded.Destination().Addr()), datagram)
+		fabric.send(wire.ClientSocket(decoded.Destination().Addr()), datagram)
 		return
 	}
-	fabric.spray(datagram)
+	fabric.forward(datagram)
 }
 
-func (fabric *Fabric) spray(datagram []byte) {
+func (fabric *Fabric) forward(datagram []byte) {
 	fabric.mutex.Lock()
 	defer fabric.mutex.Unlock()
 	copies := 1
@@ -116,13 +116,13 @@
 		copies = 2
 	}
 	for range copies {
-		fabric.sprayOne(datagram)
+		fabric.forwardCopy(datagram)
 	}
 }
 
 func (fabric *Fabric) chance(thousandths int) bool { return fabric.random.IntN(1000) < thousandths }
 
-func (fabric *Fabric) sprayOne(datagram []byte) {
+func (fabric *Fabric) forwardCopy(datagram []byte) {
 	if len(fabric.targets) == 0 || fabric.chance(fabric.faults.Loss) {
 		fabric.counters.Lost++
 		return
--- a/internal/lab/hostsim/host.go
+++ b/internal/lab/hostsim/host.go
@@ -37,50 +37,50 @@
 // coldFactor is how much longer a request takes while the host is cold.
 const coldFactor = 4
 
-// shedRetryMillis is the time to come back given with a shed request.
-const shedRetryMillis = 100
+// rejectionRetryMillis is the time to come back given with a shed request.
+const rejectionRetryMillis = 100
 
 // job is a request that waits for a slot or is in one.
 type job struct {
 	flow     *flow
 	request  wire.Request
 	deadline time.Time // zero: none
-	finish   time.Time // zero: waiting
+	finishAt time.Time // zero: waiting
 }
 
 // flow is one connection.
 type flow struct {
 	endpoint *stream.Endpoint
-	lines    wire.Lines
-	feed     string // request id of the feed, if it is one
+	lines    wire.LineReader
+	feedID   string // request id of the feed, if it is one
 	pushes   int
 	pushAt   time.Time
 }
 
 // Host is one back-end host. All methods may be called from several goroutines.
 type Host struct {
-	mutex    sync.Mutex
-	settings Settings
-	send     wire.Sender
-	random   *rand.Rand
-	started  time.Time
-	flows    map[lb.FlowKey]*flow
-	jobs     []*job
-	record   Report
-	opened   map[string]bool // flows seen, so that a late copy of an opening does not open again
-	health   healthState
+	mutex       sync.Mutex
+	settings    Settings
+	send        wire.Sender
+	random      *rand.Rand
+	started     time.Time
+	flows       map[lb.FlowKey]*flow
+	jobs        []*job
+	report      Report
+	openedFlows map[string]bool // flows seen, so that a late copy of an opening does not open again
+	health      healthState
 }
 
 // New gives a host that sends by send.
 func New(now time.Time, settings Settings, send wire.Sender) *Host {
 	return &Host{
-		settings: settings,
-		send:     send,
-		random:   rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
-		started:  now,
-		flows:    map[lb.FlowKey]*flow{},
-		opened:   map[string]bool{},
-		record: Report{
+		settings:    settings,
+		send:        send,
+		random:      rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
+		started:     now,
+		flows:       map[lb.FlowKey]*flow{},
+		openedFlows: map[string]bool{},
+		report: Report{
 			Host:     settings.Name,
 			Service:  settings.Service,
 			Runs:     map[string]int{},
@@ -99,7 +99,7 @@
 	defer host.mutex.Unlock()
 	segment := wire.SegmentOf(&decoded)
 	if !slices.Contains(host.settings.Frontends, segment.Destination) {
-		host.record.WrongService++
+		host.report.WrongService++
 		return
 	}
 	if segment.Protocol == lb.UDP {
@@ -116,7 +116,7 @@
 		return
 	}
 	if held == nil {
-		host.unknown(segment)
+		host.resetUnknown(segment)
 		return
 	}
 	host.deliver(now, held, held.endpoint.Receive(now, &segment.Segment))
@@ -127,12 +127,12 @@
 	}
 }
 
-// unknown answers a packet of a flow that is not here by a reset, unless it is one itself.
-func (host *Host) unknown(segment *wire.Segment) {
-	if segment.Flags.Has(packet.FlagRST) || host.opened[openingKey(segment.Source)] {
+// resetUnknown answers a packet of a flow that is not here by a reset, unless it is one itself.
+func (host *Host) resetUnknown(segment *wire.Segment) {
+	if segment.Flags.Has(packet.FlagRST) || host.openedFlows[openingKey(segment.Source)] {
 		return // a late packet of a flow that has ended here
 	}
-	host.record.Resets++
+	host.report.Resets++
 	host.reset(segment)
 }
 
@@ -149,16 +149,16 @@
 
 func (host *Host) open(now time.Time, segment *wire.Segment, key lb.FlowKey) {
 	name := openingKey(segment.Source)
-	if host.opened[name] {
+	if host.openedFlows[name] {
 		return
 	}
 	if len(host.flows) >= host.settings.Conns {
-		host.record.Shed++
+		host.report.Shed++
 		host.reset(segment)
 		return
 	}
-	host.opened[name] = true
-	host.record.Openings[name] = now.UnixMilli()
+	host.openedFlows[name] = true
+	host.report.Openings[name] = now.UnixMilli()
 	endpoint, data := stream.Accept(now, segment, host.random.Uint32())
 	opened := &flow{endpoint: endpoint}
 	host.flows[key] = opened
@@ -170,29 +170,29 @@
 	for _, line := range held.lines.Add(data) {
 		var request wire.Request
 		if json.Unmarshal(line, &request) != nil {
-			host.record.Malformed++
+			host.report.Malformed++
 			continue
 		}
-		host.request(now, held, request)
+		host.receiveRequest(now, held, request)
 	}
 }
 
-func (host *Host) request(now time.Time, held *flow, request wire.Request) {
+func (host *Host) receiveRequest(now time.Time, held *flow, request wire.Request) {
 	switch request.Kind {
-	case wire.KindKeep:
+	case wire.KindKeepalive:
 		return
 	case wire.KindFeed:
-		held.feed = request.ID
+		held.feedID = request.ID
 		held.pushAt = now
-		host.record.Runs[request.ID]++
+		host.report.Runs[request.ID]++
 		return
 	}
-	if host.waiting() >= host.settings.Queue {
-		host.record.Shed++
-		answer := host.answer(request.ID)
+	if host.queued() >= host.settings.Queue {
+		host.report.Shed++
+		answer := host.newAnswer(request.ID)
 		answer.NotRun = true
-		answer.RetryMillis = shedRetryMillis
-		held.endpoint.Send(now, wire.Line(answer))
+		answer.RetryMillis = rejectionRetryMillis
+		held.endpoint.Send(now, wire.EncodeLine(answer))
 		return
 	}
 	added := &job{flow: held, request: request}
@@ -203,14 +203,14 @@
 	host.fillSlots(now)
 }
 
-func (host *Host) answer(id string) wire.Answer {
+func (host *Host) newAnswer(id string) wire.Answer {
 	return wire.Answer{ID: id, Host: host.settings.Name, Service: host.settings.Service}
 }
 
-func (host *Host) waiting() int {
+func (host *Host) queued() int {
 	waiting := 0
 	for _, j := range host.jobs {
-		if j.finish.IsZero() {
+		if j.finishAt.IsZero() {
 			waiting++
 		}
 	}
@@ -219,11 +219,11 @@
 
 // fillSlots starts waiting requests, and forgets those past their deadline.
 func (host *Host) fillSlots(now time.Time) {
-	busy := len(host.jobs) - host.waiting()
+	busy := len(host.jobs) - host.queued()
 	host.jobs = slices.DeleteFunc(host.jobs, func(j *job) bool {
-		expired := j.finish.IsZero() && !j.deadline.IsZero() && now.After(j.deadline)
+		expired := j.finishAt.IsZero() && !j.deadline.IsZero() && now.After(j.deadline)
 		if expired {
-			host.record.Expired++
+			host.report.Expired++
 		}
 		return expired
 	})
@@ -231,9 +231,9 @@
 		if busy >= host.settings.Slots {
 			return
 		}
-		if j.finish.IsZero() {
-			j.finish = now.Add(host.serviceTime(now))
-			host.record.Runs[j.request.ID]++
+		if j.finishAt.IsZero() {
+			j.finishAt = now.Add(host.serviceTime(now))
+			host.report.Runs[j.request.ID]++
 			busy++
 		}
 	}
@@ -249,9 +249,9 @@
 // cancel forgets the waiting requests of a flow that has ended.
 func (host *Host) cancel(ended *flow) {
 	host.jobs = slices.DeleteFunc(host.jobs, func(j *job) bool {
-		cancelled := j.flow == ended && j.finish.IsZero()
+		cancelled := j.flow == ended && j.finishAt.IsZero()
 		if cancelled {
-			host.record.Cancelled++
+			host.report.Cancelled++
 		}
 		return cancelled
 	})
@@ -262,9 +262,9 @@
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	host.jobs = slices.DeleteFunc(host.jobs, func(j *job) bool {
-		done := !j.finish.IsZero() && !now.Before(j.finish)
+		done := !j.finishAt.IsZero() && !now.Before(j.finishAt)
 		if done {
-			host.finish(now, j)
+			host.sendResult(now, j)
 		}
 		return done
 	})
@@ -282,37 +282,37 @@
 	}
 }
 
-func (host *Host) finish(now time.Time, done *job) {
-	answer := host.answer(done.request.ID)
+func (host *Host) sendResult(now time.Time, done *job) {
+	answer := host.newAnswer(done.request.ID)
 	answer.Length = len(done.request.Body)
 	answer.Hash = xxhash.Sum64(done.request.Body)
-	done.flow.endpoint.Send(now, wire.Line(answer))
+	done.flow.endpoint.Send(now, wire.EncodeLine(answer))
 }
 
 func (host *Host) push(now time.Time, held *flow) {
-	if held.feed == "" || now.Before(held.pushAt) || held.endpoint.RemoteClosed() {
+	if held.feedID == "" || now.Before(held.pushAt) || held.endpoint.RemoteClosed() {
 		return
 	}
 	held.pushAt = now.Add(host.settings.PushEvery)
 	held.pushes++
-	answer := host.answer(held.feed)
+	answer := host.newAnswer(held.feedID)
 	answer.Push = held.pushes
-	held.endpoint.Send(now, wire.Line(answer))
+	held.endpoint.Send(now, wire.EncodeLine(answer))
 }
 
 // receiveUDP echoes who answered; the caller sees when its flow moves.
 func (host *Host) receiveUDP(now time.Time, segment *wire.Segment) {
 	var request wire.Request
 	if json.Unmarshal(segment.Payload, &request) != nil {
-		host.record.Malformed++
+		host.report.Malformed++
 		return
 	}
 	name := openingKey(segment.Source)
-	if _, seen := host.record.Openings[name]; !seen {
-		host.record.Openings[name] = now.UnixMilli()
+	if _, seen := host.report.Openings[name]; !seen {
+		host.report.Openings[name] = now.UnixMilli()
 	}
 	answer := wire.Segment{Source: segment.Destination, Destination: segment.Source, Protocol: lb.UDP}
-	answer.Payload = wire.Line(host.answer(request.ID))
+	answer.Payload = wire.EncodeLine(host.newAnswer(request.ID))
 	host.emit(&answer)
 }
 
@@ -325,8 +325,8 @@
 func (host *Host) emit(segment *wire.Segment) {
 	datagram, err := wire.Encode(segment)
 	if err != nil {
-		host.record.Malformed++
+		host.report.Malformed++
 		return
 	}
-	host.send(wire.CallerSocket(segment.Destination.Addr()), datagram)
+	host.send(wire.ClientSocket(segment.Destination.Addr()), datagram)
 }
--- a/internal/lab/hostsim/report.go
+++ b/internal/lab/hostsim/report.go
@@ -24,9 +24,9 @@
 
 // Health is the answer of the health and load endpoint.
 type Health struct {
-	Healthy bool `json:"healthy"`
-	Load    int  `json:"load"`   // thousandths of capacity
-	AgeMs   int  `json:"age_ms"` // how old the values are
+	Healthy   bool `json:"healthy"`
+	Load      int  `json:"load"`   // thousandths of capacity
+	AgeMillis int  `json:"age_ms"` // how old the values are
 }
 
 // HealthFaults say how the endpoint misleads.
@@ -40,18 +40,18 @@
 
 // healthState is the faults and the last value served.
 type healthState struct {
-	faults  HealthFaults
-	kept    Health
-	takenAt time.Time
+	faults   HealthFaults
+	cached   Health
+	cachedAt time.Time
 }
 
 // Report gives a copy of what the host has seen.
 func (host *Host) Report() Report {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	report := host.record
-	report.Runs = maps.Clone(host.record.Runs)
-	report.Openings = maps.Clone(host.record.Openings)
+	report := host.report
+	report.Runs = maps.Clone(host.report.Runs)
+	report.Openings = maps.Clone(host.report.Openings)
 	report.Flows = len(host.flows)
 	return report
 }
@@ -65,13 +65,13 @@
 		return Health{Healthy: true}
 	}
 	lag := time.Duration(faults.LagMs) * time.Millisecond
-	if host.health.takenAt.IsZero() || now.Sub(host.health.takenAt) >= lag {
+	if host.health.cachedAt.IsZero() || now.Sub(host.health.cachedAt) >= lag {
 		load := max(len(host.jobs)*1000/host.settings.Slots, len(host.flows)*1000/host.settings.Conns)
-		host.health.kept = Health{Healthy: !faults.Drain, Load: min(load, 1000)}
-		host.health.takenAt = now
+		host.health.cached = Health{Healthy: !faults.Drain, Load: min(load, 1000)}
+		host.health.cachedAt = now
 	}
-	served := host.health.kept
-	served.AgeMs = int(now.Sub(host.health.takenAt).Milliseconds())
+	served := host.health.cached
+	served.AgeMillis = int(now.Sub(host.health.cachedAt).Milliseconds())
 	return served
 }
 
--- a/internal/lab/runs/demo.go
+++ b/internal/lab/runs/demo.go
@@ -10,7 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"robinpulley.example/robinpulley/internal/lab/callersim"
+	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/check"
 	"robinpulley.example/robinpulley/internal/lab/cluster"
 	"robinpulley.example/robinpulley/internal/lb"
@@ -115,8 +115,8 @@
 }
 
 // planned gives the flows broken before the kill.
-func (outcome *demoOutcome) planned() []callersim.Failure {
-	return slices.DeleteFunc(slices.Clone(outcome.result.Broken), func(failure callersim.Failure) bool {
+func (outcome *demoOutcome) planned() []clientsim.Failure {
+	return slices.DeleteFunc(slices.Clone(outcome.result.Broken), func(failure clientsim.Failure) bool {
 		return failure.UnixMillis >= outcome.killed.UnixMilli()
 	})
 }
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -40,11 +40,11 @@
 		limiter: rate.NewLimiter(rate.Inf, 0),
 		dropped: make(chan struct{}),
 	}
-	state.set(faults)
+	state.replace(faults)
 	return state
 }
 
-func (state *faultState) set(faults Faults) {
+func (state *faultState) replace(faults Faults) {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	state.faults = faults
@@ -59,13 +59,13 @@
 	}
 }
 
-func (state *faultState) get() Faults {
+func (state *faultState) current() Faults {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	return state.faults
 }
 
-func (state *faultState) watchesDropped() <-chan struct{} {
+func (state *faultState) droppedWatches() <-chan struct{} {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	return state.dropped
--- a/internal/lab/storesim/server.go
+++ b/internal/lab/storesim/server.go
@@ -33,32 +33,32 @@
 func NewServer(faults Faults, seed uint64) *Server {
 	server := &Server{store: NewStore(), faults: newFaultState(faults, seed), routes: http.NewServeMux()}
 	store := server.store
-	write(server, "/v3/kv/txn", store.Txn)
-	write(server, "/v3/kv/put", func(request *PutRequest) (*PutResponse, error) {
-		response, err := server.single(RequestOp{Put: request})
+	handleWrite(server, "/v3/kv/txn", store.Txn)
+	handleWrite(server, "/v3/kv/put", func(request *PutRequest) (*PutResponse, error) {
+		response, err := server.runOperation(RequestOp{Put: request})
 		return response.Put, err
 	})
-	write(server, "/v3/kv/deleterange", func(request *DeleteRequest) (*DeleteResponse, error) {
-		response, err := server.single(RequestOp{Delete: request})
+	handleWrite(server, "/v3/kv/deleterange", func(request *DeleteRequest) (*DeleteResponse, error) {
+		response, err := server.runOperation(RequestOp{Delete: request})
 		return response.Delete, err
 	})
-	write(server, "/v3/kv/compaction", func(request *CompactRequest) (PutResponse, error) {
+	handleWrite(server, "/v3/kv/compaction", func(request *CompactRequest) (PutResponse, error) {
 		err := store.Compact(int64(request.Revision))
-		return PutResponse{Header: store.current()}, err
+		return PutResponse{Header: store.currentHeader()}, err
 	})
-	write(server, "/v3/lease/grant", func(request *LeaseRequest) (LeaseResponse, error) {
+	handleWrite(server, "/v3/lease/grant", func(request *LeaseRequest) (LeaseResponse, error) {
 		return store.Grant(*request), nil
 	})
-	write(server, "/v3/lease/revoke", func(request *LeaseRequest) (PutResponse, error) {
+	handleWrite(server, "/v3/lease/revoke", func(request *LeaseRequest) (PutResponse, error) {
 		err := store.Revoke(int64(request.ID))
-		return PutResponse{Header: store.current()}, err
+		return PutResponse{Header: store.currentHeader()}, err
 	})
-	read(server, "/v3/kv/range", func(request *RangeRequest) (*RangeResponse, error) {
-		response, err := server.single(RequestOp{Range: request})
+	handleRead(server, "/v3/kv/range", func(request *RangeRequest) (*RangeResponse, error) {
+		response, err := server.runOperation(RequestOp{Range: request})
 		return response.Range, err
 	})
 	// One renewal is answered; the stream then ends, as with one message sent.
-	read(server, "/v3/lease/keepalive", func(request *LeaseRequest) (streamResult[LeaseResponse], error) {
+	handleRead(server, "/v3/lease/keepalive", func(request *LeaseRequest) (streamResult[LeaseResponse], error) {
 		return streamResult[LeaseResponse]{Result: store.KeepAlive(int64(request.ID))}, nil
 	})
 	server.routes.HandleFunc("POST /v3/watch", server.watch)
@@ -78,19 +78,19 @@
 func (server *Server) Store() *Store { return server.store }
 
 // SetFaults changes how the store misbehaves from now on.
-func (server *Server) SetFaults(faults Faults) { server.faults.set(faults) }
+func (server *Server) SetFaults(faults Faults) { server.faults.replace(faults) }
 
-// read serves a path whose answers are never lost on purpose.
-func read[Request, Response any](server *Server, path string, handle func(*Request) (Response, error)) {
-	unary(server, path, handle, func() bool { return false })
+// handleRead serves a path whose answers are never lost on purpose.
+func handleRead[Request, Response any](server *Server, path string, handle func(*Request) (Response, error)) {
+	handleUnary(server, path, handle, func() bool { return false })
 }
 
-// write serves a path whose answers may get lost after the effect.
-func write[Request, Response any](server *Server, path string, handle func(*Request) (Response, error)) {
-	unary(server, path, handle, server.faults.loseAnswer)
+// handleWrite serves a path whose answers may get lost after the effect.
+func handleWrite[Request, Response any](server *Server, path string, handle func(*Request) (Response, error)) {
+	handleUnary(server, path, handle, server.faults.loseAnswer)
 }
 
-func unary[Request, Response any](server *Server, path string, handle func(*Request) (Response, error), lose func() bool) {
+func handleUnary[Request, Response any](server *Server, path string, handle func(*Request) (Response, error), lose func() bool) {
 	server.routes.HandleFunc("POST "+path, func(response http.ResponseWriter, request *http.Request) {
 		if !server.admit(response) {
 			return
@@ -108,7 +108,7 @@
 		if lose() {
 			panic(http.ErrAbortHandler) // closes the connection without an answer
 		}
-		time.Sleep(server.faults.get().delay())
+		time.Sleep(server.faults.current().delay())
 		if err != nil {
 			writeStoreError(response, err)
 			return
@@ -119,7 +119,7 @@
 
 // admit applies outage and rate limit.
 func (server *Server) admit(response http.ResponseWriter) bool {
-	if server.faults.get().Outage {
+	if server.faults.current().Outage {
 		panic(http.ErrAbortHandler)
 	}
 	if !server.faults.allow() {
@@ -152,8 +152,8 @@
 	}
 }
 
-// single runs one operation as a transaction without conditions.
-func (server *Server) single(operation RequestOp) (ResponseOp, error) {
+// runOperation runs one operation as a transaction without conditions.
+func (server *Server) runOperation(operation RequestOp) (ResponseOp, error) {
 	response, err := server.store.Txn(&TxnRequest{Success: []RequestOp{operation}})
 	if err != nil {
 		return ResponseOp{}, err
@@ -167,7 +167,7 @@
 	if !server.admit(response) {
 		return
 	}
-	dropped := server.faults.watchesDropped()
+	dropped := server.faults.droppedWatches()
 	var created WatchRequest
 	// The body is a stream too: only its first message is read.
 	var first json.RawMessage
@@ -185,20 +185,20 @@
 		_ = stream.Encode(streamResult[WatchResponse]{Result: message})
 		_ = http.NewResponseController(response).Flush()
 	}
-	header := server.store.current()
+	header := server.store.currentHeader()
 	next := int64(created.Create.StartRevision)
 	if next == 0 {
 		next = int64(header.Revision) + 1
 	}
 	send(WatchResponse{Header: header, Created: true})
 	for {
-		events, header, changed, err := server.store.since(created.Create, next)
+		events, header, changed, err := server.store.eventsFrom(created.Create, next)
 		if err != nil {
-			send(WatchResponse{Header: server.store.current(), Canceled: true, CompactRevision: header.Revision})
+			send(WatchResponse{Header: server.store.currentHeader(), Canceled: true, CompactRevision: header.Revision})
 			return
 		}
 		if len(events) > 0 {
-			time.Sleep(server.faults.get().delay())
+			time.Sleep(server.faults.current().delay())
 			send(WatchResponse{Header: header, Events: events})
 		}
 		next = max(next, int64(header.Revision)+1)
@@ -213,7 +213,7 @@
 }
 
 func (server *Server) getMachines(response http.ResponseWriter, _ *http.Request) {
-	lag := time.Duration(server.faults.get().MachineLagMillis) * time.Millisecond
+	lag := time.Duration(server.faults.current().MachineLagMillis) * time.Millisecond
 	writeJSON(response, server.machines.asOf(time.Now().Add(-lag)))
 }
 
@@ -228,7 +228,7 @@
 }
 
 func (server *Server) getFaults(response http.ResponseWriter, _ *http.Request) {
-	writeJSON(response, server.faults.get())
+	writeJSON(response, server.faults.current())
 }
 
 func (server *Server) putFaults(response http.ResponseWriter, request *http.Request) {
@@ -239,6 +239,6 @@
 		writeError(response, http.StatusBadRequest, codeInvalidArgument, err)
 		return
 	}
-	server.faults.set(faults)
+	server.faults.replace(faults)
 	writeJSON(response, faults)
 }
--- a/internal/lab/storesim/store.go
+++ b/internal/lab/storesim/store.go
@@ -91,7 +91,7 @@
 	defer store.mutex.Unlock()
 	holds := true
 	for i := range request.Compare {
-		ok, err := store.compare(&request.Compare[i])
+		ok, err := store.evaluate(&request.Compare[i])
 		if err != nil {
 			return nil, err
 		}
@@ -102,7 +102,7 @@
 		operations = request.Success
 	}
 	for i := range operations {
-		if err := store.check(&operations[i]); err != nil {
+		if err := store.validate(&operations[i]); err != nil {
 			return nil, err
 		}
 	}
@@ -115,8 +115,8 @@
 	return response, nil
 }
 
-// check refuses an operation before anything of its transaction is applied.
-func (store *Store) check(operation *RequestOp) error {
+// validate refuses an operation before anything of its transaction is applied.
+func (store *Store) validate(operation *RequestOp) error {
 	switch {
 	case operation.Range != nil && operation.Range.Revision != 0:
 		return errNotSupported
@@ -131,7 +131,7 @@
 func (store *Store) apply(operation *RequestOp, revision int64) ResponseOp {
 	switch {
 	case operation.Range != nil:
-		return ResponseOp{Range: store.read(operation.Range)}
+		return ResponseOp{Range: store.executeRange(operation.Range)}
 	case operation.Put != nil:
 		store.put(operation.Put, revision)
 		return ResponseOp{Put: &PutResponse{Header: store.header()}}
@@ -142,7 +142,7 @@
 	return ResponseOp{}
 }
 
-func (store *Store) read(request *RangeRequest) *RangeResponse {
+func (store *Store) executeRange(request *RangeRequest) *RangeResponse {
 	found := store.keysIn(request.Key, request.RangeEnd)
 	response := &RangeResponse{Header: store.header(), Count: Int64(len(found))}
 	if limit := int(request.Limit); limit > 0 && len(found) > limit {
@@ -187,7 +187,7 @@
 	store.changed = make(chan struct{})
 }
 
-func (store *Store) compare(condition *Compare) (bool, error) {
+func (store *Store) evaluate(condition *Compare) (bool, error) {
 	kv := store.keys[string(condition.Key)]
 	var order int
 	switch condition.Target {
@@ -277,9 +277,9 @@
 	return nil
 }
 
-// since gives the events of a watch from revision next on, the revision they
+// eventsFrom gives the events of a watch from revision next on, the revision they
 // reach, and the channel that is closed at the next change.
-func (store *Store) since(watch *WatchCreate, next int64) ([]Event, Header, <-chan struct{}, error) {
+func (store *Store) eventsFrom(watch *WatchCreate, next int64) ([]Event, Header, <-chan struct{}, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	if next < store.compacted {
@@ -294,8 +294,8 @@
 	return events, store.header(), store.changed, nil
 }
 
-// current gives the header of the present revision.
-func (store *Store) current() Header {
+// currentHeader gives the header of the present revision.
+func (store *Store) currentHeader() Header {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.header()
--- a/internal/lab/storesim/store_test.go
+++ b/internal/lab/storesim/store_test.go
@@ -64,7 +64,7 @@
 	is.Equal(second.Responses[0].Range.KVs[0].ModRevision, first.Header.Revision)
 }
 
-func TestRangeGivesSortedKeysAndLimit(t *testing.T) {
+func TestRangeReturnsSortedKeysUpToLimit(t *testing.T) {
 	is := is.New(t)
 	_, url := start(t, Faults{})
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"Yg==","value":"eQ=="}`, nil), 200)
@@ -77,14 +77,14 @@
 	is.True(all.More)
 }
 
-func TestLostAnswerTakesEffect(t *testing.T) {
+func TestWriteWithLostAnswerTakesEffect(t *testing.T) {
 	is := is.New(t)
 	server, url := start(t, Faults{LostAnswers: 1000})
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"YQ==","value":"eA=="}`, nil), 0)
 	is.Equal(string(content(t, server.store)[0].Value), "x")
 }
 
-func TestOutageAndRateLimitHaveNoEffect(t *testing.T) {
+func TestRequestsInOutageAndAboveRateLimitHaveNoEffect(t *testing.T) {
 	is := is.New(t)
 	server, url := start(t, Faults{Outage: true})
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"YQ==","value":"eA=="}`, nil), 0)
@@ -107,7 +107,7 @@
 	return message.Result
 }
 
-func TestWatchResumesAndTellsOfCompaction(t *testing.T) {
+func TestWatchResumesAndReportsCompaction(t *testing.T) {
 	is := is.New(t)
 	server, url := start(t, Faults{})
 	for range 3 {
@@ -132,7 +132,7 @@
 	is.Equal(cancelled.CompactRevision, Int64(4))
 }
 
-func TestLeaseEndsItsKeysUnlessKeptAlive(t *testing.T) {
+func TestLeaseExpiryDeletesKeysUnlessRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := NewStore()
--- a/internal/lab/storesim/wire.go
+++ b/internal/lab/storesim/wire.go
@@ -185,9 +185,9 @@
 	Message string `json:"message"`
 }
 
-// camelNames lists the lower-camel-case field names that the gateway accepts
+// camelToSnakeCase lists the lower-camel-case field names that the gateway accepts
 // beside the names of the protocol's definition.
-var camelNames = map[string]string{
+var camelToSnakeCase = map[string]string{
 	"rangeEnd": "range_end", "keysOnly": "keys_only", "createRevision": "create_revision",
 	"modRevision": "mod_revision", "requestRange": "request_range", "requestPut": "request_put",
 	"requestDeleteRange": "request_delete_range", "createRequest": "create_request",
@@ -196,7 +196,7 @@
 
 // decodeRequest reads a request, accepting both spellings of field names.
 func decodeRequest(body []byte, request any) error {
-	for camel, snake := range camelNames {
+	for camel, snake := range camelToSnakeCase {
 		body = bytes.ReplaceAll(body, []byte(`"`+camel+`":`), []byte(`"`+snake+`":`))
 	}
 	return json.Unmarshal(body, request)
--- a/internal/lab/stream/stream.go
+++ b/internal/lab/stream/stream.go
@@ -14,10 +14,10 @@
 
 // Limits of an endpoint.
 const (
-	MaxPayload       = 1000 // bytes in one segment
-	maxInFlight      = 32   // segments
-	retransmitDelay  = 200 * time.Millisecond
-	maxRetransmitted = 4 // segments sent again at once
+	MaxPayload               = 1000 // bytes in one segment
+	maxInFlightSegments      = 32   // segments
+	retransmitDelay          = 200 * time.Millisecond
+	maxRetransmittedSegments = 4 // segments sent again at once
 )
 
 // State is the state of an endpoint.
@@ -38,19 +38,19 @@
 	// Progress is when the other end last acknowledged or sent something new.
 	Progress time.Time
 
-	unacked  uint32 // sequence number of the first byte of pending
-	pending  []byte // not yet acknowledged
-	sent     int    // bytes of pending sent before
-	opening  bool   // our SYN is not acknowledged
-	closing  bool   // FIN follows pending
-	finSent  bool
-	finAcked bool
+	unacked        uint32 // sequence number of the first byte of pending
+	pending        []byte // not yet acknowledged
+	sentBytes      int    // bytes of pending sent before
+	openingUnacked bool   // our SYN is not acknowledged
+	closing        bool   // FIN follows pending
+	finSent        bool
+	finAcked       bool
 
-	next      uint32 // next sequence number expected
-	early     map[uint32]packet.Segment
-	remoteFIN bool
+	nextExpected uint32 // next sequence number expected
+	outOfOrder   map[uint32]packet.Segment
+	finReceived  bool
 
-	active       bool // this end opened the flow
+	initiator    bool // this end opened the flow
 	retransmitAt time.Time
 	output       []wire.Segment
 }
@@ -58,9 +58,9 @@
 // Dial opens a flow; data up to MaxPayload travels on the opening.
 func Dial(now time.Time, local, remote netip.AddrPort, initial uint32, data []byte) *Endpoint {
 	endpoint := newEndpoint(now, local, remote, initial)
-	endpoint.active = true
+	endpoint.initiator = true
 	endpoint.pending = append(endpoint.pending, data...)
-	endpoint.sent = len(data)
+	endpoint.sentBytes = len(data)
 	endpoint.sendOpening(now)
 	return endpoint
 }
@@ -69,19 +69,19 @@
 func Accept(now time.Time, opening *wire.Segment, initial uint32) (*Endpoint, []byte) {
 	endpoint := newEndpoint(now, opening.Destination, opening.Source, initial)
 	endpoint.State = Established
-	endpoint.next = opening.Sequence + opening.Length()
+	endpoint.nextExpected = opening.Sequence + opening.Length()
 	endpoint.sendOpening(now)
 	return endpoint, opening.Payload
 }
 
 func newEndpoint(now time.Time, local, remote netip.AddrPort, initial uint32) *Endpoint {
 	return &Endpoint{
-		Local:    local,
-		Remote:   remote,
-		Progress: now,
-		unacked:  initial + 1,
-		opening:  true,
-		early:    map[uint32]packet.Segment{},
+		Local:          local,
+		Remote:         remote,
+		Progress:       now,
+		unacked:        initial + 1,
+		openingUnacked: true,
+		outOfOrder:     map[uint32]packet.Segment{},
 	}
 }
 
@@ -109,16 +109,16 @@
 	endpoint.emit(packet.FlagRST|packet.FlagACK, endpoint.unacked, nil)
 }
 
-// Idle tells whether everything sent is acknowledged.
-func (endpoint *Endpoint) Idle() bool {
-	return !endpoint.opening && len(endpoint.pending) == 0 && (!endpoint.closing || endpoint.finAcked)
+// AllAcknowledged tells whether everything sent is acknowledged.
+func (endpoint *Endpoint) AllAcknowledged() bool {
+	return !endpoint.openingUnacked && len(endpoint.pending) == 0 && (!endpoint.closing || endpoint.finAcked)
 }
 
 // RemoteClosed tells whether the other end has sent all and closed.
-func (endpoint *Endpoint) RemoteClosed() bool { return endpoint.remoteFIN }
+func (endpoint *Endpoint) RemoteClosed() bool { return endpoint.finReceived }
 
 // Finished tells whether both directions are closed and acknowledged.
-func (endpoint *Endpoint) Finished() bool { return endpoint.remoteFIN && endpoint.finAcked }
+func (endpoint *Endpoint) Finished() bool { return endpoint.finReceived && endpoint.finAcked }
 
 // Receive takes one segment and gives the data that is now in order.
 func (endpoint *Endpoint) Receive(now time.Time, segment *packet.Segment) []byte {
@@ -126,16 +126,16 @@
 		endpoint.State = Reset
 		return nil
 	}
-	if segment.Flags.Has(packet.FlagSYN) && !endpoint.opening {
-		endpoint.acknowledge() // a retransmitted SYN, or SYN with ACK
+	if segment.Flags.Has(packet.FlagSYN) && !endpoint.openingUnacked {
+		endpoint.sendAcknowledgement() // a retransmitted SYN, or SYN with ACK
 		return nil
 	}
-	if segment.Flags.Has(packet.FlagSYN) && endpoint.active {
+	if segment.Flags.Has(packet.FlagSYN) && endpoint.initiator {
 		if segment.Acknowledgement == endpoint.unacked-1 {
 			return nil
 		}
 		endpoint.State = Established
-		endpoint.next = segment.Sequence + 1
+		endpoint.nextExpected = segment.Sequence + 1
 	} else if segment.Flags.Has(packet.FlagSYN) {
 		endpoint.sendOpening(now) // our SYN with ACK was lost
 		return nil
@@ -144,12 +144,12 @@
 		return nil
 	}
 	if segment.Flags.Has(packet.FlagACK) {
-		endpoint.acknowledged(now, segment.Acknowledgement)
+		endpoint.receiveAcknowledgement(now, segment.Acknowledgement)
 	}
 	var delivered []byte
 	if segment.Length() > 0 {
-		delivered = endpoint.accept(now, *segment)
-		endpoint.acknowledge()
+		delivered = endpoint.reassemble(now, *segment)
+		endpoint.sendAcknowledgement()
 	}
 	endpoint.flush(now)
 	return delivered
@@ -157,26 +157,26 @@
 
 // Tick retransmits what has waited too long.
 func (endpoint *Endpoint) Tick(now time.Time) {
-	if endpoint.State == Reset || endpoint.Idle() || now.Before(endpoint.retransmitAt) {
+	if endpoint.State == Reset || endpoint.AllAcknowledged() || now.Before(endpoint.retransmitAt) {
 		return
 	}
-	if endpoint.opening {
+	if endpoint.openingUnacked {
 		endpoint.sendOpening(now)
 		return
 	}
 	endpoint.retransmitAt = now.Add(retransmitDelay)
-	for i := 0; i < maxRetransmitted && i*MaxPayload < endpoint.sent; i++ {
-		endpoint.sendData(i*MaxPayload, endpoint.sent)
+	for i := 0; i < maxRetransmittedSegments && i*MaxPayload < endpoint.sentBytes; i++ {
+		endpoint.sendData(i*MaxPayload, endpoint.sentBytes)
 	}
-	if endpoint.finSent && endpoint.sent <= maxRetransmitted*MaxPayload {
+	if endpoint.finSent && endpoint.sentBytes <= maxRetransmittedSegments*MaxPayload {
 		endpoint.sendFIN()
 	}
 }
 
 func (endpoint *Endpoint) sendOpening(now time.Time) {
 	endpoint.retransmitAt = now.Add(retransmitDelay)
-	if endpoint.active {
-		endpoint.emit(packet.FlagSYN, endpoint.unacked-1, endpoint.pending[:endpoint.sent])
+	if endpoint.initiator {
+		endpoint.emit(packet.FlagSYN, endpoint.unacked-1, endpoint.pending[:endpoint.sentBytes])
 		return
 	}
 	endpoint.emit(packet.FlagSYN|packet.FlagACK, endpoint.unacked-1, nil)
@@ -184,14 +184,14 @@
 
 // flush sends what is queued and fits the window.
 func (endpoint *Endpoint) flush(now time.Time) {
-	if endpoint.opening || endpoint.State != Established {
+	if endpoint.openingUnacked || endpoint.State != Established {
 		return
 	}
-	for endpoint.sent < len(endpoint.pending) && endpoint.sent < maxInFlight*MaxPayload {
+	for endpoint.sentBytes < len(endpoint.pending) && endpoint.sentBytes < maxInFlightSegments*MaxPayload {
 		endpoint.retransmitAt = now.Add(retransmitDelay)
-		endpoint.sent += endpoint.sendData(endpoint.sent, len(endpoint.pending))
+		endpoint.sentBytes += endpoint.sendData(endpoint.sentBytes, len(endpoint.pending))
 	}
-	if endpoint.closing && !endpoint.finSent && !endpoint.finAcked && endpoint.sent == len(endpoint.pending) {
+	if endpoint.closing && !endpoint.finSent && !endpoint.finAcked && endpoint.sentBytes == len(endpoint.pending) {
 		endpoint.finSent = true
 		endpoint.retransmitAt = now.Add(retransmitDelay)
 		endpoint.sendFIN()
@@ -208,40 +208,40 @@
 	endpoint.emit(packet.FlagACK|packet.FlagFIN, endpoint.unacked+uint32(len(endpoint.pending)), nil)
 }
 
-func (endpoint *Endpoint) acknowledge() {
-	endpoint.emit(packet.FlagACK, endpoint.unacked+uint32(endpoint.sent), nil)
+func (endpoint *Endpoint) sendAcknowledgement() {
+	endpoint.emit(packet.FlagACK, endpoint.unacked+uint32(endpoint.sentBytes), nil)
 }
 
 func (endpoint *Endpoint) emit(flags packet.TCPFlags, sequence uint32, data []byte) {
 	segment := wire.Segment{Source: endpoint.Local, Destination: endpoint.Remote, Protocol: lb.TCP}
 	segment.Flags = flags
 	segment.Sequence = sequence
-	segment.Acknowledgement = endpoint.next
+	segment.Acknowledgement = endpoint.nextExpected
 	segment.Payload = append([]byte(nil), data...)
 	endpoint.output = append(endpoint.output, segment)
 }
 
-// acknowledged takes a cumulative acknowledgement.
-func (endpoint *Endpoint) acknowledged(now time.Time, upTo uint32) {
+// receiveAcknowledgement takes a cumulative acknowledgement.
+func (endpoint *Endpoint) receiveAcknowledgement(now time.Time, upTo uint32) {
 	advance := int(int32(upTo - endpoint.unacked))
-	limit := endpoint.sent
+	limit := endpoint.sentBytes
 	if endpoint.finSent {
 		limit++
 	}
 	if advance < 0 || advance > limit {
 		return
 	}
-	if endpoint.opening || advance > 0 {
+	if endpoint.openingUnacked || advance > 0 {
 		endpoint.Progress = now
 		endpoint.retransmitAt = now.Add(retransmitDelay)
 	}
-	endpoint.opening = false
+	endpoint.openingUnacked = false
 	if endpoint.finSent && advance > len(endpoint.pending) {
 		endpoint.finAcked = true
 	}
 	bytes := min(advance, len(endpoint.pending))
 	endpoint.pending = endpoint.pending[bytes:]
-	endpoint.sent -= bytes
+	endpoint.sentBytes -= bytes
 	endpoint.unacked += uint32(bytes)
 	if endpoint.finAcked {
 		endpoint.unacked = upTo
@@ -249,23 +249,23 @@
 	}
 }
 
-// accept keeps a segment and gives the data that is now in order.
-func (endpoint *Endpoint) accept(now time.Time, segment packet.Segment) []byte {
-	if int32(segment.Sequence-endpoint.next) >= 0 && !segment.Flags.Has(packet.FlagSYN) {
-		endpoint.early[segment.Sequence] = segment
+// reassemble keeps a segment and gives the data that is now in order.
+func (endpoint *Endpoint) reassemble(now time.Time, segment packet.Segment) []byte {
+	if int32(segment.Sequence-endpoint.nextExpected) >= 0 && !segment.Flags.Has(packet.FlagSYN) {
+		endpoint.outOfOrder[segment.Sequence] = segment
 	}
 	var delivered []byte
 	for {
-		following, found := endpoint.early[endpoint.next]
+		following, found := endpoint.outOfOrder[endpoint.nextExpected]
 		if !found {
 			return delivered
 		}
-		delete(endpoint.early, endpoint.next)
-		endpoint.next += following.Length()
+		delete(endpoint.outOfOrder, endpoint.nextExpected)
+		endpoint.nextExpected += following.Length()
 		endpoint.Progress = now
 		delivered = append(delivered, following.Payload...)
 		if following.Flags.Has(packet.FlagFIN) {
-			endpoint.remoteFIN = true
+			endpoint.finReceived = true
 		}
 	}
 }
--- a/internal/lab/wire/message.go
+++ b/internal/lab/wire/message.go
@@ -10,10 +10,10 @@
 
 // The kinds of requests.
 const (
-	KindTap    Kind = "tap"    // short, must not run twice
-	KindUpload Kind = "upload" // many segments, must land whole
-	KindFeed   Kind = "feed"   // long, the host pushes
-	KindKeep   Kind = "keep"   // client keepalive on a feed
+	KindTap       Kind = "tap"    // short, must not run twice
+	KindUpload    Kind = "upload" // many segments, must land whole
+	KindFeed      Kind = "feed"   // long, the host pushes
+	KindKeepalive Kind = "keep"   // client keepalive on a feed
 )
 
 // Request is one line from a caller. On UDP it is one datagram.
@@ -38,8 +38,8 @@
 	RetryMillis int  `json:"retry_ms,omitempty"`
 }
 
-// Line gives a message as one JSON line.
-func Line(message any) []byte {
+// EncodeLine gives a message as one JSON line.
+func EncodeLine(message any) []byte {
 	line, err := json.Marshal(message)
 	if err != nil {
 		panic(err) // the messages above always encode
@@ -47,19 +47,19 @@
 	return append(line, '\n')
 }
 
-// Lines collects a stream's bytes and gives its whole lines.
-type Lines struct{ partial []byte }
+// LineReader collects a stream's bytes and gives its whole lines.
+type LineReader struct{ pending []byte }
 
 // Add appends bytes and gives the lines that are now whole.
-func (lines *Lines) Add(data []byte) [][]byte {
-	lines.partial = append(lines.partial, data...)
+func (lines *LineReader) Add(data []byte) [][]byte {
+	lines.pending = append(lines.pending, data...)
 	var whole [][]byte
 	for {
-		end := bytes.IndexByte(lines.partial, '\n')
+		end := bytes.IndexByte(lines.pending, '\n')
 		if end < 0 {
 			return whole
 		}
-		whole = append(whole, bytes.Clone(lines.partial[:end]))
-		lines.partial = lines.partial[end+1:]
+		whole = append(whole, bytes.Clone(lines.pending[:end]))
+		lines.pending = lines.pending[end+1:]
 	}
 }
--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -101,16 +101,16 @@
 	return tcp, tcp.SetNetworkLayerForChecksum(network)
 }
 
-// CallerSocket gives the UDP address of the caller process that uses the inner address.
-func CallerSocket(inner netip.Addr) netip.AddrPort {
+// ClientSocket gives the UDP address of the caller process that uses the inner address.
+func ClientSocket(inner netip.Addr) netip.AddrPort {
 	bytes := inner.As16()
 	port := binary.BigEndian.Uint16(bytes[14:])
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 }
 
-// CallerAddress gives the inner address number index of the caller process
+// ClientAddress gives the inner address number index of the caller process
 // whose socket has the port: 10.index.PORT for IPv4, fd00::index:PORT for IPv6.
-func CallerAddress(port uint16, index uint8, ipv6 bool) netip.Addr {
+func ClientAddress(port uint16, index uint8, ipv6 bool) netip.Addr {
 	if ipv6 {
 		var address [16]byte
 		address[0] = 0xfd
