--- a/internal/lab/hostsim/host.go
+++ b/internal/lab/hostsim/host.go
@@ -1,6 +1,6 @@
-// Package hostsim is a stand-in for a back-end host: it takes flows in Geneve,
-// answers callers directly, and has slots, a connection limit, a bounded
-// queue, drain, a cold start, deadlines and cancellation. It records what ran.
+// Package hostsim is a stand-in for a back-end host. It receives flows in Geneve and answers
+// clients directly. It has slots, a connection limit, a bounded queue, drain, a cold start, request
+// deadlines and cancellation, and it records which requests ran.
 package hostsim
 
 import (
@@ -20,65 +20,66 @@
 	"robinpulley.example/robinpulley/internal/packet"
 )
 
-// Settings are the size of a host.
+// Settings configures a host.
 type Settings struct {
 	Name        string
 	Service     string
-	Frontends   []netip.AddrPort // virtual addresses it serves
-	Slots       int              // requests served at once
-	Queue       int              // requests waiting at most
-	Conns       int              // flows at most
+	Frontends   []netip.AddrPort // virtual addresses that the host serves
+	Slots       int              // requests served concurrently
+	Queue       int              // maximum number of waiting requests
+	Conns       int              // maximum number of flows
 	ServiceTime time.Duration    // time of one request in a slot
-	ColdStart   time.Duration    // after start, requests take ColdFactor times as long
+	ColdStart   time.Duration    // time after the start in which requests take coldFactor times as long
 	PushEvery   time.Duration    // between pushes on a feed
 	Seed        uint64
 }
 
-// coldFactor is how much longer a request takes while the host is cold.
+// coldFactor is the factor by which a request takes longer while the host is cold.
 const coldFactor = 4
 
-// rejectionRetryMillis is the time to come back given with a shed request.
+// rejectionRetryMillis is the delay after which the client of a rejected request should retry, in
+// milliseconds.
 const rejectionRetryMillis = 100
 
-// job is a request that waits for a slot or is in one.
+// job is a request that waits for a slot or occupies one.
 type job struct {
-	flow     *flow
+	flow     *hostFlow
 	request  wire.Request
 	deadline time.Time // zero: none
-	finishAt time.Time // zero: waiting
+	finishAt time.Time // zero: waiting for a slot
 }
 
-// flow is one connection.
-type flow struct {
+// hostFlow is the state of one TCP flow at the host.
+type hostFlow struct {
 	endpoint *stream.Endpoint
 	lines    wire.LineReader
-	feedID   string // request id of the feed, if it is one
+	feedID   string // request id, if the flow is a feed
 	pushes   int
 	pushAt   time.Time
 }
 
-// Host is one back-end host. All methods may be called from several goroutines.
+// Host is one back-end host. Its methods may be called from several goroutines.
 type Host struct {
 	mutex       sync.Mutex
 	settings    Settings
 	send        wire.Sender
 	random      *rand.Rand
 	started     time.Time
-	flows       map[lb.FlowKey]*flow
+	flows       map[lb.FlowKey]*hostFlow
 	jobs        []*job
 	report      Report
-	openedFlows map[string]bool // flows seen, so that a late copy of an opening does not open again
+	openedFlows map[string]bool // all flows ever opened, so that a late copy of an opening does not open a flow again
 	health      healthState
 }
 
-// New gives a host that sends by send.
+// New returns a host that sends its datagrams with send.
 func New(now time.Time, settings Settings, send wire.Sender) *Host {
 	return &Host{
 		settings:    settings,
 		send:        send,
 		random:      rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
 		started:     now,
-		flows:       map[lb.FlowKey]*flow{},
+		flows:       map[lb.FlowKey]*hostFlow{},
 		openedFlows: map[string]bool{},
 		report: Report{
 			Host:     settings.Name,
@@ -89,7 +90,7 @@
 	}
 }
 
-// Receive takes one datagram of the data path.
+// Receive handles one datagram from a balancer.
 func (host *Host) Receive(now time.Time, datagram []byte) {
 	var decoded packet.Packet
 	if packet.Decode(datagram, &decoded) != nil {
@@ -110,27 +111,28 @@
 }
 
 func (host *Host) receiveTCP(now time.Time, segment *wire.Segment, decoded *packet.Packet) {
-	held := host.flows[decoded.Key]
-	if held == nil && decoded.Kind == core.PacketOpening {
+	flow := host.flows[decoded.Key]
+	if flow == nil && decoded.Kind == core.PacketOpening {
 		host.open(now, segment, decoded.Key)
 		return
 	}
-	if held == nil {
+	if flow == nil {
 		host.resetUnknown(segment)
 		return
 	}
-	host.deliver(now, held, held.endpoint.Receive(now, &segment.Segment))
-	host.flush(held)
-	if held.endpoint.State == stream.Reset {
-		host.cancel(held)
+	host.deliver(now, flow, flow.endpoint.Receive(now, &segment.Segment))
+	host.flush(flow)
+	if flow.endpoint.State == stream.Reset {
+		host.cancel(flow)
 		delete(host.flows, decoded.Key)
 	}
 }
 
-// resetUnknown answers a packet of a flow that is not here by a reset, unless it is one itself.
+// resetUnknown answers a packet of an unknown flow with a reset. It ignores resets, and late packets
+// of flows that have ended on this host.
 func (host *Host) resetUnknown(segment *wire.Segment) {
-	if segment.Flags.Has(packet.FlagRST) || host.openedFlows[openingKey(segment.Source)] {
-		return // a late packet of a flow that has ended here
+	if segment.Flags.Has(packet.FlagRST) || host.openedFlows[flowName(segment.Source)] {
+		return
 	}
 	host.report.Resets++
 	host.reset(segment)
@@ -144,11 +146,12 @@
 	host.emit(&answer)
 }
 
-// openingKey names an opening; callers use each address and port once.
-func openingKey(source netip.AddrPort) string { return source.String() }
+// flowName returns a name for the flow from a source. Clients use each address and port only once,
+// so the source identifies the flow.
+func flowName(source netip.AddrPort) string { return source.String() }
 
 func (host *Host) open(now time.Time, segment *wire.Segment, key lb.FlowKey) {
-	name := openingKey(segment.Source)
+	name := flowName(segment.Source)
 	if host.openedFlows[name] {
 		return
 	}
@@ -160,30 +163,30 @@
 	host.openedFlows[name] = true
 	host.report.Openings[name] = now.UnixMilli()
 	endpoint, data := stream.Accept(now, segment, host.random.Uint32())
-	opened := &flow{endpoint: endpoint}
-	host.flows[key] = opened
-	host.deliver(now, opened, data)
-	host.flush(opened)
+	flow := &hostFlow{endpoint: endpoint}
+	host.flows[key] = flow
+	host.deliver(now, flow, data)
+	host.flush(flow)
 }
 
-func (host *Host) deliver(now time.Time, held *flow, data []byte) {
-	for _, line := range held.lines.Add(data) {
+func (host *Host) deliver(now time.Time, flow *hostFlow, data []byte) {
+	for _, line := range flow.lines.Add(data) {
 		var request wire.Request
 		if json.Unmarshal(line, &request) != nil {
 			host.report.Malformed++
 			continue
 		}
-		host.receiveRequest(now, held, request)
+		host.receiveRequest(now, flow, request)
 	}
 }
 
-func (host *Host) receiveRequest(now time.Time, held *flow, request wire.Request) {
+func (host *Host) receiveRequest(now time.Time, flow *hostFlow, request wire.Request) {
 	switch request.Kind {
 	case wire.KindKeepalive:
 		return
 	case wire.KindFeed:
-		held.feedID = request.ID
-		held.pushAt = now
+		flow.feedID = request.ID
+		flow.pushAt = now
 		host.report.Runs[request.ID]++
 		return
 	}
@@ -192,10 +195,10 @@
 		answer := host.newAnswer(request.ID)
 		answer.NotRun = true
 		answer.RetryMillis = rejectionRetryMillis
-		held.endpoint.Send(now, wire.EncodeLine(answer))
+		flow.endpoint.Send(now, wire.EncodeLine(answer))
 		return
 	}
-	added := &job{flow: held, request: request}
+	added := &job{flow: flow, request: request}
 	if request.DeadlineMillis > 0 {
 		added.deadline = now.Add(time.Duration(request.DeadlineMillis) * time.Millisecond)
 	}
@@ -217,9 +220,10 @@
 	return waiting
 }
 
-// fillSlots starts waiting requests, and forgets those past their deadline.
+// fillSlots removes waiting requests whose deadline has passed and starts waiting requests in free
+// slots.
 func (host *Host) fillSlots(now time.Time) {
-	busy := len(host.jobs) - host.queued()
+	busySlots := len(host.jobs) - host.queued()
 	host.jobs = slices.DeleteFunc(host.jobs, func(j *job) bool {
 		expired := j.finishAt.IsZero() && !j.deadline.IsZero() && now.After(j.deadline)
 		if expired {
@@ -228,13 +232,13 @@
 		return expired
 	})
 	for _, j := range host.jobs {
-		if busy >= host.settings.Slots {
+		if busySlots >= host.settings.Slots {
 			return
 		}
 		if j.finishAt.IsZero() {
 			j.finishAt = now.Add(host.serviceTime(now))
 			host.report.Runs[j.request.ID]++
-			busy++
+			busySlots++
 		}
 	}
 }
@@ -246,8 +250,8 @@
 	return host.settings.ServiceTime
 }
 
-// cancel forgets the waiting requests of a flow that has ended.
-func (host *Host) cancel(ended *flow) {
+// cancel removes the waiting requests of a flow that was reset.
+func (host *Host) cancel(ended *hostFlow) {
 	host.jobs = slices.DeleteFunc(host.jobs, func(j *job) bool {
 		cancelled := j.flow == ended && j.finishAt.IsZero()
 		if cancelled {
@@ -257,7 +261,7 @@
 	})
 }
 
-// Tick finishes requests, pushes on feeds and retransmits.
+// Tick answers finished requests, starts waiting ones, sends pushes on feeds and retransmits.
 func (host *Host) Tick(now time.Time) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
@@ -269,14 +273,14 @@
 		return done
 	})
 	host.fillSlots(now)
-	for key, held := range host.flows {
-		host.push(now, held)
-		held.endpoint.Tick(now)
-		if held.endpoint.RemoteClosed() {
-			held.endpoint.Close(now)
+	for key, flow := range host.flows {
+		host.push(now, flow)
+		flow.endpoint.Tick(now)
+		if flow.endpoint.RemoteClosed() {
+			flow.endpoint.Close(now)
 		}
-		host.flush(held)
-		if held.endpoint.Finished() {
+		host.flush(flow)
+		if flow.endpoint.Finished() {
 			delete(host.flows, key)
 		}
 	}
@@ -289,25 +293,26 @@
 	done.flow.endpoint.Send(now, wire.EncodeLine(answer))
 }
 
-func (host *Host) push(now time.Time, held *flow) {
-	if held.feedID == "" || now.Before(held.pushAt) || held.endpoint.RemoteClosed() {
+func (host *Host) push(now time.Time, flow *hostFlow) {
+	if flow.feedID == "" || now.Before(flow.pushAt) || flow.endpoint.RemoteClosed() {
 		return
 	}
-	held.pushAt = now.Add(host.settings.PushEvery)
-	held.pushes++
-	answer := host.newAnswer(held.feedID)
-	answer.Push = held.pushes
-	held.endpoint.Send(now, wire.EncodeLine(answer))
+	flow.pushAt = now.Add(host.settings.PushEvery)
+	flow.pushes++
+	answer := host.newAnswer(flow.feedID)
+	answer.Push = flow.pushes
+	flow.endpoint.Send(now, wire.EncodeLine(answer))
 }
 
-// receiveUDP echoes who answered; the caller sees when its flow moves.
+// receiveUDP answers a datagram with the host's name, so that the client detects a flow that moves
+// to another host.
 func (host *Host) receiveUDP(now time.Time, segment *wire.Segment) {
 	var request wire.Request
 	if json.Unmarshal(segment.Payload, &request) != nil {
 		host.report.Malformed++
 		return
 	}
-	name := openingKey(segment.Source)
+	name := flowName(segment.Source)
 	if _, seen := host.report.Openings[name]; !seen {
 		host.report.Openings[name] = now.UnixMilli()
 	}
@@ -316,8 +321,8 @@
 	host.emit(&answer)
 }
 
-func (host *Host) flush(held *flow) {
-	for _, segment := range held.endpoint.Output() {
+func (host *Host) flush(flow *hostFlow) {
+	for _, segment := range flow.endpoint.Output() {
 		host.emit(&segment)
 	}
 }
--- a/internal/lab/hostsim/report.go
+++ b/internal/lab/hostsim/report.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// Report is what the host has seen since its start.
+// Report holds the host's counters since its start.
 type Report struct {
 	Host         string           `json:"host"`
 	Service      string           `json:"service"`
-	Runs         map[string]int   `json:"runs"`     // times each request ran
-	Openings     map[string]int64 `json:"openings"` // when each flow opened (Unix ms), by caller's address
+	Runs         map[string]int   `json:"runs"`     // number of runs, by request id
+	Openings     map[string]int64 `json:"openings"` // Unix time in ms at which each flow opened, by client address
 	WrongService int              `json:"wrong_service"`
-	Resets       int              `json:"resets"` // packets of unknown flows
+	Resets       int              `json:"resets"` // packets of unknown flows that were answered with a reset
 	Shed         int              `json:"shed"`
 	Expired      int              `json:"expired"`
 	Cancelled    int              `json:"cancelled"`
 	Malformed    int              `json:"malformed"`
-	Flows        int              `json:"flows"` // open now
+	Flows        int              `json:"flows"` // number of present flows
 }
 
-// Health is the answer of the health and load endpoint.
+// Health is the response of the health and load endpoint.
 type Health struct {
 	Healthy   bool `json:"healthy"`
 	Load      int  `json:"load"`   // thousandths of capacity
-	AgeMillis int  `json:"age_ms"` // how old the values are
+	AgeMillis int  `json:"age_ms"` // age of the values
 }
 
-// HealthFaults say how the endpoint misleads.
+// HealthFaults configures how the endpoint gives wrong, late or no responses.
 type HealthFaults struct {
-	Drain   bool `json:"drain"`    // says unhealthy, serves on
-	Lie     bool `json:"lie"`      // says healthy and idle whatever the truth is
-	Down    bool `json:"down"`     // answers an error
-	LagMs   int  `json:"lag_ms"`   // serves values this old
-	DelayMs int  `json:"delay_ms"` // answers late
+	Drain   bool `json:"drain"`    // report unhealthy, but keep serving
+	Lie     bool `json:"lie"`      // always report healthy and idle
+	Down    bool `json:"down"`     // respond with an error
+	LagMs   int  `json:"lag_ms"`   // maximum age of the reported values
+	DelayMs int  `json:"delay_ms"` // delay of each response
 }
 
-// healthState is the faults and the last value served.
+// healthState holds the present faults and the cached health.
 type healthState struct {
 	faults   HealthFaults
 	cached   Health
 	cachedAt time.Time
 }
 
-// Report gives a copy of what the host has seen.
+// Report returns a copy of the host's report.
 func (host *Host) Report() Report {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
@@ -56,7 +56,7 @@
 	return report
 }
 
-// Health gives health and load, as the faults have it.
+// Health returns the health and load that the host reports under the present faults.
 func (host *Host) Health(now time.Time) Health {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
@@ -75,7 +75,7 @@
 	return served
 }
 
-// Handler serves GET /health, GET /report and PUT /faults.
+// Handler returns a handler for GET /health, GET /report and PUT /faults.
 func (host *Host) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /health", func(response http.ResponseWriter, _ *http.Request) {
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -8,30 +8,32 @@
 	"golang.org/x/time/rate"
 )
 
-// Faults says how the store misbehaves; the zero value is a healthy store.
+// Faults configures how the store fails. The zero value is a healthy store.
 type Faults struct {
-	// Outage closes every connection without an answer or effect, watches included.
+	// Outage closes every connection without an answer and without effect, including running
+	// watches.
 	Outage bool `json:"outage"`
 	// DelayMillis delays each answer, in milliseconds.
 	DelayMillis int `json:"delay_ms"`
-	// LostAnswers is the share of writes, in thousandths, that take effect
-	// but whose connection is closed without an answer.
+	// LostAnswers is the share of writes, in thousandths, that take effect but whose connection is
+	// closed without an answer.
 	LostAnswers int `json:"lost_answers"`
-	// RatePerSecond refuses requests above this rate; zero is unlimited.
+	// RatePerSecond is the rate above which requests are refused. Zero means no limit.
 	RatePerSecond int `json:"rate_per_second"`
-	// MachineLagMillis is how old the machine list is, in milliseconds.
+	// MachineLagMillis is the age of the machine list in answers, in milliseconds.
 	MachineLagMillis int `json:"machine_lag_ms"`
-	// DropWatches closes, once, the watches that run when the faults are set.
+	// DropWatches closes the watches that are running when the faults are set. Later watches are not
+	// affected.
 	DropWatches bool `json:"drop_watches"`
 }
 
-// faultState is the present faults and what they need to keep.
+// faultState holds the present faults and the state that their simulation needs.
 type faultState struct {
 	mutex   sync.Mutex
 	faults  Faults
 	random  *rand.Rand
 	limiter *rate.Limiter
-	dropped chan struct{} // closed when running watches must end
+	dropped chan struct{} // closed, and replaced, to end the running watches
 }
 
 func newFaultState(faults Faults, seed uint64) *faultState {
@@ -71,14 +73,14 @@
 	return state.dropped
 }
 
-// allow tells whether the rate limit lets one more request in.
+// allow reports whether the rate limit admits one more request, and counts it.
 func (state *faultState) allow() bool {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	return state.limiter.Allow()
 }
 
-// loseAnswer decides whether the answer to a write is lost.
+// loseAnswer decides at random whether the answer to a write is lost.
 func (state *faultState) loseAnswer() bool {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
--- a/internal/lab/storesim/machines.go
+++ b/internal/lab/storesim/machines.go
@@ -16,17 +16,17 @@
 	Control string    `json:"control"` // control address, UDP and TCP
 	Data    string    `json:"data"`    // Geneve address, UDP
 	Leaving bool      `json:"leaving"`
-	// Gone, in a posted entry, takes the machine off the list.
+	// Gone is set in a posted entry to remove the machine from the list.
 	Gone bool `json:"gone,omitempty"`
 }
 
-// machineChange is one posted entry with the time of its posting.
+// machineChange is one posted entry with the time at which it was posted.
 type machineChange struct {
 	at      time.Time
 	machine Machine
 }
 
-// machineList serves the machines as they were some time ago.
+// machineList keeps the history of the machine list, so that it can return an older state.
 type machineList struct {
 	mutex   sync.Mutex
 	changes []machineChange
@@ -38,20 +38,20 @@
 	list.changes = append(list.changes, machineChange{at: time.Now(), machine: machine})
 }
 
-// asOf gives the machines at the given time, by node.
+// asOf returns the machines at a time, sorted by node.
 func (list *machineList) asOf(at time.Time) []Machine {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	byNode := map[lb.NodeID]Machine{}
-	for _, c := range list.changes {
-		if c.at.After(at) {
+	for _, change := range list.changes {
+		if change.at.After(at) {
 			continue
 		}
-		if c.machine.Gone {
-			delete(byNode, c.machine.Node)
+		if change.machine.Gone {
+			delete(byNode, change.machine.Node)
 			continue
 		}
-		byNode[c.machine.Node] = c.machine
+		byNode[change.machine.Node] = change.machine
 	}
 	machines := make([]Machine, 0, len(byNode))
 	for _, machine := range byNode {
--- a/internal/lab/storesim/server.go
+++ b/internal/lab/storesim/server.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// gRPC status codes used in error bodies.
+// The gRPC status codes used in error bodies.
 const (
 	codeInvalidArgument   = 3
 	codeNotFound          = 5
@@ -17,11 +17,11 @@
 	codeOutOfRange        = 11
 )
 
-// maxRequestBytes is etcd's default limit of a request.
+// maxRequestBytes is etcd's default limit for the size of a request.
 const maxRequestBytes = 1536 * 1024
 
-// Server is the store's HTTP face. Its routes are those of the etcd v3 JSON
-// gateway, GET and POST /machines, and GET and PUT /faults for the lab.
+// Server is the store's HTTP server. It serves the routes of the etcd v3 JSON gateway, GET and POST
+// /machines, and GET and PUT /faults for the lab.
 type Server struct {
 	store    *Store
 	faults   *faultState
@@ -29,7 +29,7 @@
 	routes   *http.ServeMux
 }
 
-// NewServer gives a server with an empty store. The seed decides which answers are lost.
+// NewServer returns a server with an empty store. The seed determines which answers are lost.
 func NewServer(faults Faults, seed uint64) *Server {
 	server := &Server{store: NewStore(), faults: newFaultState(faults, seed), routes: http.NewServeMux()}
 	store := server.store
@@ -57,7 +57,7 @@
 		response, err := server.runOperation(RequestOp{Range: request})
 		return response.Range, err
 	})
-	// One renewal is answered; the stream then ends, as with one message sent.
+	// The stream is answered with one renewal and then ends, as if the client had sent one message.
 	handleRead(server, "/v3/lease/keepalive", func(request *LeaseRequest) (streamResult[LeaseResponse], error) {
 		return streamResult[LeaseResponse]{Result: store.KeepAlive(int64(request.ID))}, nil
 	})
@@ -69,27 +69,29 @@
 	return server
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (server *Server) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	server.routes.ServeHTTP(response, request)
 }
 
-// Store gives the keys, for checks by tests.
+// Store returns the store, for checks by tests.
 func (server *Server) Store() *Store { return server.store }
 
-// SetFaults changes how the store misbehaves from now on.
+// SetFaults replaces the store's faults from now on.
 func (server *Server) SetFaults(faults Faults) { server.faults.replace(faults) }
 
-// handleRead serves a path whose answers are never lost on purpose.
+// handleRead registers a handler for a path whose answers are never lost by the simulation.
 func handleRead[Request, Response any](server *Server, path string, handle func(*Request) (Response, error)) {
 	handleUnary(server, path, handle, func() bool { return false })
 }
 
-// handleWrite serves a path whose answers may get lost after the effect.
+// handleWrite registers a handler for a path whose answers may be lost after the write took effect.
 func handleWrite[Request, Response any](server *Server, path string, handle func(*Request) (Response, error)) {
 	handleUnary(server, path, handle, server.faults.loseAnswer)
 }
 
+// handleUnary registers a handler for a path with one JSON request and one JSON response. The answer
+// is lost if lose returns true.
 func handleUnary[Request, Response any](server *Server, path string, handle func(*Request) (Response, error), lose func() bool) {
 	server.routes.HandleFunc("POST "+path, func(response http.ResponseWriter, request *http.Request) {
 		if !server.admit(response) {
@@ -117,7 +119,8 @@
 	})
 }
 
-// admit applies outage and rate limit.
+// admit applies the outage and the rate limit. It returns false if it has answered the request
+// itself.
 func (server *Server) admit(response http.ResponseWriter) bool {
 	if server.faults.current().Outage {
 		panic(http.ErrAbortHandler)
@@ -132,7 +135,7 @@
 
 func writeJSON(response http.ResponseWriter, answer any) {
 	response.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(response).Encode(answer) // a caller that has gone needs no answer
+	_ = json.NewEncoder(response).Encode(answer) // fails only if the client has disconnected
 }
 
 func writeError(response http.ResponseWriter, status, code int, err error) {
@@ -161,15 +164,15 @@
 	return response.Responses[0], nil
 }
 
-// watch streams the events of one watch until the caller goes, the store has
-// an outage, or the history it needs is compacted.
+// watch streams the events of one watch until the client disconnects, a fault ends the watch, or the
+// history that the watch needs is compacted.
 func (server *Server) watch(response http.ResponseWriter, request *http.Request) {
 	if !server.admit(response) {
 		return
 	}
 	dropped := server.faults.droppedWatches()
 	var created WatchRequest
-	// The body is a stream too: only its first message is read.
+	// The request body is also a stream. Only its first message is read.
 	var first json.RawMessage
 	err := json.NewDecoder(request.Body).Decode(&first)
 	if err == nil {
--- a/internal/lab/storesim/store.go
+++ b/internal/lab/storesim/store.go
@@ -1,7 +1,6 @@
-// Package storesim is a stand-in for the platform's key-value service: it
-// speaks the JSON gateway of etcd v3 (range, put, deleterange, txn,
-// compaction, leases, watches with revisions), in memory, and misbehaves on
-// demand. It also serves the platform's machine list.
+// Package storesim is a stand-in for the platform's key-value service. It implements the JSON
+// gateway of etcd v3 (range, put, deleterange, txn, compaction, leases, watches with revisions) in
+// memory and can simulate failures. It also serves the platform's machine list.
 package storesim
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of the store, with etcd's texts.
+// The errors of the store, with the texts that etcd uses.
 var (
 	errCompacted    = errors.New("etcdserver: mvcc: required revision has been compacted")
 	errNotSupported = errors.New("storesim: reading an old revision is not supported")
@@ -23,23 +22,23 @@
 	errCompare      = errors.New("etcdserver: invalid compare target or result")
 )
 
-// lease ends its keys unless it is kept alive.
+// lease is a lease, whose keys are deleted when it expires.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// change is one event with its revision.
+// change is one event of the history with its revision.
 type change struct {
 	revision int64
 	event    Event
 }
 
-// Store holds the keys. All methods may be called from several goroutines.
+// Store holds the keys. Its exported methods may be called from several goroutines.
 type Store struct {
 	mutex     sync.Mutex
 	keys      map[string]KeyValue
-	history   []change // ascending, after compacted
+	history   []change // ascending by revision, from the compacted revision on
 	revision  int64
 	compacted int64
 	leases    map[int64]*lease
@@ -47,7 +46,7 @@
 	changed   chan struct{} // closed and replaced at each change
 }
 
-// NewStore gives an empty store at revision 1, as etcd has.
+// NewStore returns an empty store at revision 1, like a new etcd.
 func NewStore() *Store {
 	return &Store{
 		keys:      map[string]KeyValue{},
@@ -62,8 +61,8 @@
 	return Header{ClusterID: 1, MemberID: 1, Revision: Int64(store.revision), RaftTerm: 1}
 }
 
-// inRange tells whether key is in [start, end); an empty end means start
-// alone, a single zero byte means no upper bound.
+// inRange reports whether key is in [start, end). An empty end means start alone, a single zero byte
+// means no upper bound.
 func inRange(key, start, end []byte) bool {
 	if len(end) == 0 {
 		return bytes.Equal(key, start)
@@ -85,20 +84,20 @@
 	return found
 }
 
-// Txn runs one transaction; it is the only way in for reads and writes.
+// Txn runs one transaction. All reads and writes of clients pass through it.
 func (store *Store) Txn(request *TxnRequest) (*TxnResponse, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	holds := true
+	succeeded := true
 	for i := range request.Compare {
 		ok, err := store.evaluate(&request.Compare[i])
 		if err != nil {
 			return nil, err
 		}
-		holds = holds && ok
+		succeeded = succeeded && ok
 	}
 	operations := request.Failure
-	if holds {
+	if succeeded {
 		operations = request.Success
 	}
 	for i := range operations {
@@ -106,7 +105,7 @@
 			return nil, err
 		}
 	}
-	response := &TxnResponse{Succeeded: holds}
+	response := &TxnResponse{Succeeded: succeeded}
 	revision := store.revision + 1
 	for i := range operations {
 		response.Responses = append(response.Responses, store.apply(&operations[i], revision))
@@ -115,7 +114,8 @@
 	return response, nil
 }
 
-// validate refuses an operation before anything of its transaction is applied.
+// validate returns an error for an invalid operation. All operations of a transaction are validated
+// before the first one is applied.
 func (store *Store) validate(operation *RequestOp) error {
 	switch {
 	case operation.Range != nil && operation.Range.Revision != 0:
@@ -220,7 +220,7 @@
 	return false, errors.Wrapf(errCompare, "result %q", condition.Result)
 }
 
-// Compact forgets the history before revision.
+// Compact discards the history before a revision.
 func (store *Store) Compact(revision int64) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// Grant makes a lease, numbered by the store when ID is zero.
+// Grant creates a lease. The store selects its id if the requested ID is zero.
 func (store *Store) Grant(request LeaseRequest) LeaseResponse {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -246,14 +246,14 @@
 	return LeaseResponse{Header: store.header(), ID: Int64(id), TTL: Int64(ttl / time.Second)}
 }
 
-// KeepAlive renews a lease; the answer's TTL is zero when it has ended.
+// KeepAlive renews a lease. The TTL in the answer is zero if the lease has ended.
 func (store *Store) KeepAlive(id int64) LeaseResponse {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	response := LeaseResponse{Header: store.header(), ID: Int64(id)}
-	if held := store.leases[id]; held != nil {
-		held.timer.Reset(held.ttl)
-		response.TTL = Int64(held.ttl / time.Second)
+	if granted := store.leases[id]; granted != nil {
+		granted.timer.Reset(granted.ttl)
+		response.TTL = Int64(granted.ttl / time.Second)
 	}
 	return response
 }
@@ -262,11 +262,11 @@
 func (store *Store) Revoke(id int64) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	held := store.leases[id]
-	if held == nil {
+	granted := store.leases[id]
+	if granted == nil {
 		return errNoLease
 	}
-	held.timer.Stop()
+	granted.timer.Stop()
 	delete(store.leases, id)
 	revision := store.revision + 1
 	for key, kv := range store.keys {
@@ -277,8 +277,8 @@
 	return nil
 }
 
-// eventsFrom gives the events of a watch from revision next on, the revision they
-// reach, and the channel that is closed at the next change.
+// eventsFrom returns the events of a watch from revision next on, the header with the present
+// revision, and the channel that is closed at the next change.
 func (store *Store) eventsFrom(watch *WatchCreate, next int64) ([]Event, Header, <-chan struct{}, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -294,7 +294,7 @@
 	return events, store.header(), store.changed, nil
 }
 
-// currentHeader gives the header of the present revision.
+// currentHeader returns the header with the present revision.
 func (store *Store) currentHeader() Header {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
--- a/internal/lab/storesim/store_test.go
+++ b/internal/lab/storesim/store_test.go
@@ -36,7 +36,7 @@
 	return server, listener.URL
 }
 
-// content reads every key of the store.
+// content returns all keys of the store.
 func content(t *testing.T, store *Store) []KeyValue {
 	t.Helper()
 	all := RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}
@@ -47,7 +47,7 @@
 	return response.Responses[0].Range.KVs
 }
 
-// "a" is YQ==, "b" is Yg==, "x" is eA==, "y" is eQ==.
+// The requests below contain base64: "a" is YQ==, "b" is Yg==, "x" is eA==, "y" is eQ==.
 
 func TestCompareAndSwapHasOneWinner(t *testing.T) {
 	is := is.New(t)
--- a/internal/lab/storesim/wire.go
+++ b/internal/lab/storesim/wire.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Int64 is a 64-bit integer of the JSON gateway: written as a string, read
-// from a string or a number (proto3 JSON mapping).
+// Int64 is a 64-bit integer of the JSON gateway. According to the proto3 JSON mapping, it is written
+// as a string and read from a string or a number.
 type Int64 int64
 
 // MarshalJSON writes the integer as a string.
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// Header is the header of every answer (etcd v3 ResponseHeader).
+// Header is the header of every response (etcd v3 ResponseHeader).
 type Header struct {
 	ClusterID Int64 `json:"cluster_id"`
 	MemberID  Int64 `json:"member_id"`
@@ -49,11 +49,11 @@
 	RangeEnd []byte `json:"range_end,omitempty"`
 	Limit    Int64  `json:"limit,omitempty"`
 	KeysOnly bool   `json:"keys_only,omitempty"`
-	// Revision other than zero is not supported and answered by an error.
+	// Revision is not supported: a value other than zero is answered with an error.
 	Revision Int64 `json:"revision,omitempty"`
 }
 
-// RangeResponse answers a RangeRequest, keys in ascending order.
+// RangeResponse answers a RangeRequest. The keys are in ascending order.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
@@ -97,7 +97,7 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// RequestOp is one operation of a transaction; one field is set.
+// RequestOp is one operation of a transaction. Exactly one field is set.
 type RequestOp struct {
 	Range  *RangeRequest  `json:"request_range,omitempty"`
 	Put    *PutRequest    `json:"request_put,omitempty"`
@@ -111,7 +111,8 @@
 	Delete *DeleteResponse `json:"response_delete_range,omitempty"`
 }
 
-// TxnRequest runs Success when every condition holds, else Failure.
+// TxnRequest is a transaction. It runs the operations in Success if every condition in Compare
+// holds, otherwise the operations in Failure.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
@@ -125,39 +126,39 @@
 	Responses []ResponseOp `json:"responses,omitempty"`
 }
 
-// CompactRequest forgets the history before Revision.
+// CompactRequest discards the history before Revision.
 type CompactRequest struct {
 	Revision Int64 `json:"revision"`
 }
 
-// LeaseRequest names a lease; TTL (seconds) is used by grant only.
+// LeaseRequest identifies a lease. TTL, in seconds, is used by grant only.
 type LeaseRequest struct {
 	ID  Int64 `json:"ID,omitempty"`
 	TTL Int64 `json:"TTL,omitempty"`
 }
 
-// LeaseResponse answers grant and keepalive; a TTL of zero in the answer to a
-// keepalive means that the lease has ended.
+// LeaseResponse answers grant and keepalive. A TTL of zero in the answer to a keepalive means that
+// the lease has ended.
 type LeaseResponse struct {
 	Header Header `json:"header"`
 	ID     Int64  `json:"ID"`
 	TTL    Int64  `json:"TTL"`
 }
 
-// WatchRequest starts one watch; only create_request is supported.
+// WatchRequest starts one watch. Only create_request is supported.
 type WatchRequest struct {
 	Create *WatchCreate `json:"create_request"`
 }
 
-// WatchCreate asks for the events of [Key, RangeEnd), or Key alone, from
-// StartRevision on, or from now on when it is zero.
+// WatchCreate requests the events of the keys in [Key, RangeEnd), or of Key alone, from
+// StartRevision on, or from now on if StartRevision is zero.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
 	StartRevision Int64  `json:"start_revision,omitempty"`
 }
 
-// Event is one change of one key; an empty Type is a put.
+// Event is one change of one key.
 type Event struct {
 	Type string   `json:"type,omitempty"` // "" (PUT) or "DELETE"
 	KV   KeyValue `json:"kv"`
@@ -185,8 +186,8 @@
 	Message string `json:"message"`
 }
 
-// camelToSnakeCase lists the lower-camel-case field names that the gateway accepts
-// beside the names of the protocol's definition.
+// camelToSnakeCase maps the lower-camel-case field names that the gateway also accepts to the names
+// in the protocol's definition.
 var camelToSnakeCase = map[string]string{
 	"rangeEnd": "range_end", "keysOnly": "keys_only", "createRevision": "create_revision",
 	"modRevision": "mod_revision", "requestRange": "request_range", "requestPut": "request_put",
@@ -194,7 +195,7 @@
 	"startRevision": "start_revision",
 }
 
-// decodeRequest reads a request, accepting both spellings of field names.
+// decodeRequest decodes a request with either spelling of the field names.
 func decodeRequest(body []byte, request any) error {
 	for camel, snake := range camelToSnakeCase {
 		body = bytes.ReplaceAll(body, []byte(`"`+camel+`":`), []byte(`"`+snake+`":`))
