--- a/internal/lab/fabricsim/fabric.go
+++ b/internal/lab/fabricsim/fabric.go
@@ -1,6 +1,6 @@
-// Package fabricsim is a stand-in for the platform's fabric: it sprays the
-// callers' packets at random over the balancers on the machine list, with
-// loss, duplication, reordering and delay, and takes refusals back to callers.
+// Package fabricsim is a stand-in for the platform's fabric. It forwards each packet of a client to
+// a random balancer of the machine list, with loss, duplication, reordering and delay, and forwards
+// the balancers' refusals to the clients.
 package fabricsim
 
 import (
@@ -19,36 +19,36 @@
 	"robinpulley.example/robinpulley/internal/packet"
 )
 
-// Faults say how the fabric misbehaves; the zero value passes everything at once.
+// Faults configures how the fabric fails. With the zero value it forwards every packet immediately.
 type Faults struct {
 	Loss      int `json:"loss"`      // thousandths
 	Duplicate int `json:"duplicate"` // thousandths
-	Reorder   int `json:"reorder"`   // thousandths, held for ReorderMicros
-	// ReorderMicros is how long a reordered packet is held, in microseconds.
+	Reorder   int `json:"reorder"`   // thousandths, delayed by ReorderMicros
+	// ReorderMicros is the additional delay of a reordered packet, in microseconds.
 	ReorderMicros int `json:"reorder_us"`
 	// DelayMicros is the delay to the balancers of each zone, in microseconds.
 	DelayMicros map[lb.Zone]int `json:"delay_us"`
-	// Cut lists zones that get no packets.
+	// Cut lists the zones whose balancers get no packets.
 	Cut []lb.Zone `json:"cut"`
-	// LeavingMillis is how long a leaving balancer still gets packets.
+	// LeavingMillis is the time for which a leaving balancer still gets packets, in milliseconds.
 	LeavingMillis int `json:"leaving_ms"`
 }
 
-// Counters count packets.
+// Counters holds the fabric's packet counters.
 type Counters struct {
-	Sprayed  int `json:"sprayed"`
-	Lost     int `json:"lost"` // by the settings, or with no balancer known
-	Refusals int `json:"refusals"`
+	Forwarded  int `json:"sprayed"`  // forwarded to a balancer
+	Lost     int `json:"lost"`     // by a fault, or because there was no balancer
+	Refusals int `json:"refusals"` // forwarded to a client
 }
 
-// Fabric sprays packets. All methods may be called from several goroutines.
+// Fabric forwards packets. Its methods may be called from several goroutines.
 type Fabric struct {
 	mutex        sync.Mutex
 	random       *rand.Rand
 	send         wire.Sender
 	faults       Faults
 	targets      []target
-	leavingSince map[lb.NodeID]time.Time // first seen as leaving
+	leavingSince map[lb.NodeID]time.Time // when the machine list first showed the node as leaving
 	counters     Counters
 }
 
@@ -58,7 +58,7 @@
 	data netip.AddrPort
 }
 
-// New gives a fabric without balancers. The seed decides every random choice.
+// New returns a fabric without balancers. The seed determines every random choice.
 func New(faults Faults, seed uint64, send wire.Sender) *Fabric {
 	return &Fabric{
 		random:       rand.New(rand.NewPCG(seed, seed)),
@@ -68,7 +68,7 @@
 	}
 }
 
-// SetMachines takes the machine list as the platform now gives it.
+// SetMachines replaces the balancers by those on the platform's present machine list.
 func (fabric *Fabric) SetMachines(now time.Time, machines []storesim.Machine) {
 	fabric.mutex.Lock()
 	defer fabric.mutex.Unlock()
@@ -82,6 +82,8 @@
 	}
 }
 
+// receivesPackets reports whether a machine gets packets, which a leaving one does only for a grace
+// period.
 func (fabric *Fabric) receivesPackets(now time.Time, machine storesim.Machine) bool {
 	if !machine.Leaving {
 		delete(fabric.leavingSince, machine.Node)
@@ -90,12 +92,11 @@
 	if _, seen := fabric.leavingSince[machine.Node]; !seen {
 		fabric.leavingSince[machine.Node] = now
 	}
-	grace := time.Duration(fabric.faults.LeavingMillis) * time.Millisecond
-	return now.Sub(fabric.leavingSince[machine.Node]) < grace
+	gracePeriod := time.Duration(fabric.faults.LeavingMillis) * time.Millisecond
+	return now.Sub(fabric.leavingSince[machine.Node]) < gracePeriod
 }
 
-// Receive takes a datagram: a refusal from a balancer goes to its caller,
-// anything else to a balancer.
+// Receive forwards a datagram: a refusal by a balancer to the client, anything else to a balancer.
 func (fabric *Fabric) Receive(datagram []byte) {
 	var decoded packet.Packet
 	if packet.Decode(datagram, &decoded) == nil && decoded.Refusal.Verdict != 0 {
@@ -132,7 +133,7 @@
 		fabric.counters.Lost++
 		return
 	}
-	fabric.counters.Sprayed++
+	fabric.counters.Forwarded++
 	delay := time.Duration(fabric.faults.DelayMicros[chosen.zone]) * time.Microsecond
 	if fabric.chance(fabric.faults.Reorder) {
 		delay += time.Duration(fabric.faults.ReorderMicros) * time.Microsecond
@@ -141,11 +142,11 @@
 		fabric.send(chosen.data, datagram)
 		return
 	}
-	held := bytes.Clone(datagram)
-	time.AfterFunc(delay, func() { fabric.send(chosen.data, held) })
+	delayed := bytes.Clone(datagram)
+	time.AfterFunc(delay, func() { fabric.send(chosen.data, delayed) })
 }
 
-// Handler serves GET /counters, and GET and PUT /faults.
+// Handler returns a handler for GET /counters, and GET and PUT /faults.
 func (fabric *Fabric) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /counters", func(response http.ResponseWriter, _ *http.Request) {
--- a/internal/lab/stream/stream.go
+++ b/internal/lab/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream is a small TCP endpoint for the stand-ins: opening with data
-// (as in TCP Fast Open, RFC 7413), cumulative acknowledgements, retransmission
-// with a fixed timer and in-order delivery. It has no congestion control.
+// Package stream implements a small TCP endpoint for the stand-ins. It supports openings with data
+// (as in TCP Fast Open, RFC 7413), cumulative acknowledgements, retransmission with a fixed timer
+// and in-order delivery. It has no congestion control.
 package stream
 
 import (
@@ -17,7 +17,7 @@
 	MaxPayload               = 1000 // bytes in one segment
 	maxInFlightSegments      = 32   // segments
 	retransmitDelay          = 200 * time.Millisecond
-	maxRetransmittedSegments = 4 // segments sent again at once
+	maxRetransmittedSegments = 4 // per retransmission
 )
 
 // State is the state of an endpoint.
@@ -27,22 +27,23 @@
 const (
 	Opening State = iota
 	Established
-	Reset // by the other end
+	Reset // by the remote end
 )
 
-// Endpoint is one end of a flow. Its methods give segments to Output.
+// Endpoint is one end of a flow. Its methods queue the segments that are to be sent, and Output
+// returns them.
 type Endpoint struct {
 	Local  netip.AddrPort
 	Remote netip.AddrPort
 	State  State
-	// Progress is when the other end last acknowledged or sent something new.
+	// Progress is the time at which the remote end last acknowledged or sent something new.
 	Progress time.Time
 
 	unacked        uint32 // sequence number of the first byte of pending
-	pending        []byte // not yet acknowledged
-	sentBytes      int    // bytes of pending sent before
-	openingUnacked bool   // our SYN is not acknowledged
-	closing        bool   // FIN follows pending
+	pending        []byte // data not yet acknowledged
+	sentBytes      int    // bytes of pending that were sent
+	openingUnacked bool   // the SYN of this end is not acknowledged
+	closing        bool   // a FIN follows after pending
 	finSent        bool
 	finAcked       bool
 
@@ -55,7 +56,7 @@
 	output       []wire.Segment
 }
 
-// Dial opens a flow; data up to MaxPayload travels on the opening.
+// Dial opens a flow. The data, at most MaxPayload bytes, is sent with the opening.
 func Dial(now time.Time, local, remote netip.AddrPort, initial uint32, data []byte) *Endpoint {
 	endpoint := newEndpoint(now, local, remote, initial)
 	endpoint.initiator = true
@@ -65,7 +66,7 @@
 	return endpoint
 }
 
-// Accept answers an opening and delivers the data on it.
+// Accept answers an opening and returns the data on it.
 func Accept(now time.Time, opening *wire.Segment, initial uint32) (*Endpoint, []byte) {
 	endpoint := newEndpoint(now, opening.Destination, opening.Source, initial)
 	endpoint.State = Established
@@ -85,49 +86,49 @@
 	}
 }
 
-// Output gives the segments to send and forgets them.
+// Output returns the segments to send and removes them from the endpoint.
 func (endpoint *Endpoint) Output() []wire.Segment {
 	output := endpoint.output
 	endpoint.output = nil
 	return output
 }
 
-// Send queues data behind what was sent before.
+// Send queues data after the data queued before.
 func (endpoint *Endpoint) Send(now time.Time, data []byte) {
 	endpoint.pending = append(endpoint.pending, data...)
 	endpoint.flush(now)
 }
 
-// Close ends this direction after the data queued.
+// Close closes this direction of the flow after the queued data.
 func (endpoint *Endpoint) Close(now time.Time) {
 	endpoint.closing = true
 	endpoint.flush(now)
 }
 
-// Abort gives up the flow and tells the other end.
+// Abort resets the flow.
 func (endpoint *Endpoint) Abort() {
 	endpoint.emit(packet.FlagRST|packet.FlagACK, endpoint.unacked, nil)
 }
 
-// AllAcknowledged tells whether everything sent is acknowledged.
+// AllAcknowledged reports whether everything queued was sent and acknowledged.
 func (endpoint *Endpoint) AllAcknowledged() bool {
 	return !endpoint.openingUnacked && len(endpoint.pending) == 0 && (!endpoint.closing || endpoint.finAcked)
 }
 
-// RemoteClosed tells whether the other end has sent all and closed.
+// RemoteClosed reports whether the remote end has closed its direction and all its data has arrived.
 func (endpoint *Endpoint) RemoteClosed() bool { return endpoint.finReceived }
 
-// Finished tells whether both directions are closed and acknowledged.
+// Finished reports whether both directions are closed and acknowledged.
 func (endpoint *Endpoint) Finished() bool { return endpoint.finReceived && endpoint.finAcked }
 
-// Receive takes one segment and gives the data that is now in order.
+// Receive handles one segment and returns the data that is now in order.
 func (endpoint *Endpoint) Receive(now time.Time, segment *packet.Segment) []byte {
 	if segment.Flags.Has(packet.FlagRST) {
 		endpoint.State = Reset
 		return nil
 	}
 	if segment.Flags.Has(packet.FlagSYN) && !endpoint.openingUnacked {
-		endpoint.sendAcknowledgement() // a retransmitted SYN, or SYN with ACK
+		endpoint.sendAcknowledgement() // a retransmitted SYN or SYN-ACK
 		return nil
 	}
 	if segment.Flags.Has(packet.FlagSYN) && endpoint.initiator {
@@ -137,7 +138,7 @@
 		endpoint.State = Established
 		endpoint.nextExpected = segment.Sequence + 1
 	} else if segment.Flags.Has(packet.FlagSYN) {
-		endpoint.sendOpening(now) // our SYN with ACK was lost
+		endpoint.sendOpening(now) // the SYN-ACK of this end was lost
 		return nil
 	}
 	if endpoint.State == Opening {
@@ -155,7 +156,7 @@
 	return delivered
 }
 
-// Tick retransmits what has waited too long.
+// Tick retransmits unacknowledged segments when the retransmission timer has expired.
 func (endpoint *Endpoint) Tick(now time.Time) {
 	if endpoint.State == Reset || endpoint.AllAcknowledged() || now.Before(endpoint.retransmitAt) {
 		return
@@ -182,7 +183,7 @@
 	endpoint.emit(packet.FlagSYN|packet.FlagACK, endpoint.unacked-1, nil)
 }
 
-// flush sends what is queued and fits the window.
+// flush sends the queued data that fits in the window, and the FIN after all data.
 func (endpoint *Endpoint) flush(now time.Time) {
 	if endpoint.openingUnacked || endpoint.State != Established {
 		return
@@ -221,7 +222,7 @@
 	endpoint.output = append(endpoint.output, segment)
 }
 
-// receiveAcknowledgement takes a cumulative acknowledgement.
+// receiveAcknowledgement applies a cumulative acknowledgement.
 func (endpoint *Endpoint) receiveAcknowledgement(now time.Time, upTo uint32) {
 	advance := int(int32(upTo - endpoint.unacked))
 	limit := endpoint.sentBytes
@@ -249,7 +250,7 @@
 	}
 }
 
-// reassemble keeps a segment and gives the data that is now in order.
+// reassemble stores a segment and returns the data that is now in order.
 func (endpoint *Endpoint) reassemble(now time.Time, segment packet.Segment) []byte {
 	if int32(segment.Sequence-endpoint.nextExpected) >= 0 && !segment.Flags.Has(packet.FlagSYN) {
 		endpoint.outOfOrder[segment.Sequence] = segment
--- a/internal/lab/wire/message.go
+++ b/internal/lab/wire/message.go
@@ -10,56 +10,57 @@
 
 // The kinds of requests.
 const (
-	KindTap       Kind = "tap"    // short, must not run twice
-	KindUpload    Kind = "upload" // many segments, must land whole
-	KindFeed      Kind = "feed"   // long, the host pushes
+	KindTap       Kind = "tap"    // short; must not run twice
+	KindUpload    Kind = "upload" // many segments; must arrive completely
+	KindFeed      Kind = "feed"   // long-lived; the host sends pushes
 	KindKeepalive Kind = "keep"   // client keepalive on a feed
 )
 
-// Request is one line from a caller. On UDP it is one datagram.
+// Request is a message from a client to a host: one line of a TCP flow, or one UDP datagram.
 type Request struct {
-	ID             string `json:"id"` // unique for each try
+	ID             string `json:"id"` // unique for each attempt
 	Kind           Kind   `json:"kind"`
-	DeadlineMillis int    `json:"deadline_ms,omitempty"` // from arrival; 0 is none
+	DeadlineMillis int    `json:"deadline_ms,omitempty"` // from the arrival at the host; 0 means no deadline
 	Body           []byte `json:"body,omitempty"`
 }
 
-// Answer is one line from a host.
+// Answer is a message from a host to a client: one line of a TCP flow, or one UDP datagram.
 type Answer struct {
 	ID      string `json:"id"`
 	Host    string `json:"host"`
 	Service string `json:"service"`
-	Push    int    `json:"push,omitempty"`
-	// Length and Hash (xxhash64) are of the request's body as received.
+	Push    int    `json:"push,omitempty"` // sequence number of a push on a feed
+	// Length and Hash (xxhash64) describe the request's body as the host received it.
 	Length int    `json:"length,omitempty"`
 	Hash   uint64 `json:"hash,omitempty"`
-	// NotRun: refused by the host before it ran, come back after RetryMillis.
+	// NotRun means that the host rejected the request before it ran. The client should retry it
+	// after RetryMillis.
 	NotRun      bool `json:"not_run,omitempty"`
 	RetryMillis int  `json:"retry_ms,omitempty"`
 }
 
-// EncodeLine gives a message as one JSON line.
+// EncodeLine returns a message as one line of JSON.
 func EncodeLine(message any) []byte {
 	line, err := json.Marshal(message)
 	if err != nil {
-		panic(err) // the messages above always encode
+		panic(err) // can't happen: Request and Answer can always be encoded
 	}
 	return append(line, '\n')
 }
 
-// LineReader collects a stream's bytes and gives its whole lines.
+// LineReader splits the bytes of a stream into lines.
 type LineReader struct{ pending []byte }
 
-// Add appends bytes and gives the lines that are now whole.
-func (lines *LineReader) Add(data []byte) [][]byte {
-	lines.pending = append(lines.pending, data...)
-	var whole [][]byte
+// Add appends bytes of the stream and returns the lines that are complete now.
+func (reader *LineReader) Add(data []byte) [][]byte {
+	reader.pending = append(reader.pending, data...)
+	var complete [][]byte
 	for {
-		end := bytes.IndexByte(lines.pending, '\n')
+		end := bytes.IndexByte(reader.pending, '\n')
 		if end < 0 {
-			return whole
+			return complete
 		}
-		whole = append(whole, bytes.Clone(lines.pending[:end]))
-		lines.pending = lines.pending[end+1:]
+		complete = append(complete, bytes.Clone(reader.pending[:end]))
+		reader.pending = reader.pending[end+1:]
 	}
 }
--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -1,9 +1,9 @@
-// Package wire builds and sends the packets of the stand-ins: TCP segments and
-// UDP datagrams in inner IP packets, in Geneve over UDP.
+// Package wire encodes and sends the packets of the stand-ins: TCP segments and UDP datagrams in
+// inner IP packets, which are encapsulated in Geneve over UDP.
 //
-// Hosts answer callers directly, so they must find the socket of a caller by
-// its inner address. The rule: a caller process uses inner addresses whose
-// last two bytes are the UDP port of its socket on 127.0.0.1.
+// Hosts answer clients directly, so they must derive the socket of a client from its inner address.
+// Therefore a client process uses inner addresses whose last two bytes are the UDP port of its
+// socket on 127.0.0.1.
 package wire
 
 import (
@@ -27,7 +27,7 @@
 	window     = 65535
 )
 
-// Segment is one TCP segment or UDP datagram between a caller and a service.
+// Segment is one TCP segment or UDP datagram between a client and a service.
 type Segment struct {
 	Source      netip.AddrPort
 	Destination netip.AddrPort
@@ -35,7 +35,7 @@
 	packet.Segment
 }
 
-// SegmentOf gives the segment in a decoded packet; its payload is a copy.
+// SegmentOf returns the segment in a decoded packet. Its payload is a copy.
 func SegmentOf(decoded *packet.Packet) Segment {
 	segment := Segment{
 		Source:      decoded.Source(),
@@ -47,7 +47,7 @@
 	return segment
 }
 
-// Encode gives the segment in an inner IP packet in Geneve.
+// Encode returns the segment in an inner IP packet that is encapsulated in Geneve.
 func Encode(segment *Segment) ([]byte, error) {
 	inner, err := encodeInner(segment)
 	if err != nil {
@@ -101,15 +101,15 @@
 	return tcp, tcp.SetNetworkLayerForChecksum(network)
 }
 
-// ClientSocket gives the UDP address of the caller process that uses the inner address.
+// ClientSocket returns the UDP address of the client process that uses the inner address.
 func ClientSocket(inner netip.Addr) netip.AddrPort {
 	bytes := inner.As16()
 	port := binary.BigEndian.Uint16(bytes[14:])
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 }
 
-// ClientAddress gives the inner address number index of the caller process
-// whose socket has the port: 10.index.PORT for IPv4, fd00::index:PORT for IPv6.
+// ClientAddress returns an inner address of the client process whose socket has the port. The index
+// selects one of its addresses: 10.index.PORT for IPv4, fd00::index:PORT for IPv6.
 func ClientAddress(port uint16, index uint8, ipv6 bool) netip.Addr {
 	if ipv6 {
 		var address [16]byte
@@ -123,10 +123,11 @@
 	return netip.AddrFrom4(address)
 }
 
-// Sender sends a datagram to an address. Errors of the network are loss.
+// Sender sends a datagram to an address. Network errors count as packet loss.
 type Sender func(to netip.AddrPort, datagram []byte)
 
-// Serve reads datagrams from the socket until it is closed.
+// Serve reads datagrams from the socket and passes them to handle until the socket is closed. The
+// datagram is valid only until handle returns.
 func Serve(socket *net.UDPConn, handle func(datagram []byte)) {
 	buffer := make([]byte, MaxDatagram)
 	for {
@@ -140,9 +141,9 @@
 	}
 }
 
-// SocketSender sends by the socket.
+// SocketSender returns a sender that uses the socket.
 func SocketSender(socket *net.UDPConn) Sender {
 	return func(to netip.AddrPort, datagram []byte) {
-		_, _ = socket.WriteToUDPAddrPort(datagram, to) // a lost datagram is sent again by its flow
+		_, _ = socket.WriteToUDPAddrPort(datagram, to) // the flow retransmits a lost datagram
 	}
 }
