--- a/internal/lab/cluster/load.go
+++ b/internal/lab/cluster/load.go
@@ -8,8 +8,8 @@
 	"slices"
 
 	"robinpulley.example/robinpulley/internal/catalog"
-	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/check"
+	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/hostsim"
 	"robinpulley.example/robinpulley/internal/lb"
 )
--- a/internal/lab/fabricsim/fabric.go
+++ b/internal/lab/fabricsim/fabric.go
@@ -36,9 +36,9 @@
 
 // Counters holds the fabric's packet counters.
 type Counters struct {
-	Forwarded  int `json:"sprayed"`  // forwarded to a balancer
-	Lost     int `json:"lost"`     // by a fault, or because there was no balancer
-	Refusals int `json:"refusals"` // forwarded to a client
+	Forwarded int `json:"sprayed"`  // forwarded to a balancer
+	Lost      int `json:"lost"`     // by a fault, or because there was no balancer
+	Refusals  int `json:"refusals"` // forwarded to a client
 }
 
 // Fabric forwards packets. Its methods may be called from several goroutines.
--- a/internal/lab/runs/demo.go
+++ b/internal/lab/runs/demo.go
@@ -10,8 +10,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/check"
+	"robinpulley.example/robinpulley/internal/lab/clientsim"
 	"robinpulley.example/robinpulley/internal/lab/cluster"
 	"robinpulley.example/robinpulley/internal/lb"
 )
--- a/internal/lab/surge/run.go
+++ b/internal/lab/surge/run.go
@@ -41,7 +41,7 @@
 	queue []job
 }
 
-// job is a request that a host serves or has queued.
+// job is a request that a host serves or has in its queue.
 type job struct {
 	work time.Duration
 	done func(ran bool)
@@ -295,7 +295,7 @@
 }
 
 // scheduleRequest schedules the next request of a class after a random, exponentially distributed
-// time. The request schedules the one after it.
+// time. When that request starts, it schedules the next one in turn.
 func (s *simulation) scheduleRequest(class int) {
 	load := s.scenario.Load(s.now)
 	wait := time.Duration(s.random.ExpFloat64() / (s.scenario.Classes[class].Rate * max(load, 0.01)) * float64(time.Second))
