--- a/internal/lab/hostsim/report.go
+++ b/internal/lab/hostsim/report.go
@@ -31,11 +31,11 @@
 
 // HealthFaults configures how the endpoint gives wrong, late or no responses.
 type HealthFaults struct {
-	Drain   bool `json:"drain"`    // report unhealthy, but keep serving
-	Lie     bool `json:"lie"`      // always report healthy and idle
-	Down    bool `json:"down"`     // respond with an error
-	LagMs   int  `json:"lag_ms"`   // maximum age of the reported values
-	DelayMs int  `json:"delay_ms"` // delay of each response
+	Drain       bool `json:"drain"`    // report unhealthy, but keep serving
+	Lie         bool `json:"lie"`      // always report healthy and idle
+	Down        bool `json:"down"`     // respond with an error
+	LagMillis   int  `json:"lag_ms"`   // maximum age of the reported values
+	DelayMillis int  `json:"delay_ms"` // delay of each response
 }
 
 // healthState holds the present faults and the cached health.
@@ -64,7 +64,7 @@
 	if faults.Lie {
 		return Health{Healthy: true}
 	}
-	lag := time.Duration(faults.LagMs) * time.Millisecond
+	lag := time.Duration(faults.LagMillis) * time.Millisecond
 	if host.health.cachedAt.IsZero() || now.Sub(host.health.cachedAt) >= lag {
 		load := max(len(host.jobs)*1000/host.settings.Slots, len(host.flows)*1000/host.settings.Conns)
 		host.health.cached = Health{Healthy: !faults.Drain, Load: min(load, 1000)}
@@ -82,7 +82,7 @@
 		host.mutex.Lock()
 		faults := host.health.faults
 		host.mutex.Unlock()
-		time.Sleep(time.Duration(faults.DelayMs) * time.Millisecond)
+		time.Sleep(time.Duration(faults.DelayMillis) * time.Millisecond)
 		if faults.Down {
 			http.Error(response, "down", http.StatusServiceUnavailable)
 			return
