--- a/internal/lab/hostsim/report.go
+++ b/internal/lab/hostsim/report.go
@@ -7,56 +7,56 @@
 	"time"
 )
 
-// Report is what the host has seen since its start.
+// Report holds the host's counters since its start.
 type Report struct {
 	Host         string           `json:"host"`
 	Service      string           `json:"service"`
-	Runs         map[string]int   `json:"runs"`     // times each request ran
-	Openings     map[string]int64 `json:"openings"` // when each flow opened (Unix ms), by caller's address
+	Runs         map[string]int   `json:"runs"`     // number of runs, by request id
+	Openings     map[string]int64 `json:"openings"` // Unix time in ms at which each flow opened, by client address
 	WrongService int              `json:"wrong_service"`
-	Resets       int              `json:"resets"` // packets of unknown flows
+	Resets       int              `json:"resets"` // packets of unknown flows that were answered with a reset
 	Shed         int              `json:"shed"`
 	Expired      int              `json:"expired"`
 	Cancelled    int              `json:"cancelled"`
 	Malformed    int              `json:"malformed"`
-	Flows        int              `json:"flows"` // open now
+	Flows        int              `json:"flows"` // number of present flows
 }
 
-// Health is the answer of the health and load endpoint.
+// Health is the response of the health and load endpoint.
 type Health struct {
-	Healthy bool `json:"healthy"`
-	Load    int  `json:"load"`   // thousandths of capacity
-	AgeMs   int  `json:"age_ms"` // how old the values are
+	Healthy   bool `json:"healthy"`
+	Load      int  `json:"load"`   // thousandths of capacity
+	AgeMillis int  `json:"age_ms"` // age of the values
 }
 
-// HealthFaults say how the endpoint misleads.
+// HealthFaults configures how the endpoint gives wrong, late or no responses.
 type HealthFaults struct {
-	Drain   bool `json:"drain"`    // says unhealthy, serves on
-	Lie     bool `json:"lie"`      // says healthy and idle whatever the truth is
-	Down    bool `json:"down"`     // answers an error
-	LagMs   int  `json:"lag_ms"`   // serves values this old
-	DelayMs int  `json:"delay_ms"` // answers late
+	Drain       bool `json:"drain"`    // report unhealthy, but keep serving
+	Lie         bool `json:"lie"`      // always report healthy and idle
+	Down        bool `json:"down"`     // respond with an error
+	LagMillis   int  `json:"lag_ms"`   // maximum age of the reported values
+	DelayMillis int  `json:"delay_ms"` // delay of each response
 }
 
-// healthState is the faults and the last value served.
+// healthState holds the present faults and the cached health.
 type healthState struct {
-	faults  HealthFaults
-	kept    Health
-	takenAt time.Time
+	faults   HealthFaults
+	cached   Health
+	cachedAt time.Time
 }
 
-// Report gives a copy of what the host has seen.
+// Report returns a copy of the host's report.
 func (host *Host) Report() Report {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	report := host.record
-	report.Runs = maps.Clone(host.record.Runs)
-	report.Openings = maps.Clone(host.record.Openings)
+	report := host.report
+	report.Runs = maps.Clone(host.report.Runs)
+	report.Openings = maps.Clone(host.report.Openings)
 	report.Flows = len(host.flows)
 	return report
 }
 
-// Health gives health and load, as the faults have it.
+// Health returns the health and load that the host reports under the present faults.
 func (host *Host) Health(now time.Time) Health {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
@@ -64,25 +64,25 @@
 	if faults.Lie {
 		return Health{Healthy: true}
 	}
-	lag := time.Duration(faults.LagMs) * time.Millisecond
-	if host.health.takenAt.IsZero() || now.Sub(host.health.takenAt) >= lag {
+	lag := time.Duration(faults.LagMillis) * time.Millisecond
+	if host.health.cachedAt.IsZero() || now.Sub(host.health.cachedAt) >= lag {
 		load := max(len(host.jobs)*1000/host.settings.Slots, len(host.flows)*1000/host.settings.Conns)
-		host.health.kept = Health{Healthy: !faults.Drain, Load: min(load, 1000)}
-		host.health.takenAt = now
+		host.health.cached = Health{Healthy: !faults.Drain, Load: min(load, 1000)}
+		host.health.cachedAt = now
 	}
-	served := host.health.kept
-	served.AgeMs = int(now.Sub(host.health.takenAt).Milliseconds())
+	served := host.health.cached
+	served.AgeMillis = int(now.Sub(host.health.cachedAt).Milliseconds())
 	return served
 }
 
-// Handler serves GET /health, GET /report and PUT /faults.
+// Handler returns a handler for GET /health, GET /report and PUT /faults.
 func (host *Host) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /health", func(response http.ResponseWriter, _ *http.Request) {
 		host.mutex.Lock()
 		faults := host.health.faults
 		host.mutex.Unlock()
-		time.Sleep(time.Duration(faults.DelayMs) * time.Millisecond)
+		time.Sleep(time.Duration(faults.DelayMillis) * time.Millisecond)
 		if faults.Down {
 			http.Error(response, "down", http.StatusServiceUnavailable)
 			return
