--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -13,84 +13,85 @@
 	"robinpulley.example/robinpulley/internal/lab/platformsim"
 )
 
-// Rule names a promise.
+// Rule identifies a guarantee that the checker verifies.
 type Rule string
 
-// The promises that are checked.
+// The guarantees that are verified.
 const (
-	RuleFlow    Rule = "flow"    // an open flow is not reset, moved or left without an answer while its host lives
-	RuleOnce    Rule = "once"    // a request runs once at most, and only if it was sent
-	RuleRoute   Rule = "route"   // a request runs at a service that its front end named at some time
-	RuleMixed   Rule = "mixed"   // an answer belongs to its request
-	RuleForged  Rule = "forged"  // packets arrive as they were sent
-	RuleDrain   Rule = "drain"   // a draining host gets nothing new after Bounds.Change
-	RuleZone    Rule = "zone"    // hosts of an evacuated zone get nothing new after Bounds.Change
-	RuleCold    Rule = "cold"    // a host that has just started gets no more than Bounds.ColdOpenings in any second
-	RuleChange  Rule = "change"  // a change is in force after Bounds.Change and never reverts
-	RuleOpen    Rule = "open"    // an opening is answered, unless a fault has just been there
-	RuleNotRun  Rule = "not-run" // an opening that a balancer refused reaches no host
-	RuleCrowd   Rule = "crowd"   // next to nothing is refused for load Bounds.Settle after a crowd has gone
-	RuleRecover Rule = "recover" // all is served again after Bounds.Recovery
-	RuleExit    Rule = "exit"    // no balancer ends by itself
+	RuleFlow         Rule = "flow"    // an open flow is not reset, moved or left without an answer while its host runs
+	RuleRunOnce      Rule = "once"    // a request runs at most once, and only if a client sent it
+	RuleRoute        Rule = "route"   // a request runs at a service to which its front end was routed at some time
+	RuleMixedAnswers Rule = "mixed"   // the answer that a client receives belongs to its request
+	RuleForged       Rule = "forged"  // packets arrive as they were sent, and no opening arrives without a token
+	RuleDrain        Rule = "drain"   // a draining host receives no opening later than Bounds.ChangeLimit
+	RuleZone         Rule = "zone"    // a host in an evacuated zone receives no opening later than Bounds.ChangeLimit
+	RuleCold         Rule = "cold"    // a host in its cold start receives at most Bounds.ColdOpeningsPerSecond in any second
+	RuleChange       Rule = "change"  // a route change is in force after Bounds.ChangeLimit and never reverts
+	RuleOpen         Rule = "open"    // an opening is answered, unless a recent fault explains the loss
+	RuleNotRun       Rule = "not-run" // an opening that a balancer refused reaches no host
+	RuleSurge        Rule = "crowd"   // almost no opening is refused for load later than Bounds.SurgeSettleTime after a surge
+	RuleRecover      Rule = "recover" // all openings are served within Bounds.RecoveryLimit after the last fault
+	RuleNodeExit     Rule = "exit"    // a balancer exits with code 0 when it is stopped as planned
 )
 
-// Violation is a promise that was not kept.
+// Violation is one observed breach of a guarantee.
 type Violation struct {
 	At     time.Time
 	Rule   Rule
 	Detail string
 }
 
-// Version is one state of the routes.
+// Version is one version of the routing configuration.
 type Version struct {
 	Number int
-	At     time.Time                 // when the store took it
+	At     time.Time                 // when the store accepted it
 	Routes map[netip.AddrPort]string // service by front end
 }
 
-// Opening is how a caller's try to open a flow went.
+// Opening is the outcome of a client's attempt to open a flow.
 type Opening struct {
-	Front  netip.AddrPort
-	SentAt time.Time
-	Node   netip.AddrPort // that the only copy went to
-	Copies int            // sent besides the first
-	Caller netip.AddrPort // the caller's end of the flow
-	// ByNode: it was a balancer that refused it.
-	ByNode bool
-	// Service is that of the host that answered; empty: it was refused.
+	Frontend    netip.AddrPort
+	SentAt      time.Time
+	Node        netip.AddrPort // the node that received the last copy
+	ExtraCopies int            // copies that were sent after the first one
+	Client      netip.AddrPort // the client's address of the flow
+	// RefusedByNode reports whether a balancer, and not a host, refused the opening.
+	RefusedByNode bool
+	// Service is the service of the host that answered. It is empty if the opening was refused.
 	Service string
 }
 
-// Checker holds what was seen against the promises. It is safe for concurrent use.
+// Checker verifies the guarantees against the events that clients and hosts report. It is safe for
+// concurrent use.
 type Checker struct {
 	bounds Bounds
 
-	mutex      sync.Mutex
-	violations []Violation
-	checked    Checked
-	versions   []Version
-	sent       map[uint64]netip.AddrPort // requests, and their front ends
-	ran        map[uint64]string         // requests, and the hosts that ran them
-	drained    map[string]time.Time      // hosts, and when the store took that they drain
-	evacuated  map[string]time.Time      // zones, and when the store took that they are evacuated
-	disturbed  map[netip.AddrPort]time.Time
-	disturbing map[netip.AddrPort]int // faults under way
-	cold       map[string][]time.Time // openings of hosts that have just started, in the last second
-	gone       map[string]bool        // hosts that crash, fall silent or end
-	lastGone   time.Time
-	crowds     int                          // under way
-	crowdGone  time.Time                    // when the last one had gone
-	calm       *calm                        // under way; nil: none
-	calms      []*calm                      // all
-	reached    map[netip.AddrPort]time.Time // callers' ends of flows, and when an opening of theirs last reached a host
-	refused    map[netip.AddrPort]time.Time // and when one was refused
-	unopened   map[Cause]int
-}
-
-// Cause is what may have kept an opening from being answered.
+	mutex              sync.Mutex
+	violations         []Violation
+	checked            Checked
+	versions           []Version
+	sentRequests       map[uint64]netip.AddrPort    // front end by request
+	executedRequests   map[uint64]string            // host that ran it, by request
+	drainingSince      map[string]time.Time         // by host: when the store accepted the draining state
+	evacuatedSince     map[string]time.Time         // by zone: when the store accepted the evacuation
+	disturbanceEnds    map[netip.AddrPort]time.Time // by node: when the last fault ended
+	activeDisturbances map[netip.AddrPort]int       // active faults by node
+	coldOpenings       map[string][]time.Time       // by host in its cold start: openings in the last second
+	stoppedHosts       map[string]bool              // hosts that no longer serve their flows
+	lastHostFault      time.Time                    // when a host last stopped or stalled
+	activeSurges       int
+	lastSurgeEnd       time.Time
+	currentQuiet       *quietWindow                 // nil outside of quiet windows
+	quietWindows       []*quietWindow               // all, including the current one
+	reachedHostAt      map[netip.AddrPort]time.Time // by client address: when an opening last reached a host
+	refusedAt          map[netip.AddrPort]time.Time // by client address: when an opening was last refused
+	unanswered         map[Cause]int
+}
+
+// Cause is the most likely reason why an opening was not answered.
 type Cause string
 
-// The causes, the nearest first.
+// The causes, in the order in which they are considered.
 const (
 	CauseNode  Cause = "its node was disturbed"
 	CauseOther Cause = "another node was disturbed"
@@ -98,183 +99,185 @@
 	CauseNone  Cause = "no known cause"
 )
 
-// NewChecker gives a checker that has seen nothing.
+// NewChecker returns a checker without any recorded events.
 func NewChecker(bounds Bounds) *Checker {
 	return &Checker{
-		bounds:     bounds,
-		sent:       make(map[uint64]netip.AddrPort),
-		ran:        make(map[uint64]string),
-		drained:    make(map[string]time.Time),
-		evacuated:  make(map[string]time.Time),
-		disturbed:  make(map[netip.AddrPort]time.Time),
-		disturbing: make(map[netip.AddrPort]int),
-		cold:       make(map[string][]time.Time),
-		gone:       make(map[string]bool),
-		reached:    make(map[netip.AddrPort]time.Time),
-		refused:    make(map[netip.AddrPort]time.Time),
-		unopened:   make(map[Cause]int),
+		bounds:             bounds,
+		sentRequests:       make(map[uint64]netip.AddrPort),
+		executedRequests:   make(map[uint64]string),
+		drainingSince:      make(map[string]time.Time),
+		evacuatedSince:     make(map[string]time.Time),
+		disturbanceEnds:    make(map[netip.AddrPort]time.Time),
+		activeDisturbances: make(map[netip.AddrPort]int),
+		coldOpenings:       make(map[string][]time.Time),
+		stoppedHosts:       make(map[string]bool),
+		reachedHostAt:      make(map[netip.AddrPort]time.Time),
+		refusedAt:          make(map[netip.AddrPort]time.Time),
+		unanswered:         make(map[Cause]int),
 	}
 }
 
-// Violations gives what was found so far.
+// Violations returns the violations found so far.
 func (c *Checker) Violations() []Violation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// Checked counts the checks of the promises that are bound to a time.
+// Checked counts how often each guarantee with a time limit was verified.
 type Checked struct {
-	Routes int // openings whose node was in touch, while a route had to be in force
-	Drains int // openings whose node was in touch, while a host had drained for long
-	// Evacuations are openings whose node was in touch, while a zone had been evacuated for long.
+	Routes int // openings through an undisturbed node, while a route had to be in force
+	Drains int // openings through an undisturbed node, while the draining of a host had to be in force
+	// Evacuations counts openings through an undisturbed node, while the evacuation of a zone had
+	// to be in force.
 	Evacuations int
-	// Cold are openings at hosts that had just started.
-	Cold int
-	// Refusals are those of a balancer to the only copy of an opening.
+	// ColdOpenings counts openings at hosts in their cold start.
+	ColdOpenings int
+	// Refusals counts openings with a single copy that a balancer refused.
 	Refusals int
-	// Crowded are refusals while there was a crowd, and Settled openings after one had gone
-	// for long enough.
-	Crowded, Settled int
-	// Chance are refusals for load while nobody crowded.
-	Chance int
+	// DuringSurge counts refusals during a surge or soon after it. AfterSurge counts openings in
+	// the quiet windows that follow a surge.
+	DuringSurge, AfterSurge int
+	// QuietLoadRefusals counts refusals for load in quiet windows.
+	QuietLoadRefusals int
 }
 
-// Checked gives how often promises were checked that hold for nodes in touch only.
+// Checked returns how often each guarantee with a time limit was verified.
 func (c *Checker) Checked() Checked {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.checked
 }
 
-// Report notes a violation.
-func (c *Checker) Report(now time.Time, rule Rule, format string, values ...any) {
+// AddViolation records a violation.
+func (c *Checker) AddViolation(now time.Time, rule Rule, format string, values ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.report(now, rule, format, values...)
+	c.addViolation(now, rule, format, values...)
 }
 
-func (c *Checker) report(now time.Time, rule Rule, format string, values ...any) {
+func (c *Checker) addViolation(now time.Time, rule Rule, format string, values ...any) {
 	c.violations = append(c.violations, Violation{At: now, Rule: rule, Detail: fmt.Sprintf(format, values...)})
 }
 
-// Disturb notes that a fault on the nodes begins. The function notes its end.
-func (c *Checker) Disturb(nodes ...netip.AddrPort) (end func()) {
+// BeginDisturbance records the start of a fault on the nodes. The returned function records its end.
+func (c *Checker) BeginDisturbance(nodes ...netip.AddrPort) (end func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, node := range nodes {
-		c.disturbing[node]++
+		c.activeDisturbances[node]++
 	}
 	return func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		for _, node := range nodes {
-			c.disturbing[node]--
-			c.disturbed[node] = time.Now()
+			c.activeDisturbances[node]--
+			c.disturbanceEnds[node] = time.Now()
 		}
 	}
 }
 
-// inTouch tells whether the node was undisturbed for Bounds.Contact before now.
-func (c *Checker) inTouch(now time.Time, node netip.AddrPort) bool {
-	return c.disturbing[node] == 0 && now.Sub(c.disturbed[node]) >= c.bounds.Contact
+// undisturbed reports whether no fault affected the node during the last Bounds.UndisturbedTime.
+func (c *Checker) undisturbed(now time.Time, node netip.AddrPort) bool {
+	return c.activeDisturbances[node] == 0 && now.Sub(c.disturbanceEnds[node]) >= c.bounds.UndisturbedTime
 }
 
-// Changed notes that the store has taken a version of the routes.
-func (c *Checker) Changed(version Version) {
+// RecordVersion records that the store has accepted a version of the routes.
+func (c *Checker) RecordVersion(version Version) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.versions = append(c.versions, version)
 }
 
-// Draining notes that the store has taken that a host drains, or that its entry goes.
-func (c *Checker) Draining(now time.Time, host string) {
+// RecordDraining records that the store has accepted a host's draining state, or the removal of its
+// entry.
+func (c *Checker) RecordDraining(now time.Time, host string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.drained[host].IsZero() {
-		c.drained[host] = now
+	if c.drainingSince[host].IsZero() {
+		c.drainingSince[host] = now
 	}
 }
 
-// Evacuated notes that the store has taken that a zone is evacuated.
-func (c *Checker) Evacuated(now time.Time, zone string) {
+// RecordEvacuation records that the store has accepted the evacuation of a zone.
+func (c *Checker) RecordEvacuation(now time.Time, zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.evacuated[zone] = now
+	c.evacuatedSince[zone] = now
 }
 
-// Restored notes that a zone is about to be restored.
-func (c *Checker) Restored(zone string) {
+// RecordRestoration records that the evacuation of a zone is about to end.
+func (c *Checker) RecordRestoration(zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.evacuated, zone)
+	delete(c.evacuatedSince, zone)
 }
 
-// Gone notes that a host does not serve its flows from now on.
-func (c *Checker) Gone(host string) {
+// RecordHostStop records that a host no longer serves its flows.
+func (c *Checker) RecordHostStop(host string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.gone[host] = true
-	c.lastGone = time.Now()
+	c.stoppedHosts[host] = true
+	c.lastHostFault = time.Now()
 }
 
-// Stalled notes that a host answers late from now on: its open flows wait, and an opening
-// whose copies come to it may go unanswered until the balancers know.
-func (c *Checker) Stalled() {
+// RecordHostStall records that a host answers late from now on: its open flows wait, and an opening
+// may remain unanswered if all its copies reach this host before the balancers detect the stall.
+func (c *Checker) RecordHostStall() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lastGone = time.Now()
+	c.lastHostFault = time.Now()
 }
 
-// NotOpened takes an opening that nobody answered, and the node that its last
-// copy went to. Copies go to any node, and hosts that have just gone may have
-// been chosen; where neither explains it, a promise is broken.
-func (c *Checker) NotOpened(now time.Time, node, front netip.AddrPort) {
+// RecordUnanswered records an opening that remained unanswered, and the node that received its last
+// copy. The copies of an opening may reach different nodes, and a node may have chosen a host that
+// had just stopped. If no such fault explains the missing answer, the opening is a violation.
+func (c *Checker) RecordUnanswered(now time.Time, node, frontend netip.AddrPort) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	cause := c.causeOf(now, node)
-	c.unopened[cause]++
+	c.unanswered[cause]++
 	if cause == CauseNone {
-		c.report(now, RuleOpen, "an opening to %s, last sent to %s, was never answered", front, node)
+		c.addViolation(now, RuleOpen, "an opening to %s, last sent to %s, was never answered", frontend, node)
 	}
 }
 
 func (c *Checker) causeOf(now time.Time, node netip.AddrPort) Cause {
-	if !c.inTouch(now, node) {
+	if !c.undisturbed(now, node) {
 		return CauseNode
 	}
-	for other := range c.disturbed {
-		if !c.inTouch(now, other) {
+	for other := range c.disturbanceEnds {
+		if !c.undisturbed(now, other) {
 			return CauseOther
 		}
 	}
-	for other := range c.disturbing {
-		if !c.inTouch(now, other) {
+	for other := range c.activeDisturbances {
+		if !c.undisturbed(now, other) {
 			return CauseOther
 		}
 	}
-	if now.Sub(c.lastGone) < c.bounds.Contact {
+	if now.Sub(c.lastHostFault) < c.bounds.UndisturbedTime {
 		return CauseHost
 	}
 	return CauseNone
 }
 
-// Unopened counts the openings that nobody answered, by cause.
-func (c *Checker) Unopened() map[Cause]int {
+// Unanswered returns the number of unanswered openings by cause.
+func (c *Checker) Unanswered() map[Cause]int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return maps.Clone(c.unopened)
+	return maps.Clone(c.unanswered)
 }
 
-// Sends notes a request that is about to be sent.
-func (c *Checker) Sends(request uint64, front netip.AddrPort) {
+// RecordRequest records a request that a client is about to send.
+func (c *Checker) RecordRequest(request uint64, frontend netip.AddrPort) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.sent[request] = front
+	c.sentRequests[request] = frontend
 }
 
-// HostSaw takes what a host has seen.
-func (c *Checker) HostSaw(event platformsim.HostEvent) {
+// RecordHostEvent records an event at a host and verifies the guarantees that apply to it.
+func (c *Checker) RecordHostEvent(event platformsim.HostEvent) {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -290,165 +293,171 @@
 }
 
 func (c *Checker) checkDrain(now time.Time, event *platformsim.HostEvent) {
-	if !c.inTouch(now, event.Node) {
+	if !c.undisturbed(now, event.Node) {
 		return
 	}
-	for _, since := range c.drained {
-		if now.Sub(since) > c.bounds.Change {
+	for _, since := range c.drainingSince {
+		if now.Sub(since) > c.bounds.ChangeLimit {
 			c.checked.Drains++
 			break
 		}
 	}
-	since, draining := c.drained[event.Host.ID]
-	if draining && now.Sub(since) > c.bounds.Change {
-		c.report(now, RuleDrain, "%s, draining for %s, got an opening of %s from %s",
+	since, draining := c.drainingSince[event.Host.ID]
+	if draining && now.Sub(since) > c.bounds.ChangeLimit {
+		c.addViolation(now, RuleDrain, "%s, draining for %s, received an opening of %s from %s",
 			event.Host.ID, now.Sub(since).Round(time.Millisecond), event.Caller, event.Node)
 	}
 }
 
 func (c *Checker) checkZone(now time.Time, event *platformsim.HostEvent) {
-	if !c.inTouch(now, event.Node) {
+	if !c.undisturbed(now, event.Node) {
 		return
 	}
-	for zone, since := range c.evacuated {
-		if now.Sub(since) <= c.bounds.Change {
+	for zone, since := range c.evacuatedSince {
+		if now.Sub(since) <= c.bounds.ChangeLimit {
 			continue
 		}
 		c.checked.Evacuations++
 		if zone == event.Host.Zone {
-			c.report(now, RuleZone, "%s in %s, evacuated for %s, got an opening of %s from %s",
+			c.addViolation(now, RuleZone, "%s in %s, evacuated for %s, received an opening of %s from %s",
 				event.Host.ID, zone, now.Sub(since).Round(time.Millisecond), event.Caller, event.Node)
 		}
 	}
 }
 
-// checkCold counts each span of a second, whatever befalls the nodes meanwhile.
+// checkCold verifies the limit of openings at a host in its cold start, for the second that ends now.
+// The limit also holds while nodes are disturbed.
 func (c *Checker) checkCold(now time.Time, event *platformsim.HostEvent) {
-	if c.bounds.ColdOpenings == 0 || !event.Host.Cold(now) {
+	if c.bounds.ColdOpeningsPerSecond == 0 || !event.Host.Cold(now) {
 		return
 	}
-	c.checked.Cold++
-	openings := append(c.cold[event.Host.ID], now)
+	c.checked.ColdOpenings++
+	openings := append(c.coldOpenings[event.Host.ID], now)
 	for now.Sub(openings[0]) > time.Second {
 		openings = openings[1:]
 	}
-	c.cold[event.Host.ID] = openings
-	if len(openings) > c.bounds.ColdOpenings {
-		c.report(now, RuleCold, "%s, cold, got %d openings within a second", event.Host.ID, len(openings))
+	c.coldOpenings[event.Host.ID] = openings
+	if len(openings) > c.bounds.ColdOpeningsPerSecond {
+		c.addViolation(now, RuleCold, "%s received %d openings within a second during its cold start", event.Host.ID, len(openings))
 	}
 }
 
 func (c *Checker) checkRun(now time.Time, event *platformsim.HostEvent) {
-	front, asked := c.sent[event.Request]
-	if !asked || front != event.Front {
-		c.report(now, RuleOnce, "%s ran request %d of %s, which nobody sent to %s", event.Host.ID, event.Request, event.Caller, event.Front)
+	frontend, sent := c.sentRequests[event.Request]
+	if !sent || frontend != event.Front {
+		c.addViolation(now, RuleRunOnce, "%s ran request %d of %s, which nobody sent to %s", event.Host.ID, event.Request, event.Caller, event.Front)
 	}
-	if before, again := c.ran[event.Request]; again {
-		c.report(now, RuleOnce, "request %d ran at %s and again at %s", event.Request, before, event.Host.ID)
+	if previousHost, repeated := c.executedRequests[event.Request]; repeated {
+		c.addViolation(now, RuleRunOnce, "request %d ran at %s and again at %s", event.Request, previousHost, event.Host.ID)
 	}
-	c.ran[event.Request] = event.Host.ID
-	named := slices.ContainsFunc(c.versions, func(v Version) bool { return v.Routes[event.Front] == event.Host.Service })
-	if !named {
-		c.report(now, RuleRoute, "%s of %s ran request %d to %s", event.Host.ID, event.Host.Service, event.Request, event.Front)
+	c.executedRequests[event.Request] = event.Host.ID
+	routed := slices.ContainsFunc(c.versions, func(v Version) bool { return v.Routes[event.Front] == event.Host.Service })
+	if !routed {
+		c.addViolation(now, RuleRoute, "%s of %s ran request %d to %s", event.Host.ID, event.Host.Service, event.Request, event.Front)
 	}
 }
 
-// FlowEnded takes how a request on an open flow failed, and the node that its
-// last packet went to. All is excused when the host is gone, and silence when
-// that node is disturbed.
-func (c *Checker) FlowEnded(now time.Time, host string, node netip.AddrPort, err error) {
+// RecordFlowFailure records a failed request on an open flow, and the node that received the last
+// packet of the flow. Any failure is allowed after the host has stopped; a missing answer is also
+// allowed while that node is disturbed.
+func (c *Checker) RecordFlowFailure(now time.Time, host string, node netip.AddrPort, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	silent := errors.Is(err, platformsim.ErrNoAnswer)
-	if c.gone[host] || silent && !c.inTouch(now, node) {
+	noAnswer := errors.Is(err, platformsim.ErrNoAnswer)
+	if c.stoppedHosts[host] || noAnswer && !c.undisturbed(now, node) {
 		return
 	}
-	c.report(now, RuleFlow, "a flow of %s by %s: %v", host, node, err)
+	c.addViolation(now, RuleFlow, "a flow of %s by %s: %v", host, node, err)
 }
 
-// Crowd notes that back ends have, or may have, more to do than they can. The function
-// notes that it has gone.
-func (c *Checker) Crowd() (gone func()) {
+// BeginSurge records that the load exceeds, or may exceed, the capacity of the back ends. The
+// returned function records the end of the surge.
+func (c *Checker) BeginSurge() (end func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.crowds++
-	c.calm = nil
+	c.activeSurges++
+	c.currentQuiet = nil
 	return func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.crowds--
-		c.crowdGone = time.Now()
+		c.activeSurges--
+		c.lastSurgeEnd = time.Now()
 	}
 }
 
-// crowded tells whether openings sent at a time may be refused for load.
-func (c *Checker) crowded(at time.Time) bool {
-	return c.crowds > 0 || !c.crowdGone.IsZero() && (c.bounds.Settle == 0 || at.Sub(c.crowdGone) < c.bounds.Settle)
+// surgeMayRefuse reports whether a surge allows the balancers to refuse openings sent at the given
+// time for load.
+func (c *Checker) surgeMayRefuse(at time.Time) bool {
+	return c.activeSurges > 0 || !c.lastSurgeEnd.IsZero() && (c.bounds.SurgeSettleTime == 0 || at.Sub(c.lastSurgeEnd) < c.bounds.SurgeSettleTime)
 }
 
-// refusalMemory is how long a refused opening must not reach a host: far longer than a
-// packet is on its way, and far shorter than it takes until a caller's port is used again.
-const refusalMemory = 2 * time.Second
+// refusalCheckWindow is the time after a refusal within which the refused opening must not reach a
+// host. It is much longer than the transit time of a packet, and much shorter than the time until
+// a client reuses a port.
+const refusalCheckWindow = 2 * time.Second
 
-// checkRefusal holds a refusal against what hosts have seen so far, and remembers it.
+// checkRefusal verifies that a refused opening has not reached a host so far, and records the
+// refusal for checkNotRun.
 func (c *Checker) checkRefusal(now time.Time, opening *Opening) {
 	c.checked.Refusals++
-	if at, reached := c.reached[opening.Caller]; reached && !at.Before(opening.SentAt) {
-		c.report(now, RuleNotRun, "an opening of %s, refused by %s, had reached a host", opening.Caller, opening.Node)
+	if at, reached := c.reachedHostAt[opening.Client]; reached && !at.Before(opening.SentAt) {
+		c.addViolation(now, RuleNotRun, "an opening of %s, refused by %s, had reached a host", opening.Client, opening.Node)
 	}
-	c.refused[opening.Caller] = now
+	c.refusedAt[opening.Client] = now
 }
 
-// checkNotRun holds an opening at a host against the refusals so far.
+// checkNotRun verifies that an opening at a host has not been refused recently.
 func (c *Checker) checkNotRun(now time.Time, event *platformsim.HostEvent) {
-	c.reached[event.Caller] = now
-	if at, refused := c.refused[event.Caller]; refused && now.Sub(at) < refusalMemory {
-		c.report(now, RuleNotRun, "an opening of %s, refused before, reached %s by %s", event.Caller, event.Host.ID, event.Node)
+	c.reachedHostAt[event.Caller] = now
+	if at, refused := c.refusedAt[event.Caller]; refused && now.Sub(at) < refusalCheckWindow {
+		c.addViolation(now, RuleNotRun, "an opening of %s, refused before, reached %s by %s", event.Caller, event.Host.ID, event.Node)
 	}
 }
 
-// Opened takes how an opening went. Where it was handled by one node in touch, it is held
-// against the routes, and what was refused for load against crowds.
-func (c *Checker) Opened(opening Opening) {
+// RecordOpening records the outcome of an opening. If a single, undisturbed node handled the
+// opening, its service must agree with the routes, and a refusal must be due to a surge or is kept
+// for ClassifyRefusals.
+func (c *Checker) RecordOpening(opening Opening) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if opening.ByNode && opening.Copies == 0 {
+	if opening.RefusedByNode && opening.ExtraCopies == 0 {
 		c.checkRefusal(time.Now(), &opening)
 	}
-	if opening.Copies > 0 || !c.inTouch(time.Now(), opening.Node) {
+	if opening.ExtraCopies > 0 || !c.undisturbed(time.Now(), opening.Node) {
 		return
 	}
-	allowed := c.allowed(opening.SentAt, opening.Front)
+	allowed := c.allowed(opening.SentAt, opening.Frontend)
 	if len(allowed) == 0 {
 		return
 	}
 	refused := opening.Service == "" && !slices.Contains(allowed, "")
-	if c.crowded(opening.SentAt) {
+	if c.surgeMayRefuse(opening.SentAt) {
 		if refused {
-			c.checked.Crowded++
+			c.checked.DuringSurge++
 			return
 		}
 	} else {
-		c.noteCalm(&opening, refused)
+		c.recordQuietOpening(&opening, refused)
 		if refused {
-			return // judged by its reason, when that is known
+			return // ClassifyRefusals checks its reason at the end of the run
 		}
 	}
 	c.checked.Routes++
 	if !slices.Contains(allowed, opening.Service) {
-		c.report(opening.SentAt, RuleChange, "%s to %s was handled by service %q, want one of %q", opening.Node, opening.Front, opening.Service, allowed)
+		c.addViolation(opening.SentAt, RuleChange, "%s to %s was handled by service %q, want one of %q", opening.Node, opening.Frontend, opening.Service, allowed)
 	}
 }
 
-// allowed gives the services that may handle an opening sent at a time: those of
-// the last version that must be in force, and of all later ones.
-func (c *Checker) allowed(sentAt time.Time, front netip.AddrPort) []string {
+// allowed returns the services that may handle an opening sent at the given time: the service of
+// the latest version that must be in force by then, and the services of all later versions. An
+// empty service stands for a refusal.
+func (c *Checker) allowed(sentAt time.Time, frontend netip.AddrPort) []string {
 	var services []string
 	for _, version := range slices.Backward(c.versions) {
-		services = append(services, version.Routes[front])
-		if sentAt.Sub(version.At) > c.bounds.Change {
+		services = append(services, version.Routes[frontend])
+		if sentAt.Sub(version.At) > c.bounds.ChangeLimit {
 			return services
 		}
 	}
-	return nil // no version has been there for long enough
+	return nil // no version must be in force yet
 }
--- a/internal/lab/soak/faults/faults.go
+++ b/internal/lab/soak/faults/faults.go
@@ -1,4 +1,4 @@
-// Package faults has the kinds of fault that a soak injects.
+// Package faults implements the kinds of fault that a soak injects.
 package faults
 
 import (
@@ -10,45 +10,45 @@
 	"robinpulley.example/robinpulley/internal/lab/soak"
 )
 
-// All gives every kind.
+// All returns every kind of fault. The order is part of the plan that a seed results in.
 func All() []soak.Fault {
-	kinds := []soak.Fault{kill, killAll{}, stop, pause{}, reload{}, loss{}, compact{}, drain{}, crash{}, silence{}, change{}, storm{}, evacuate{}, crowd{}, move{}, slow{}, crowdEvacuated{}, coldMost{}}
+	kinds := []soak.Fault{killNode, killAllNodes{}, stopNode, pauseNode{}, reloadNode{}, packetLoss{}, compactStore{}, replaceHost{}, crashHost{}, unresponsiveHost{}, changeRoute{}, changeBurst{}, evacuateZone{}, surge{}, moveClients{}, slowHost{}, surgeInEvacuatedZone{}, coldMajority{}}
 	for _, mode := range []proxy.Mode{proxy.Delay, proxy.Reset, proxy.Silence, proxy.OneWay, proxy.SilenceOpen} {
-		kinds = append(kinds, link{mode})
+		kinds = append(kinds, storeConnection{mode})
 	}
 	for _, fault := range []platformsim.Fault{
 		platformsim.FaultBusy, platformsim.FaultReset, platformsim.FaultSilent, platformsim.FaultSlow, platformsim.FaultThrottled,
 	} {
-		kinds = append(kinds, store{fault})
+		kinds = append(kinds, storeFailure{fault})
 	}
-	return append(kinds, stall{})
+	return append(kinds, stallHost{})
 }
 
-// platform is what a fault embeds that befalls the platform as a whole.
-type platform struct{}
+// platformFault is embedded by faults that affect the whole platform.
+type platformFault struct{}
 
 // Targets implements soak.Fault.
-func (platform) Targets(soak.Size) int { return 1 }
+func (platformFault) Targets(soak.Size) int { return 1 }
 
-// nodes is what a fault embeds that befalls one node.
-type nodes struct{}
+// nodeFault is embedded by faults that affect one node.
+type nodeFault struct{}
 
 // Targets implements soak.Fault.
-func (nodes) Targets(size soak.Size) int { return size.Nodes }
+func (nodeFault) Targets(size soak.Size) int { return size.Nodes }
 
-// hosts is what a fault embeds that befalls one host.
-type hosts struct{}
+// hostFault is embedded by faults that affect one host.
+type hostFault struct{}
 
 // Targets implements soak.Fault.
-func (hosts) Targets(size soak.Size) int { return 2 * size.Hosts }
+func (hostFault) Targets(size soak.Size) int { return 2 * size.Hosts }
 
-// readyLimit bounds the wait for a restarted node, which may come back while
-// another fault keeps it from its store.
-const readyLimit = 30 * time.Second
+// restartLimit is the maximum time until a restarted node is ready. It is long because another fault
+// may block the node's connections to the store in the meantime.
+const restartLimit = 30 * time.Second
 
-// awaitReady waits until a node that was started again is ready.
+// awaitReady waits until a restarted node is ready, for at most restartLimit.
 func awaitReady(ctx context.Context, n *soak.Node) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, restartLimit)
 	defer cancel()
 	return n.AwaitReady(ctx)
 }
--- a/internal/lab/soak/faults/faults_test.go
+++ b/internal/lab/soak/faults/faults_test.go
@@ -12,7 +12,7 @@
 	"robinpulley.example/robinpulley/internal/lab/soak/faults"
 )
 
-func TestPlanDependsOnTheSeedAlone(t *testing.T) {
+func TestPlanIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	size := soak.DefaultSize()
 	plan := soak.Plan(7, time.Hour, faults.All(), size)
@@ -26,13 +26,13 @@
 		is.True(index == 0 || step.At > plan[index-1].At)
 	}
 	for _, kind := range faults.All() {
-		is.True(drawn[kind.Name()]) // an hour has every kind
+		is.True(drawn[kind.Name()]) // an hour is long enough for every kind to be drawn
 	}
 }
 
-// TestEveryKindOfFault injects each kind once, many at the same time, on real
-// balancers. The bounds on times are out of reach here: a slow machine breaks
-// no promise that this test checks.
+// TestEveryKindOfFault injects each kind once on real balancers, with many faults at the same time.
+// The time limits are so large that they never expire, so that a slow machine cannot violate a
+// guarantee that this test verifies.
 func TestEveryKindOfFault(t *testing.T) {
 	is := is.New(t)
 	program := filepath.Join(t.TempDir(), "robinpulley")
@@ -40,7 +40,7 @@
 	if output, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%s\n%s", err, output)
 	}
-	size := soak.Size{Nodes: 4, Hosts: 3, Zones: 2, Flows: 10, Kept: 4}
+	size := soak.Size{Nodes: 4, Hosts: 3, Zones: 2, Flows: 10, PersistentFlows: 4}
 	var steps []soak.Step
 	for index, kind := range faults.All() {
 		steps = append(steps, soak.Step{
@@ -54,7 +54,7 @@
 		Seed:      1,
 		Steps:     steps,
 		Size:      size,
-		Bounds:    soak.Bounds{Change: time.Hour, Contact: time.Hour},
+		Bounds:    soak.Bounds{ChangeLimit: time.Hour, UndisturbedTime: time.Hour},
 		Program:   program,
 		Directory: t.TempDir(),
 	}, faults.All(), t.Output())
--- a/internal/lab/soak/faults/host.go
+++ b/internal/lab/soak/faults/host.go
@@ -8,114 +8,114 @@
 	"robinpulley.example/robinpulley/internal/lab/soak"
 )
 
-// anyPort lets the system choose a host's port.
+// anyPort is the address of a host whose port the system chooses.
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// Times of hosts.
+// Times of the faults on hosts.
 const (
-	// drainTime is how long a draining host serves on at the least.
-	drainTime = 4 * time.Second
-	// lapseTime is how long the entry of a host that has crashed stays.
-	lapseTime = 1500 * time.Millisecond
+	// minDrainTime is the minimum time for which a draining host continues to serve its flows.
+	minDrainTime = 4 * time.Second
+	// entryLapseTime is the time until the store entry of a crashed host lapses.
+	entryLapseTime = 1500 * time.Millisecond
 )
 
-// drain replaces a host: the new one starts first, the old one drains and leaves.
-type drain struct{ hosts }
+// replaceHost replaces a host: first the new host starts, then the old one drains and stops.
+type replaceHost struct{ hostFault }
 
-func (drain) Name() string { return "drain" }
+func (replaceHost) Name() string { return "drain" }
 
-func (drain) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	slot, old, release, held := s.HoldSlot(target)
-	if !held {
-		return nil, soak.ErrHeld
+func (replaceHost) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	replica, old, unlock, locked := s.LockReplica(target)
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
-	successor, err := s.NewHost(slot.Service, slot.Zone, anyPort)
+	successor, err := s.NewHost(replica.Service, replica.Zone, anyPort)
 	if err != nil {
-		release(old)
+		unlock(old)
 		return nil, err
 	}
 	old.Announce(s.Store, "draining")
-	s.Checker.Draining(time.Now(), old.ID)
+	s.Checker.RecordDraining(time.Now(), old.ID)
 	return func() error {
-		time.Sleep(drainTime)
+		time.Sleep(minDrainTime)
 		s.Store.Delete("servers/" + old.ID)
-		s.Checker.Gone(old.ID)
+		s.Checker.RecordHostStop(old.ID)
 		old.Close()
-		release(successor)
+		unlock(successor)
 		return nil
 	}, nil
 }
 
-// crash ends a host without a word. Its address goes to a host of the other
-// service when its entry has lapsed.
-type crash struct{ hosts }
+// crashHost stops a host without draining it. When the host's store entry has lapsed, a new host of
+// the other service reuses the address.
+type crashHost struct{ hostFault }
 
-func (crash) Name() string { return "crash" }
+func (crashHost) Name() string { return "crash" }
 
-func (crash) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	slot, old, release, held := s.HoldSlot(target)
-	if !held {
-		return nil, soak.ErrHeld
+func (crashHost) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	replica, old, unlock, locked := s.LockReplica(target)
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
-	s.Checker.Gone(old.ID)
+	s.Checker.RecordHostStop(old.ID)
 	address := old.Address()
 	old.Close()
 	return func() error {
-		time.Sleep(lapseTime)
+		time.Sleep(entryLapseTime)
 		s.Store.Delete("servers/" + old.ID)
-		s.Checker.Draining(time.Now(), old.ID)
-		successor, err := s.NewHost(slot.Service, slot.Zone, anyPort)
+		s.Checker.RecordDraining(time.Now(), old.ID)
+		successor, err := s.NewHost(replica.Service, replica.Zone, anyPort)
 		if err != nil {
-			release(old)
+			unlock(old)
 			return err
 		}
-		_, err = s.NewHost(other(slot.Service), slot.Zone, address)
-		release(successor)
+		_, err = s.NewHost(otherService(replica.Service), replica.Zone, address)
+		unlock(successor)
 		return err
 	}, nil
 }
 
-// other gives the other service.
-func other(service string) string {
+// otherService returns the site's other service.
+func otherService(service string) string {
 	if service == soak.ServiceWeb {
 		return soak.ServiceDocs
 	}
 	return soak.ServiceWeb
 }
 
-// silence has a host answer nothing for a while.
-type silence struct{ hosts }
+// unresponsiveHost makes a host drop all packets for a while.
+type unresponsiveHost struct{ hostFault }
 
-func (silence) Name() string { return "silence" }
+func (unresponsiveHost) Name() string { return "silence" }
 
-func (silence) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	_, host, release, held := s.HoldSlot(target)
-	if !held {
-		return nil, soak.ErrHeld
+func (unresponsiveHost) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	_, host, unlock, locked := s.LockReplica(target)
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
 	host.Silence(true)
 	return func() error {
 		host.Silence(false)
-		release(host)
+		unlock(host)
 		return nil
 	}, nil
 }
 
-// stall pauses a host: what comes meanwhile is handled late.
-type stall struct{ hosts }
+// stallHost pauses a host. Packets that arrive during the pause are handled after it.
+type stallHost struct{ hostFault }
 
-func (stall) Name() string { return "stall" }
+func (stallHost) Name() string { return "stall" }
 
-func (stall) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	_, host, release, held := s.HoldSlot(target)
-	if !held {
-		return nil, soak.ErrHeld
+func (stallHost) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	_, host, unlock, locked := s.LockReplica(target)
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
-	s.Checker.Stalled()
+	s.Checker.RecordHostStall()
 	resume := host.Stall()
 	return func() error {
 		resume()
-		release(host)
+		unlock(host)
 		return nil
 	}, nil
 }
--- a/internal/lab/soak/faults/load.go
+++ b/internal/lab/soak/faults/load.go
@@ -9,124 +9,125 @@
 	"robinpulley.example/robinpulley/internal/lab/soak"
 )
 
-// zones is what a fault embeds that befalls one zone.
-type zones struct{}
+// zoneFault is embedded by faults that affect one zone.
+type zoneFault struct{}
 
 // Targets implements soak.Fault.
-func (zones) Targets(size soak.Size) int { return size.Zones }
+func (zoneFault) Targets(size soak.Size) int { return size.Zones }
 
-// crowdTime is how long callers crowd at the least: longer than it takes until nodes know.
-const crowdTime = 2 * time.Second
+// minSurgeTime is the minimum duration of a surge. It is longer than the load reports take to reach
+// all nodes.
+const minSurgeTime = 2 * time.Second
 
-// crowd has the callers of one zone ask several times as much.
-type crowd struct{ zones }
+// surge makes the clients of one zone send several times their usual number of requests.
+type surge struct{ zoneFault }
 
-func (crowd) Name() string { return "crowd" }
+func (surge) Name() string { return "crowd" }
 
-func (crowd) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	gone, held := s.HoldLoad()
-	if !held {
-		return nil, soak.ErrHeld
+func (surge) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	unlockLoad, locked := s.LockLoad()
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
-	leave := s.Crowd(target)
+	endSurge := s.StartSurge(target)
 	return func() error {
-		time.Sleep(crowdTime)
-		leave()
-		gone()
+		time.Sleep(minSurgeTime)
+		endSurge()
+		unlockLoad()
 		return nil
 	}, nil
 }
 
-// move has the callers of one zone go to the nodes of the next one.
-type move struct{ zones }
+// moveClients routes the clients of one zone to the nodes of the next zone.
+type moveClients struct{ zoneFault }
 
-func (move) Name() string { return "move" }
+func (moveClients) Name() string { return "move" }
 
-func (move) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	gone, held := s.HoldLoad()
-	if !held {
-		return nil, soak.ErrHeld
+func (moveClients) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	unlockLoad, locked := s.LockLoad()
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
-	back := s.MoveCallers(target, (target+1)%s.Settings.Size.Zones)
+	revert := s.MoveClients(target, (target+1)%s.Settings.Size.Zones)
 	return func() error {
-		back()
-		gone()
+		revert()
+		unlockLoad()
 		return nil
 	}, nil
 }
 
-// slowTimes is by how much a slow host's requests take longer.
-const slowTimes = 5
+// slowFactor is the factor by which the service time at a slow host grows.
+const slowFactor = 5
 
-// slow has a host take longer for each request.
-type slow struct{ hosts }
+// slowHost increases the service time of each request at a host.
+type slowHost struct{ hostFault }
 
-func (slow) Name() string { return "slow" }
+func (slowHost) Name() string { return "slow" }
 
-func (slow) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	_, host, release, held := s.HoldSlot(target)
-	if !held {
-		return nil, soak.ErrHeld
+func (slowHost) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	_, host, unlockReplica, locked := s.LockReplica(target)
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
-	gone, held := s.HoldLoad()
-	if !held {
-		release(host)
-		return nil, soak.ErrHeld
+	unlockLoad, locked := s.LockLoad()
+	if !locked {
+		unlockReplica(host)
+		return nil, soak.ErrTargetLocked
 	}
-	host.SetWork(slowTimes * soak.RequestWork)
+	host.SetWork(slowFactor * soak.RequestServiceTime)
 	return func() error {
-		host.SetWork(soak.RequestWork)
-		release(host)
-		gone()
+		host.SetWork(soak.RequestServiceTime)
+		unlockReplica(host)
+		unlockLoad()
 		return nil
 	}, nil
 }
 
-// crowdEvacuated takes a zone out of use while its callers crowd.
-type crowdEvacuated struct{ zones }
+// surgeInEvacuatedZone evacuates a zone during a surge by its clients.
+type surgeInEvacuatedZone struct{ zoneFault }
 
-func (crowdEvacuated) Name() string { return "crowd_evacuated" }
+func (surgeInEvacuatedZone) Name() string { return "crowd_evacuated" }
 
-func (crowdEvacuated) Inject(ctx context.Context, s *soak.Site, target int) (func() error, error) {
-	restore, err := evacuate{}.Inject(ctx, s, target)
+func (surgeInEvacuatedZone) Inject(ctx context.Context, s *soak.Site, target int) (func() error, error) {
+	restore, err := evacuateZone{}.Inject(ctx, s, target)
 	if err != nil {
 		return nil, err
 	}
-	leave, err := crowd{}.Inject(ctx, s, target)
+	endSurge, err := surge{}.Inject(ctx, s, target)
 	if err != nil {
 		return nil, errors.CombineErrors(err, restore())
 	}
-	return func() error { return together([]func() error{restore, leave}) }, nil
+	return func() error { return runConcurrently([]func() error{restore, endSurge}) }, nil
 }
 
-// coldMost replaces all hosts of a service but one at the same time, so that those that
-// have just started are the most.
-type coldMost struct{}
+// coldMajority replaces all hosts of a service but one at the same time, so that most of its hosts
+// are in their cold start.
+type coldMajority struct{}
 
-func (coldMost) Name() string { return "cold_most" }
+func (coldMajority) Name() string { return "cold_most" }
 
-func (coldMost) Targets(soak.Size) int { return 2 } // services
+func (coldMajority) Targets(soak.Size) int { return 2 } // services
 
-func (coldMost) Inject(ctx context.Context, s *soak.Site, target int) (func() error, error) {
-	gone, held := s.HoldLoad()
-	if !held {
-		return nil, soak.ErrHeld
+func (coldMajority) Inject(ctx context.Context, s *soak.Site, target int) (func() error, error) {
+	unlockLoad, locked := s.LockLoad()
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
-	each := s.Settings.Size.Hosts
+	hostsPerService := s.Settings.Size.Hosts
 	var ends []func() error
-	for index := target * each; index < (target+1)*each-1; index++ {
-		end, err := drain{}.Inject(ctx, s, index)
-		if errors.Is(err, soak.ErrHeld) {
-			continue // another fault has it
+	for index := target * hostsPerService; index < (target+1)*hostsPerService-1; index++ {
+		end, err := replaceHost{}.Inject(ctx, s, index)
+		if errors.Is(err, soak.ErrTargetLocked) {
+			continue // another fault has reserved the replica
 		}
 		if err != nil {
-			gone()
-			return nil, errors.CombineErrors(err, together(ends))
+			unlockLoad()
+			return nil, errors.CombineErrors(err, runConcurrently(ends))
 		}
 		ends = append(ends, end)
 	}
 	return func() error {
-		defer gone()
-		return together(ends)
+		defer unlockLoad()
+		return runConcurrently(ends)
 	}, nil
 }
--- a/internal/lab/soak/faults/network.go
+++ b/internal/lab/soak/faults/network.go
@@ -8,69 +8,69 @@
 	"robinpulley.example/robinpulley/internal/lab/soak"
 )
 
-// link harms the connections of one node to the store.
-type link struct{ mode proxy.Mode }
+// storeConnection disturbs the connections between one node and the store.
+type storeConnection struct{ mode proxy.Mode }
 
-func (f link) Name() string { return "link_" + string(f.mode) }
+func (f storeConnection) Name() string { return "link_" + string(f.mode) }
 
-func (link) Targets(size soak.Size) int { return size.Nodes }
+func (storeConnection) Targets(size soak.Size) int { return size.Nodes }
 
-func (f link) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+func (f storeConnection) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
 	n := s.Nodes[target]
-	calm := s.Checker.Disturb(n.Data)
-	n.Link.SetMode(f.mode)
+	endDisturbance := s.Checker.BeginDisturbance(n.Data)
+	n.StoreProxy.SetMode(f.mode)
 	return func() error {
-		n.Link.SetMode(proxy.Pass)
-		calm()
+		n.StoreProxy.SetMode(proxy.Pass)
+		endDisturbance()
 		return nil
 	}, nil
 }
 
-// store has the store fail for all nodes.
-type store struct{ fault platformsim.Fault }
+// storeFailure makes the store fail for all nodes.
+type storeFailure struct{ fault platformsim.Fault }
 
-func (f store) Name() string { return "store_" + string(f.fault) }
+func (f storeFailure) Name() string { return "store_" + string(f.fault) }
 
-func (store) Targets(soak.Size) int { return 1 }
+func (storeFailure) Targets(soak.Size) int { return 1 }
 
-func (f store) Inject(_ context.Context, s *soak.Site, _ int) (func() error, error) {
-	calm := s.DisturbAll()
+func (f storeFailure) Inject(_ context.Context, s *soak.Site, _ int) (func() error, error) {
+	endDisturbance := s.DisturbAllNodes()
 	s.Store.SetFault(f.fault)
 	return func() error {
 		s.Store.SetFault(platformsim.FaultNone)
-		calm()
+		endDisturbance()
 		return nil
 	}, nil
 }
 
-// compact has the store forget its history.
-type compact struct{ platform }
+// compactStore makes the store discard its history of revisions.
+type compactStore struct{ platformFault }
 
-func (compact) Name() string { return "compact" }
+func (compactStore) Name() string { return "compact" }
 
-func (compact) Inject(_ context.Context, s *soak.Site, _ int) (func() error, error) {
-	calm := s.DisturbAll()
+func (compactStore) Inject(_ context.Context, s *soak.Site, _ int) (func() error, error) {
+	endDisturbance := s.DisturbAllNodes()
 	s.Store.Compact()
 	return func() error {
-		calm()
+		endDisturbance()
 		return nil
 	}, nil
 }
 
-// lostPart is the part of the packets that the fault loss takes.
-const lostPart = 0.03
+// lossRate is the share of packets that packetLoss drops.
+const lossRate = 0.03
 
-// loss has packets of callers lost on their way to the nodes.
-type loss struct{ platform }
+// packetLoss drops packets between the clients and the nodes.
+type packetLoss struct{ platformFault }
 
-func (loss) Name() string { return "loss" }
+func (packetLoss) Name() string { return "loss" }
 
-func (loss) Inject(_ context.Context, s *soak.Site, _ int) (func() error, error) {
-	calm := s.DisturbAll()
-	s.Router.SetLoss(lostPart)
+func (packetLoss) Inject(_ context.Context, s *soak.Site, _ int) (func() error, error) {
+	endDisturbance := s.DisturbAllNodes()
+	s.Router.SetLoss(lossRate)
 	return func() error {
 		s.Router.SetLoss(0)
-		calm()
+		endDisturbance()
 		return nil
 	}, nil
 }
--- a/internal/lab/soak/faults/operator.go
+++ b/internal/lab/soak/faults/operator.go
@@ -8,69 +8,71 @@
 	"robinpulley.example/robinpulley/internal/lab/soak"
 )
 
-// toggle gives the front end its next state: web, docs, no route, and again.
-func toggle(routes map[netip.AddrPort]string, front netip.AddrPort) {
-	switch routes[front] {
+// toggleRoute sets the next of a front end's states: a route to web, a route to docs, no route.
+func toggleRoute(routes map[netip.AddrPort]string, frontend netip.AddrPort) {
+	switch routes[frontend] {
 	case "":
-		routes[front] = soak.ServiceWeb
+		routes[frontend] = soak.ServiceWeb
 	case soak.ServiceWeb:
-		routes[front] = soak.ServiceDocs
+		routes[frontend] = soak.ServiceDocs
 	default:
-		delete(routes, front)
+		delete(routes, frontend)
 	}
 }
 
-// change is one change of a route by the operator.
-type change struct{}
+// changeRoute changes the route of one front end, as an operator would.
+type changeRoute struct{}
 
-func (change) Name() string { return "change" }
+func (changeRoute) Name() string { return "change" }
 
-func (change) Targets(soak.Size) int { return len(soak.Toggled) }
+func (changeRoute) Targets(soak.Size) int { return len(soak.ToggledFrontends) }
 
-func (change) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	s.Change(func(routes map[netip.AddrPort]string) { toggle(routes, soak.Toggled[target]) })
+func (changeRoute) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	s.UpdateRoutes(func(routes map[netip.AddrPort]string) { toggleRoute(routes, soak.ToggledFrontends[target]) })
 	return func() error { return nil }, nil
 }
 
-// evacuate takes a zone out of use, so that its hosts get nothing new, and takes it back.
-type evacuate struct{}
+// evacuateZone evacuates a zone, so that its hosts receive no openings, and later restores it.
+type evacuateZone struct{}
 
-func (evacuate) Name() string { return "evacuate" }
+func (evacuateZone) Name() string { return "evacuate" }
 
-func (evacuate) Targets(size soak.Size) int { return size.Zones }
+func (evacuateZone) Targets(size soak.Size) int { return size.Zones }
 
-func (evacuate) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	restore, held := s.Evacuate(target)
-	if !held {
-		return nil, soak.ErrHeld
+func (evacuateZone) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	restore, started := s.Evacuate(target)
+	if !started {
+		return nil, soak.ErrTargetLocked
 	}
 	return func() error {
-		time.Sleep(evacuationTime)
+		time.Sleep(minEvacuationTime)
 		restore()
 		return nil
 	}, nil
 }
 
-// evacuationTime is how long a zone is evacuated at the least: longer than the
-// bound, so that it is checked.
-const evacuationTime = 4 * time.Second
+// minEvacuationTime is the minimum duration of an evacuation. It is longer than the default
+// Bounds.ChangeLimit, as the checker verifies an evacuation only after that limit.
+const minEvacuationTime = 4 * time.Second
 
-// Changes in quick succession.
+// Number of changes in a burst, and the time between them.
 const (
-	stormChanges  = 20
-	stormInterval = 80 * time.Millisecond
+	burstChanges  = 20
+	burstInterval = 80 * time.Millisecond
 )
 
-// storm is changes in quick succession.
-type storm struct{ platform }
+// changeBurst changes the routes many times in quick succession.
+type changeBurst struct{ platformFault }
 
-func (storm) Name() string { return "storm" }
+func (changeBurst) Name() string { return "storm" }
 
-func (storm) Inject(_ context.Context, s *soak.Site, _ int) (func() error, error) {
+func (changeBurst) Inject(_ context.Context, s *soak.Site, _ int) (func() error, error) {
 	return func() error {
-		for index := range stormChanges {
-			s.Change(func(routes map[netip.AddrPort]string) { toggle(routes, soak.Toggled[index%len(soak.Toggled)]) })
-			time.Sleep(stormInterval)
+		for index := range burstChanges {
+			s.UpdateRoutes(func(routes map[netip.AddrPort]string) {
+				toggleRoute(routes, soak.ToggledFrontends[index%len(soak.ToggledFrontends)])
+			})
+			time.Sleep(burstInterval)
 		}
 		return nil
 	}, nil
--- a/internal/lab/soak/faults/process.go
+++ b/internal/lab/soak/faults/process.go
@@ -11,111 +11,115 @@
 	"robinpulley.example/robinpulley/internal/lab/soak"
 )
 
-// runs numbers the runs of all nodes, for the names of their logs.
-var runs atomic.Int64
+// lastProcessNumber is the number of the last restarted process of any node. The numbers are part of
+// the log names.
+var lastProcessNumber atomic.Int64
 
-// relaunch starts a node again and waits until it is ready.
-func relaunch(ctx context.Context, s *soak.Site, n *soak.Node) error {
-	if err := s.Launch(n, int(runs.Add(1))); err != nil {
+// startAgain starts a new process of a node and waits until the node is ready.
+func startAgain(ctx context.Context, s *soak.Site, n *soak.Node) error {
+	if err := s.StartNode(n, int(lastProcessNumber.Add(1))); err != nil {
 		return err
 	}
 	return awaitReady(ctx, n)
 }
 
-// end ends a node's process by a signal and waits for that.
-func end(ctx context.Context, s *soak.Site, n *soak.Node, signal syscall.Signal) error {
+// endProcess sends a signal to a node's process and waits until the process has ended. After
+// SIGTERM, an exit code other than 0 is a violation.
+func endProcess(ctx context.Context, s *soak.Site, n *soak.Node, signal syscall.Signal) error {
 	if err := n.Signal(signal); err != nil {
 		return err
 	}
 	code, err := n.AwaitEnd(ctx)
 	if err == nil && signal == syscall.SIGTERM && code != 0 {
-		s.Checker.Report(time.Now(), soak.RuleExit, "%s ended a planned stop with exit code %d", n.Name, code)
+		s.Checker.AddViolation(time.Now(), soak.RuleNodeExit, "%s ended a planned stop with exit code %d", n.Name, code)
 	}
 	return err
 }
 
-// restart ends a node by a signal and starts it again later.
-type restart struct {
-	nodes
+// restartNode ends a node's process by a signal and later starts a new one.
+type restartNode struct {
+	nodeFault
 	name   string
 	signal syscall.Signal
 }
 
 var (
-	kill = restart{name: "kill", signal: syscall.SIGKILL}
-	stop = restart{name: "stop", signal: syscall.SIGTERM} // a planned stop
+	killNode = restartNode{name: "kill", signal: syscall.SIGKILL}
+	stopNode = restartNode{name: "stop", signal: syscall.SIGTERM} // planned stop
 )
 
-func (f restart) Name() string { return f.name }
+func (f restartNode) Name() string { return f.name }
 
-func (f restart) Inject(ctx context.Context, s *soak.Site, target int) (func() error, error) {
-	n, release, err := disturb(s, target)
+func (f restartNode) Inject(ctx context.Context, s *soak.Site, target int) (func() error, error) {
+	n, release, err := lockAndDisturb(s, target)
 	if err != nil {
 		return nil, err
 	}
-	if err := end(ctx, s, n, f.signal); err != nil {
+	if err := endProcess(ctx, s, n, f.signal); err != nil {
 		release()
 		return nil, err
 	}
 	return func() error {
 		defer release()
-		return relaunch(ctx, s, n)
+		return startAgain(ctx, s, n)
 	}, nil
 }
 
-// disturb takes a node's process for one fault. The function gives it back.
-func disturb(s *soak.Site, target int) (n *soak.Node, release func(), err error) {
-	n, free, held := s.HoldNode(target)
-	if !held {
-		return nil, nil, soak.ErrHeld
+// lockAndDisturb reserves a node's process for one fault and records the disturbance. The returned
+// function records the end of the disturbance and releases the node.
+func lockAndDisturb(s *soak.Site, target int) (n *soak.Node, release func(), err error) {
+	n, unlock, locked := s.LockNode(target)
+	if !locked {
+		return nil, nil, soak.ErrTargetLocked
 	}
-	calm := s.Checker.Disturb(n.Data)
+	endDisturbance := s.Checker.BeginDisturbance(n.Data)
 	return n, func() {
-		calm()
-		free()
+		endDisturbance()
+		unlock()
 	}, nil
 }
 
-// killAll ends all nodes at once that no other fault has, and starts them again together.
-type killAll struct{ platform }
+// killAllNodes kills all nodes that no other fault has reserved, and later starts them all again at
+// the same time.
+type killAllNodes struct{ platformFault }
 
-func (killAll) Name() string { return "kill_all" }
+func (killAllNodes) Name() string { return "kill_all" }
 
-func (killAll) Inject(ctx context.Context, s *soak.Site, _ int) (func() error, error) {
+func (killAllNodes) Inject(ctx context.Context, s *soak.Site, _ int) (func() error, error) {
 	var ends []func() error
 	for index := range s.Nodes {
-		undo, err := kill.Inject(ctx, s, index)
+		end, err := killNode.Inject(ctx, s, index)
 		switch {
-		case errors.Is(err, soak.ErrHeld):
+		case errors.Is(err, soak.ErrTargetLocked):
 		case err != nil:
 			return nil, err
 		default:
-			ends = append(ends, undo)
+			ends = append(ends, end)
 		}
 	}
-	return func() error { return together(ends) }, nil
+	return func() error { return runConcurrently(ends) }, nil
 }
 
-// together calls functions at once and gives their errors.
-func together(functions []func() error) error {
+// runConcurrently calls the functions concurrently and returns their combined errors.
+func runConcurrently(functions []func() error) error {
 	results := make(chan error, len(functions))
 	for _, f := range functions {
 		go func() { results <- f() }()
 	}
-	var all error
+	var combined error
 	for range functions {
-		all = errors.CombineErrors(all, <-results)
+		combined = errors.CombineErrors(combined, <-results)
 	}
-	return all
+	return combined
 }
 
-// pause freezes a node.
-type pause struct{ nodes }
+// pauseNode suspends a node's process.
+type pauseNode struct{ nodeFault }
 
-func (pause) Name() string { return "pause" }
+func (pauseNode) Name() string { return "pause" }
 
-func (pause) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	n, release, err := disturb(s, target)
+func (pauseNode) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	n, release, err := lockAndDisturb(s, target)
 	if err != nil {
 		return nil, err
 	}
@@ -129,15 +133,15 @@
 	}, nil
 }
 
-// reload tells a node that its settings have changed.
-type reload struct{ nodes }
+// reloadNode makes a node reload its settings.
+type reloadNode struct{ nodeFault }
 
-func (reload) Name() string { return "reload" }
+func (reloadNode) Name() string { return "reload" }
 
-func (reload) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
-	n, release, held := s.HoldNode(target)
-	if !held {
-		return nil, soak.ErrHeld
+func (reloadNode) Inject(_ context.Context, s *soak.Site, target int) (func() error, error) {
+	n, release, locked := s.LockNode(target)
+	if !locked {
+		return nil, soak.ErrTargetLocked
 	}
 	defer release()
 	return func() error { return nil }, n.Signal(syscall.SIGHUP)
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// Step is one fault of a plan.
+// Step is the injection of one fault in a plan.
 type Step struct {
-	At     time.Duration // since the start of the faults
+	At     time.Duration // since the start of the first injection
 	Lasts  time.Duration
 	Fault  string
 	Target int
 }
 
-// Times of a plan.
+// Bounds of the random times in a plan: the pause between two injections and the duration of a
+// fault.
 const (
-	shortestPause = 200 * time.Millisecond
-	longestPause  = 2 * time.Second
-	shortestFault = 300 * time.Millisecond
-	longestFault  = 5 * time.Second
+	minPause     = 200 * time.Millisecond
+	maxPause     = 2 * time.Second
+	minFaultTime = 300 * time.Millisecond
+	maxFaultTime = 5 * time.Second
 )
 
-// Plan draws the faults of a soak. The same seed, duration, kinds and size give the same plan.
+// Plan draws the faults of a soak from a random generator. The plan depends only on the seed, the
+// duration, the kinds and the size.
 func Plan(seed uint64, duration time.Duration, kinds []Fault, size Size) []Step {
 	const stream = 1
 	random := rand.New(rand.NewPCG(seed, stream))
@@ -29,11 +31,11 @@
 		return low + time.Duration(random.Int64N(int64(high-low)))
 	}
 	var steps []Step
-	for at := between(shortestPause, longestPause); at < duration; at += between(shortestPause, longestPause) {
+	for at := between(minPause, maxPause); at < duration; at += between(minPause, maxPause) {
 		kind := kinds[random.IntN(len(kinds))]
 		steps = append(steps, Step{
 			At:     at.Round(time.Millisecond),
-			Lasts:  between(shortestFault, longestFault).Round(time.Millisecond),
+			Lasts:  between(minFaultTime, maxFaultTime).Round(time.Millisecond),
 			Fault:  kind.Name(),
 			Target: random.IntN(kind.Targets(size)),
 		})
--- a/internal/lab/soak/reasons.go
+++ b/internal/lab/soak/reasons.go
@@ -11,14 +11,14 @@
 	"robinpulley.example/robinpulley/internal/logging"
 )
 
-// logFlush is longer than lines wait for being written.
-const logFlush = 300 * time.Millisecond
+// logFlushTime is longer than the nodes buffer their log lines.
+const logFlushTime = 300 * time.Millisecond
 
-// explain judges refusals by the reasons in the logs of the nodes that refused.
-func (s *Site) explain() {
-	time.Sleep(logFlush)
+// classifyRefusals passes the logged reasons of all nodes to Checker.ClassifyRefusals.
+func (s *Site) classifyRefusals() {
+	time.Sleep(logFlushTime)
 	reasons := make(map[netip.AddrPort]map[string]string)
-	s.Checker.Explain(func(node netip.AddrPort, flow string) string {
+	s.Checker.ClassifyRefusals(func(node netip.AddrPort, flow string) string {
 		if reasons[node] == nil {
 			reasons[node] = s.reasonsOf(node)
 		}
@@ -26,8 +26,9 @@
 	})
 }
 
-// reasonsOf gives the reason of the last refusal of each flow, by the logs of all runs of a
-// node. What cannot be read is missing, and a refusal without a reason is a promise broken.
+// reasonsOf returns the reason of the last refusal of each flow, from the logs of all processes of
+// a node. Log files and lines that cannot be read are skipped. The refusals in them then have no
+// reason, which ClassifyRefusals reports as a violation.
 func (s *Site) reasonsOf(address netip.AddrPort) map[string]string {
 	reasons := make(map[string]string)
 	for _, node := range s.Nodes {
@@ -45,6 +46,7 @@
 	return reasons
 }
 
+// readReasons adds the refusals in a log file to reasons.
 func readReasons(log string, reasons map[string]string) {
 	file, err := os.Open(log)
 	if err != nil {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -18,43 +18,43 @@
 	"robinpulley.example/robinpulley/internal/lab/platformsim"
 )
 
-// Times of the callers.
+// Behaviour of the clients.
 const (
-	requestPause = 60 * time.Millisecond
-	crowdPause   = 30 * time.Millisecond // of callers who crowd
-	// refusedPause is long enough for nodes to have a line in their logs for each refusal.
-	refusedPause = 150 * time.Millisecond
-	longestFlow  = 20 // requests
-	keptPause    = 120 * time.Millisecond
-	toggledPart  = 4 // one flow in so many goes to a front end that changes
+	flowRequestPause  = 60 * time.Millisecond
+	surgeRequestPause = 30 * time.Millisecond // in the additional flows of a surge
+	// refusalPause limits the rate of refusals, so that the nodes' rate-limited logs have a line
+	// for each refusal.
+	refusalPause           = 150 * time.Millisecond
+	maxFlowRequests        = 20 // per short flow
+	persistentRequestPause = 120 * time.Millisecond
+	toggledFlowInterval    = 4 // one flow in toggledFlowInterval goes to one of ToggledFrontends
 )
 
-// Counts is what the callers saw.
+// Counts holds the counters of the clients.
 type Counts struct {
-	Opened, NotOpened, Refused, Answered atomic.Uint64
-	// Kept are flows that were used until their hosts were gone, or the run ended.
-	Kept atomic.Uint64
+	Opened, Unanswered, Refused, Answered atomic.Uint64
+	// Persistent counts flows that were used until their hosts stopped or the run ended.
+	Persistent atomic.Uint64
 }
 
-// Report is how a soak went.
+// Report is the result of a soak.
 type Report struct {
 	Seed       uint64
 	Steps      []Step
-	Skipped    int // steps whose target another fault had
+	Skipped    int // steps whose target was reserved by another fault
 	Counts     *Counts
 	StoreCalls int
-	// Unknown is how many later packets came to a host that does not hold their
-	// flow, such as those that were late and met a flow that had ended.
+	// Unknown counts packets after the opening that reached a host that does not hold their flow,
+	// for example because they were late and the flow had ended.
 	Unknown uint64
-	// Checked is how many openings were held against the routes, and the
-	// draining hosts, that had to be in force.
+	// Checked counts how often each guarantee with a time limit was verified.
 	Checked    Checked
-	Unopened   map[Cause]int // openings that nobody answered
+	Unanswered map[Cause]int // openings that remained unanswered
 	Violations []Violation
 }
 
-// Unchecked names the promises bound to a time that were never checked: such a
-// run shows nothing of them.
+// Unchecked returns the guarantees with a time limit that the run never verified. The run is no
+// evidence for them.
 func (report *Report) Unchecked() []Rule {
 	var rules []Rule
 	if report.Checked.Routes == 0 {
@@ -63,47 +63,48 @@
 	if report.Checked.Drains == 0 {
 		rules = append(rules, RuleDrain)
 	}
-	if report.has("crowd") && report.Checked.Settled == 0 {
-		rules = append(rules, RuleCrowd)
+	if report.includesFault("crowd") && report.Checked.AfterSurge == 0 {
+		rules = append(rules, RuleSurge)
 	}
 	return rules
 }
 
-// Unreached names the promises that a fault of the run was meant to test, but that no
-// opening came to: most nodes were disturbed, or had just started, whenever it was there.
+// Unreached returns the guarantees that a fault of the run was meant to exercise, but to which no
+// opening applied, for example because most nodes were disturbed or had just started during the
+// fault.
 func (report *Report) Unreached() []Rule {
 	var rules []Rule
-	if report.has("evacuate") && report.Checked.Evacuations == 0 {
+	if report.includesFault("evacuate") && report.Checked.Evacuations == 0 {
 		rules = append(rules, RuleZone)
 	}
-	if report.has("cold_most") && report.Checked.Cold == 0 {
+	if report.includesFault("cold_most") && report.Checked.ColdOpenings == 0 {
 		rules = append(rules, RuleCold)
 	}
 	return rules
 }
 
-// has tells whether a kind of fault was among the steps.
-func (report *Report) has(kind string) bool {
+// includesFault reports whether the steps include a kind of fault.
+func (report *Report) includesFault(kind string) bool {
 	return slices.ContainsFunc(report.Steps, func(step Step) bool { return step.Fault == kind })
 }
 
-// run is one soak under way.
-type run struct {
+// soakRun is the state of a running soak.
+type soakRun struct {
 	*Site
-	counts  Counts
-	next    atomic.Uint64 // request ids
-	skipped atomic.Int64
+	counts      Counts
+	nextRequest atomic.Uint64 // last request ID
+	skipped     atomic.Int64
 }
 
-// Run does one soak. The error is that of the soak itself; what the balancers
-// did wrong is in the report.
+// Run performs one soak. The report holds the violations by the balancers. The returned error is a
+// failure of the soak itself.
 func Run(ctx context.Context, settings Settings, kinds []Fault, output io.Writer) (*Report, error) {
 	site, end, err := newSite(ctx, settings)
 	if err != nil {
 		return nil, err
 	}
 	defer end()
-	r := &run{Site: site}
+	r := &soakRun{Site: site}
 	report := &Report{Seed: settings.Seed, Steps: settings.Steps, Counts: &r.counts}
 	if report.Steps == nil {
 		report.Steps = Plan(settings.Seed, settings.Duration, kinds, settings.Size)
@@ -111,71 +112,73 @@
 	loading, stopLoad := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	for index := range settings.Size.Flows {
-		caller := site.callers[index%len(site.callers)]
-		load.Go(func() { r.load(loading, caller, uint64(index), habits{longestFlow, requestPause}) })
+		client := site.clients[index%len(site.clients)]
+		load.Go(func() {
+			r.generateFlows(loading, client, uint64(index), flowPattern{maxFlowRequests, flowRequestPause})
+		})
 	}
-	for index := range settings.Size.Kept {
-		load.Go(func() { r.keep(loading, site.callers[index%len(site.callers)], index) })
+	for index := range settings.Size.PersistentFlows {
+		load.Go(func() { r.generatePersistentFlows(loading, site.clients[index%len(site.clients)], index) })
 	}
-	site.crowd = r.crowd
-	err = r.play(ctx, report.Steps, kinds, output)
+	site.generateSurge = r.runSurge
+	err = r.injectSteps(ctx, report.Steps, kinds, output)
 	if err == nil {
-		err = r.recover(ctx)
+		err = r.checkRecovery(ctx)
 	}
 	stopLoad()
 	load.Wait()
 	report.Unknown = site.checkPackets()
-	site.explain()
+	site.classifyRefusals()
 	report.Skipped = int(r.skipped.Load())
 	report.StoreCalls = site.Store.Calls()
 	report.Checked = site.Checker.Checked()
-	report.Unopened = site.Checker.Unopened()
+	report.Unanswered = site.Checker.Unanswered()
 	report.Violations = site.Checker.Violations()
 	return report, err
 }
 
-// play injects the steps at their times and waits for their ends.
-func (r *run) play(ctx context.Context, steps []Step, kinds []Fault, output io.Writer) error {
-	byName := make(map[string]Fault)
+// injectSteps injects each step at its time and waits until all faults have ended.
+func (r *soakRun) injectSteps(ctx context.Context, steps []Step, kinds []Fault, output io.Writer) error {
+	kindByName := make(map[string]Fault)
 	for _, kind := range kinds {
-		byName[kind.Name()] = kind
+		kindByName[kind.Name()] = kind
 	}
-	begun := time.Now()
-	failures := make(chan error, len(steps))
+	start := time.Now()
+	results := make(chan error, len(steps))
 	var injected sync.WaitGroup
 	for _, step := range steps {
-		if err := sleep(ctx, step.At-time.Since(begun)); err != nil {
+		if err := sleep(ctx, step.At-time.Since(start)); err != nil {
 			return err
 		}
 		fmt.Fprintf(output, "%8s  %-16s target %d for %s\n", step.At, step.Fault, step.Target, step.Lasts)
-		injected.Go(func() { failures <- r.inject(ctx, byName[step.Fault], step) })
+		injected.Go(func() { results <- r.inject(ctx, kindByName[step.Fault], step) })
 	}
 	injected.Wait()
-	close(failures)
-	var all error
-	for err := range failures {
-		all = errors.CombineErrors(all, err)
+	close(results)
+	var combined error
+	for err := range results {
+		combined = errors.CombineErrors(combined, err)
 	}
-	return all
+	return combined
 }
 
-// ErrHeld is given by Inject when another fault has the target.
-var ErrHeld = errors.New("another fault has the target")
+// ErrTargetLocked is returned by Inject if another fault has reserved the target.
+var ErrTargetLocked = errors.New("another fault has the target")
 
-func (r *run) inject(ctx context.Context, kind Fault, step Step) error {
+func (r *soakRun) inject(ctx context.Context, kind Fault, step Step) error {
 	end, err := kind.Inject(ctx, r.Site, step.Target)
-	if errors.Is(err, ErrHeld) {
+	if errors.Is(err, ErrTargetLocked) {
 		r.skipped.Add(1)
 		return nil
 	}
 	if err != nil {
 		return errors.Wrapf(err, "%s at %s", step.Fault, step.At)
 	}
-	_ = sleep(ctx, step.Lasts) // the fault is ended in any case
+	_ = sleep(ctx, step.Lasts) // the fault must be ended even if ctx is done
 	return errors.Wrapf(end(), "end of %s at %s", step.Fault, step.At)
 }
 
-// sleep waits, or gives the error of ctx.
+// sleep waits for the duration. If ctx ends first, sleep returns its error.
 func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -185,22 +188,24 @@
 	}
 }
 
-// recoveredOpenings in a row show that all is served again.
-const recoveredOpenings = 100
+// recoveryOpenings is the number of consecutive successful openings after which the site counts as
+// recovered.
+const recoveryOpenings = 100
 
-// recover checks that all is served again once the faults are over.
-func (r *run) recover(ctx context.Context) error {
-	if r.Settings.Bounds.Recovery == 0 {
+// checkRecovery verifies that all openings are served again within Bounds.RecoveryLimit after the
+// last fault.
+func (r *soakRun) checkRecovery(ctx context.Context) error {
+	if r.Settings.Bounds.RecoveryLimit == 0 {
 		return nil
 	}
-	limited, cancel := context.WithTimeout(ctx, r.Settings.Bounds.Recovery)
+	recoveryCtx, cancel := context.WithTimeout(ctx, r.Settings.Bounds.RecoveryLimit)
 	defer cancel()
-	row := 0
-	err := cluster.Until(limited, "all is served again", func() (bool, error) {
-		for ; row < recoveredOpenings; row++ {
-			flow, err := r.callers[row%len(r.callers)].Open(Fronts[row%len(Fronts)])
+	consecutive := 0
+	err := cluster.Until(recoveryCtx, "all is served again", func() (bool, error) {
+		for ; consecutive < recoveryOpenings; consecutive++ {
+			flow, err := r.clients[consecutive%len(r.clients)].Open(StableFrontends[consecutive%len(StableFrontends)])
 			if err != nil {
-				row = 0
+				consecutive = 0
 				return false, err
 			}
 			flow.Close()
@@ -208,105 +213,110 @@
 		return true, nil
 	})
 	if err != nil && ctx.Err() == nil {
-		r.Checker.Report(time.Now(), RuleRecover, "%v", err)
+		r.Checker.AddViolation(time.Now(), RuleRecover, "%v", err)
 	}
 	return ctx.Err()
 }
 
-// crowdTimes is how many times as many flows callers of a zone have who crowd, each of up
-// to so many requests: with the shorter pause they ask seven times as much.
+// Size of a surge: the clients of the zone have surgeFactor times their usual number of flows. As
+// the additional flows also have a shorter pause, the zone's request rate is about seven times the
+// usual one.
 const (
-	crowdTimes  = 5
-	crowdedFlow = 6
+	surgeFactor          = 5
+	maxSurgeFlowRequests = 6 // per additional flow
 )
 
-// crowd adds load of a zone's callers until ctx ends.
-func (r *run) crowd(ctx context.Context, zone int) {
+// runSurge adds flows from a zone's clients until ctx ends.
+func (r *soakRun) runSurge(ctx context.Context, zone int) {
 	var load sync.WaitGroup
-	count := (crowdTimes - 1) * r.Settings.Size.Flows / len(r.callers)
+	count := (surgeFactor - 1) * r.Settings.Size.Flows / len(r.clients)
 	for index := range count {
-		load.Go(func() { r.load(ctx, r.callers[zone], uint64(1<<20+index), habits{crowdedFlow, crowdPause}) })
+		load.Go(func() {
+			r.generateFlows(ctx, r.clients[zone], uint64(1<<20+index), flowPattern{maxSurgeFlowRequests, surgeRequestPause})
+		})
 	}
 	load.Wait()
 }
 
-// habits are how long flows are at the most, in requests, and the pause after each of those.
-type habits struct {
-	longest int
-	pause   time.Duration
+// flowPattern describes the short flows of a client: the maximum number of requests per flow and
+// the pause after each request.
+type flowPattern struct {
+	maxRequests  int
+	requestPause time.Duration
 }
 
-// load opens flows one after the other and uses each for a while.
-func (r *run) load(ctx context.Context, caller *platformsim.Caller, stream uint64, as habits) {
+// generateFlows opens flows one after the other and sends a random number of requests on each.
+func (r *soakRun) generateFlows(ctx context.Context, client *platformsim.Caller, stream uint64, pattern flowPattern) {
 	random := rand.New(rand.NewPCG(r.Settings.Seed, 2+stream))
 	for ctx.Err() == nil {
-		front := Fronts[random.IntN(len(Fronts))]
-		if random.IntN(toggledPart) == 0 {
-			front = Toggled[random.IntN(len(Toggled))]
+		frontend := StableFrontends[random.IntN(len(StableFrontends))]
+		if random.IntN(toggledFlowInterval) == 0 {
+			frontend = ToggledFrontends[random.IntN(len(ToggledFrontends))]
 		}
-		opening := Opening{Front: front, SentAt: time.Now()}
-		flow, err := caller.Open(front)
-		opening.Node, opening.Copies, opening.Caller = flow.Node, flow.Copies, flow.Address()
+		opening := Opening{Frontend: frontend, SentAt: time.Now()}
+		flow, err := client.Open(frontend)
+		opening.Node, opening.ExtraCopies, opening.Client = flow.Node, flow.Copies, flow.Address()
 		switch {
 		case errors.Is(err, platformsim.ErrReset):
 			r.counts.Refused.Add(1)
-			opening.ByNode = errors.Is(err, platformsim.ErrResetByNode)
-			r.Checker.Opened(opening)
-			_ = sleep(ctx, refusedPause)
+			opening.RefusedByNode = errors.Is(err, platformsim.ErrResetByNode)
+			r.Checker.RecordOpening(opening)
+			_ = sleep(ctx, refusalPause)
 			continue
 		case err != nil:
-			r.counts.NotOpened.Add(1)
-			r.Checker.NotOpened(time.Now(), flow.Node, front)
+			r.counts.Unanswered.Add(1)
+			r.Checker.RecordUnanswered(time.Now(), flow.Node, frontend)
 			continue
 		}
 		r.counts.Opened.Add(1)
-		r.use(ctx, flow, opening, 1+random.IntN(as.longest), as.pause)
+		r.sendRequests(ctx, flow, opening, 1+random.IntN(pattern.maxRequests), pattern.requestPause)
 		flow.Close()
 	}
 }
 
-// keep opens a flow and uses it until its host is gone, and then another one.
-func (r *run) keep(ctx context.Context, caller *platformsim.Caller, index int) {
-	front := Fronts[index%len(Fronts)]
+// generatePersistentFlows opens a flow and uses it until its host stops, and then opens the next.
+func (r *soakRun) generatePersistentFlows(ctx context.Context, client *platformsim.Caller, index int) {
+	frontend := StableFrontends[index%len(StableFrontends)]
 	for ctx.Err() == nil {
-		opening := Opening{Front: front, SentAt: time.Now()}
-		flow, err := caller.Open(front)
-		opening.Node, opening.Copies, opening.Caller = flow.Node, flow.Copies, flow.Address()
+		opening := Opening{Frontend: frontend, SentAt: time.Now()}
+		flow, err := client.Open(frontend)
+		opening.Node, opening.ExtraCopies, opening.Client = flow.Node, flow.Copies, flow.Address()
 		if err != nil {
-			_ = sleep(ctx, refusedPause) // openings are judged by load
+			_ = sleep(ctx, refusalPause) // generateFlows verifies the outcomes of openings
 			continue
 		}
-		r.counts.Kept.Add(1)
-		r.use(ctx, flow, opening, math.MaxInt, keptPause)
+		r.counts.Persistent.Add(1)
+		r.sendRequests(ctx, flow, opening, math.MaxInt, persistentRequestPause)
 		flow.Close()
 	}
 }
 
-// use sends requests on an open flow, one after the other.
-func (r *run) use(ctx context.Context, flow *platformsim.Flow, opening Opening, requests int, pause time.Duration) {
-	first := ""
+// sendRequests sends requests on an open flow one after the other, and records failures and
+// answers from the wrong host.
+func (r *soakRun) sendRequests(ctx context.Context, flow *platformsim.Flow, opening Opening, requests int, pause time.Duration) {
+	flowHost := ""
 	for range requests {
-		id := r.next.Add(1)
-		r.Checker.Sends(id, opening.Front)
+		id := r.nextRequest.Add(1)
+		r.Checker.RecordRequest(id, opening.Frontend)
 		host, err := flow.Request(id)
 		now := time.Now()
 		switch {
 		case errors.Is(err, platformsim.ErrMixed):
-			r.Checker.Report(now, RuleMixed, "%v, at %s", err, host)
+			r.Checker.AddViolation(now, RuleMixedAnswers, "%v, at %s", err, host)
 			return
 		case err != nil:
-			if first != "" { // else the host is not known
+			if flowHost != "" { // otherwise the host is unknown
 				err = errors.Wrapf(err, "opened %s ago at %v, accepted by %v",
 					now.Sub(opening.SentAt).Round(time.Millisecond), flow.Opened, r.hostsAt(flow.Accepting))
-				r.Checker.FlowEnded(now, first, flow.Node, err)
+				r.Checker.RecordFlowFailure(now, flowHost, flow.Node, err)
 			}
 			return
-		case first == "":
-			first = host
-			opening.Service = r.service(host)
-			r.Checker.Opened(opening)
-		case host != first:
-			r.Checker.FlowEnded(now, first, flow.Node, errors.Newf("answered by %s", host))
+		case flowHost == "":
+			flowHost = host
+			opening.Service = r.serviceOf(host)
+			r.Checker.RecordOpening(opening)
+		case host != flowHost:
+			r.Checker.RecordFlowFailure(now, flowHost, flow.Node, errors.Newf("answered by %s", host))
 			return
 		}
 		r.counts.Answered.Add(1)
@@ -316,7 +326,7 @@
 	}
 }
 
-// Print writes the report as a table.
+// Print writes the report as a table, followed by the violations.
 func (report *Report) Print(output io.Writer) error {
 	counts := report.Counts
 	rows := []struct {
@@ -327,24 +337,24 @@
 		{"faults", len(report.Steps)},
 		{"of them not injected, since another had the target", report.Skipped},
 		{"flows opened", counts.Opened.Load()},
-		{"flows kept until their hosts were gone", counts.Kept.Load()},
+		{"flows kept until their hosts were gone", counts.Persistent.Load()},
 		{"requests answered", counts.Answered.Load()},
 		{"openings refused", counts.Refused.Load()},
-		{"never opened", counts.NotOpened.Load()},
-		{"of them, " + string(CauseNode), report.Unopened[CauseNode]},
-		{"of them, " + string(CauseOther), report.Unopened[CauseOther]},
-		{"of them, " + string(CauseHost), report.Unopened[CauseHost]},
-		{"of them, " + string(CauseNone), report.Unopened[CauseNone]},
+		{"never opened", counts.Unanswered.Load()},
+		{"of them, " + string(CauseNode), report.Unanswered[CauseNode]},
+		{"of them, " + string(CauseOther), report.Unanswered[CauseOther]},
+		{"of them, " + string(CauseHost), report.Unanswered[CauseHost]},
+		{"of them, " + string(CauseNone), report.Unanswered[CauseNone]},
 		{"packets at a host that does not hold their flow", report.Unknown},
 		{"calls to the store", report.StoreCalls},
 		{"openings checked against the routes in force", report.Checked.Routes},
 		{"openings checked while hosts had drained for long", report.Checked.Drains},
 		{"openings checked while a zone was evacuated for long", report.Checked.Evacuations},
-		{"openings at hosts that had just started", report.Checked.Cold},
+		{"openings at hosts that had just started", report.Checked.ColdOpenings},
 		{"openings refused by their only node, none of them at a host", report.Checked.Refusals},
-		{"of them, while callers crowded or back ends were few", report.Checked.Crowded},
-		{"openings checked after a crowd had gone", report.Checked.Settled},
-		{"openings refused for load while nobody crowded", report.Checked.Chance},
+		{"of them, while callers crowded or back ends were few", report.Checked.DuringSurge},
+		{"openings checked after a crowd had gone", report.Checked.AfterSurge},
+		{"openings refused for load while nobody crowded", report.Checked.QuietLoadRefusals},
 		{"promises not kept", len(report.Violations)},
 	}
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -17,82 +17,84 @@
 	"robinpulley.example/robinpulley/internal/lab/proxy"
 )
 
-// The services of a site.
+// The names of the two services of a site.
 const (
 	ServiceWeb  = "web"
 	ServiceDocs = "docs"
 )
 
-// Fronts are the front ends whose routes stay, and Toggled those that change.
+// StableFrontends are the front ends with constant routes. ToggledFrontends are the front ends whose
+// routes are changed by faults.
 var (
-	Fronts  = []netip.AddrPort{netip.MustParseAddrPort("198.18.0.1:443"), netip.MustParseAddrPort("198.18.0.1:8443")}
-	Toggled = []netip.AddrPort{
+	StableFrontends  = []netip.AddrPort{netip.MustParseAddrPort("198.18.0.1:443"), netip.MustParseAddrPort("198.18.0.1:8443")}
+	ToggledFrontends = []netip.AddrPort{
 		netip.MustParseAddrPort("198.18.0.9:9001"),
 		netip.MustParseAddrPort("198.18.0.9:9002"),
 		netip.MustParseAddrPort("198.18.0.9:9003"),
 	}
 )
 
-// callerAddress is that of the callers of a zone.
-func callerAddress(zone int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 2, byte(zone + 1)}) }
+// clientAddress returns the address of the clients of a zone.
+func clientAddress(zone int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 2, byte(zone + 1)}) }
 
 // Node is one balancer process.
 type Node struct {
-	Name string
-	Zone string
-	Data netip.AddrPort
-	Link *proxy.Proxy // to the store
+	Name       string
+	Zone       string
+	Data       netip.AddrPort
+	StoreProxy *proxy.Proxy // between the node and the store
 
-	control   string
-	ready     string
-	arguments []string
+	controlAddress   string
+	readyURL         string
+	programArguments []string
 
-	mutex   sync.Mutex // held while a fault has the process
+	mutex   sync.Mutex // held while a fault has reserved the process
 	process *cluster.Process
 }
 
-// Slot is the place of one host of a service. Hosts in it come and go.
-type Slot struct {
+// Replica is one replica of a service. Faults may replace its host.
+type Replica struct {
 	Service string
 	Zone    string
 
-	mutex sync.Mutex // held while a fault has the host
+	mutex sync.Mutex // held while a fault has reserved the host
 	host  *platformsim.Host
 }
 
-// Site is a stand-in of the users' platform with real balancers.
+// Site is a simulation of the users' platform with real balancer processes.
 type Site struct {
 	Settings Settings
 	Checker  *Checker
 	Store    *platformsim.Store
 	Router   *platformsim.Router
 	Nodes    []*Node
-	Slots    []*Slot
+	Replicas []*Replica
 
-	callers []*platformsim.Caller // by zone
-	port    uint16                // of all data addresses
-	// crowd has callers of a zone ask more until ctx ends.
-	crowd func(ctx context.Context, zone int)
+	clients  []*platformsim.Caller // by zone
+	dataPort uint16                // the port of all data addresses
+	// generateSurge adds load from the clients of a zone until ctx ends.
+	generateSurge func(ctx context.Context, zone int)
 
-	mutex    sync.Mutex
-	version  Version
-	services map[string]string   // by host
-	hosts    []*platformsim.Host // all that there were
-	closers  []func()
+	mutex         sync.Mutex
+	version       Version
+	serviceByHost map[string]string   // service name by host ID
+	hosts         []*platformsim.Host // all hosts, including those that have stopped
+	closers       []func()
 
-	evacuating sync.Mutex // held while a zone is evacuated
-	loading    sync.Mutex // held by one fault that brings load
+	evacuationMutex sync.Mutex // held while a zone is evacuated
+	loadMutex       sync.Mutex // held by the fault that adds load or removes capacity
 }
 
-// newSite starts all. The function ends it, also what faults have added.
+// newSite starts a site. The returned function stops everything, including the hosts that faults
+// have added.
 func newSite(ctx context.Context, settings Settings) (*Site, func(), error) {
 	if err := os.MkdirAll(settings.Directory, 0o755); err != nil {
-		return nil, nil, errors.Wrap(err, "directory of logs")
+		return nil, nil, errors.Wrap(err, "create the log directory")
 	}
 	s := &Site{
-		Settings: settings,
-		Checker:  NewChecker(settings.Bounds),
-		services: make(map[string]string),
+		Settings:      settings,
+		Checker:       NewChecker(settings.Bounds),
+		serviceByHost: make(map[string]string),
 	}
 	if err := s.start(ctx); err != nil {
 		s.close()
@@ -112,47 +114,48 @@
 	if err != nil {
 		return err
 	}
-	s.port = netip.MustParseAddrPort(free).Port()
+	s.dataPort = netip.MustParseAddrPort(free).Port()
 	for _, service := range []string{ServiceWeb, ServiceDocs} {
 		for index := range s.Settings.Size.Hosts {
-			if err := s.addSlot(service, index); err != nil {
+			if err := s.addReplica(service, index); err != nil {
 				return err
 			}
 		}
 	}
-	s.Change(func(routes map[netip.AddrPort]string) {
-		routes[Fronts[0]] = ServiceWeb
-		routes[Fronts[1]] = ServiceDocs
+	s.UpdateRoutes(func(routes map[netip.AddrPort]string) {
+		routes[StableFrontends[0]] = ServiceWeb
+		routes[StableFrontends[1]] = ServiceDocs
 	})
 	for index := range s.Settings.Size.Nodes {
 		if err := s.addNode(index); err != nil {
 			return err
 		}
 	}
-	return s.startCallers(ctx)
+	return s.startClients(ctx)
 }
 
-func (s *Site) startCallers(ctx context.Context) error {
-	var routed []platformsim.RouterNode
+func (s *Site) startClients(ctx context.Context) error {
+	var routerNodes []platformsim.RouterNode
 	for _, n := range s.Nodes {
-		routed = append(routed, platformsim.RouterNode{Data: n.Data, Ready: n.ready, Zone: n.Zone})
+		routerNodes = append(routerNodes, platformsim.RouterNode{Data: n.Data, Ready: n.readyURL, Zone: n.Zone})
 	}
-	routing, cancel := context.WithCancel(context.Background())
+	routerCtx, cancel := context.WithCancel(context.Background())
 	s.onClose(cancel)
-	s.Router = platformsim.NewRouter(routing, routed)
+	s.Router = platformsim.NewRouter(routerCtx, routerNodes)
 	for zone := range s.Settings.Size.Zones {
-		caller, err := platformsim.NewCaller(callerAddress(zone), s.port, s.Router)
+		client, err := platformsim.NewCaller(clientAddress(zone), s.dataPort, s.Router)
 		if err != nil {
 			return err
 		}
-		caller.SetZone(s.zone(zone))
-		s.callers = append(s.callers, caller)
-		s.onClose(caller.Close)
+		client.SetZone(s.zoneName(zone))
+		s.clients = append(s.clients, client)
+		s.onClose(client.Close)
 	}
-	return cluster.Until(ctx, "all balancers are in", func() (bool, error) { return s.Router.In() == len(s.Nodes), nil })
+	return cluster.Until(ctx, "the router has admitted all balancers", func() (bool, error) { return s.Router.In() == len(s.Nodes), nil })
 }
 
-// onClose has a function called when the site is closed, the last one first.
+// onClose registers a function to be called when the site is closed, in reverse order of
+// registration.
 func (s *Site) onClose(f func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -168,7 +171,7 @@
 	}
 }
 
-func (s *Site) zone(index int) string { return fmt.Sprintf("zone-%d", index%s.Settings.Size.Zones) }
+func (s *Site) zoneName(index int) string { return fmt.Sprintf("zone-%d", index%s.Settings.Size.Zones) }
 
 func (s *Site) addNode(index int) error {
 	control, err := cluster.FreeAddress()
@@ -179,117 +182,119 @@
 	if err != nil {
 		return err
 	}
-	link, end, err := proxy.New(strings.TrimPrefix(s.Store.URL(), "http://"))
+	link, closeProxy, err := proxy.New(strings.TrimPrefix(s.Store.URL(), "http://"))
 	if err != nil {
 		return err
 	}
-	s.onClose(end)
+	s.onClose(closeProxy)
 	n := &Node{
-		Name:    fmt.Sprintf("node-%d", index),
-		Zone:    s.zone(index),
-		Data:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(index + 1)}), s.port),
-		Link:    link,
-		control: control,
-		ready:   "http://" + admin + "/readyz",
+		Name:           fmt.Sprintf("node-%d", index),
+		Zone:           s.zoneName(index),
+		Data:           netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(index + 1)}), s.dataPort),
+		StoreProxy:     link,
+		controlAddress: control,
+		readyURL:       "http://" + admin + "/readyz",
 	}
 	settings := fmt.Sprintf("node: %s\nzone: %s\naffinity: token\ndata_address: %s\ncontrol_address: %s\n"+
 		"admin_address: %s\nstore_endpoints: [\"http://%s\"]\ntimings: {drain_grace: 500ms, drain_limit: 5s}\n"+
 		"limits: {cold_overage: %v, cold_slack: %v}\n",
 		n.Name, n.Zone, n.Data, control, admin, link.Address, coldOverage, coldSlack)
 	if index > 0 {
-		settings += fmt.Sprintf("seeds: [%q]\n", s.Nodes[0].control)
+		settings += fmt.Sprintf("seeds: [%q]\n", s.Nodes[0].controlAddress)
 	}
 	file := filepath.Join(s.Settings.Directory, n.Name+".yaml")
 	if err := os.WriteFile(file, []byte(settings), 0o644); err != nil {
-		return errors.Wrap(err, "settings")
+		return errors.Wrap(err, "write the settings file")
 	}
-	n.arguments = []string{"run", "--config", file}
+	n.programArguments = []string{"run", "--config", file}
 	s.Nodes = append(s.Nodes, n)
 	s.onClose(func() {
 		if n.process != nil {
 			n.process.End()
 		}
 	})
-	return s.Launch(n, 0)
+	return s.StartNode(n, 0)
 }
 
-// Launch starts a run of the node's process; the log has the run's number.
-func (s *Site) Launch(n *Node, run int) error {
-	name := fmt.Sprintf("%s.%d", n.Name, run)
+// StartNode starts a process of the node. The number becomes part of the log's name.
+func (s *Site) StartNode(n *Node, number int) error {
+	name := fmt.Sprintf("%s.%d", n.Name, number)
 	var err error
-	n.process, err = cluster.StartProcess(s.Settings.Directory, name, s.Settings.Program, n.arguments...)
+	n.process, err = cluster.StartProcess(s.Settings.Directory, name, s.Settings.Program, n.programArguments...)
 	return err
 }
 
-// Change writes a new version of the routes, made from the last one.
-func (s *Site) Change(change func(routes map[netip.AddrPort]string)) {
+// UpdateRoutes applies a change to the current routes and writes the result to the store as a new
+// version.
+func (s *Site) UpdateRoutes(change func(routes map[netip.AddrPort]string)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	routes := make(map[netip.AddrPort]string)
-	for front, service := range s.version.Routes {
-		routes[front] = service
+	for frontend, service := range s.version.Routes {
+		routes[frontend] = service
 	}
 	change(routes)
 	s.version = Version{Number: s.version.Number + 1, Routes: routes}
 	var documents []any
-	for front, service := range routes {
+	for frontend, service := range routes {
 		documents = append(documents, map[string]any{
-			"name": front.String(), "hostname": front.Addr().String(),
-			"path_prefix": fmt.Sprintf("/%d/", front.Port()), "service": service,
-			"target_latency_ms": targetTime.Milliseconds(), "priority": priorities[service],
+			"name": frontend.String(), "hostname": frontend.Addr().String(),
+			"path_prefix": fmt.Sprintf("/%d/", frontend.Port()), "service": service,
+			"target_latency_ms": targetLatency.Milliseconds(), "priority": priorities[service],
 		})
 	}
 	services := []any{
-		map[string]any{"name": ServiceWeb, "cold_start_s": coldTime.Seconds(), "cold_per_s": coldPerSecond},
-		map[string]any{"name": ServiceDocs, "cold_start_s": coldTime.Seconds(), "cold_per_s": coldPerSecond},
+		map[string]any{"name": ServiceWeb, "cold_start_s": coldStartTime.Seconds(), "cold_per_s": coldPerSecond},
+		map[string]any{"name": ServiceDocs, "cold_start_s": coldStartTime.Seconds(), "cold_per_s": coldPerSecond},
 	}
 	s.Store.Put("op/config", map[string]any{"version": s.version.Number, "routes": documents, "services": services})
 	s.version.At = time.Now()
-	s.Checker.Changed(s.version)
+	s.Checker.RecordVersion(s.version)
 }
 
-// Evacuate takes a zone out of use; false: another one is. The function takes it
-// back. One zone at a time, so that each service has hosts that take new flows.
-func (s *Site) Evacuate(index int) (restore func(), held bool) {
-	if !s.evacuating.TryLock() {
+// Evacuate evacuates a zone. It returns started=false if another zone is evacuated: with one
+// evacuation at a time, each service keeps hosts that accept new flows. The returned function ends
+// the evacuation.
+func (s *Site) Evacuate(index int) (restore func(), started bool) {
+	if !s.evacuationMutex.TryLock() {
 		return nil, false
 	}
-	zone := s.zone(index)
+	zone := s.zoneName(index)
 	s.Store.PutBytes(evacuationPrefix+zone, nil)
-	s.Checker.Evacuated(time.Now(), zone)
+	s.Checker.RecordEvacuation(time.Now(), zone)
 	return func() {
-		s.Checker.Restored(zone)
+		s.Checker.RecordRestoration(zone)
 		s.Store.Delete(evacuationPrefix + zone)
-		s.evacuating.Unlock()
+		s.evacuationMutex.Unlock()
 	}, true
 }
 
-// evacuationPrefix is that of the entries of evacuated zones.
+// evacuationPrefix is the prefix of the keys of evacuated zones in the store.
 const evacuationPrefix = "op/evacuate/"
 
-func (s *Site) addSlot(service string, index int) error {
-	slot := &Slot{Service: service, Zone: s.zone(index)}
-	s.Slots = append(s.Slots, slot)
+func (s *Site) addReplica(service string, index int) error {
+	replica := &Replica{Service: service, Zone: s.zoneName(index)}
+	s.Replicas = append(s.Replicas, replica)
 	var err error
-	slot.host, err = s.NewHost(service, slot.Zone, netip.MustParseAddrPort("127.0.0.1:0"))
+	replica.host, err = s.NewHost(service, replica.Zone, netip.MustParseAddrPort("127.0.0.1:0"))
 	return err
 }
 
-// NewHost starts a host at an address and has it announce itself.
+// NewHost starts a host at an address and announces it in the store.
 func (s *Site) NewHost(service, zone string, address netip.AddrPort) (*platformsim.Host, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	id := fmt.Sprintf("i-%06x", firstHost+len(s.hosts))
-	s.services[id] = service
-	h, err := platformsim.NewHost(id, service, zone, address, s.port)
+	id := fmt.Sprintf("i-%06x", firstHostNumber+len(s.hosts))
+	s.serviceByHost[id] = service
+	h, err := platformsim.NewHost(id, service, zone, address, s.dataPort)
 	if err != nil {
 		return nil, err
 	}
-	h.SetWork(RequestWork)
-	h.SetSlots(hostSlots)
-	h.Observe(s.Checker.HostSaw)
-	if len(s.Nodes) > 0 { // it starts while flows are there
-		h.StartCold(coldTime)
+	h.SetWork(RequestServiceTime)
+	h.SetSlots(requestSlotsPerHost)
+	h.Observe(s.Checker.RecordHostEvent)
+	if len(s.Nodes) > 0 { // the host starts under load
+		h.StartCold(coldStartTime)
 	}
 	h.Announce(s.Store, "ready")
 	s.hosts = append(s.hosts, h)
@@ -297,39 +302,42 @@
 	return h, nil
 }
 
-// What hosts say of themselves when they have just started.
+// Settings of the cold start: the duration and the rate that hosts announce, and the tolerance of the
+// balancers' limit. coldOpenings is the resulting maximum of openings in any second.
 const (
-	coldTime      = 2 * time.Second
-	coldPerSecond = 2.0 // new flows
+	coldStartTime = 2 * time.Second
+	coldPerSecond = 2.0 // new flows per second
 	coldOverage   = 1.5
 	coldSlack     = 5.0
 	coldOpenings  = coldPerSecond*coldOverage + coldSlack
 )
 
-// What requests need: long enough that a busy machine's delays do not pass for load. All
-// hosts together of the usual size do 1,600 a second, a third of it those of a zone. The usual
-// flows ask for 400, so that half of the hosts may be away; callers of one zone who crowd for 880 alone.
+// Work of the requests. The service time is long enough that scheduling delays of a busy machine
+// are not mistaken for load. At the default size, all hosts together serve 1,600 requests per
+// second, and the hosts of one zone a third of that. The regular flows send 400 requests per
+// second, so that half of the hosts may be unavailable. The clients of one zone in a surge send
+// 880 requests per second by themselves.
 const (
-	RequestWork = 40 * time.Millisecond
-	hostSlots   = 8
-	targetTime  = 400 * time.Millisecond
+	RequestServiceTime  = 40 * time.Millisecond
+	requestSlotsPerHost = 8
+	targetLatency       = 400 * time.Millisecond
 )
 
-// priorities are those of the services' requests: web goes first.
+// priorities holds the request priority of each service. Requests of ServiceWeb have the highest.
 var priorities = map[string]int{ServiceWeb: 0, ServiceDocs: 1}
 
-// firstHost is the number of the first host.
-const firstHost = 0x100
+// firstHostNumber is the number in the ID of the first host.
+const firstHostNumber = 0x100
 
-// checkPackets reports packets that somebody changed on their way, and
-// openings without a token, and gives how many later packets came to a host
-// that does not hold their flow.
+// checkPackets adds a violation if packets were modified in transit or openings arrived without a
+// token. It returns the number of packets after the opening that reached a host that does not hold
+// their flow.
 func (s *Site) checkPackets() (unknown uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	forged := uint64(0)
-	for _, caller := range s.callers {
-		forged += caller.Forged()
+	for _, client := range s.clients {
+		forged += client.Forged()
 	}
 	for _, h := range s.hosts {
 		counts := h.Counts()
@@ -337,19 +345,19 @@
 		unknown += counts.Unknown
 	}
 	if forged > 0 {
-		s.Checker.Report(time.Now(), RuleForged, "%d packets came that nobody wrote that way, or opened a flow without a token", forged)
+		s.Checker.AddViolation(time.Now(), RuleForged, "%d packets were modified in transit or opened a flow without a token", forged)
 	}
 	return unknown
 }
 
-// service gives that of a host.
-func (s *Site) service(host string) string {
+// serviceOf returns the service of a host.
+func (s *Site) serviceOf(host string) string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.services[host]
+	return s.serviceByHost[host]
 }
 
-// hostsAt gives the ids of the newest hosts at some addresses, with the addresses.
+// hostsAt returns, for each address, the ID of its newest host followed by the address.
 func (s *Site) hostsAt(addresses []netip.AddrPort) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs real balancers as processes on a stand-in of the users'
-// platform, puts flows on them, injects faults from outside by a plan drawn
-// from a seed, and checks what callers and back ends see against the promises
-// of the pages. Package faults below it has the kinds of fault.
+// Package soak is a randomized fault-injection test. It runs real balancer processes on a
+// simulation of the users' platform, sends flows through them and injects faults by a plan that is
+// drawn from a seed. Meanwhile it verifies the documented guarantees against what clients and back
+// ends observe. The package faults, below this one, implements the kinds of fault.
 package soak
 
 import (
@@ -9,56 +9,62 @@
 	"time"
 )
 
-// Fault is one kind of trouble.
+// Fault is one kind of fault.
 type Fault interface {
-	// Name names it in plans and reports.
+	// Name identifies the kind in plans and reports.
 	Name() string
-	// Targets is how many things it may befall at a site of this size; 1 for
-	// one that befalls the platform as a whole.
+	// Targets returns the number of possible targets at a site of this size. It is 1 for a fault
+	// that affects the whole platform.
 	Targets(size Size) int
-	// Inject begins it on one target and returns what ends it, which waits
-	// until the site has what the fault took away.
+	// Inject starts the fault on one target. The returned function ends the fault and waits until
+	// the affected part of the site works again. The error is ErrTargetLocked if another fault
+	// has reserved the target.
 	Inject(ctx context.Context, site *Site, target int) (end func() error, err error)
 }
 
-// Size is how large a site is.
+// Size is the size of a site.
 type Size struct {
-	Nodes int
-	Hosts int // of each service
-	Zones int
-	Flows int // open at any time
-	Kept  int // of callers who keep their flows until their hosts are gone
+	Nodes           int
+	Hosts           int // per service
+	Zones           int
+	Flows           int // concurrent short flows
+	PersistentFlows int // concurrent flows that stay open until their hosts stop
 }
 
-// Bounds are the times within which promises hold.
+// Bounds holds the limits within which the guarantees must hold.
 type Bounds struct {
-	// Change is when a change must be in force, and a draining host get nothing new.
-	Change time.Duration
-	// Contact is how long a node must have been undisturbed for Change to hold for it.
-	Contact time.Duration
-	// ColdOpenings is how many openings a host that has just started may get in a second; 0: any.
-	ColdOpenings int
-	// Settle is when openings are served again after a crowd has gone; 0: whenever.
-	Settle time.Duration
-	// Recovery is when all is served again after the last fault.
-	Recovery time.Duration
+	// ChangeLimit is the time after which a change must be in force, and after which a draining
+	// host and an evacuated zone must receive no more openings.
+	ChangeLimit time.Duration
+	// UndisturbedTime is the time that must have passed since the last fault on a node before
+	// ChangeLimit applies to the node.
+	UndisturbedTime time.Duration
+	// ColdOpeningsPerSecond is the maximum number of openings per second at a host in its cold
+	// start. 0 disables the check.
+	ColdOpeningsPerSecond int
+	// SurgeSettleTime is the time after a surge until openings must be served again. 0 allows
+	// refusals for load at any time after a surge.
+	SurgeSettleTime time.Duration
+	// RecoveryLimit is the time after the last fault until all openings must be served again.
+	// 0 disables the check.
+	RecoveryLimit time.Duration
 }
 
-// Settings of a soak.
+// Settings configures a soak.
 type Settings struct {
 	Seed      uint64
-	Duration  time.Duration // of the faults; start and recovery come on top
-	Steps     []Step        // nil: drawn from Seed
+	Duration  time.Duration // of the fault injection, without start-up and recovery
+	Steps     []Step        // nil to draw them from Seed
 	Size      Size
 	Bounds    Bounds
-	Program   string // the balancer
-	Directory string // logs and settings files
+	Program   string // path of the balancer program
+	Directory string // for logs and settings files
 }
 
-// DefaultSize has a dozen processes or fewer.
-func DefaultSize() Size { return Size{Nodes: 6, Hosts: 4, Zones: 3, Flows: 40, Kept: 12} }
+// DefaultSize returns a size with at most a dozen processes.
+func DefaultSize() Size { return Size{Nodes: 6, Hosts: 4, Zones: 3, Flows: 40, PersistentFlows: 12} }
 
-// DefaultBounds are those of the users' deployments.
+// DefaultBounds returns the limits that apply to the users' deployments.
 func DefaultBounds() Bounds {
-	return Bounds{Change: 3 * time.Second, Contact: 4 * time.Second, ColdOpenings: coldOpenings, Settle: 2 * time.Second, Recovery: 12 * time.Second}
+	return Bounds{ChangeLimit: 3 * time.Second, UndisturbedTime: 4 * time.Second, ColdOpeningsPerSecond: coldOpenings, SurgeSettleTime: 2 * time.Second, RecoveryLimit: 12 * time.Second}
 }
