--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -1,6 +1,6 @@
-// Package check compares what callers and hosts have seen with what the
-// balancers promise: no flow broken, no request run twice, no request refused
-// as not run that ran, whole answers of the right service.
+// Package check verifies the guarantees of the balancers against the reports of clients and hosts:
+// no flow is broken, no request runs twice, no request that was refused as not run has run, and
+// answers are complete and from the right service.
 package check
 
 import (
@@ -11,86 +11,87 @@
 	"robinpulley.example/robinpulley/internal/lab/hostsim"
 )
 
-// Result is the outcome of one run.
+// Result holds the counts and violations of one run.
 type Result struct {
 	Started    int
 	Opened     int
 	Answered   int
 	Retried    int
 	Pushes     int
-	NotRun     int // openings refused as not run
-	MayHaveRun int // openings refused as may have run
-	Shed       int // requests refused by hosts
+	NotRun     int // openings that were refused as not run
+	MayHaveRun int // openings that were refused as possibly run
+	Shed       int // requests that hosts refused
 
-	Broken       []callersim.Failure // flows that were open
-	Unanswered   []callersim.Failure // requests that never opened
-	RunTwice     []string            // requests that ran more than once, over all tries
-	OpenedTwice  []string            // openings that reached two hosts
-	FalseNotRun  []string            // refused as not run, but ran or opened
-	WrongService []string            // answers of another service
-	Misdelivered int                 // packets that reached a host of another service
-	Mixed        []string            // answers to another request
-	Truncated    []string            // uploads that did not land whole
+	BrokenFlows         []callersim.Failure // established flows that were broken
+	NeverOpened         []callersim.Failure // requests whose flow was never established
+	DuplicateRuns       []string            // requests that ran more than once, over all attempts
+	DuplicateOpenings   []string            // openings that reached more than one host
+	FalseNotRun         []string            // attempts refused as not run that ran, and openings refused as not run that reached a host
+	WrongServiceAnswers []string            // answers from another service
+	MisdeliveredPackets int                 // packets that reached a host of another service
+	MixedAnswers        []string            // answers that belong to another request
+	TruncatedUploads    []string            // uploads that arrived incomplete
 
-	// Imbalance is that of Imbalance.
+	// Imbalance is the result of the function Imbalance.
 	Imbalance map[string]float64
 }
 
-// Run checks the reports of all callers and hosts of one run.
-func Run(callers []callersim.Report, hosts []hostsim.Report) Result {
+// Verify evaluates the reports of all clients and hosts of one run.
+func Verify(clients []callersim.Report, hosts []hostsim.Report) Result {
 	result := Result{Imbalance: Imbalance(hosts)}
-	for i := range callers {
-		result.addCaller(&callers[i])
+	for i := range clients {
+		result.addClient(&clients[i])
 	}
 	for i := range hosts {
-		result.Misdelivered += hosts[i].WrongService
+		result.MisdeliveredPackets += hosts[i].WrongService
 		result.Shed += hosts[i].Shed
 	}
 	runs := countRuns(hosts)
-	result.RunTwice = overOne(runs.byRequest)
-	result.OpenedTwice = overOne(runs.openings)
-	for i := range callers {
-		result.FalseNotRun = append(result.FalseNotRun, falseNotRun(&callers[i], &runs)...)
+	result.DuplicateRuns = repeatedNames(runs.byRequest)
+	result.DuplicateOpenings = repeatedNames(runs.openings)
+	for i := range clients {
+		result.FalseNotRun = append(result.FalseNotRun, findFalseNotRun(&clients[i], &runs)...)
 	}
 	return result
 }
 
-// Clean tells whether nothing went wrong apart from broken and unanswered
-// flows, which are judged by their time and host.
+// Clean reports whether the result has no violations except broken and never opened flows. The
+// caller must evaluate those itself, as some faults allow them.
 func (result *Result) Clean() bool {
-	return len(result.RunTwice) == 0 && len(result.OpenedTwice) == 0 && len(result.FalseNotRun) == 0 &&
-		len(result.WrongService) == 0 && result.Misdelivered == 0 &&
-		len(result.Mixed) == 0 && len(result.Truncated) == 0
+	return len(result.DuplicateRuns) == 0 && len(result.DuplicateOpenings) == 0 && len(result.FalseNotRun) == 0 &&
+		len(result.WrongServiceAnswers) == 0 && result.MisdeliveredPackets == 0 &&
+		len(result.MixedAnswers) == 0 && len(result.TruncatedUploads) == 0
 }
 
-func (result *Result) addCaller(caller *callersim.Report) {
-	result.Started += caller.Started
-	result.Opened += caller.Opened
-	result.Answered += caller.Answered
-	result.Retried += caller.Retried
-	result.Pushes += caller.Pushes
-	result.NotRun += len(caller.NotRun)
-	result.MayHaveRun += len(caller.MayHaveRun)
-	result.Broken = append(result.Broken, caller.Broken...)
-	result.Unanswered = append(result.Unanswered, caller.Unanswered...)
-	result.WrongService = append(result.WrongService, caller.WrongService...)
-	result.Mixed = append(result.Mixed, caller.Mixed...)
-	result.Truncated = append(result.Truncated, caller.Truncated...)
+func (result *Result) addClient(client *callersim.Report) {
+	result.Started += client.Started
+	result.Opened += client.Opened
+	result.Answered += client.Answered
+	result.Retried += client.Retried
+	result.Pushes += client.Pushes
+	result.NotRun += len(client.NotRun)
+	result.MayHaveRun += len(client.MayHaveRun)
+	result.BrokenFlows = append(result.BrokenFlows, client.Broken...)
+	result.NeverOpened = append(result.NeverOpened, client.Unanswered...)
+	result.WrongServiceAnswers = append(result.WrongServiceAnswers, client.WrongService...)
+	result.MixedAnswers = append(result.MixedAnswers, client.Mixed...)
+	result.TruncatedUploads = append(result.TruncatedUploads, client.Truncated...)
 }
 
-// runCounts counts, over all hosts, runs of tries and of requests, and openings.
+// runCounts holds, over all hosts, the number of runs of each attempt and each request, and the
+// number of hosts that each opening reached.
 type runCounts struct {
-	byTry     map[string]int
+	byAttempt map[string]int
 	byRequest map[string]int
 	openings  map[string]int
 }
 
 func countRuns(hosts []hostsim.Report) runCounts {
-	counts := runCounts{byTry: map[string]int{}, byRequest: map[string]int{}, openings: map[string]int{}}
+	counts := runCounts{byAttempt: map[string]int{}, byRequest: map[string]int{}, openings: map[string]int{}}
 	for i := range hosts {
-		for try, runs := range hosts[i].Runs {
-			request, _, _ := strings.Cut(try, "/")
-			counts.byTry[try] += runs
+		for attempt, runs := range hosts[i].Runs {
+			request, _, _ := strings.Cut(attempt, "/")
+			counts.byAttempt[attempt] += runs
 			counts.byRequest[request] += runs
 		}
 		for opening := range hosts[i].Openings {
@@ -100,34 +101,38 @@
 	return counts
 }
 
-func overOne(counts map[string]int) []string {
-	var over []string
+// repeatedNames returns the names with a count above one, in order.
+func repeatedNames(counts map[string]int) []string {
+	var repeated []string
 	for name, count := range counts {
 		if count > 1 {
-			over = append(over, name)
+			repeated = append(repeated, name)
 		}
 	}
-	slices.Sort(over)
-	return over
+	slices.Sort(repeated)
+	return repeated
 }
 
-func falseNotRun(caller *callersim.Report, runs *runCounts) []string {
-	found := slices.Clone(caller.FalseNotRun)
-	for _, opening := range caller.NotRun {
+// findFalseNotRun returns the attempts and openings of a client that were refused as not run,
+// although they ran or reached a host.
+func findFalseNotRun(client *callersim.Report, runs *runCounts) []string {
+	found := slices.Clone(client.FalseNotRun)
+	for _, opening := range client.NotRun {
 		if runs.openings[opening] > 0 {
 			found = append(found, opening)
 		}
 	}
-	for _, try := range caller.NotRunIDs {
-		if runs.byTry[try] > 0 {
-			found = append(found, try)
+	for _, attempt := range client.NotRunIDs {
+		if runs.byAttempt[attempt] > 0 {
+			found = append(found, attempt)
 		}
 	}
 	slices.Sort(found)
 	return slices.Compact(found)
 }
 
-// Imbalance gives, per service, the highest number of openings at a host over the mean.
+// Imbalance returns, for each service, the highest number of openings at one host divided by the
+// mean of its hosts.
 func Imbalance(hosts []hostsim.Report) map[string]float64 {
 	openings := map[string][]int{}
 	for i := range hosts {
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -22,23 +22,23 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// Options say what a cluster is made of.
+// Options configures a cluster.
 type Options struct {
-	Binaries  string // directory of robinpulley, robinctl and robinlab
-	Directory string // logs and settings files
+	Binaries  string // directory of the programs robinpulley, robinctl and robinlab
+	Directory string // for logs and settings files
 	Zones     []lb.Zone
-	// FabricFlags are further flags of robinlab fabric.
+	// FabricFlags holds additional flags of robinlab fabric.
 	FabricFlags []string
-	// Timings override the balancers' timings.
+	// Timings overrides the default timings of the balancers.
 	Timings Timings
-	// Probe has the balancers probe the hosts.
-	Probe bool
-	// StallLimit is how long an open flow may be without progress; zero is
-	// the callers' default.
+	// ProbeHosts enables the health probes of the balancers.
+	ProbeHosts bool
+	// StallLimit is the maximum time without progress of an open flow. Zero selects the default of
+	// the clients.
 	StallLimit time.Duration
 }
 
-// Timings are the balancers' timings that runs change.
+// Timings holds the timings of the balancers that a cluster can override.
 type Timings struct {
 	IdleTimeout string `yaml:"idle_timeout,omitempty"`
 	PinLifetime string `yaml:"pin_lifetime,omitempty"`
@@ -47,42 +47,43 @@
 	DrainLimit  string `yaml:"drain_limit,omitempty"`
 }
 
-// Cluster is a set of running processes. Close ends them all.
+// Cluster is a set of running processes: a store, a fabric, balancers, hosts and clients. Close stops
+// them all.
 type Cluster struct {
-	options     Options
-	StoreURL    string
-	fabric      string // UDP
-	fabricAdmin string // HTTP
-	Operator    *Operator
+	options       Options
+	StoreURL      string
+	fabricAddress string // UDP address
+	fabricAdmin   string // HTTP address
+	Operator      *Operator
 
 	mutex     sync.Mutex
 	processes []*Process
 	Balancers []*Balancer
 	Hosts     []*Host
-	Callers   []*Caller
+	Clients   []*Client
 }
 
 // Balancer is one balancer process.
 type Balancer struct {
 	*Process
-	Node    lb.NodeID
-	Zone    lb.Zone
-	Admin   string // HTTP address
-	machine storesim.Machine
+	Node         lb.NodeID
+	Zone         lb.Zone
+	AdminAddress string // HTTP address
+	machine      storesim.Machine
 }
 
-// Start starts store and fabric. Close must be called also after an error.
+// Start starts the store and the fabric. The caller must call Close, even after an error.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	cluster := &Cluster{options: options}
 	if err := os.MkdirAll(options.Directory, 0o755); err != nil {
-		return cluster, errors.Wrapf(err, "directory %q", options.Directory)
+		return cluster, errors.Wrapf(err, "create directory %q", options.Directory)
 	}
 	storeAddress, err := FreeAddress()
 	if err != nil {
 		return cluster, err
 	}
 	cluster.StoreURL = "http://" + storeAddress
-	if cluster.fabric, err = FreeAddress(); err != nil {
+	if cluster.fabricAddress, err = FreeAddress(); err != nil {
 		return cluster, err
 	}
 	if cluster.fabricAdmin, err = FreeAddress(); err != nil {
@@ -92,15 +93,15 @@
 	if err != nil {
 		return cluster, err
 	}
-	if err := store.Serves(ctx, cluster.machinesURL()); err != nil {
+	if err := store.AwaitServing(ctx, cluster.machinesURL()); err != nil {
 		return cluster, err
 	}
-	flags := []string{"fabric", "--listen", cluster.fabric, "--admin", cluster.fabricAdmin, "--machines", cluster.machinesURL()}
+	flags := []string{"fabric", "--listen", cluster.fabricAddress, "--admin", cluster.fabricAdmin, "--machines", cluster.machinesURL()}
 	fabric, err := cluster.startLab("fabric", append(flags, options.FabricFlags...)...)
 	if err != nil {
 		return cluster, err
 	}
-	if err := fabric.Serves(ctx, "http://"+cluster.fabricAdmin+"/counters"); err != nil {
+	if err := fabric.AwaitServing(ctx, "http://"+cluster.fabricAdmin+"/counters"); err != nil {
 		return cluster, err
 	}
 	cluster.Operator, err = newOperator(cluster.StoreURL)
@@ -109,15 +110,15 @@
 
 func (cluster *Cluster) machinesURL() string { return cluster.StoreURL + "/machines" }
 
-// Close ends every process that was started, by its process id.
+// Close stops every process that the cluster has started, by its process ID.
 func (cluster *Cluster) Close() {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	var ending sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, process := range cluster.processes {
-		ending.Go(process.End)
+		stopping.Go(process.Stop)
 	}
-	ending.Wait()
+	stopping.Wait()
 }
 
 func (cluster *Cluster) start(name, program string, arguments ...string) (*Process, error) {
@@ -135,7 +136,7 @@
 	return cluster.start(name, "robinlab", arguments...)
 }
 
-// settings is a balancer's settings file.
+// settings is the content of a balancer's settings file.
 type settings struct {
 	Node                string         `yaml:"node"`
 	Zone                lb.Zone        `yaml:"zone"`
@@ -155,7 +156,7 @@
 	Enabled bool `yaml:"enabled"`
 }
 
-// StartBalancer starts a balancer and, once it is ready, puts it on the machine list.
+// StartBalancer starts a balancer process. Register adds it to the machine list.
 func (cluster *Cluster) StartBalancer(ctx context.Context, name string, zone lb.Zone) (*Balancer, error) {
 	var addresses [3]string
 	for i := range addresses {
@@ -168,10 +169,10 @@
 	file := settings{
 		Node: name, Zone: zone,
 		DataAddress: addresses[0], ControlAddress: addresses[1], AdminAddress: addresses[2],
-		FabricReply: []string{cluster.fabric}, StoreEndpoints: []string{cluster.StoreURL},
+		FabricReply: []string{cluster.fabricAddress}, StoreEndpoints: []string{cluster.StoreURL},
 		MachinesURL: cluster.machinesURL(), LogLevel: "info",
 		AllowFaultInjection: true, Timings: cluster.options.Timings,
-		Health: healthSettings{Enabled: cluster.options.Probe},
+		Health: healthSettings{Enabled: cluster.options.ProbeHosts},
 	}
 	text, err := yaml.Marshal(file)
 	if err != nil {
@@ -186,7 +187,7 @@
 		return nil, err
 	}
 	balancer := &Balancer{
-		Process: process, Node: lb.NodeID(name), Zone: zone, Admin: addresses[2],
+		Process: process, Node: lb.NodeID(name), Zone: zone, AdminAddress: addresses[2],
 		machine: storesim.Machine{Node: lb.NodeID(name), Zone: zone, Control: addresses[1], Data: addresses[0]},
 	}
 	cluster.mutex.Lock()
@@ -195,23 +196,24 @@
 	return balancer, nil
 }
 
-// Admit waits until the balancer is ready and puts it on the machine list.
-func (cluster *Cluster) Admit(ctx context.Context, balancer *Balancer) error {
-	if err := balancer.Serves(ctx, "http://"+balancer.Admin+"/readyz"); err != nil {
+// Register waits until the balancer is ready and adds it to the machine list.
+func (cluster *Cluster) Register(ctx context.Context, balancer *Balancer) error {
+	if err := balancer.AwaitServing(ctx, "http://"+balancer.AdminAddress+"/readyz"); err != nil {
 		return err
 	}
-	return cluster.post(ctx, balancer.machine)
+	return cluster.postMachine(ctx, balancer.machine)
 }
 
-func (cluster *Cluster) post(ctx context.Context, machine storesim.Machine) error {
-	return send(ctx, http.MethodPost, cluster.machinesURL(), machine)
+func (cluster *Cluster) postMachine(ctx context.Context, machine storesim.Machine) error {
+	return sendJSON(ctx, http.MethodPost, cluster.machinesURL(), machine)
 }
 
-// StopPlanned announces the balancer as leaving, tells it to stop and waits for its end.
+// StopPlanned marks the balancer as leaving on the machine list, sends SIGTERM, waits until the process
+// has ended and removes the balancer from the machine list.
 func (cluster *Cluster) StopPlanned(ctx context.Context, balancer *Balancer) error {
 	leaving := balancer.machine
 	leaving.Leaving = true
-	if err := cluster.post(ctx, leaving); err != nil {
+	if err := cluster.postMachine(ctx, leaving); err != nil {
 		return err
 	}
 	if err := balancer.Signal(syscall.SIGTERM); err != nil {
@@ -224,10 +226,11 @@
 	if code != 0 {
 		return errors.Newf("%s ended its planned stop with exit code %d", balancer.Name, code)
 	}
-	return cluster.remove(ctx, balancer)
+	return cluster.unregister(ctx, balancer)
 }
 
-// Kill ends the balancer at once; the platform notices after the lag.
+// Kill sends SIGKILL to the balancer. The balancer stays on the machine list for the given lag, the
+// time that the platform takes to detect a failed machine.
 func (cluster *Cluster) Kill(ctx context.Context, balancer *Balancer, lag time.Duration) error {
 	if err := balancer.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -236,25 +239,26 @@
 		return err
 	}
 	time.Sleep(lag)
-	return cluster.remove(ctx, balancer)
+	return cluster.unregister(ctx, balancer)
 }
 
-func (cluster *Cluster) remove(ctx context.Context, balancer *Balancer) error {
-	gone := balancer.machine
-	gone.Gone = true
-	return cluster.post(ctx, gone)
+func (cluster *Cluster) unregister(ctx context.Context, balancer *Balancer) error {
+	removed := balancer.machine
+	removed.Gone = true
+	return cluster.postMachine(ctx, removed)
 }
 
-// Cut cuts the balancer off from the zones' balancers; none ends the cut.
-func (balancer *Balancer) Cut(ctx context.Context, from ...lb.Zone) error {
+// Partition blocks the balancer's communication with the balancers of the given zones. Without any
+// zone, it ends the partition.
+func (balancer *Balancer) Partition(ctx context.Context, from ...lb.Zone) error {
 	query := url.Values{}
 	for _, zone := range from {
 		query.Add("zone", string(zone))
 	}
-	return send(ctx, http.MethodPost, "http://"+balancer.Admin+"/debug/cut?"+query.Encode(), nil)
+	return sendJSON(ctx, http.MethodPost, "http://"+balancer.AdminAddress+"/debug/cut?"+query.Encode(), nil)
 }
 
-// State is the part of a balancer's /debug/state that runs look at.
+// State is the part of a balancer's /debug/state that the fault runs evaluate.
 type State struct {
 	Watcher bool `json:"watcher"`
 	Members []struct {
@@ -264,20 +268,20 @@
 	Versions map[lb.ServiceName]lb.Version `json:"versions"`
 }
 
-// State reads the balancer's state.
+// State queries the balancer's state.
 func (balancer *Balancer) State(ctx context.Context) (State, error) {
 	var state State
-	err := fetch(ctx, "http://"+balancer.Admin+"/debug/state", &state)
+	err := fetchJSON(ctx, "http://"+balancer.AdminAddress+"/debug/state", &state)
 	return state, err
 }
 
-// SetStoreFaults changes how the store misbehaves.
+// SetStoreFaults sets the faults that the store injects.
 func (cluster *Cluster) SetStoreFaults(ctx context.Context, faults storesim.Faults) error {
-	return send(ctx, http.MethodPut, cluster.StoreURL+"/faults", faults)
+	return sendJSON(ctx, http.MethodPut, cluster.StoreURL+"/faults", faults)
 }
 
-// send sends a value as JSON and wants success as answer.
-func send(ctx context.Context, method, url string, value any) error {
+// sendJSON sends a value as JSON. A response status other than 2xx is an error.
+func sendJSON(ctx context.Context, method, url string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return errors.Wrapf(err, "%s %s", method, url)
@@ -298,8 +302,8 @@
 	return nil
 }
 
-// fetch reads JSON.
-func fetch(ctx context.Context, url string, value any) error {
+// fetchJSON gets a JSON document from a URL and decodes it into value.
+func fetchJSON(ctx context.Context, url string, value any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Wrapf(err, "GET %s", url)
@@ -312,10 +316,10 @@
 	return errors.Wrapf(json.NewDecoder(response.Body).Decode(value), "GET %s", url)
 }
 
-// seedFlag gives a process its own seed.
+// seedFlag returns the flag that sets a seed of its own for the next process.
 func (cluster *Cluster) seedFlag() string {
 	return "--seed=" + strconv.Itoa(len(cluster.processes)+1)
 }
 
-// numbered gives the name of the next process of a kind.
-func numbered(kind string, count int) string { return fmt.Sprintf("%s-%d", kind, count+1) }
+// nextName returns the name of the next process of a kind, after count processes.
+func nextName(kind string, count int) string { return fmt.Sprintf("%s-%d", kind, count+1) }
--- a/internal/lab/cluster/load.go
+++ b/internal/lab/cluster/load.go
@@ -17,17 +17,18 @@
 // Host is one back-end host process.
 type Host struct {
 	*Process
-	Backend catalog.Backend
-	Admin   string // HTTP address
+	Backend      catalog.Backend
+	AdminAddress string // HTTP address
 }
 
-// Caller is one caller process.
-type Caller struct {
+// Client is one client process, which runs all clients of a service.
+type Client struct {
 	*Process
-	Admin string // HTTP address
+	AdminAddress string // HTTP address
 }
 
-// Load is what one caller process does.
+// Load configures the load from one client process: the number of feeds and UDP flows that it keeps
+// open, and the rates of its short requests ("taps") and uploads per second.
 type Load struct {
 	Service    lb.ServiceName
 	Frontend   netip.AddrPort
@@ -37,8 +38,8 @@
 	UploadRate float64
 }
 
-// StartHost starts a host of a service and creates its back end with the
-// label app=SERVICE.
+// StartHost starts a host of a service and creates its back end in the store, with the label
+// app=SERVICE.
 func (cluster *Cluster) StartHost(ctx context.Context, service lb.ServiceName, zone lb.Zone, frontends ...netip.AddrPort) (*Host, error) {
 	data, err := FreeAddress()
 	if err != nil {
@@ -48,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	name := numbered("host", len(cluster.Hosts))
+	name := nextName("host", len(cluster.Hosts))
 	flags := []string{"host", "--name", name, "--service", string(service), "--listen", data, "--admin", admin, cluster.seedFlag()}
 	for _, frontend := range frontends {
 		flags = append(flags, "--frontends", frontend.String())
@@ -57,26 +58,26 @@
 	if err != nil {
 		return nil, err
 	}
-	host := &Host{Process: process, Admin: admin, Backend: catalog.Backend{
+	host := &Host{Process: process, AdminAddress: admin, Backend: catalog.Backend{
 		Name: lb.BackendName(name), Host: netip.MustParseAddrPort(data), Zone: zone,
 		Labels: map[string]string{"app": string(service)},
 		Probe:  "http://" + admin + "/health",
 	}}
 	cluster.Hosts = append(cluster.Hosts, host)
-	if err := process.Serves(ctx, "http://"+admin+"/report"); err != nil {
+	if err := process.AwaitServing(ctx, "http://"+admin+"/report"); err != nil {
 		return nil, err
 	}
 	_, err = cluster.Operator.PutBackend(ctx, host.Backend)
 	return host, err
 }
 
-// SetHealth changes how the host's health and load endpoint misleads.
+// SetHealth sets the faults of the host's health and load endpoint.
 func (host *Host) SetHealth(ctx context.Context, faults hostsim.HealthFaults) error {
-	return send(ctx, http.MethodPut, "http://"+host.Admin+"/faults", faults)
+	return sendJSON(ctx, http.MethodPut, "http://"+host.AdminAddress+"/faults", faults)
 }
 
-// StartCaller starts the callers of a service.
-func (cluster *Cluster) StartCaller(ctx context.Context, load Load) (*Caller, error) {
+// StartClient starts the client process of a service.
+func (cluster *Cluster) StartClient(ctx context.Context, load Load) (*Client, error) {
 	listen, err := FreeAddress()
 	if err != nil {
 		return nil, err
@@ -85,10 +86,10 @@
 	if err != nil {
 		return nil, err
 	}
-	name := numbered("caller", len(cluster.Callers))
+	name := nextName("caller", len(cluster.Clients))
 	flags := []string{
 		"caller", "--name", name, "--service", string(load.Service), "--frontend", load.Frontend.String(),
-		"--fabric", cluster.fabric, "--listen", listen, "--admin", admin, cluster.seedFlag(),
+		"--fabric", cluster.fabricAddress, "--listen", listen, "--admin", admin, cluster.seedFlag(),
 		fmt.Sprintf("--feeds=%d", load.Feeds), fmt.Sprintf("--udp-flows=%d", load.UDPFlows),
 		fmt.Sprintf("--tap-rate=%g", load.TapRate), fmt.Sprintf("--upload-rate=%g", load.UploadRate),
 	}
@@ -99,15 +100,15 @@
 	if err != nil {
 		return nil, err
 	}
-	caller := &Caller{Process: process, Admin: admin}
-	cluster.Callers = append(cluster.Callers, caller)
-	return caller, process.Serves(ctx, "http://"+admin+"/report")
+	client := &Client{Process: process, AdminAddress: admin}
+	cluster.Clients = append(cluster.Clients, client)
+	return client, process.AwaitServing(ctx, "http://"+admin+"/report")
 }
 
-// FeedsOpen waits until the callers have all their feeds and UDP flows answered.
-func (cluster *Cluster) FeedsOpen(ctx context.Context, feeds, udpFlows int) error {
-	return Until(ctx, fmt.Sprintf("%d feeds and %d UDP flows are open", feeds, udpFlows), func() (bool, error) {
-		reports, err := cluster.CallerReports(ctx)
+// AwaitLongFlows waits until the clients have the given numbers of open feeds and UDP flows.
+func (cluster *Cluster) AwaitLongFlows(ctx context.Context, feeds, udpFlows int) error {
+	return WaitUntil(ctx, fmt.Sprintf("%d feeds and %d UDP flows are open", feeds, udpFlows), func() (bool, error) {
+		reports, err := cluster.ClientReports(ctx)
 		openFeeds, openUDP := 0, 0
 		for _, report := range reports {
 			openFeeds += report.Feeds
@@ -117,15 +118,15 @@
 	})
 }
 
-// StopCallers has the callers open nothing more and waits until every flow has ended.
-func (cluster *Cluster) StopCallers(ctx context.Context) error {
-	for _, caller := range cluster.Callers {
-		if err := send(ctx, http.MethodPost, "http://"+caller.Admin+"/stop", nil); err != nil {
+// StopClients makes the clients open no more flows and waits until all flows have ended.
+func (cluster *Cluster) StopClients(ctx context.Context) error {
+	for _, client := range cluster.Clients {
+		if err := sendJSON(ctx, http.MethodPost, "http://"+client.AdminAddress+"/stop", nil); err != nil {
 			return err
 		}
 	}
-	return Until(ctx, "the callers' flows have ended", func() (bool, error) {
-		reports, err := cluster.CallerReports(ctx)
+	return WaitUntil(ctx, "all flows of the clients have ended", func() (bool, error) {
+		reports, err := cluster.ClientReports(ctx)
 		open := 0
 		for _, report := range reports {
 			open += report.Open
@@ -134,27 +135,28 @@
 	})
 }
 
-// CallerReports reads the reports of all callers.
-func (cluster *Cluster) CallerReports(ctx context.Context) ([]callersim.Report, error) {
-	reports := make([]callersim.Report, len(cluster.Callers))
-	for i, caller := range cluster.Callers {
-		if err := fetch(ctx, "http://"+caller.Admin+"/report", &reports[i]); err != nil {
+// ClientReports queries the reports of all clients.
+func (cluster *Cluster) ClientReports(ctx context.Context) ([]callersim.Report, error) {
+	reports := make([]callersim.Report, len(cluster.Clients))
+	for i, client := range cluster.Clients {
+		if err := fetchJSON(ctx, "http://"+client.AdminAddress+"/report", &reports[i]); err != nil {
 			return nil, err
 		}
 	}
 	return reports, nil
 }
 
-// HostReport reads the report of one host.
+// HostReport queries the report of one host.
 func (cluster *Cluster) HostReport(ctx context.Context, host *Host) (hostsim.Report, error) {
 	var report hostsim.Report
-	err := fetch(ctx, "http://"+host.Admin+"/report", &report)
+	err := fetchJSON(ctx, "http://"+host.AdminAddress+"/report", &report)
 	return report, err
 }
 
-// Check reads all reports and checks them. The imbalance leaves out the drained hosts.
-func (cluster *Cluster) Check(ctx context.Context, drained ...*Host) (check.Result, error) {
-	callers, err := cluster.CallerReports(ctx)
+// Verify queries all reports and checks the guarantees. The imbalance is computed without the drained
+// hosts.
+func (cluster *Cluster) Verify(ctx context.Context, drained ...*Host) (check.Result, error) {
+	clients, err := cluster.ClientReports(ctx)
 	if err != nil {
 		return check.Result{}, err
 	}
@@ -164,7 +166,7 @@
 			return check.Result{}, err
 		}
 	}
-	result := check.Run(callers, hosts)
+	result := check.Verify(clients, hosts)
 	serving := slices.DeleteFunc(hosts, func(report hostsim.Report) bool {
 		return slices.ContainsFunc(drained, func(host *Host) bool { return host.Name == report.Host })
 	})
--- a/internal/lab/cluster/operator.go
+++ b/internal/lab/cluster/operator.go
@@ -16,27 +16,28 @@
 	"robinpulley.example/robinpulley/internal/store"
 )
 
-// An operator of a run retries more often than a balancer may.
+// Store client settings of an operator. They allow more frequent requests and retries than the
+// settings of a balancer, as runs need their changes accepted soon.
 const (
 	operatorRequests = 1000
 	operatorBackoff  = 20 * time.Millisecond
 )
 
-// Operator changes the configuration in the store, as robinctl does.
+// Operator changes the configuration in the store in the same way as robinctl.
 type Operator struct {
 	client *store.Client
-	number int64
+	index  int64
 	writes atomic.Int64
 }
 
-// operators counts the operators of this process, so that write ids are unique.
-var operators atomic.Int64
+// operatorCount is the number of operators in this process. It makes the write IDs unique.
+var operatorCount atomic.Int64
 
-// NewOperator gives one more operator of the cluster's store.
+// NewOperator returns an additional operator for the cluster's store.
 func (cluster *Cluster) NewOperator() (*Operator, error) { return newOperator(cluster.StoreURL) }
 
 func newOperator(storeURL string) (*Operator, error) {
-	settings := store.DefaultSettings([]string{storeURL}, uint64(operators.Load()))
+	settings := store.DefaultSettings([]string{storeURL}, uint64(operatorCount.Load()))
 	settings.RequestsPerSecond = operatorRequests
 	settings.Burst = operatorRequests
 	settings.RetryRatio = 1
@@ -44,14 +45,14 @@
 	settings.BackoffBase = operatorBackoff
 	settings.BackoffMax = operatorBackoff
 	client, err := store.New(settings)
-	return &Operator{client: client, number: operators.Add(1)}, err
+	return &Operator{client: client, index: operatorCount.Add(1)}, err
 }
 
 func (operator *Operator) writeID() string {
-	return fmt.Sprintf("lab-%d-%d-%d", time.Now().UnixNano(), operator.number, operator.writes.Add(1))
+	return fmt.Sprintf("lab-%d-%d-%d", time.Now().UnixNano(), operator.index, operator.writes.Add(1))
 }
 
-// PutBackend creates or replaces a back end and gives the revision of the change.
+// PutBackend creates or replaces a back end and returns the revision of the change.
 func (operator *Operator) PutBackend(ctx context.Context, backend catalog.Backend) (int64, error) {
 	backend.WriteID = operator.writeID()
 	document, err := catalog.EncodeBackend(&backend)
@@ -61,7 +62,7 @@
 	return operator.put(ctx, catalog.BackendKey(backend.Name), document, backend.WriteID)
 }
 
-// PutService creates a service.
+// PutService creates a service and its front ends and returns the revision of the change.
 func (operator *Operator) PutService(ctx context.Context, service catalog.Service) (int64, error) {
 	service.WriteID = operator.writeID()
 	document, err := catalog.EncodeService(&service)
@@ -81,7 +82,7 @@
 	return operator.client.Commit(ctx, txn)
 }
 
-// Outcome is how a racing change ended.
+// Outcome is the outcome of a change that may compete with other changes.
 type Outcome string
 
 // The outcomes.
@@ -91,19 +92,18 @@
 	OutcomeUnknown  Outcome = "unknown"
 )
 
-// Change is one change of a back end by compare-and-swap, with when it was
-// called and answered.
+// Change records one change of a back end by compare-and-swap.
 type Change struct {
-	Read     string // write id that it was based on
-	Write    string // its own write id
-	Revision int64  // if accepted
-	Outcome  Outcome
-	Called   time.Time
-	Answered time.Time
+	PreviousWriteID string // write ID of the document that the change is based on
+	WriteID         string // write ID of the change
+	Revision        int64  // set if the change was accepted
+	Outcome         Outcome
+	StartedAt       time.Time
+	AnsweredAt      time.Time
 }
 
-// ChangeBackend reads a back end, changes it and writes it back if nobody
-// else has changed it since. Losing that race is an outcome, not an error.
+// ChangeBackend reads a back end, changes it, and writes it back unless another operator has changed
+// it in between. Such a conflict, and an unknown result of the write, are outcomes and not errors.
 func (operator *Operator) ChangeBackend(ctx context.Context, name lb.BackendName, change func(*catalog.Backend)) (Change, error) {
 	key := catalog.BackendKey(name)
 	read, err := operator.client.Get(ctx, key)
@@ -114,15 +114,15 @@
 	if err != nil {
 		return Change{}, err
 	}
-	result := Change{Read: backend.WriteID, Write: operator.writeID(), Called: time.Now()}
+	result := Change{PreviousWriteID: backend.WriteID, WriteID: operator.writeID(), StartedAt: time.Now()}
 	change(&backend)
-	backend.WriteID = result.Write
+	backend.WriteID = result.WriteID
 	document, err := catalog.EncodeBackend(&backend)
 	if err != nil {
 		return Change{}, err
 	}
-	result.Revision, err = operator.client.CompareAndSwap(ctx, &read, document, result.Write, 0)
-	result.Answered = time.Now()
+	result.Revision, err = operator.client.CompareAndSwap(ctx, &read, document, result.WriteID, 0)
+	result.AnsweredAt = time.Now()
 	switch {
 	case err == nil:
 		result.Outcome = OutcomeAccepted
@@ -136,7 +136,7 @@
 	return result, nil
 }
 
-// Backend reads a back end's document.
+// Backend reads a back end from the store.
 func (operator *Operator) Backend(ctx context.Context, name lb.BackendName) (catalog.Backend, error) {
 	key := catalog.BackendKey(name)
 	read, err := operator.client.Get(ctx, key)
@@ -146,14 +146,14 @@
 	return catalog.DecodeBackend(key, read.Value)
 }
 
-// Placement reads a service's placement.
+// Placement reads the placement of a service from the store.
 func (operator *Operator) Placement(ctx context.Context, name lb.ServiceName) (lb.Placement, error) {
 	var placement lb.Placement
 	read, err := operator.client.Get(ctx, catalog.PlacementKey(name))
 	if err != nil {
 		return placement, err
 	}
-	return placement, errors.Wrapf(json.Unmarshal(read.Value, &placement), "placement of %s", name)
+	return placement, errors.Wrapf(json.Unmarshal(read.Value, &placement), "decode placement of %s", name)
 }
 
 func (operator *Operator) put(ctx context.Context, key string, document []byte, writeID string) (int64, error) {
@@ -164,8 +164,8 @@
 	return operator.client.CompareAndSwap(ctx, &read, document, writeID, 0)
 }
 
-// Label changes a label of a back end by robinctl and gives the revision of the change.
-func (cluster *Cluster) Label(ctx context.Context, backend lb.BackendName, label string) (int64, error) {
+// SetLabel sets a label of a back end by running robinctl and returns the revision of the change.
+func (cluster *Cluster) SetLabel(ctx context.Context, backend lb.BackendName, label string) (int64, error) {
 	program := filepath.Join(cluster.options.Binaries, "robinctl")
 	output, err := runProgram(ctx, program, "--store", cluster.StoreURL, "--output", "json", "label", string(backend), label)
 	if err != nil {
@@ -180,12 +180,12 @@
 	return changes[0].Revision, nil
 }
 
-// InForce waits until every zone reports the revision in force, and gives the
-// time that each zone took since the given one.
-func (operator *Operator) InForce(ctx context.Context, revision int64, zones []lb.Zone, since time.Time) (map[lb.Zone]time.Duration, error) {
-	took := map[lb.Zone]time.Duration{}
-	what := fmt.Sprintf("revision %d is in force in zones %v", revision, zones)
-	err := Until(ctx, what, func() (bool, error) {
+// AwaitInForce waits until every zone reports that the revision is in force. It returns the time from
+// since to the report, by zone.
+func (operator *Operator) AwaitInForce(ctx context.Context, revision int64, zones []lb.Zone, since time.Time) (map[lb.Zone]time.Duration, error) {
+	elapsed := map[lb.Zone]time.Duration{}
+	description := fmt.Sprintf("revision %d is in force in zones %v", revision, zones)
+	err := WaitUntil(ctx, description, func() (bool, error) {
 		listing, err := operator.client.List(ctx, catalog.StatusPrefix)
 		if err != nil {
 			return false, err
@@ -196,16 +196,16 @@
 				return false, errors.Wrapf(err, "status %q", listing.KeyValues[i].Key)
 			}
 			zone := lb.Zone(strings.TrimPrefix(listing.KeyValues[i].Key, catalog.StatusPrefix))
-			if _, known := took[zone]; !known && status.ConfigRevision >= revision {
-				took[zone] = time.Since(since)
+			if _, known := elapsed[zone]; !known && status.ConfigRevision >= revision {
+				elapsed[zone] = time.Since(since)
 			}
 		}
 		for _, zone := range zones {
-			if _, known := took[zone]; !known {
+			if _, known := elapsed[zone]; !known {
 				return false, nil
 			}
 		}
 		return true, nil
 	})
-	return took, err
+	return elapsed, err
 }
--- a/internal/lab/cluster/port.go
+++ b/internal/lab/cluster/port.go
@@ -9,75 +9,79 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The ports given out lie below those that systems choose for outgoing
-// connections (32768 and up on Linux), so that none is taken between the check
-// and its use. Programs that run a lab at the same time take blocks of ports of their own.
+// The allocated ports lie below the range that systems use for outgoing connections (32768 and up on
+// Linux), so that no outgoing connection takes a port between the check and its use. Each program
+// that runs a lab allocates its ports from blocks of its own, so that programs can run at the same
+// time.
 const (
 	firstPort  = 10000
 	blockPorts = 250
 	blockCount = 80
 )
 
-// ports are those of this program.
-var ports portBlocks
+// processPorts allocates the ports of this program.
+var processPorts portAllocator
 
-// portBlocks gives out ports of blocks that no other program has.
-type portBlocks struct {
+// portAllocator allocates ports from blocks that no other program uses.
+type portAllocator struct {
 	mutex sync.Mutex
-	// guards listen on the first port of each block, as long as this program runs.
-	guards []net.Listener
-	next   int // the next port of the last block
-	end    int // that of the block after it
+	// guards listen on the first port of each claimed block until the program exits. They prevent
+	// other programs from claiming the block.
+	guards   []net.Listener
+	nextPort int // the next port to allocate
+	blockEnd int // the end of the current block
 }
 
-// FreeAddress gives an address on loopback whose port is free for UDP and TCP.
-func FreeAddress() (string, error) { return ports.freeAddress() }
+// FreeAddress returns a loopback address whose port is free for UDP and TCP.
+func FreeAddress() (string, error) { return processPorts.freeAddress() }
 
-func (p *portBlocks) freeAddress() (string, error) {
+func (p *portAllocator) freeAddress() (string, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for {
-		if p.next == p.end {
-			if err := p.claim(); err != nil {
+		if p.nextPort == p.blockEnd {
+			if err := p.claimBlock(); err != nil {
 				return "", err
 			}
 		}
-		address := loopback(p.next)
-		p.next++
+		address := loopbackAddress(p.nextPort)
+		p.nextPort++
 		if isFree(address) {
 			return address, nil
 		}
 	}
 }
 
-// claim takes a further block, the first one by the process id.
-func (p *portBlocks) claim() error {
+// claimBlock claims the next free block and makes it the current one. The process ID determines where
+// the search starts.
+func (p *portAllocator) claimBlock() error {
 	for index := range blockCount {
 		first := firstPort + (os.Getpid()+index)%blockCount*blockPorts
-		guard, err := net.Listen("tcp", loopback(first))
+		guard, err := net.Listen("tcp", loopbackAddress(first))
 		if err != nil {
-			continue // another program has the block
+			continue // another program uses the block
 		}
 		p.guards = append(p.guards, guard)
-		p.next, p.end = first+1, first+blockPorts
+		p.nextPort, p.blockEnd = first+1, first+blockPorts
 		return nil
 	}
-	return errors.Newf("all %d blocks of ports from %d on are taken", blockCount, firstPort)
+	return errors.Newf("all %d blocks of ports from %d on are in use", blockCount, firstPort)
 }
 
-func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// isFree tells whether nobody uses an address, as a program from outside the labs may.
+// isFree reports whether no process uses an address for TCP or UDP. Programs that are no labs do not
+// observe the blocks.
 func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
 	}
 	socket, err := net.ListenPacket("udp", address)
-	_ = listener.Close() // it was open to find out only
+	_ = listener.Close() // it was opened only for the check
 	if err != nil {
 		return false
 	}
-	_ = socket.Close() // likewise
+	_ = socket.Close() // it was opened only for the check
 	return true
 }
--- a/internal/lab/cluster/port_test.go
+++ b/internal/lab/cluster/port_test.go
@@ -6,29 +6,29 @@
 	"github.com/matryer/is"
 )
 
-// TestLabsShareNoPorts guards against processes that end at their start, since a lab of another
-// program was given the same port before either was used: whatever the process ids are.
+// TestLabsShareNoPorts guards against processes that fail at their start because another program had
+// allocated the same port before either program used it. This must not happen for any process IDs.
 func TestLabsShareNoPorts(t *testing.T) {
 	is := is.New(t)
-	const labs, each = 4, 300 // more than a block
-	given := make(map[string]int)
-	var all [labs]portBlocks
+	const labs, portsPerLab = 4, 300 // more than a block
+	labByAddress := make(map[string]int)
+	var allocators [labs]portAllocator
 	t.Cleanup(func() {
-		for index := range all {
-			for _, guard := range all[index].guards {
+		for index := range allocators {
+			for _, guard := range allocators[index].guards {
 				_ = guard.Close()
 			}
 		}
 	})
-	for range each {
-		for lab := range all {
-			address, err := all[lab].freeAddress()
+	for range portsPerLab {
+		for lab := range allocators {
+			address, err := allocators[lab].freeAddress()
 			is.NoErr(err)
-			other, taken := given[address]
-			if taken {
-				t.Fatalf("%s was given to lab %d and to lab %d", address, other, lab)
+			other, repeated := labByAddress[address]
+			if repeated {
+				t.Fatalf("%s was allocated to lab %d and to lab %d", address, other, lab)
 			}
-			given[address] = lab
+			labByAddress[address] = lab
 		}
 	}
 }
--- a/internal/lab/cluster/process.go
+++ b/internal/lab/cluster/process.go
@@ -1,5 +1,5 @@
-// Package cluster starts the stand-ins and real balancers as processes on
-// loopback, with free ports, and ends them by their process ids.
+// Package cluster starts simulated components and real balancers as processes on loopback addresses
+// with free ports, and stops them by their process IDs.
 package cluster
 
 import (
@@ -14,47 +14,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Times of the processes and of waiting on them.
+// Times for stopping processes and for polling conditions.
 const (
 	pollInterval = 20 * time.Millisecond
-	endLimit     = 2 * time.Second // between SIGTERM and SIGKILL at the end of a run
+	stopTimeout  = 2 * time.Second // from SIGTERM to SIGKILL
 )
 
 // Process is one child process.
 type Process struct {
 	Name    string
 	command *exec.Cmd
-	done    chan struct{} // closed when it has ended
+	done    chan struct{} // closed when the process has ended
 }
 
-// StartProcess runs a program, its output in DIRECTORY/NAME.log.
+// StartProcess starts a program and redirects its output to DIRECTORY/NAME.log.
 func StartProcess(directory, name, program string, arguments ...string) (*Process, error) {
 	log, err := os.Create(filepath.Join(directory, name+".log"))
 	if err != nil {
-		return nil, errors.Wrapf(err, "log of %s", name)
+		return nil, errors.Wrapf(err, "create log of %s", name)
 	}
 	defer func() { _ = log.Close() }() // the child has its own copy
 	command := exec.Command(program, arguments...)
 	command.Stdout = log
 	command.Stderr = log
-	command.SysProcAttr = attributes()
+	command.SysProcAttr = processAttributes()
 	if err := command.Start(); err != nil {
 		return nil, errors.Wrapf(err, "start %s", name)
 	}
 	process := &Process{Name: name, command: command, done: make(chan struct{})}
 	go func() {
-		_ = command.Wait() // its exit code is read from ProcessState
+		_ = command.Wait() // Process.Wait reads the exit code from ProcessState
 		close(process.done)
 	}()
 	return process, nil
 }
 
-// Signal sends a signal to the process alone.
+// Signal sends a signal to the process, but not to its process group.
 func (process *Process) Signal(signal syscall.Signal) error {
 	return errors.Wrapf(process.command.Process.Signal(signal), "signal %s to %s", signal, process.Name)
 }
 
-// Ended tells whether the process has ended.
+// Ended reports whether the process has ended.
 func (process *Process) Ended() bool {
 	select {
 	case <-process.done:
@@ -64,7 +64,7 @@
 	}
 }
 
-// Wait waits for the end of the process and gives its exit code.
+// Wait waits for the end of the process and returns its exit code.
 func (process *Process) Wait(ctx context.Context) (int, error) {
 	select {
 	case <-process.done:
@@ -74,10 +74,10 @@
 	}
 }
 
-// runProgram runs a program to its end and gives what it printed.
+// runProgram runs a program to its end and returns its standard output.
 func runProgram(ctx context.Context, program string, arguments ...string) ([]byte, error) {
 	command := exec.CommandContext(ctx, program, arguments...)
-	command.SysProcAttr = attributes()
+	command.SysProcAttr = processAttributes()
 	output, err := command.Output()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -86,8 +86,8 @@
 	return output, errors.Wrapf(err, "%s", command)
 }
 
-// End stops the process whatever its state.
-func (process *Process) End() {
+// Stop stops the process, also if it is suspended or ignores SIGTERM.
+func (process *Process) Stop() {
 	if process.Ended() {
 		return
 	}
@@ -95,14 +95,15 @@
 	_ = process.command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-process.done:
-	case <-time.After(endLimit):
+	case <-time.After(stopTimeout):
 		_ = process.command.Process.Kill()
 		<-process.done
 	}
 }
 
-// Serves waits until the URL answers 200. It fails at once when the process has ended.
-func (process *Process) Serves(ctx context.Context, url string) error {
+// AwaitServing waits until a GET request of the URL returns status 200. It fails immediately if the
+// process has ended.
+func (process *Process) AwaitServing(ctx context.Context, url string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go func() {
@@ -112,28 +113,29 @@
 		case <-ctx.Done():
 		}
 	}()
-	return Until(ctx, process.Name+" serves", func() (bool, error) { return ok(ctx, url) })
+	return WaitUntil(ctx, process.Name+" serves", func() (bool, error) { return respondsOK(ctx, url) })
 }
 
-// Until polls a condition until it holds. The error names what was waited for.
-func Until(ctx context.Context, what string, condition func() (bool, error)) error {
-	var last error
+// WaitUntil polls a condition until it holds. If ctx ends first, the error contains the description of
+// the condition and the last error from it.
+func WaitUntil(ctx context.Context, description string, condition func() (bool, error)) error {
+	var lastErr error
 	for {
 		holds, err := condition()
 		if holds && err == nil {
 			return nil
 		}
-		last = err
+		lastErr = err
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return errors.CombineErrors(errors.Wrapf(context.Cause(ctx), "waiting until %s", what), last)
+			return errors.CombineErrors(errors.Wrapf(context.Cause(ctx), "waiting until %s", description), lastErr)
 		}
 	}
 }
 
-// ok tells whether the URL answers 200.
-func ok(ctx context.Context, url string) (bool, error) {
+// respondsOK reports whether a GET request of the URL returns status 200.
+func respondsOK(ctx context.Context, url string) (bool, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false, err
--- a/internal/lab/cluster/process_linux.go
+++ b/internal/lab/cluster/process_linux.go
@@ -2,9 +2,9 @@
 
 import "syscall"
 
-// attributes puts a child in its own process group, so that an interrupt at
-// the terminal does not reach it before its parent ends it, and ends it if its
-// parent dies.
-func attributes() *syscall.SysProcAttr {
+// processAttributes returns attributes that put a child into a process group of its own and kill it
+// when its parent dies. An interrupt from the terminal then reaches only the parent, which stops
+// the child.
+func processAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/lab/cluster/process_other.go
+++ b/internal/lab/cluster/process_other.go
@@ -4,6 +4,6 @@
 
 import "syscall"
 
-// attributes puts a child in its own process group, so that an interrupt at
-// the terminal does not reach it before its parent ends it.
-func attributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
+// processAttributes returns attributes that put a child into a process group of its own. An interrupt
+// from the terminal then reaches only the parent, which stops the child.
+func processAttributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/lab/proxy/proxy.go
+++ b/internal/lab/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy passes TCP connections on over loopback and harms them on
-// demand: delays, resets, silence and cuts of one direction.
+// Package proxy implements a TCP proxy on loopback that injects network faults: delay, resets, and
+// data loss in one or both directions.
 package proxy
 
 import (
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Mode is how connections are treated.
+// Mode is the treatment of connections.
 type Mode string
 
 // The modes.
 const (
-	Pass    Mode = "pass"
-	Delay   Mode = "delay"   // each piece is passed on late
-	Reset   Mode = "reset"   // connections are reset, new ones too
-	Silence Mode = "silence" // nothing is passed on, in either direction
-	OneWay  Mode = "one_way" // what the server says is not passed on
-	// SilenceOpen: connections that are open when the mode is set pass nothing on any
-	// more, for good and without a reset; those that come later work.
-	SilenceOpen Mode = "silence_open"
+	Forward        Mode = "pass"
+	Delay          Mode = "delay"   // data is forwarded after DelayTime
+	Reset          Mode = "reset"   // open and new connections are reset
+	DropAll        Mode = "silence" // data is dropped in both directions
+	DropFromServer Mode = "one_way" // data from the server is dropped
+	// DropOpenConnections permanently drops all data, without a reset, on connections that are open
+	// when the mode is set. New connections work.
+	DropOpenConnections Mode = "silence_open"
 )
 
-// DelayTime is how late pieces are in the mode Delay.
+// DelayTime is the additional latency in the mode Delay.
 const DelayTime = 300 * time.Millisecond
 
-// Proxy passes connections on to one server.
+// Proxy forwards connections to one server.
 type Proxy struct {
-	// Address is where it listens.
+	// Address is the address on which the proxy listens.
 	Address string
 
 	server   string
@@ -37,14 +37,14 @@
 
 	mutex       sync.Mutex
 	mode        Mode
-	connections map[*net.TCPConn]*pair
-	running     sync.WaitGroup
+	connections map[*net.TCPConn]*connectionPair
+	goroutines  sync.WaitGroup
 }
 
-// pair is a client's connection and the one to the server for it.
-type pair struct{ silent atomic.Bool }
+// connectionPair is the state that a client's connection shares with its connection to the server.
+type connectionPair struct{ dropping atomic.Bool }
 
-// New starts a proxy of the server at a loopback address. The function ends it.
+// New starts a proxy for a server on a loopback address. The returned function stops the proxy.
 func New(server string) (*Proxy, func(), error) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -52,35 +52,35 @@
 	}
 	p := &Proxy{
 		Address: listener.Addr().String(), server: server, listener: listener,
-		mode: Pass, connections: make(map[*net.TCPConn]*pair),
+		mode: Forward, connections: make(map[*net.TCPConn]*connectionPair),
 	}
-	p.running.Go(p.accept)
-	return p, p.end, nil
+	p.goroutines.Go(p.accept)
+	return p, p.close, nil
 }
 
-func (p *Proxy) end() {
+func (p *Proxy) close() {
 	_ = p.listener.Close()
-	p.SetMode(Reset) // whatever waits is woken
-	p.running.Wait()
+	p.SetMode(Reset) // unblocks all reads and writes
+	p.goroutines.Wait()
 }
 
-// SetMode treats connections so from now on, those that are open too.
+// SetMode sets the mode for open and new connections.
 func (p *Proxy) SetMode(mode Mode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.mode = mode
-	for c, both := range p.connections {
+	for c, pair := range p.connections {
 		switch mode {
 		case Reset:
-			reset(c)
-		case SilenceOpen:
-			both.silent.Store(true)
+			resetConnection(c)
+		case DropOpenConnections:
+			pair.dropping.Store(true)
 		}
 	}
 }
 
-// reset closes the connection with a reset.
-func reset(c *net.TCPConn) {
+// resetConnection closes a connection with a reset.
+func resetConnection(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
@@ -91,65 +91,66 @@
 		if err != nil {
 			return
 		}
-		p.running.Go(func() { p.serve(client) })
+		p.goroutines.Go(func() { p.serve(client) })
 	}
 }
 
-// serve passes one connection on in both directions until either ends.
+// serve forwards the data of one client connection in both directions until either end closes.
 func (p *Proxy) serve(client *net.TCPConn) {
 	defer client.Close()
-	both := &pair{}
-	if !p.add(client, both) {
+	pair := &connectionPair{}
+	if !p.track(client, pair) {
 		return
 	}
-	defer p.remove(client)
-	dialled, err := net.Dial("tcp", p.server)
+	defer p.untrack(client)
+	dialed, err := net.Dial("tcp", p.server)
 	if err != nil {
-		reset(client)
+		resetConnection(client)
 		return
 	}
-	server := dialled.(*net.TCPConn)
+	server := dialed.(*net.TCPConn)
 	defer server.Close()
-	if !p.add(server, both) {
+	if !p.track(server, pair) {
 		return
 	}
-	defer p.remove(server)
-	var back sync.WaitGroup
-	back.Go(func() {
-		p.copy(client, server, both, OneWay)
+	defer p.untrack(server)
+	var toClient sync.WaitGroup
+	toClient.Go(func() {
+		p.forward(client, server, pair, DropFromServer)
 		client.Close()
 	})
-	p.copy(server, client, both, Pass)
+	p.forward(server, client, pair, Forward)
 	server.Close()
-	back.Wait()
+	toClient.Wait()
 }
 
-// add remembers a connection; false: it was reset at once.
-func (p *Proxy) add(c *net.TCPConn, both *pair) bool {
+// track adds an open connection. In the mode Reset, it resets the connection and returns false.
+func (p *Proxy) track(c *net.TCPConn, pair *connectionPair) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.mode == Reset {
-		reset(c)
+		resetConnection(c)
 		return false
 	}
-	p.connections[c] = both
+	p.connections[c] = pair
 	return true
 }
 
-func (p *Proxy) remove(c *net.TCPConn) {
+func (p *Proxy) untrack(c *net.TCPConn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.connections, c)
 }
 
-// pieceBytes is how much is passed on at once.
-const pieceBytes = 32 << 10
+// bufferBytes is the maximum size of the data that is forwarded at once.
+const bufferBytes = 32 << 10
 
-// copy passes one direction on, which is cut in the mode cut besides Silence.
-// What comes while it is cut is lost, as is the rest of that connection.
-func (p *Proxy) copy(to, from *net.TCPConn, both *pair, cut Mode) {
-	buffer := make([]byte, pieceBytes)
-	lost := false
+// forward forwards the data of one direction. It drops data in the mode DropAll and in dropMode; a
+// dropMode of Forward stands for no additional mode. After the first drop, forward also drops all
+// later data of the connection in this direction.
+func (p *Proxy) forward(to, from *net.TCPConn, pair *connectionPair, dropMode Mode) {
+	buffer := make([]byte, bufferBytes)
+	dropping := false
 	for {
 		size, err := from.Read(buffer)
 		if err != nil {
@@ -161,8 +162,8 @@
 		if mode == Delay {
 			time.Sleep(DelayTime)
 		}
-		lost = lost || both.silent.Load() || mode == Silence || mode == cut && cut != Pass
-		if lost {
+		dropping = dropping || pair.dropping.Load() || mode == DropAll || mode == dropMode && dropMode != Forward
+		if dropping {
 			continue
 		}
 		if _, err := to.Write(buffer[:size]); err != nil {
--- a/internal/lab/proxy/proxy_test.go
+++ b/internal/lab/proxy/proxy_test.go
@@ -11,7 +11,7 @@
 	"robinpulley.example/robinpulley/internal/lab/proxy"
 )
 
-// echoServer answers each line with itself and counts the lines.
+// echoServer starts a server that sends each received line back and also passes it to a channel.
 func echoServer(t *testing.T) (address string, lines chan string) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,8 +46,9 @@
 	return c, bufio.NewReader(c)
 }
 
-// TestOpenConnectionsFallSilent: they stay silent in any later mode, and new ones work.
-func TestOpenConnectionsFallSilent(t *testing.T) {
+// TestOpenConnectionsDropData guards against connections that recover from DropOpenConnections when
+// the mode changes again, and against effects on new connections.
+func TestOpenConnectionsDropData(t *testing.T) {
 	is := is.New(t)
 	server, lines := echoServer(t)
 	p, end, err := proxy.New(server)
@@ -60,9 +61,9 @@
 	is.NoErr(err)
 	is.Equal(<-lines, "first")
 
-	p.SetMode(proxy.SilenceOpen)
+	p.SetMode(proxy.DropOpenConnections)
 	fresh, answers := dial(t, p.Address)
-	p.SetMode(proxy.Pass)
+	p.SetMode(proxy.Forward)
 	_, err = old.Write([]byte("unheard\n"))
 	is.NoErr(err)
 	_, err = fresh.Write([]byte("heard\n"))
@@ -85,30 +86,30 @@
 	defer end()
 
 	c, answers := dial(t, p.Address)
-	ask := func(text string) (string, error) {
+	exchange := func(text string) (string, error) {
 		_, err := c.Write([]byte(text + "\n"))
 		is.NoErr(err)
 		return answers.ReadString('\n')
 	}
-	for _, mode := range []proxy.Mode{proxy.Pass, proxy.Delay} {
+	for _, mode := range []proxy.Mode{proxy.Forward, proxy.Delay} {
 		p.SetMode(mode)
-		answer, err := ask(string(mode))
+		answer, err := exchange(string(mode))
 		is.NoErr(err)
 		is.Equal(answer, string(mode)+"\n")
 		is.Equal(<-lines, string(mode))
 	}
 
-	p.SetMode(proxy.OneWay)
+	p.SetMode(proxy.DropFromServer)
 	_, err = c.Write([]byte("asked\n"))
 	is.NoErr(err)
-	is.Equal(<-lines, "asked") // the server hears it, and its answer is lost
+	is.Equal(<-lines, "asked") // the server received the line; its answer is dropped
 
-	p.SetMode(proxy.Silence)
+	p.SetMode(proxy.DropAll)
 	_, err = c.Write([]byte("unheard\n"))
 	is.NoErr(err)
 	is.NoErr(c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)))
 	_, err = answers.ReadString('\n')
-	is.True(err != nil) // neither answer came
+	is.True(err != nil) // the client received neither answer
 	is.Equal(len(lines), 0)
 
 	is.NoErr(c.SetReadDeadline(time.Time{}))
@@ -116,9 +117,9 @@
 	_, err = answers.ReadString('\n')
 	is.True(err != nil) // the open connection is reset
 
-	p.SetMode(proxy.Pass)
+	p.SetMode(proxy.Forward)
 	c, answers = dial(t, p.Address)
-	answer, err := ask("again")
+	answer, err := exchange("again")
 	is.NoErr(err)
 	is.Equal(answer, "again\n")
 }
--- a/internal/lab/runs/demo.go
+++ b/internal/lab/runs/demo.go
@@ -16,17 +16,17 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// ErrBroken is the error of a run in which a guarantee did not hold.
-var ErrBroken = errors.New("a guarantee did not hold")
+// ErrGuaranteeViolated is returned for a run in which a guarantee did not hold.
+var ErrGuaranteeViolated = errors.New("a guarantee did not hold")
 
 // Times of the demo.
 const (
-	demoLimit      = 90 * time.Second
-	steadyTime     = 3 * time.Second
-	afterChange    = 4 * time.Second // longer than the callers' stall limit
-	afterKill      = 6 * time.Second
-	machineListLag = time.Second     // until the platform notices a dead machine
-	drainedWithin  = 3 * time.Second // no new flow at a leaving back end after this
+	demoLimit           = 90 * time.Second
+	initialLoadTime     = 3 * time.Second
+	loadTimeAfterChange = 4 * time.Second // longer than the clients' stall limit
+	loadTimeAfterKill   = 6 * time.Second
+	machineListLag      = time.Second     // time that the platform takes to detect a failed machine
+	drainLimit          = 3 * time.Second // maximum time until a draining back end receives no new flows
 )
 
 var demoSize = size{
@@ -36,94 +36,95 @@
 	load:             cluster.Load{Feeds: 150, UDPFlows: 20, TapRate: 150, UploadRate: 4},
 }
 
-// demoOutcome is what the demo's table shows.
+// demoOutcome holds the results in the demo's table.
 type demoOutcome struct {
 	result    check.Result
 	inForce   map[lb.Zone]time.Duration
-	killed    time.Time
-	lateFlows int // at the drained host
+	killedAt  time.Time
+	lateFlows int // new flows at the drained host after drainLimit
 	elapsed   time.Duration
 }
 
-// Demo runs the demo and prints its table. The error is ErrBroken when a
-// planned change broke a flow or any guarantee did not hold.
+// Demo runs the demo and prints its table. It returns ErrGuaranteeViolated if a planned change broke a
+// flow or another guarantee did not hold.
 func Demo(ctx context.Context, options cluster.Options, output io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoLimit)
 	defer cancel()
-	running, err := startWorld(ctx, options, demoSize)
+	env, err := startEnvironment(ctx, options, demoSize)
 	if err != nil {
 		return err
 	}
-	defer running.Close()
+	defer env.Close()
 	fmt.Fprintf(output, "%d balancers in %d zones, %d hosts, store and fabric are up\n",
-		len(running.Balancers), len(zones), len(running.Hosts))
-	outcome, err := running.demo(ctx, output)
+		len(env.Balancers), len(zones), len(env.Hosts))
+	outcome, err := env.demo(ctx, output)
 	if err != nil {
 		return err
 	}
 	return outcome.print(output)
 }
 
-func (running *world) demo(ctx context.Context, output io.Writer) (*demoOutcome, error) {
-	began := time.Now()
+// demo drains a host, stops a balancer as planned and kills another one, all under load.
+func (env *environment) demo(ctx context.Context, output io.Writer) (*demoOutcome, error) {
+	start := time.Now()
 	outcome := &demoOutcome{}
-	if err := running.startLoad(ctx); err != nil {
+	if err := env.startLoad(ctx); err != nil {
 		return nil, err
 	}
-	if err := underLoad(ctx, steadyTime); err != nil {
+	if err := runLoadFor(ctx, initialLoadTime); err != nil {
 		return nil, err
 	}
-	drained := running.Hosts[0]
+	drained := env.Hosts[0]
 	fmt.Fprintf(output, "draining %s by a label change\n", drained.Name)
-	changed := time.Now()
-	revision, err := running.Label(ctx, drained.Backend.Name, "app=none")
+	changedAt := time.Now()
+	revision, err := env.SetLabel(ctx, drained.Backend.Name, "app=none")
 	if err != nil {
 		return nil, err
 	}
-	if outcome.inForce, err = running.Operator.InForce(ctx, revision, zones, changed); err != nil {
+	if outcome.inForce, err = env.Operator.AwaitInForce(ctx, revision, zones, changedAt); err != nil {
 		return nil, err
 	}
-	if err := underLoad(ctx, afterChange); err != nil {
+	if err := runLoadFor(ctx, loadTimeAfterChange); err != nil {
 		return nil, err
 	}
-	leaving := running.Balancers[0]
+	leaving := env.Balancers[0]
 	fmt.Fprintf(output, "stopping %s as planned\n", leaving.Name)
-	if err := running.StopPlanned(ctx, leaving); err != nil {
+	if err := env.StopPlanned(ctx, leaving); err != nil {
 		return nil, err
 	}
-	if err := underLoad(ctx, afterChange); err != nil {
+	if err := runLoadFor(ctx, loadTimeAfterChange); err != nil {
 		return nil, err
 	}
-	killed := running.Balancers[len(running.Balancers)-1]
+	killed := env.Balancers[len(env.Balancers)-1]
 	fmt.Fprintf(output, "killing %s\n", killed.Name)
-	outcome.killed = time.Now()
-	if err := running.Kill(ctx, killed, machineListLag); err != nil {
+	outcome.killedAt = time.Now()
+	if err := env.Kill(ctx, killed, machineListLag); err != nil {
 		return nil, err
 	}
-	if err := underLoad(ctx, afterKill); err != nil {
+	if err := runLoadFor(ctx, loadTimeAfterKill); err != nil {
 		return nil, err
 	}
-	outcome.elapsed = time.Since(began)
-	if err := running.StopCallers(ctx); err != nil {
+	outcome.elapsed = time.Since(start)
+	if err := env.StopClients(ctx); err != nil {
 		return nil, err
 	}
-	if outcome.lateFlows, _, err = running.openedAfter(ctx, drained, changed.Add(drainedWithin)); err != nil {
+	if outcome.lateFlows, _, err = env.openedAfter(ctx, drained, changedAt.Add(drainLimit)); err != nil {
 		return nil, err
 	}
-	outcome.result, err = running.Check(ctx, drained)
+	outcome.result, err = env.Verify(ctx, drained)
 	return outcome, err
 }
 
-// planned gives the flows broken before the kill.
-func (outcome *demoOutcome) planned() []callersim.Failure {
-	return slices.DeleteFunc(slices.Clone(outcome.result.Broken), func(failure callersim.Failure) bool {
-		return failure.UnixMillis >= outcome.killed.UnixMilli()
+// brokenBeforeKill returns the flows that broke before the kill. Planned changes broke them.
+func (outcome *demoOutcome) brokenBeforeKill() []callersim.Failure {
+	return slices.DeleteFunc(slices.Clone(outcome.result.BrokenFlows), func(failure callersim.Failure) bool {
+		return failure.UnixMillis >= outcome.killedAt.UnixMilli()
 	})
 }
 
 func (outcome *demoOutcome) print(output io.Writer) error {
 	result := &outcome.result
-	planned := outcome.planned()
+	brokenByChanges := outcome.brokenBeforeKill()
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	row := func(name string, value any) { fmt.Fprintf(table, "%s\t%v\n", name, value) }
 	fmt.Fprintln(table)
@@ -131,15 +132,15 @@
 	row("flows opened", result.Opened)
 	row("requests answered", result.Answered)
 	row("pushes on feeds", result.Pushes)
-	row("broken by planned changes", len(planned))
-	row("broken by the kill", len(result.Broken)-len(planned))
-	row("never opened", len(result.Unanswered))
+	row("broken by planned changes", len(brokenByChanges))
+	row("broken by the kill", len(result.BrokenFlows)-len(brokenByChanges))
+	row("never opened", len(result.NeverOpened))
 	row("refused as not run / may have run", fmt.Sprintf("%d / %d", result.NotRun, result.MayHaveRun))
-	row("run twice", len(result.RunTwice)+len(result.OpenedTwice))
+	row("run twice", len(result.DuplicateRuns)+len(result.DuplicateOpenings))
 	row("refused as not run, but ran", len(result.FalseNotRun))
-	row("wrong back end", len(result.WrongService)+result.Misdelivered)
-	row("mixed-up answers / truncated uploads", fmt.Sprintf("%d / %d", len(result.Mixed), len(result.Truncated)))
-	row(fmt.Sprintf("new flows at the drained host after %s", drainedWithin), outcome.lateFlows)
+	row("wrong back end", len(result.WrongServiceAnswers)+result.MisdeliveredPackets)
+	row("mixed-up answers / truncated uploads", fmt.Sprintf("%d / %d", len(result.MixedAnswers), len(result.TruncatedUploads)))
+	row(fmt.Sprintf("new flows at the drained host after %s", drainLimit), outcome.lateFlows)
 	for _, zone := range zones {
 		row("change in force in "+string(zone)+" after", outcome.inForce[zone].Round(time.Millisecond))
 	}
@@ -149,32 +150,32 @@
 	if err := table.Flush(); err != nil {
 		return errors.Wrap(err, "print the table")
 	}
-	if len(planned) > 0 || outcome.lateFlows > 0 || !result.Clean() {
+	if len(brokenByChanges) > 0 || outcome.lateFlows > 0 || !result.Clean() {
 		printFailures(output, result)
-		return ErrBroken
+		return ErrGuaranteeViolated
 	}
 	return nil
 }
 
-// printFailures lists the first failures of each sort.
+// printFailures lists the first failures of each kind.
 func printFailures(output io.Writer, result *check.Result) {
-	const most = 10
-	for _, failure := range result.Broken[:min(most, len(result.Broken))] {
+	const maxListed = 10
+	for _, failure := range result.BrokenFlows[:min(maxListed, len(result.BrokenFlows))] {
 		fmt.Fprintf(output, "broken: %+v\n", failure)
 	}
 	lists := []struct {
 		name  string
 		names []string
 	}{
-		{"run twice", result.RunTwice},
-		{"opened twice", result.OpenedTwice},
+		{"run twice", result.DuplicateRuns},
+		{"opened twice", result.DuplicateOpenings},
 		{"false not-run", result.FalseNotRun},
-		{"wrong service", result.WrongService},
-		{"mixed up", result.Mixed},
-		{"truncated", result.Truncated},
+		{"wrong service", result.WrongServiceAnswers},
+		{"mixed up", result.MixedAnswers},
+		{"truncated", result.TruncatedUploads},
 	}
 	for _, list := range lists {
-		for _, name := range list.names[:min(most, len(list.names))] {
+		for _, name := range list.names[:min(maxListed, len(list.names))] {
 			fmt.Fprintf(output, "%s: %s\n", list.name, name)
 		}
 	}
--- a/internal/lab/runs/fault.go
+++ b/internal/lab/runs/fault.go
@@ -16,14 +16,15 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// mostListed is how many broken flows, and flows never opened, a run lists.
-const mostListed = 5
+// maxListedFlows is the maximum number of broken flows, and of never opened flows, in the
+// measurements of a run.
+const maxListedFlows = 5
 
 // Limits of a fault run.
 const (
-	faultLimit   = 15 * time.Minute // of one run
-	inForceLimit = 5 * time.Second  // a change is in force in every zone
-	onItsWay     = 2 * time.Second  // an opening decided before a change was in force has arrived
+	faultLimit     = 15 * time.Minute // for one run
+	inForceLimit   = 5 * time.Second  // for a change to be in force in every zone
+	maxTransitTime = 2 * time.Second  // until an opening that was forwarded before a change was in force has arrived
 )
 
 var faultSize = size{
@@ -33,154 +34,158 @@
 	load:             cluster.Load{Feeds: 60, UDPFlows: 10, TapRate: 60, UploadRate: 2},
 }
 
-// Fault is one fault run.
+// Fault defines a fault run.
 type Fault struct {
 	Name      string
-	Guarantee string // what must hold
-	// Unplanned: flows may break (they are counted); no other guarantee is relaxed.
+	Guarantee string // description of the guarantee under test
+	// Unplanned allows flows to break. Broken flows are counted, and no other guarantee is relaxed.
 	Unplanned bool
-	// Probe has the balancers probe the hosts.
-	Probe bool
-	// Fabric are flags of the fabric.
-	Fabric []string
-	run    func(ctx context.Context, run *faultRun) error
+	// ProbeHosts enables the health probes of the balancers.
+	ProbeHosts bool
+	// FabricFlags holds additional flags of the fabric.
+	FabricFlags []string
+	run         func(ctx context.Context, run *faultRun) error
 }
 
-// faultRun is one run under way.
+// faultRun is the state of a fault run in progress.
 type faultRun struct {
-	*world
-	options    FaultOptions
-	violations []string
-	figures    []string
+	*environment
+	options      FaultOptions
+	violations   []string
+	measurements []string
 }
 
-// FaultOptions say how fault runs are done.
+// FaultOptions configures fault runs.
 type FaultOptions struct {
 	Cluster cluster.Options
-	// Timed makes a change that takes longer than 5 s to be in force a
-	// violation. Without it the run waits on the condition alone.
+	// Timed enables the checks of time limits: a change that takes longer than 5 s to be in force is a
+	// violation. If Timed is false, a run waits as long as necessary.
 	Timed bool
-	// Stops is the number of planned stops in the run of that name.
+	// Stops is the number of planned stops in the run planned-stop.
 	Stops int
-	// Changes is the number of changes that racing operators make.
+	// Changes is the number of changes in the run racing-operators.
 	Changes int
 }
 
 // FaultResult is the outcome of one fault run.
 type FaultResult struct {
-	Fault      Fault
-	Check      check.Result
-	Violations []string
-	Figures    []string
-	Took       time.Duration
-	Err        error // the run itself failed
+	Fault        Fault
+	Check        check.Result
+	Violations   []string
+	Measurements []string
+	Duration     time.Duration
+	Err          error // failure of the run itself
 }
 
-// Passed tells whether the run was whole and every guarantee held.
+// Passed reports whether the run was complete and every guarantee held.
 func (result *FaultResult) Passed() bool { return result.Err == nil && len(result.Violations) == 0 }
 
-// RunFault does one fault run.
+// RunFault performs one fault run.
 func RunFault(ctx context.Context, fault Fault, options FaultOptions) FaultResult {
 	ctx, cancel := context.WithTimeout(ctx, faultLimit)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	options.Cluster.Directory = filepath.Join(options.Cluster.Directory, fault.Name)
-	options.Cluster.Probe = fault.Probe
-	options.Cluster.FabricFlags = fault.Fabric
+	options.Cluster.ProbeHosts = fault.ProbeHosts
+	options.Cluster.FabricFlags = fault.FabricFlags
 	result := FaultResult{Fault: fault}
-	running, err := startWorld(ctx, options.Cluster, faultSize)
+	env, err := startEnvironment(ctx, options.Cluster, faultSize)
 	if err != nil {
 		result.Err = err
 		return result
 	}
-	defer running.Close()
-	run := &faultRun{world: running, options: options}
-	result.Err = run.whole(ctx, fault, &result)
+	defer env.Close()
+	run := &faultRun{environment: env, options: options}
+	result.Err = run.execute(ctx, fault, &result)
 	result.Violations = run.violations
-	result.Figures = run.figures
-	result.Took = time.Since(began)
+	result.Measurements = run.measurements
+	result.Duration = time.Since(start)
 	return result
 }
 
-func (run *faultRun) whole(ctx context.Context, fault Fault, result *FaultResult) error {
+// execute starts the load, injects the fault, stops the load and checks the guarantees. Before and
+// after the fault it waits until the load makes progress.
+func (run *faultRun) execute(ctx context.Context, fault Fault, result *FaultResult) error {
 	if err := run.startLoad(ctx); err != nil {
 		return err
 	}
-	if err := run.progress(ctx); err != nil {
+	if err := run.awaitProgress(ctx); err != nil {
 		return err
 	}
 	if err := fault.run(ctx, run); err != nil {
 		return err
 	}
-	if err := run.progress(ctx); err != nil {
+	if err := run.awaitProgress(ctx); err != nil {
 		return err
 	}
-	if err := run.StopCallers(ctx); err != nil {
+	if err := run.StopClients(ctx); err != nil {
 		return err
 	}
-	checked, err := run.Check(ctx)
+	checked, err := run.Verify(ctx)
 	result.Check = checked
-	run.judge(&checked, fault.Unplanned)
+	run.checkGuarantees(&checked, fault.Unplanned)
 	return err
 }
 
-func (run *faultRun) judge(checked *check.Result, unplanned bool) {
-	if len(checked.Broken) > 0 && !unplanned {
-		run.violate("%d flows broken", len(checked.Broken))
+// checkGuarantees adds a violation for each guarantee that did not hold.
+func (run *faultRun) checkGuarantees(checked *check.Result, unplanned bool) {
+	if len(checked.BrokenFlows) > 0 && !unplanned {
+		run.addViolation("%d flows broken", len(checked.BrokenFlows))
 	}
-	for _, failure := range checked.Broken[:min(mostListed, len(checked.Broken))] {
-		run.figure("broken: %s %s (%s) at %s by %s", failure.Kind, failure.ID, failure.Local, failure.Host, failure.Cause)
+	for _, failure := range checked.BrokenFlows[:min(maxListedFlows, len(checked.BrokenFlows))] {
+		run.addMeasurement("broken: %s %s (%s) at %s by %s", failure.Kind, failure.ID, failure.Local, failure.Host, failure.Cause)
 	}
-	for _, failure := range checked.Unanswered[:min(mostListed, len(checked.Unanswered))] {
+	for _, failure := range checked.NeverOpened[:min(maxListedFlows, len(checked.NeverOpened))] {
 		at := time.UnixMilli(failure.UnixMillis).UTC().Format(time.TimeOnly)
-		run.figure("never opened: %s %s (%s), given up at %s", failure.Kind, failure.ID, failure.Local, at)
+		run.addMeasurement("never opened: %s %s (%s), given up at %s", failure.Kind, failure.ID, failure.Local, at)
 	}
 	lists := []struct {
 		name  string
 		names []string
 	}{
-		{"requests run twice", checked.RunTwice},
-		{"openings at two hosts", checked.OpenedTwice},
+		{"requests run twice", checked.DuplicateRuns},
+		{"openings at two hosts", checked.DuplicateOpenings},
 		{"refused as not run, but ran", checked.FalseNotRun},
-		{"answers of a wrong service", checked.WrongService},
-		{"mixed-up answers", checked.Mixed},
-		{"truncated uploads", checked.Truncated},
+		{"answers of a wrong service", checked.WrongServiceAnswers},
+		{"mixed-up answers", checked.MixedAnswers},
+		{"truncated uploads", checked.TruncatedUploads},
 	}
 	for _, list := range lists {
 		if len(list.names) > 0 {
-			run.violate("%d %s, first %s", len(list.names), list.name, list.names[0])
+			run.addViolation("%d %s, first %s", len(list.names), list.name, list.names[0])
 		}
 	}
-	if checked.Misdelivered > 0 {
-		run.violate("%d packets at a host of another service", checked.Misdelivered)
+	if checked.MisdeliveredPackets > 0 {
+		run.addViolation("%d packets at a host of another service", checked.MisdeliveredPackets)
 	}
 }
 
-func (run *faultRun) violate(format string, arguments ...any) {
+func (run *faultRun) addViolation(format string, arguments ...any) {
 	run.violations = append(run.violations, fmt.Sprintf(format, arguments...))
 }
 
-func (run *faultRun) figure(format string, arguments ...any) {
-	run.figures = append(run.figures, fmt.Sprintf(format, arguments...))
+func (run *faultRun) addMeasurement(format string, arguments ...any) {
+	run.measurements = append(run.measurements, fmt.Sprintf(format, arguments...))
 }
 
-// progress waits until the load has gone on for a while: some more requests
-// were answered and, on average, each feed got two more pushes.
-func (run *faultRun) progress(ctx context.Context) error {
-	answered, pushes, err := run.served(ctx)
+// awaitProgress waits until the load has made progress: as many more requests are answered as the
+// short requests of one second, and each feed has received two more pushes on average.
+func (run *faultRun) awaitProgress(ctx context.Context) error {
+	answered, pushes, err := run.loadCounters(ctx)
 	if err != nil {
 		return err
 	}
 	wantAnswered := answered + int(run.size.load.TapRate)
 	wantPushes := pushes + 2*run.size.load.Feeds
-	return cluster.Until(ctx, "the load goes on", func() (bool, error) {
-		answered, pushes, err := run.served(ctx)
+	return cluster.WaitUntil(ctx, "the load makes progress", func() (bool, error) {
+		answered, pushes, err := run.loadCounters(ctx)
 		return answered >= wantAnswered && pushes >= wantPushes, err
 	})
 }
 
-func (run *faultRun) served(ctx context.Context) (answered, pushes int, err error) {
-	reports, err := run.CallerReports(ctx)
+// loadCounters returns the total numbers of answered requests and received pushes.
+func (run *faultRun) loadCounters(ctx context.Context) (answered, pushes int, err error) {
+	reports, err := run.ClientReports(ctx)
 	for _, report := range reports {
 		answered += report.Answered
 		pushes += report.Pushes
@@ -188,74 +193,75 @@
 	return answered, pushes, err
 }
 
-// inForce waits until a change is in force in all zones and records how long it took.
-func (run *faultRun) inForce(ctx context.Context, revision int64, since time.Time) error {
-	if _, err := run.Operator.InForce(ctx, revision, zones, since); err != nil {
+// awaitInForce waits until a change is in force in all zones and records the time since the change.
+func (run *faultRun) awaitInForce(ctx context.Context, revision int64, since time.Time) error {
+	if _, err := run.Operator.AwaitInForce(ctx, revision, zones, since); err != nil {
 		return err
 	}
-	took := time.Since(since).Round(time.Millisecond)
-	run.figure("in force in all zones after %s", took)
-	if run.options.Timed && took > inForceLimit {
-		run.violate("change in force after %s, limit %s", took, inForceLimit)
+	elapsed := time.Since(since).Round(time.Millisecond)
+	run.addMeasurement("in force in all zones after %s", elapsed)
+	if run.options.Timed && elapsed > inForceLimit {
+		run.addViolation("change in force after %s, limit %s", elapsed, inForceLimit)
 	}
 	return nil
 }
 
-// drainAndCheck drains a host, waits until that is in force and checks that no
-// new flow comes to it from three seconds after the change on. A run without
-// limits of time counts from when the change was seen to be in force, if that
-// is later, and leaves what is on its way the time to arrive.
+// drainAndCheck drains a host, waits until the change is in force and checks that the host receives
+// no new flow later than drainLimit after the change. In a run without time limits, the check may
+// start later: when the change has been observed to be in force and openings in transit have
+// arrived.
 func (run *faultRun) drainAndCheck(ctx context.Context, host *cluster.Host) error {
-	changed := time.Now()
+	changedAt := time.Now()
 	revision, err := run.drain(ctx, host)
 	if err != nil {
 		return err
 	}
-	if err := run.inForce(ctx, revision, changed); err != nil {
+	if err := run.awaitInForce(ctx, revision, changedAt); err != nil {
 		return err
 	}
-	limit := changed.Add(drainedWithin)
-	if settled := time.Now().Add(onItsWay); !run.options.Timed && settled.After(limit) {
+	limit := changedAt.Add(drainLimit)
+	if settled := time.Now().Add(maxTransitTime); !run.options.Timed && settled.After(limit) {
 		limit = settled
 	}
-	return run.noNewFlows(ctx, host, limit)
+	return run.checkNoNewFlows(ctx, host, limit)
 }
 
-// noNewFlows lets the load run beyond the given time and checks that the
-// host opened no flow after it.
-func (run *faultRun) noNewFlows(ctx context.Context, host *cluster.Host, after time.Time) error {
-	if err := underLoad(ctx, time.Until(after)); err != nil {
+// checkNoNewFlows lets the load run beyond the given time and checks that the host has opened no flow
+// after it.
+func (run *faultRun) checkNoNewFlows(ctx context.Context, host *cluster.Host, after time.Time) error {
+	if err := runLoadFor(ctx, time.Until(after)); err != nil {
 		return err
 	}
-	if err := run.progress(ctx); err != nil {
+	if err := run.awaitProgress(ctx); err != nil {
 		return err
 	}
 	late, last, err := run.openedAfter(ctx, host, after)
 	if late > 0 {
-		run.violate("%d new flows at drained %s, the last one %s after the limit", late, host.Name, last.Round(time.Millisecond))
+		run.addViolation("%d new flows at drained %s, the last one %s after the limit", late, host.Name, last.Round(time.Millisecond))
 	}
 	return err
 }
 
-// change makes one label change there and back, each until it is in force.
-func (run *faultRun) change(ctx context.Context, host *cluster.Host) error {
-	began := time.Now()
+// drainAndRestore drains a host and restores it. After each change it waits until the change is in
+// force.
+func (run *faultRun) drainAndRestore(ctx context.Context, host *cluster.Host) error {
+	start := time.Now()
 	revision, err := run.drain(ctx, host)
 	if err != nil {
 		return err
 	}
-	if err := run.inForce(ctx, revision, began); err != nil {
+	if err := run.awaitInForce(ctx, revision, start); err != nil {
 		return err
 	}
-	began = time.Now()
+	start = time.Now()
 	if revision, err = run.undrain(ctx, host); err != nil {
 		return err
 	}
-	return run.inForce(ctx, revision, began)
+	return run.awaitInForce(ctx, revision, start)
 }
 
-// Faults runs the named faults (all when none is named) one after the other
-// and prints a table. The error is ErrBroken when any of them did not pass.
+// Faults performs the named fault runs, or all if no name is given, one after the other and prints a
+// table. It returns ErrGuaranteeViolated if any run did not pass.
 func Faults(ctx context.Context, names []string, options FaultOptions, output io.Writer) error {
 	chosen := slices.DeleteFunc(AllFaults(), func(fault Fault) bool {
 		return len(names) > 0 && !slices.Contains(names, fault.Name)
@@ -276,7 +282,7 @@
 }
 
 func (result *FaultResult) print(output io.Writer) {
-	for _, figure := range result.Figures {
+	for _, figure := range result.Measurements {
 		fmt.Fprintf(output, "  %s\n", figure)
 	}
 	for _, violation := range result.Violations {
@@ -300,19 +306,19 @@
 		}
 		checked := &result.Check
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\n",
-			result.Fault.Name, verdict, checked.Opened, checked.Answered, len(checked.Broken), len(checked.Unanswered),
-			len(checked.RunTwice)+len(checked.OpenedTwice), len(checked.FalseNotRun), result.Took.Seconds())
+			result.Fault.Name, verdict, checked.Opened, checked.Answered, len(checked.BrokenFlows), len(checked.NeverOpened),
+			len(checked.DuplicateRuns)+len(checked.DuplicateOpenings), len(checked.FalseNotRun), result.Duration.Seconds())
 	}
 	if err := table.Flush(); err != nil {
 		return errors.Wrap(err, "print the table")
 	}
 	if !passed {
-		return ErrBroken
+		return ErrGuaranteeViolated
 	}
 	return nil
 }
 
-// otherZones gives the zones besides one.
+// otherZones returns all zones except the given one.
 func otherZones(zone lb.Zone) []lb.Zone {
 	return slices.DeleteFunc(slices.Clone(zones), func(other lb.Zone) bool { return other == zone })
 }
--- a/internal/lab/runs/fault_test.go
+++ b/internal/lab/runs/fault_test.go
@@ -12,14 +12,14 @@
 	"robinpulley.example/robinpulley/internal/lab/cluster"
 )
 
-// shortSet is the fixed set of fault runs of every CI run.
+// shortSet is the set of fault runs in CI.
 var shortSet = []string{"drain", "planned-stop", "store-outage", "racing-operators", "freeze", "kill"}
 
-// runsAtOnce bounds the runs under way: each has some 20 processes.
-const runsAtOnce = 3
+// maxConcurrentRuns is the maximum number of concurrent runs, as each run has about 20 processes.
+const maxConcurrentRuns = 3
 
-// TestFaultsShort runs the short set on real processes. It waits on conditions
-// only: how long a change takes is judged by the long set.
+// TestFaultsShort performs the runs of the short set on real processes. It does not check time limits;
+// the complete set of runs checks how long a change takes.
 func TestFaultsShort(t *testing.T) {
 	binaries := t.TempDir()
 	build := exec.Command("go", "build", "-o", binaries, "robinpulley.example/robinpulley/cmd/...")
@@ -31,7 +31,7 @@
 		Stops:   2,
 		Changes: 100,
 	}
-	atOnce := make(chan struct{}, runsAtOnce)
+	slots := make(chan struct{}, maxConcurrentRuns)
 	for _, fault := range AllFaults() {
 		for _, name := range shortSet {
 			if fault.Name != name {
@@ -39,11 +39,11 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				atOnce <- struct{}{}
-				defer func() { <-atOnce }()
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				is := is.New(t)
 				result := RunFault(t.Context(), fault, options)
-				t.Logf("figures: %q, opened %d, broken %d", result.Figures, result.Check.Opened, len(result.Check.Broken))
+				t.Logf("figures: %q, opened %d, broken %d", result.Measurements, result.Check.Opened, len(result.Check.BrokenFlows))
 				is.NoErr(result.Err)
 				is.Equal(result.Violations, nil)
 				is.True(result.Check.Opened > 0)
@@ -52,7 +52,7 @@
 	}
 }
 
-// logDirectory gives a directory for the logs of a test, which stay where it fails.
+// logDirectory returns a directory for the logs of a test. The directory is removed if the test passes.
 func logDirectory(t *testing.T) string {
 	is := is.New(t)
 	directory, err := os.MkdirTemp("", "robinpulley-faults-*")
@@ -67,25 +67,25 @@
 	return directory
 }
 
-func TestRegisterModelSeesALostChange(t *testing.T) {
+func TestRegisterModelDetectsLostChange(t *testing.T) {
 	is := is.New(t)
 	at := func(second int64) int64 { return time.Unix(second, 0).UnixNano() }
 	operation := func(read, write string, outcome cluster.Outcome, called int64) porcupine.Operation {
-		change := cluster.Change{Read: read, Write: write, Outcome: outcome}
+		change := cluster.Change{PreviousWriteID: read, WriteID: write, Outcome: outcome}
 		return porcupine.Operation{Input: change, Output: outcome, Call: at(called), Return: at(called + 1)}
 	}
-	good := []porcupine.Operation{
+	linearizable := []porcupine.Operation{
 		operation("a", "b", cluster.OutcomeAccepted, 0),
 		operation("a", "c", cluster.OutcomeConflict, 2),
 		operation("b", "d", cluster.OutcomeUnknown, 4),
 		operation("d", "e", cluster.OutcomeAccepted, 6),
 	}
-	is.True(porcupine.CheckOperations(registerModel("a"), good))
-	both := []porcupine.Operation{
+	is.True(porcupine.CheckOperations(writeIDRegisterModel("a"), linearizable))
+	lostChange := []porcupine.Operation{
 		operation("a", "b", cluster.OutcomeAccepted, 0),
 		operation("a", "c", cluster.OutcomeAccepted, 2),
 	}
-	is.True(!porcupine.CheckOperations(registerModel("a"), both))
+	is.True(!porcupine.CheckOperations(writeIDRegisterModel("a"), lostChange))
 	falseConflict := []porcupine.Operation{operation("a", "b", cluster.OutcomeConflict, 0)}
-	is.True(!porcupine.CheckOperations(registerModel("a"), falseConflict))
+	is.True(!porcupine.CheckOperations(writeIDRegisterModel("a"), falseConflict))
 }
--- a/internal/lab/runs/racing.go
+++ b/internal/lab/runs/racing.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	racers            = 4
-	linearizableLimit = 30 * time.Second
+	racingOperatorCount = 4
+	linearizableLimit   = 30 * time.Second // for the check of the history
 )
 
-// racingOperators has several operators change the label of one back end at
-// once, with answers of the store lost, and checks the history.
+// racingOperators lets several operators change the label of one back end concurrently, while the
+// store loses answers. It checks that the history of the changes is linearizable, and that the last
+// accepted change comes in force and stays.
 func racingOperators(ctx context.Context, run *faultRun) error {
 	target := run.Hosts[0]
-	first, err := run.Operator.Backend(ctx, target.Backend.Name)
+	initial, err := run.Operator.Backend(ctx, target.Backend.Name)
 	if err != nil {
 		return err
 	}
 	if err := run.SetStoreFaults(ctx, storeLossy); err != nil {
 		return err
 	}
-	histories, err := run.race(ctx, target.Backend.Name)
+	histories, err := run.raceOperators(ctx, target.Backend.Name)
 	if err != nil {
 		return err
 	}
@@ -39,30 +40,32 @@
 		return err
 	}
 	history := slices.Concat(histories...)
-	run.checkHistory(first.WriteID, histories)
-	last, err := run.lastAccepted(history)
+	run.checkHistory(initial.WriteID, histories)
+	last, err := run.lastAcceptedChange(history)
 	if err != nil {
 		return err
 	}
-	if err := run.inForce(ctx, last.Revision, time.Now()); err != nil {
+	if err := run.awaitInForce(ctx, last.Revision, time.Now()); err != nil {
 		return err
 	}
-	return run.lastStays(ctx, target, last)
+	return run.checkLastChangePersists(ctx, target, last)
 }
 
-// race runs the operators and gives the history of each.
-func (run *faultRun) race(ctx context.Context, name lb.BackendName) ([][]cluster.Change, error) {
-	histories := make([][]cluster.Change, racers)
-	failures := make([]error, racers)
-	var racing sync.WaitGroup
-	for i := range racers {
-		racing.Go(func() { histories[i], failures[i] = run.raceOne(ctx, name, i) })
-	}
-	racing.Wait()
+// raceOperators runs the operators concurrently and returns the history of changes of each operator.
+func (run *faultRun) raceOperators(ctx context.Context, name lb.BackendName) ([][]cluster.Change, error) {
+	histories := make([][]cluster.Change, racingOperatorCount)
+	failures := make([]error, racingOperatorCount)
+	var operators sync.WaitGroup
+	for i := range racingOperatorCount {
+		operators.Go(func() { histories[i], failures[i] = run.runOperator(ctx, name, i) })
+	}
+	operators.Wait()
 	return histories, errors.Join(failures...)
 }
 
-func (run *faultRun) raceOne(ctx context.Context, name lb.BackendName, number int) ([]cluster.Change, error) {
+// runOperator makes the changes of one operator, one after the other, and returns their history.
+// Operators with an even number set the label that the selector requires, the others a different one.
+func (run *faultRun) runOperator(ctx context.Context, name lb.BackendName, number int) ([]cluster.Change, error) {
 	operator, err := run.NewOperator()
 	if err != nil {
 		return nil, err
@@ -72,7 +75,7 @@
 		label = "none"
 	}
 	var history []cluster.Change
-	for range run.options.Changes / racers {
+	for range run.options.Changes / racingOperatorCount {
 		change, err := operator.ChangeBackend(ctx, name, func(backend *catalog.Backend) {
 			backend.Labels = map[string]string{"app": label}
 		})
@@ -84,9 +87,9 @@
 	return history, nil
 }
 
-// checkHistory checks that the outcomes are those of a single register with
-// compare-and-swap, one change after the other.
-func (run *faultRun) checkHistory(first string, histories [][]cluster.Change) {
+// checkHistory checks that the outcomes are linearizable: they must agree with some sequential order
+// of compare-and-swap operations on a single register.
+func (run *faultRun) checkHistory(initialWriteID string, histories [][]cluster.Change) {
 	var operations []porcupine.Operation
 	counts := map[cluster.Outcome]int{}
 	for client, history := range histories {
@@ -95,41 +98,42 @@
 			operations = append(operations, porcupine.Operation{
 				ClientId: client,
 				Input:    change,
-				Call:     change.Called.UnixNano(),
+				Call:     change.StartedAt.UnixNano(),
 				Output:   change.Outcome,
-				Return:   change.Answered.UnixNano(),
+				Return:   change.AnsweredAt.UnixNano(),
 			})
 		}
 	}
-	verdict := porcupine.CheckOperationsTimeout(registerModel(first), operations, linearizableLimit)
-	run.figure("%d accepted, %d conflicts, %d unknown; history %s", counts[cluster.OutcomeAccepted],
+	verdict := porcupine.CheckOperationsTimeout(writeIDRegisterModel(initialWriteID), operations, linearizableLimit)
+	run.addMeasurement("%d accepted, %d conflicts, %d unknown; history %s", counts[cluster.OutcomeAccepted],
 		counts[cluster.OutcomeConflict], counts[cluster.OutcomeUnknown], verdict)
 	if verdict != porcupine.Ok {
-		run.violate("the history of changes is not that of one register: %s", verdict)
+		run.addViolation("the history of changes is not that of one register: %s", verdict)
 	}
 }
 
-// registerModel is one back end's document, told apart by its write id.
-func registerModel(first string) porcupine.Model {
+// writeIDRegisterModel returns the model of a register that holds the document of one back end. The
+// write ID stands for the document. A change with an unknown outcome may or may not take effect.
+func writeIDRegisterModel(initialWriteID string) porcupine.Model {
 	model := porcupine.NondeterministicModel{
-		Init: func() []any { return []any{first} },
+		Init: func() []any { return []any{initialWriteID} },
 		Step: func(state, input, output any) []any {
 			current := state.(string)
 			change := input.(cluster.Change)
 			switch output.(cluster.Outcome) {
 			case cluster.OutcomeAccepted:
-				if current == change.Read {
-					return []any{change.Write}
+				if current == change.PreviousWriteID {
+					return []any{change.WriteID}
 				}
 				return nil
 			case cluster.OutcomeConflict:
-				if current != change.Read {
+				if current != change.PreviousWriteID {
 					return []any{current}
 				}
 				return nil
 			default:
-				if current == change.Read {
-					return []any{current, change.Write}
+				if current == change.PreviousWriteID {
+					return []any{current, change.WriteID}
 				}
 				return []any{current}
 			}
@@ -139,8 +143,8 @@
 	return model.ToModel()
 }
 
-// lastAccepted gives the change with the highest revision.
-func (run *faultRun) lastAccepted(history []cluster.Change) (cluster.Change, error) {
+// lastAcceptedChange returns the accepted change with the highest revision.
+func (run *faultRun) lastAcceptedChange(history []cluster.Change) (cluster.Change, error) {
 	var last cluster.Change
 	for _, change := range history {
 		if change.Outcome == cluster.OutcomeAccepted && change.Revision > last.Revision {
@@ -153,49 +157,49 @@
 	return last, nil
 }
 
-// lastStays checks that the last accepted change is what the store holds and
-// what all balancers go by, and that it stays so under load.
-func (run *faultRun) lastStays(ctx context.Context, host *cluster.Host, last cluster.Change) error {
+// checkLastChangePersists checks that the store holds the last accepted change and that all balancers
+// apply it, and checks both again after further load.
+func (run *faultRun) checkLastChangePersists(ctx context.Context, host *cluster.Host, last cluster.Change) error {
 	for range 2 {
 		document, err := run.Operator.Backend(ctx, host.Backend.Name)
 		if err != nil {
 			return err
 		}
-		if document.WriteID != last.Write {
-			run.violate("the store holds change %s, the last accepted one is %s", document.WriteID, last.Write)
+		if document.WriteID != last.WriteID {
+			run.addViolation("the store holds change %s, the last accepted one is %s", document.WriteID, last.WriteID)
 		}
-		wanted := lb.BackendActive
+		expected := lb.BackendActive
 		if document.Labels["app"] != string(serviceWallet) {
-			wanted = lb.BackendDraining
+			expected = lb.BackendDraining
 		}
-		if err := run.agrees(ctx, host, wanted); err != nil {
+		if err := run.checkPlacement(ctx, host, expected); err != nil {
 			return err
 		}
-		if err := run.progress(ctx); err != nil {
+		if err := run.awaitProgress(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// agrees checks that the placement has the host's back end in the wanted
-// state, and that every balancer gets to that placement.
-func (run *faultRun) agrees(ctx context.Context, host *cluster.Host, wanted lb.BackendState) error {
+// checkPlacement checks that the host's back end has the expected state in the placement, and waits
+// until every balancer has that version of the placement or a later one.
+func (run *faultRun) checkPlacement(ctx context.Context, host *cluster.Host, expected lb.BackendState) error {
 	placement, err := run.Operator.Placement(ctx, serviceWallet)
 	if err != nil {
 		return err
 	}
-	found := lb.BackendDraining // a back end that has left serves nothing either
+	actual := lb.BackendDraining // a back end that is not in the placement serves no flows either
 	for _, backend := range placement.Backends {
 		if backend.Name == host.Backend.Name {
-			found = backend.State
+			actual = backend.State
 		}
 	}
-	if found != wanted {
-		run.violate("%s is %s in placement version %d, wanted %s", host.Name, found, placement.Version, wanted)
+	if actual != expected {
+		run.addViolation("%s is %s in placement version %d, wanted %s", host.Name, actual, placement.Version, expected)
 	}
-	what := fmt.Sprintf("all balancers have placement version %d", placement.Version)
-	return cluster.Until(ctx, what, func() (bool, error) {
+	description := fmt.Sprintf("all balancers have placement version %d", placement.Version)
+	return cluster.WaitUntil(ctx, description, func() (bool, error) {
 		for _, balancer := range run.Balancers {
 			if balancer.Ended() {
 				continue
--- a/internal/lab/soak/faults/faults.go
+++ b/internal/lab/soak/faults/faults.go
@@ -13,7 +13,7 @@
 // All returns every kind of fault. The order is part of the plan that a seed results in.
 func All() []soak.Fault {
 	kinds := []soak.Fault{killNode, killAllNodes{}, stopNode, pauseNode{}, reloadNode{}, packetLoss{}, compactStore{}, replaceHost{}, crashHost{}, unresponsiveHost{}, changeRoute{}, changeBurst{}, evacuateZone{}, surge{}, moveClients{}, slowHost{}, surgeInEvacuatedZone{}, coldMajority{}}
-	for _, mode := range []proxy.Mode{proxy.Delay, proxy.Reset, proxy.Silence, proxy.OneWay, proxy.SilenceOpen} {
+	for _, mode := range []proxy.Mode{proxy.Delay, proxy.Reset, proxy.DropAll, proxy.DropFromServer, proxy.DropOpenConnections} {
 		kinds = append(kinds, storeConnection{mode})
 	}
 	for _, fault := range []platformsim.Fault{
--- a/internal/lab/soak/faults/network.go
+++ b/internal/lab/soak/faults/network.go
@@ -20,7 +20,7 @@
 	endDisturbance := s.Checker.BeginDisturbance(n.Data)
 	n.StoreProxy.SetMode(f.mode)
 	return func() error {
-		n.StoreProxy.SetMode(proxy.Pass)
+		n.StoreProxy.SetMode(proxy.Forward)
 		endDisturbance()
 		return nil
 	}, nil
--- a/internal/lab/soak/locks.go
+++ b/internal/lab/soak/locks.go
@@ -26,7 +26,7 @@
 func (n *Node) AwaitEnd(ctx context.Context) (int, error) { return n.process.Wait(ctx) }
 
 // AwaitReady waits until the node reports that it is ready.
-func (n *Node) AwaitReady(ctx context.Context) error { return n.process.Serves(ctx, n.readyURL) }
+func (n *Node) AwaitReady(ctx context.Context) error { return n.process.AwaitServing(ctx, n.readyURL) }
 
 // LockReplica reserves a replica and its host for one fault. It returns locked=false if another
 // fault has reserved the replica. The returned function sets the replica's host, which may be a
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -201,7 +201,7 @@
 	recoveryCtx, cancel := context.WithTimeout(ctx, r.Settings.Bounds.RecoveryLimit)
 	defer cancel()
 	consecutive := 0
-	err := cluster.Until(recoveryCtx, "all is served again", func() (bool, error) {
+	err := cluster.WaitUntil(recoveryCtx, "all is served again", func() (bool, error) {
 		for ; consecutive < recoveryOpenings; consecutive++ {
 			flow, err := r.clients[consecutive%len(r.clients)].Open(StableFrontends[consecutive%len(StableFrontends)])
 			if err != nil {
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -151,7 +151,7 @@
 		s.clients = append(s.clients, client)
 		s.onClose(client.Close)
 	}
-	return cluster.Until(ctx, "the router has admitted all balancers", func() (bool, error) { return s.Router.In() == len(s.Nodes), nil })
+	return cluster.WaitUntil(ctx, "the router has admitted all balancers", func() (bool, error) { return s.Router.In() == len(s.Nodes), nil })
 }
 
 // onClose registers a function to be called when the site is closed, in reverse order of
@@ -210,7 +210,7 @@
 	s.Nodes = append(s.Nodes, n)
 	s.onClose(func() {
 		if n.process != nil {
-			n.process.End()
+			n.process.Stop()
 		}
 	})
 	return s.StartNode(n, 0)
