--- a/internal/lab/runs/allfaults.go
+++ b/internal/lab/runs/allfaults.go
@@ -261,8 +261,8 @@
 			return err
 		}
 	}
-	sameFleet := func(lb.Zone, lb.Zone) bool { return true }
-	if err := run.awaitMembers(ctx, "both sides are members of each other", sameFleet); err != nil {
+	allZones := func(lb.Zone, lb.Zone) bool { return true }
+	if err := run.awaitMembers(ctx, "both sides are members of each other", allZones); err != nil {
 		return err
 	}
 	return run.drainAndRestore(ctx, run.Hosts[0])
--- a/internal/lab/runs/fault.go
+++ b/internal/lab/runs/fault.go
@@ -282,8 +282,8 @@
 }
 
 func (result *FaultResult) print(output io.Writer) {
-	for _, figure := range result.Measurements {
-		fmt.Fprintf(output, "  %s\n", figure)
+	for _, measurement := range result.Measurements {
+		fmt.Fprintf(output, "  %s\n", measurement)
 	}
 	for _, violation := range result.Violations {
 		fmt.Fprintf(output, "  VIOLATION: %s\n", violation)
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -109,16 +109,16 @@
 	if report.Steps == nil {
 		report.Steps = Plan(settings.Seed, settings.Duration, kinds, settings.Size)
 	}
-	loading, stopLoad := context.WithCancel(ctx)
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	for index := range settings.Size.Flows {
 		client := site.clients[index%len(site.clients)]
 		load.Go(func() {
-			r.generateFlows(loading, client, uint64(index), flowPattern{maxFlowRequests, flowRequestPause})
+			r.generateFlows(loadCtx, client, uint64(index), flowPattern{maxFlowRequests, flowRequestPause})
 		})
 	}
 	for index := range settings.Size.PersistentFlows {
-		load.Go(func() { r.generatePersistentFlows(loading, site.clients[index%len(site.clients)], index) })
+		load.Go(func() { r.generatePersistentFlows(loadCtx, site.clients[index%len(site.clients)], index) })
 	}
 	site.generateSurge = r.runSurge
 	err = r.injectSteps(ctx, report.Steps, kinds, output)
@@ -145,15 +145,15 @@
 	}
 	start := time.Now()
 	results := make(chan error, len(steps))
-	var injected sync.WaitGroup
+	var injections sync.WaitGroup
 	for _, step := range steps {
 		if err := sleep(ctx, step.At-time.Since(start)); err != nil {
 			return err
 		}
 		fmt.Fprintf(output, "%8s  %-16s target %d for %s\n", step.At, step.Fault, step.Target, step.Lasts)
-		injected.Go(func() { results <- r.inject(ctx, kindByName[step.Fault], step) })
+		injections.Go(func() { results <- r.inject(ctx, kindByName[step.Fault], step) })
 	}
-	injected.Wait()
+	injections.Wait()
 	close(results)
 	var combined error
 	for err := range results {
@@ -163,8 +163,10 @@
 }
 
 // ErrTargetLocked is returned by Inject if another fault has reserved the target.
-var ErrTargetLocked = errors.New("another fault has the target")
+var ErrTargetLocked = errors.New("another fault has reserved the target")
 
+// inject performs one step: it starts the fault, waits and ends the fault. A step whose target is
+// reserved by another fault is skipped.
 func (r *soakRun) inject(ctx context.Context, kind Fault, step Step) error {
 	end, err := kind.Inject(ctx, r.Site, step.Target)
 	if errors.Is(err, ErrTargetLocked) {
@@ -201,7 +203,7 @@
 	recoveryCtx, cancel := context.WithTimeout(ctx, r.Settings.Bounds.RecoveryLimit)
 	defer cancel()
 	consecutive := 0
-	err := cluster.WaitUntil(recoveryCtx, "all is served again", func() (bool, error) {
+	err := cluster.WaitUntil(recoveryCtx, "all openings are served again", func() (bool, error) {
 		for ; consecutive < recoveryOpenings; consecutive++ {
 			flow, err := r.clients[consecutive%len(r.clients)].Open(StableFrontends[consecutive%len(StableFrontends)])
 			if err != nil {
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -134,6 +134,8 @@
 	return s.startClients(ctx)
 }
 
+// startClients starts the router and the clients of each zone, and waits until the router sends
+// packets to all nodes.
 func (s *Site) startClients(ctx context.Context) error {
 	var routerNodes []platformsim.RouterNode
 	for _, n := range s.Nodes {
@@ -173,6 +175,8 @@
 
 func (s *Site) zoneName(index int) string { return fmt.Sprintf("zone-%d", index%s.Settings.Size.Zones) }
 
+// addNode starts a node with a proxy of its own to the store. All nodes but the first join the
+// first one.
 func (s *Site) addNode(index int) error {
 	control, err := cluster.FreeAddress()
 	if err != nil {
@@ -182,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	link, closeProxy, err := proxy.New(strings.TrimPrefix(s.Store.URL(), "http://"))
+	storeProxy, closeProxy, err := proxy.New(strings.TrimPrefix(s.Store.URL(), "http://"))
 	if err != nil {
 		return err
 	}
@@ -191,14 +195,14 @@
 		Name:           fmt.Sprintf("node-%d", index),
 		Zone:           s.zoneName(index),
 		Data:           netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(index + 1)}), s.dataPort),
-		StoreProxy:     link,
+		StoreProxy:     storeProxy,
 		controlAddress: control,
 		readyURL:       "http://" + admin + "/readyz",
 	}
 	settings := fmt.Sprintf("node: %s\nzone: %s\naffinity: token\ndata_address: %s\ncontrol_address: %s\n"+
 		"admin_address: %s\nstore_endpoints: [\"http://%s\"]\ntimings: {drain_grace: 500ms, drain_limit: 5s}\n"+
 		"limits: {cold_overage: %v, cold_slack: %v}\n",
-		n.Name, n.Zone, n.Data, control, admin, link.Address, coldOverage, coldSlack)
+		n.Name, n.Zone, n.Data, control, admin, storeProxy.Address, coldOverage, coldSlack)
 	if index > 0 {
 		settings += fmt.Sprintf("seeds: [%q]\n", s.Nodes[0].controlAddress)
 	}
@@ -272,6 +276,7 @@
 // evacuationPrefix is the prefix of the keys of evacuated zones in the store.
 const evacuationPrefix = "op/evacuate/"
 
+// addReplica starts the first host of a replica.
 func (s *Site) addReplica(service string, index int) error {
 	replica := &Replica{Service: service, Zone: s.zoneName(index)}
 	s.Replicas = append(s.Replicas, replica)
