--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -36,8 +36,8 @@
 	return []int{int(decoded.Key.ID().Bucket()) % hostCount}, 0
 }
 
-// simulation connects a client, a fabric and hosts to a balancer policy. It runs in one goroutine and in
-// simulated time.
+// simulation connects a client, a fabric and hosts to a balancer policy. It runs in one goroutine
+// and in simulated time.
 type simulation struct {
 	now    time.Time
 	queue  []delivery
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -47,8 +47,8 @@
 	DrainLimit  string `yaml:"drain_limit,omitempty"`
 }
 
-// Cluster is a set of running processes: a store, a fabric, balancers, hosts and clients. Close stops
-// them all.
+// Cluster is a set of running processes: a store, a fabric, balancers, hosts and clients. Close
+// stops them all.
 type Cluster struct {
 	options       Options
 	StoreURL      string
@@ -208,8 +208,8 @@
 	return sendJSON(ctx, http.MethodPost, cluster.machinesURL(), machine)
 }
 
-// StopPlanned marks the balancer as leaving on the machine list, sends SIGTERM, waits until the process
-// has ended and removes the balancer from the machine list.
+// StopPlanned marks the balancer as leaving on the machine list, sends SIGTERM, waits until the
+// process has ended and removes the balancer from the machine list.
 func (cluster *Cluster) StopPlanned(ctx context.Context, balancer *Balancer) error {
 	leaving := balancer.machine
 	leaving.Leaving = true
--- a/internal/lab/cluster/load.go
+++ b/internal/lab/cluster/load.go
@@ -153,8 +153,8 @@
 	return report, err
 }
 
-// Verify queries all reports and checks the guarantees. The imbalance is computed without the drained
-// hosts.
+// Verify queries all reports and checks the guarantees. The imbalance is computed without the
+// drained hosts.
 func (cluster *Cluster) Verify(ctx context.Context, drained ...*Host) (check.Result, error) {
 	clients, err := cluster.ClientReports(ctx)
 	if err != nil {
--- a/internal/lab/cluster/operator.go
+++ b/internal/lab/cluster/operator.go
@@ -102,8 +102,9 @@
 	AnsweredAt      time.Time
 }
 
-// ChangeBackend reads a back end, changes it, and writes it back unless another operator has changed
-// it in between. Such a conflict, and an unknown result of the write, are outcomes and not errors.
+// ChangeBackend reads a back end, changes it, and writes it back unless another operator has
+// changed it in between. Such a conflict, and an unknown result of the write, are outcomes and not
+// errors.
 func (operator *Operator) ChangeBackend(ctx context.Context, name lb.BackendName, change func(*catalog.Backend)) (Change, error) {
 	key := catalog.BackendKey(name)
 	read, err := operator.client.Get(ctx, key)
@@ -180,8 +181,8 @@
 	return changes[0].Revision, nil
 }
 
-// AwaitInForce waits until every zone reports that the revision is in force. It returns the time from
-// since to the report, by zone.
+// AwaitInForce waits until every zone reports that the revision is in force. It returns the time
+// from since to the report, by zone.
 func (operator *Operator) AwaitInForce(ctx context.Context, revision int64, zones []lb.Zone, since time.Time) (map[lb.Zone]time.Duration, error) {
 	elapsed := map[lb.Zone]time.Duration{}
 	description := fmt.Sprintf("revision %d is in force in zones %v", revision, zones)
--- a/internal/lab/cluster/port.go
+++ b/internal/lab/cluster/port.go
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The allocated ports lie below the range that systems use for outgoing connections (32768 and up on
-// Linux), so that no outgoing connection takes a port between the check and its use. Each program
-// that runs a lab allocates its ports from blocks of its own, so that programs can run at the same
-// time.
+// The allocated ports lie below the range that systems use for outgoing connections (32768 and up
+// on Linux), so that no outgoing connection takes a port between the check and its use. Each
+// program that runs a lab allocates its ports from blocks of its own, so that programs can run at
+// the same time.
 const (
 	firstPort  = 10000
 	blockPorts = 250
@@ -52,8 +52,8 @@
 	}
 }
 
-// claimBlock claims the next free block and makes it the current one. The process ID determines where
-// the search starts.
+// claimBlock claims the next free block and makes it the current one. The process ID determines
+// where the search starts.
 func (p *portAllocator) claimBlock() error {
 	for index := range blockCount {
 		first := firstPort + (os.Getpid()+index)%blockCount*blockPorts
@@ -70,8 +70,8 @@
 
 func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// isFree reports whether no process uses an address for TCP or UDP. Programs that are no labs do not
-// observe the blocks.
+// isFree reports whether no process uses an address for TCP or UDP. Programs that are no labs do
+// not observe the blocks.
 func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/lab/cluster/port_test.go
+++ b/internal/lab/cluster/port_test.go
@@ -6,8 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// TestLabsShareNoPorts guards against processes that fail at their start because another program had
-// allocated the same port before either program used it. This must not happen for any process IDs.
+// TestLabsShareNoPorts guards against processes that fail at their start because another program
+// had allocated the same port before either program used it. This must not happen for any process
+// IDs.
 func TestLabsShareNoPorts(t *testing.T) {
 	is := is.New(t)
 	const labs, portsPerLab = 4, 300 // more than a block
--- a/internal/lab/cluster/process.go
+++ b/internal/lab/cluster/process.go
@@ -116,8 +116,8 @@
 	return WaitUntil(ctx, process.Name+" serves", func() (bool, error) { return respondsOK(ctx, url) })
 }
 
-// WaitUntil polls a condition until it holds. If ctx ends first, the error contains the description of
-// the condition and the last error from it.
+// WaitUntil polls a condition until it holds. If ctx ends first, the error contains the description
+// of the condition and the last error from it.
 func WaitUntil(ctx context.Context, description string, condition func() (bool, error)) error {
 	var lastErr error
 	for {
--- a/internal/lab/cluster/process_other.go
+++ b/internal/lab/cluster/process_other.go
@@ -4,6 +4,6 @@
 
 import "syscall"
 
-// processAttributes returns attributes that put a child into a process group of its own. An interrupt
-// from the terminal then reaches only the parent, which stops the child.
+// processAttributes returns attributes that put a child into a process group of its own. An
+// interrupt from the terminal then reaches only the parent, which stops the child.
 func processAttributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/lab/runs/allfaults.go
+++ b/internal/lab/runs/allfaults.go
@@ -22,8 +22,8 @@
 	storeHealthy = storesim.Faults{}
 )
 
-// impairedFabric are fabric flags that drop 1 % of the packets, duplicate 2 %, delay 5 % so that they
-// arrive out of order, and add a different delay for each zone.
+// impairedFabric are fabric flags that drop 1 % of the packets, duplicate 2 %, delay 5 % so that
+// they arrive out of order, and add a different delay for each zone.
 var impairedFabric = []string{
 	"--loss=10", "--duplicate=20", "--reorder=50", "--reorder-us=5000",
 	"--delay-us=zone-a=500,zone-b=1000,zone-c=1500",
@@ -69,8 +69,8 @@
 	return run.awaitInForce(ctx, revision, start)
 }
 
-// plannedStops replaces the balancers one after the other: first the new balancer joins, then the old
-// one stops.
+// plannedStops replaces the balancers one after the other: first the new balancer joins, then the
+// old one stops.
 func plannedStops(ctx context.Context, run *faultRun) error {
 	for i := range run.options.Stops {
 		old := run.Balancers[i]
@@ -109,8 +109,8 @@
 	return run.SetStoreFaults(ctx, storeHealthy)
 }
 
-// outageDuringChange drains a host right before an outage of the store, and checks that the change is
-// in force after the outage.
+// outageDuringChange drains a host right before an outage of the store, and checks that the change
+// is in force after the outage.
 func outageDuringChange(ctx context.Context, run *faultRun) error {
 	revision, err := run.drain(ctx, run.Hosts[0])
 	if err != nil {
@@ -132,8 +132,8 @@
 	return run.checkPlacement(ctx, run.Hosts[0], lb.BackendDraining)
 }
 
-// changeWithSlowStore changes a host while the store answers slowly, after the store has dropped all
-// watches.
+// changeWithSlowStore changes a host while the store answers slowly, after the store has dropped
+// all watches.
 func changeWithSlowStore(ctx context.Context, run *faultRun) error {
 	slow := storeSlow
 	slow.DropWatches = true
@@ -149,8 +149,8 @@
 	return run.checkPlacement(ctx, run.Hosts[0], lb.BackendActive)
 }
 
-// changesWithLostAnswers changes two hosts while the store applies requests without answering some of
-// them.
+// changesWithLostAnswers changes two hosts while the store applies requests without answering some
+// of them.
 func changesWithLostAnswers(ctx context.Context, run *faultRun) error {
 	if err := run.SetStoreFaults(ctx, storeLossy); err != nil {
 		return err
@@ -233,9 +233,10 @@
 	return run.duringPartition(ctx, func() error { return run.drainAndCheck(ctx, run.Hosts[0]) })
 }
 
-// duringPartition partitions the balancers of one zone from the others, in both directions, and waits
-// until each side has declared the other dead. Then it calls the function, ends the partition,
-// waits until both sides are members of each other again, and checks that a change comes in force.
+// duringPartition partitions the balancers of one zone from the others, in both directions, and
+// waits until each side has declared the other dead. Then it calls the function, ends the
+// partition, waits until both sides are members of each other again, and checks that a change comes
+// in force.
 func (run *faultRun) duringPartition(ctx context.Context, action func() error) error {
 	const isolatedZone = lb.Zone("zone-c")
 	for _, balancer := range run.Balancers {
@@ -268,8 +269,8 @@
 	return run.drainAndRestore(ctx, run.Hosts[0])
 }
 
-// awaitMembers waits until the members known to every balancer are exactly the balancers in the zones
-// for which expects returns true.
+// awaitMembers waits until the members known to every balancer are exactly the balancers in the
+// zones for which expects returns true.
 func (run *faultRun) awaitMembers(ctx context.Context, description string, expects func(zone, ownZone lb.Zone) bool) error {
 	return cluster.WaitUntil(ctx, description, func() (bool, error) {
 		for _, balancer := range run.Balancers {
@@ -346,8 +347,8 @@
 	return run.drainAndRestore(ctx, run.Hosts[0])
 }
 
-// changesOnImpairedFabric drains a host and right after it stops a balancer as planned. Fault.FabricFlags
-// sets the impairments.
+// changesOnImpairedFabric drains a host and right after it stops a balancer as planned.
+// Fault.FabricFlags sets the impairments.
 func changesOnImpairedFabric(ctx context.Context, run *faultRun) error {
 	changedAt := time.Now()
 	if _, err := run.drain(ctx, run.Hosts[0]); err != nil {
--- a/internal/lab/runs/environment.go
+++ b/internal/lab/runs/environment.go
@@ -1,6 +1,6 @@
-// Package runs implements the demo and the fault runs. Each run starts simulated components and real
-// balancers, puts them under load, injects faults or changes, and checks the guarantees against
-// the reports of clients and hosts.
+// Package runs implements the demo and the fault runs. Each run starts simulated components and
+// real balancers, puts them under load, injects faults or changes, and checks the guarantees
+// against the reports of clients and hosts.
 package runs
 
 import (
@@ -133,8 +133,8 @@
 	return env.AwaitLongFlows(ctx, load.Feeds, load.UDPFlows)
 }
 
-// drain changes the label of a host's back end so that the service's selector no longer matches, and
-// returns the revision of the change.
+// drain changes the label of a host's back end so that the service's selector no longer matches,
+// and returns the revision of the change.
 func (env *environment) drain(ctx context.Context, host *cluster.Host) (int64, error) {
 	backend := host.Backend
 	backend.Labels = map[string]string{"app": "none"}
--- a/internal/lab/runs/fault.go
+++ b/internal/lab/runs/fault.go
@@ -58,8 +58,8 @@
 // FaultOptions configures fault runs.
 type FaultOptions struct {
 	Cluster cluster.Options
-	// Timed enables the checks of time limits: a change that takes longer than 5 s to be in force is a
-	// violation. If Timed is false, a run waits as long as necessary.
+	// Timed enables the checks of time limits: a change that takes longer than 5 s to be in force
+	// is a violation. If Timed is false, a run waits as long as necessary.
 	Timed bool
 	// Stops is the number of planned stops in the run planned-stop.
 	Stops int
@@ -226,8 +226,8 @@
 	return run.checkNoNewFlows(ctx, host, limit)
 }
 
-// checkNoNewFlows lets the load run beyond the given time and checks that the host has opened no flow
-// after it.
+// checkNoNewFlows lets the load run beyond the given time and checks that the host has opened no
+// flow after it.
 func (run *faultRun) checkNoNewFlows(ctx context.Context, host *cluster.Host, after time.Time) error {
 	if err := runLoadFor(ctx, time.Until(after)); err != nil {
 		return err
@@ -260,8 +260,8 @@
 	return run.awaitInForce(ctx, revision, start)
 }
 
-// Faults performs the named fault runs, or all if no name is given, one after the other and prints a
-// table. It returns ErrGuaranteeViolated if any run did not pass.
+// Faults performs the named fault runs, or all if no name is given, one after the other and prints
+// a table. It returns ErrGuaranteeViolated if any run did not pass.
 func Faults(ctx context.Context, names []string, options FaultOptions, output io.Writer) error {
 	chosen := slices.DeleteFunc(AllFaults(), func(fault Fault) bool {
 		return len(names) > 0 && !slices.Contains(names, fault.Name)
--- a/internal/lab/runs/fault_test.go
+++ b/internal/lab/runs/fault_test.go
@@ -18,8 +18,8 @@
 // maxConcurrentRuns is the maximum number of concurrent runs, as each run has about 20 processes.
 const maxConcurrentRuns = 3
 
-// TestFaultsShort performs the runs of the short set on real processes. It does not check time limits;
-// the complete set of runs checks how long a change takes.
+// TestFaultsShort performs the runs of the short set on real processes. It does not check time
+// limits; the complete set of runs checks how long a change takes.
 func TestFaultsShort(t *testing.T) {
 	binaries := t.TempDir()
 	build := exec.Command("go", "build", "-o", binaries, "robinpulley.example/robinpulley/cmd/...")
@@ -52,7 +52,8 @@
 	}
 }
 
-// logDirectory returns a directory for the logs of a test. The directory is removed if the test passes.
+// logDirectory returns a directory for the logs of a test. The directory is removed if the test
+// passes.
 func logDirectory(t *testing.T) string {
 	is := is.New(t)
 	directory, err := os.MkdirTemp("", "robinpulley-faults-*")
--- a/internal/lab/runs/racing.go
+++ b/internal/lab/runs/racing.go
@@ -51,7 +51,8 @@
 	return run.checkLastChangePersists(ctx, target, last)
 }
 
-// raceOperators runs the operators concurrently and returns the history of changes of each operator.
+// raceOperators runs the operators concurrently and returns the history of changes of each
+// operator.
 func (run *faultRun) raceOperators(ctx context.Context, name lb.BackendName) ([][]cluster.Change, error) {
 	histories := make([][]cluster.Change, racingOperatorCount)
 	failures := make([]error, racingOperatorCount)
@@ -64,7 +65,8 @@
 }
 
 // runOperator makes the changes of one operator, one after the other, and returns their history.
-// Operators with an even number set the label that the selector requires, the others a different one.
+// Operators with an even number set the label that the selector requires, the others a different
+// one.
 func (run *faultRun) runOperator(ctx context.Context, name lb.BackendName, number int) ([]cluster.Change, error) {
 	operator, err := run.NewOperator()
 	if err != nil {
@@ -87,8 +89,8 @@
 	return history, nil
 }
 
-// checkHistory checks that the outcomes are linearizable: they must agree with some sequential order
-// of compare-and-swap operations on a single register.
+// checkHistory checks that the outcomes are linearizable: they must agree with some sequential
+// order of compare-and-swap operations on a single register.
 func (run *faultRun) checkHistory(initialWriteID string, histories [][]cluster.Change) {
 	var operations []porcupine.Operation
 	counts := map[cluster.Outcome]int{}
@@ -157,8 +159,8 @@
 	return last, nil
 }
 
-// checkLastChangePersists checks that the store holds the last accepted change and that all balancers
-// apply it, and checks both again after further load.
+// checkLastChangePersists checks that the store holds the last accepted change and that all
+// balancers apply it, and checks both again after further load.
 func (run *faultRun) checkLastChangePersists(ctx context.Context, host *cluster.Host, last cluster.Change) error {
 	for range 2 {
 		document, err := run.Operator.Backend(ctx, host.Backend.Name)
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -160,7 +160,8 @@
 	c.violations = append(c.violations, Violation{At: now, Rule: rule, Detail: fmt.Sprintf(format, values...)})
 }
 
-// BeginDisturbance records the start of a fault on the nodes. The returned function records its end.
+// BeginDisturbance records the start of a fault on the nodes. The returned function records its
+// end.
 func (c *Checker) BeginDisturbance(nodes ...netip.AddrPort) (end func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -325,8 +326,8 @@
 	}
 }
 
-// checkCold verifies the limit of openings at a host in its cold start, for the second that ends now.
-// The limit also holds while nodes are disturbed.
+// checkCold verifies the limit of openings at a host in its cold start, for the second that ends
+// now. The limit also holds while nodes are disturbed.
 func (c *Checker) checkCold(now time.Time, event *platformsim.HostEvent) {
 	if c.bounds.ColdOpeningsPerSecond == 0 || !event.Host.Cold(now) {
 		return
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -37,8 +37,8 @@
 	return platformsim.HostEvent{Host: at, Kind: platformsim.HostRan, Node: node, Front: frontend, Caller: client, Request: request}
 }
 
-// TestCheckerDetectsViolationOfEachRule covers, for each guarantee, events that satisfy it and events
-// that violate it.
+// TestCheckerDetectsViolationOfEachRule covers, for each guarantee, events that satisfy it and
+// events that violate it.
 func TestCheckerDetectsViolationOfEachRule(t *testing.T) {
 	hostOpening := platformsim.HostEvent{Host: host("i-1", "web"), Kind: platformsim.HostOpening, Node: node, Front: frontend, Caller: client}
 	cold := host("i-3", "web")
@@ -247,8 +247,8 @@
 	}
 }
 
-// TestUnansweredOpeningCauses guards against openings that remain unanswered without any known cause:
-// they must be violations.
+// TestUnansweredOpeningCauses guards against openings that remain unanswered without any known
+// cause: they must be violations.
 func TestUnansweredOpeningCauses(t *testing.T) {
 	other := netip.MustParseAddrPort("127.0.1.2:9000")
 	cases := map[soak.Cause]func(*soak.Checker){
--- a/internal/lab/soak/faults/faults.go
+++ b/internal/lab/soak/faults/faults.go
@@ -42,8 +42,8 @@
 // Targets implements soak.Fault.
 func (hostFault) Targets(size soak.Size) int { return 2 * size.Hosts }
 
-// restartLimit is the maximum time until a restarted node is ready. It is long because another fault
-// may block the node's connections to the store in the meantime.
+// restartLimit is the maximum time until a restarted node is ready. It is long because another
+// fault may block the node's connections to the store in the meantime.
 const restartLimit = 30 * time.Second
 
 // awaitReady waits until a restarted node is ready, for at most restartLimit.
--- a/internal/lab/soak/faults/process.go
+++ b/internal/lab/soak/faults/process.go
@@ -11,8 +11,8 @@
 	"robinpulley.example/robinpulley/internal/lab/soak"
 )
 
-// lastProcessNumber is the number of the last restarted process of any node. The numbers are part of
-// the log names.
+// lastProcessNumber is the number of the last restarted process of any node. The numbers are part
+// of the log names.
 var lastProcessNumber atomic.Int64
 
 // startAgain starts a new process of a node and waits until the node is ready.
--- a/internal/lab/soak/quiet.go
+++ b/internal/lab/soak/quiet.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// quietWindow is a period in which the balancers have no reason to refuse openings for load. It lasts
-// from the start of the run, or from Bounds.SurgeSettleTime after a surge has ended, until the
-// next surge begins.
+// quietWindow is a period in which the balancers have no reason to refuse openings for load. It
+// lasts from the start of the run, or from Bounds.SurgeSettleTime after a surge has ended, until
+// the next surge begins.
 type quietWindow struct {
 	since    time.Time
 	openings int
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -23,8 +23,8 @@
 	ServiceDocs = "docs"
 )
 
-// StableFrontends are the front ends with constant routes. ToggledFrontends are the front ends whose
-// routes are changed by faults.
+// StableFrontends are the front ends with constant routes. ToggledFrontends are the front ends
+// whose routes are changed by faults.
 var (
 	StableFrontends  = []netip.AddrPort{netip.MustParseAddrPort("198.18.0.1:443"), netip.MustParseAddrPort("198.18.0.1:8443")}
 	ToggledFrontends = []netip.AddrPort{
@@ -307,8 +307,8 @@
 	return h, nil
 }
 
-// Settings of the cold start: the duration and the rate that hosts announce, and the tolerance of the
-// balancers' limit. coldOpenings is the resulting maximum of openings in any second.
+// Settings of the cold start: the duration and the rate that hosts announce, and the tolerance of
+// the balancers' limit. coldOpenings is the resulting maximum of openings in any second.
 const (
 	coldStartTime = 2 * time.Second
 	coldPerSecond = 2.0 // new flows per second
