--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission computes the admit rate of each priority of a service from the load reports of
-// the whole fleet. It handles the case in which callers request more work than all back ends
+// Package admission computes the admission rate of each priority of a service from the load reports
+// of the whole fleet. It handles the case in which clients request more work than all back ends
 // together can do. A single node receives some twenty openings a second, too few to measure the
 // excess; the sums over all nodes suffice. Since the rates depend on these sums only, they are the
 // same at all nodes, in all zones, and at a node that has just started. The package has no clock
@@ -29,7 +29,7 @@
 	// MaxError bounds the difference between load and limit.
 	MaxError float64
 	// ToleratedRejections is the fraction of requests that full back ends may reject without a
-	// reduction: the caller's next try is served elsewhere. RejectionGain corresponds to Gain, for
+	// reduction: the client's next try is served elsewhere. RejectionGain corresponds to Gain, for
 	// the fraction of rejections above that.
 	ToleratedRejections, RejectionGain float64
 	// MaxWork and MinWork bound the admitted work as a multiple of the number of slots, whatever
@@ -63,7 +63,8 @@
 	}
 }
 
-// Service computes the admit rates of one service. The zero value has no state and refuses nothing.
+// Service computes the admission rates of one service. The zero value has no state and refuses
+// nothing.
 type Service struct {
 	// capacityRatio is the estimated work that back ends can do, as a multiple of their slots; 0
 	// means unknown.
@@ -74,19 +75,19 @@
 	rates []Rate
 }
 
-// Rate is the admit rate of the openings of one priority.
+// Rate is the admission rate of the openings of one priority.
 type Rate struct {
 	Priority uint16
 	Admitted float64
 }
 
-// assumedTries is the assumed number of times that a caller sends a refused opening: callers retry
+// assumedTries is the assumed number of times that a client sends a refused opening: clients retry
 // immediately, once or twice. It affects only how fast the rates converge and not the result, since
-// the requested work is computed with the same number. With 3 the rates oscillate where callers try
+// the requested work is computed with the same number. With 3 the rates oscillate where clients try
 // only twice.
 const assumedTries = 2
 
-// demand is the work that callers request at one priority, in slots, without retries.
+// demand is the work that clients request at one priority, in slots, without retries.
 type demand struct {
 	priority    uint16
 	begun       float64
@@ -119,16 +120,16 @@
 		remaining -= d.begun
 		granted := min(d.requested, usable)
 		available = max(0, available-granted)
-		maxRate = min(maxRate, d.admitRate(granted))
+		maxRate = min(maxRate, d.admissionRate(granted))
 		s.rates = append(s.rates, Rate{Priority: d.priority, Admitted: maxRate})
 	}
 }
 
-// Rates returns the admit rate of each priority, the most important first.
+// Rates returns the admission rate of each priority, the most important first.
 func (s *Service) Rates() []Rate { return s.rates }
 
-// RateOf returns the admit rate of a priority. An unknown priority has the rate of the next more
-// important one.
+// RateOf returns the admission rate of a priority. An unknown priority has the rate of the next
+// more important one.
 func (s *Service) RateOf(priority uint16) float64 {
 	admitted := 1.0
 	for _, rate := range s.rates {
@@ -154,9 +155,9 @@
 	return slices.ContainsFunc(s.rates, func(rate Rate) bool { return rate.Admitted < 1 })
 }
 
-// admitRate returns the fraction of tries to admit so that, of the requested work, the granted
+// admissionRate returns the fraction of tries to admit so that, of the requested work, the granted
 // amount is begun. Work on open flows is subtracted first, as it can't be refused.
-func (d *demand) admitRate(granted float64) float64 {
+func (d *demand) admissionRate(granted float64) float64 {
 	if granted >= d.requested {
 		return 1
 	}
@@ -167,7 +168,7 @@
 	return 1 - math.Pow(1-served, 1.0/assumedTries)
 }
 
-// demandsOf sums up what the callers of all zones request, by priority.
+// demandsOf sums up what the clients of all zones request, by priority.
 func demandsOf(state *fleetload.Service) []demand {
 	sums := make(map[uint16]fleetload.Level)
 	for index := range state.Zones {
@@ -190,7 +191,7 @@
 // refused.
 const minBegun = 0.01
 
-// requestedWork returns the work that callers request. Part of the refused work was begun at a
+// requestedWork returns the work that clients request. Part of the refused work was begun at a
 // later try and must not be counted twice.
 func requestedWork(level fleetload.Level) float64 {
 	if level.Refused == 0 {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,8 +21,8 @@
 // noOpenFlows returns 0 for every priority: each flow carries one request.
 func noOpenFlows(uint16) float64 { return 0 }
 
-// simulation models callers and back ends as sums in virtual time, without nodes or packets.
-// Callers request work at two priorities, retry refused openings immediately, and queue at the back
+// simulation models clients and back ends as sums in virtual time, without nodes or packets.
+// Clients request work at two priorities, retry refused openings immediately, and queue at the back
 // ends.
 type simulation struct {
 	random      *rand.Rand
@@ -64,7 +64,7 @@
 	}
 }
 
-// startRequests computes the callers' tries of one step.
+// startRequests computes the clients' tries of one step.
 func (p *simulation) startRequests() {
 	for index := range p.demand {
 		rate := p.service.RateOf(uint16(index + 1))
@@ -134,7 +134,7 @@
 }
 
 // minFinalUse and maxFinalUse bound the fraction of the capacity that is used after convergence.
-// Less would waste capacity, and more would let requests queue for longer than callers allow.
+// Less would waste capacity, and more would let requests queue for longer than clients allow.
 const minFinalUse, maxFinalUse = 0.85, 1.0
 
 // TestStepOfDemand raises the demand above the capacity at once. After two seconds the admitted
@@ -165,7 +165,7 @@
 }
 
 // TestCallersWhoDoNotRetry: the rate may oscillate for some seconds, and must then converge.
-func TestCallersWhoDoNotRetry(t *testing.T) {
+func TestClientsThatDoNotRetry(t *testing.T) {
 	for _, times := range []float64{2.6, 4, 6} {
 		is := is.New(t)
 		p := newSimulation(1)
@@ -203,7 +203,7 @@
 	is.Equal(p.service.RateOf(9), p.service.RateOf(2)) // unknown priority
 }
 
-// TestOpenFlowsAreNotRefused: if less important callers keep their flows, their openings are
+// TestOpenFlowsAreNotRefused: if less important clients keep their flows, their openings are
 // refused until there is capacity, and the capacity that their flows use remains available to more
 // important openings.
 func TestOpenFlowsAreNotRefused(t *testing.T) {
--- a/internal/admissionqueue/freeslots.go
+++ b/internal/admissionqueue/freeslots.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// RecordAnswer records that a back end has answered a request and, if spare is true, that the back end
-// has spare capacity for another one.
+// RecordAnswer records that a back end has answered a request and, if spare is true, that the back
+// end has spare capacity for another one.
 func (f *FreeSlots) RecordAnswer(now time.Duration, service lb.ServiceName, objective lb.Objective, identity uint64, spare bool) {
 	if f.settings.Off {
 		return
--- a/internal/admissionqueue/queue.go
+++ b/internal/admissionqueue/queue.go
@@ -1,5 +1,5 @@
 // Package admissionqueue queues the first copies of openings for which there is no spare capacity
-// at present, for part of the time that their callers can wait, in place of refusing them
+// at present, for part of the time that their clients can wait, in place of refusing them
 // immediately. It decides the order in which they are retried, when their waiting time ends, and
 // which ones can't be admitted in time. The caller of the queue decides whether there is capacity.
 // The package has no I/O and no clock. See docs/design/waiting.md.
@@ -50,7 +50,7 @@
 	keepsUnservable, refusesLate, keepsOverdue bool
 }
 
-// firstCopyDelay is the time after which a caller sends the first copy of an opening that was not
+// firstCopyDelay is the time after which a client sends the first copy of an opening that was not
 // answered.
 const firstCopyDelay = 200 * time.Millisecond
 
@@ -63,7 +63,7 @@
 		// With two slots per back end and requests of 50 ms, a slot becomes free every 25 ms on
 		// average. A retry of the queue takes a few microseconds.
 		Interval: 10 * time.Millisecond,
-		// Callers try three times, and a try that is admitted takes up to two fifths of the target.
+		// Clients try three times, and a try that is admitted takes up to two fifths of the target.
 		// Three waits of a fifth each fit in the rest.
 		WaitShare: 0.2,
 		MaxWait:   120 * time.Millisecond,
@@ -96,7 +96,7 @@
 	used     bool
 }
 
-// Phase says which outcomes are possible for an opening at a retry.
+// Phase determines which outcomes are possible for an opening at a retry.
 type Phase uint8
 
 // These are the possible values.
@@ -106,7 +106,7 @@
 	// PhaseFinal means that the opening must be released or refused: its deadline has passed, or it
 	// can't be admitted before it.
 	PhaseFinal
-	// PhaseExpired means that the opening must be dropped, since its caller may have sent a copy to
+	// PhaseExpired means that the opening must be dropped, since its client may have sent a copy to
 	// another node.
 	PhaseExpired
 )
@@ -158,7 +158,7 @@
 func (q *Queue[K]) Len() int { return len(q.order) }
 
 // maxWait returns the maximum waiting time for an objective. It is 0 for an objective without a
-// target, since nothing limits then how long the caller can wait.
+// target, since nothing limits then how long the client can wait.
 func (q *Queue[K]) maxWait(objective lb.Objective) time.Duration {
 	return min(time.Duration(q.settings.WaitShare*float64(objective.Target())), q.settings.MaxWait)
 }
--- a/internal/admissionqueue/queue_test.go
+++ b/internal/admissionqueue/queue_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestBounds checks that a full queue, a disabled one, and one given openings with an unknown
+// TestBounds checks that a full queue, a disabled one, and one whose openings have an unknown
 // target reject openings.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
@@ -68,8 +68,8 @@
 	is.True(New[int](Settings{Off: true}).Enqueue(0, opening(1, 1)) == nil)
 }
 
-// TestDecidedBeforeTheFirstCopy checks that a queued opening is refused before its caller can have
-// sent a copy, even after 40 ms on the way to the node, and that three tries of a caller fit in its
+// TestDecidedBeforeTheFirstCopy checks that a queued opening is refused before its client can have
+// sent a copy, even after 40 ms on the way to the node, and that three tries of a client fit in its
 // target together with the time that a try takes.
 func TestDecidedBeforeTheFirstCopy(t *testing.T) {
 	is := is.New(t)
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -20,8 +20,8 @@
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// RateFactor and Slack define the limit of new flows for a cold back end in any second, over all
-	// nodes: its rate times Overage, plus Slack.
+	// RateFactor and Burst define the limit of new flows for a cold back end in any second, over all
+	// nodes: its rate times RateFactor, plus Burst.
 	RateFactor, Burst float64
 	// MaxOwners is the number of nodes that may consider themselves the owner of the same back end at
 	// one time.
@@ -32,8 +32,8 @@
 	// HistoryTime is how long a node remembers the number of nodes known in its zone. A node that
 	// now knows at most half of that number may be partitioned.
 	HistoryTime time.Duration
-	// SingleNode is set if no other node is configured. Otherwise a node that knows no other node in its
-	// zone may be partitioned, too.
+	// SingleNode is set if no other node is configured. Otherwise a node that knows no other node
+	// in its zone may be partitioned, too.
 	SingleNode bool
 	// Window is the interval in which a node may use its part of the limit once: one second, plus
 	// the variation in the transit time of packets to a back end.
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -33,7 +33,7 @@
 	limiter       *Limiter
 	startedAt     time.Duration // of its present instance
 	down          bool
-	isolatedUntil time.Duration // until then isolated from the other nodes, but not from callers and back ends
+	isolatedUntil time.Duration // until then isolated from the other nodes, but not from clients and back ends
 	partition     int           // index of its partition of the zone
 	nextRefresh   time.Duration // when it next updates its membership
 }
@@ -57,14 +57,14 @@
 	node.limiter = New(settings)
 	node.limiter.SetMembers(now, []Member{{ID: node.id}})
 	node.startedAt = now
-	node.nextRefresh = now + z.newsDelay()
+	node.nextRefresh = now + z.updateDelay()
 }
 
-// maxNewsDelay is the maximum time until a node learns of a change of another node.
-const maxNewsDelay = 2500 * ms
+// maxUpdateDelay is the maximum time until a node learns of a change of another node.
+const maxUpdateDelay = 2500 * ms
 
-func (z *unstableZone) newsDelay() time.Duration {
-	return time.Duration(z.random.Int64N(int64(maxNewsDelay)))
+func (z *unstableZone) updateDelay() time.Duration {
+	return time.Duration(z.random.Int64N(int64(maxUpdateDelay)))
 }
 
 // maxPartition is the maximum duration of a partition.
@@ -73,8 +73,8 @@
 // partitions is the number of partitions into which a zone breaks.
 const partitions = 5
 
-// faultOdds defines the probability of a fault: in each half second, a node stops, becomes isolated,
-// or the zone is partitioned, with a probability of 1/faultOdds each.
+// faultOdds defines the probability of a fault: in each half second, a node stops, becomes
+// isolated, or the zone is partitioned, with a probability of 1/faultOdds each.
 const faultOdds = 100
 
 func (z *unstableZone) injectFaults(now time.Duration) {
@@ -112,7 +112,7 @@
 		}
 	}
 	node.limiter.SetMembers(now, members)
-	node.nextRefresh = now + z.newsDelay()
+	node.nextRefresh = now + z.updateDelay()
 }
 
 // coldTime is how long a back end stays cold.
--- a/internal/committedload/committedload.go
+++ b/internal/committedload/committedload.go
@@ -1,5 +1,5 @@
 // Package committedload forecasts the work that a balancer's open flows will bring to a service. It
-// handles a surge of callers that keep their flows open: in the first moments these flows carry
+// handles a surge of clients that keep their flows open: in the first moments these flows carry
 // only a fraction of the requests that they carry as long as they stay open, and an open flow can't
 // be refused. Each balancer admits no more than its own share of the slots can serve, so that no
 // balancer and no zone is served at the expense of the others. The package has no I/O and no clock.
@@ -23,7 +23,7 @@
 	// MaxGrowth bounds the factor by which work is forecast to grow.
 	MaxGrowth float64
 	// MinOpenFlowShare is the minimum fraction of work on flows opened earlier from which a priority's
-	// callers are treated as keeping their flows.
+	// clients are treated as keeping their flows.
 	MinOpenFlowShare float64
 	// MinFlows is the minimum number of flows for a forecast.
 	MinFlows int
@@ -149,8 +149,8 @@
 }
 
 // ExceedsSlots returns true if the open flows of a priority, together with the requests of more
-// important priorities, are forecast to need more of this balancer's share of a service's slots than
-// the settings allow. It returns false for a priority whose callers do not keep their flows.
+// important priorities, are forecast to need more of this balancer's share of a service's slots
+// than the settings allow. It returns false for a priority whose clients do not keep their flows.
 func (t *Tracker) ExceedsSlots(now time.Duration, service lb.ServiceName, priority uint16, slots float64) bool {
 	l := t.find(service, priority)
 	if l == nil || slots <= 0 {
--- a/internal/committedload/committedload_test.go
+++ b/internal/committedload/committedload_test.go
@@ -17,22 +17,22 @@
 	ms   = time.Millisecond
 )
 
-// callers open flows and send one request per period on each of them.
-type callers struct {
+// clients open flows and send one request per period on each of them.
+type clients struct {
 	tracker *Tracker
 	period  time.Duration
 	opened  []time.Duration // opening time of each flow
 }
 
 // open adds flows with openings that are evenly spread over an interval.
-func (c *callers) open(from, until time.Duration, count int) {
+func (c *clients) open(from, until time.Duration, count int) {
 	for index := range count {
 		c.opened = append(c.opened, from+(until-from)*time.Duration(index)/time.Duration(count))
 	}
 }
 
 // play feeds the openings and requests before the given time to the tracker, in order.
-func (c *callers) play(until time.Duration) {
+func (c *clients) play(until time.Duration) {
 	for now := time.Duration(0); now < until; now += ms {
 		for id, opened := range c.opened {
 			age := now - opened
@@ -51,7 +51,7 @@
 // have carried few further requests so far, but will need four slots.
 func TestGrowingFlowsAreForecast(t *testing.T) {
 	is := is.New(t)
-	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
+	c := &clients{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
 	c.play(220 * ms)
 	is.True(c.tracker.ExceedsSlots(220*ms, web, feed, 3))
@@ -61,7 +61,7 @@
 // TestSteadyFlowsLeaveCapacity checks the same flows later, with a new one beside them.
 func TestSteadyFlowsLeaveCapacity(t *testing.T) {
 	is := is.New(t)
-	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
+	c := &clients{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
 	c.open(2*time.Second, 2*time.Second+ms, 1)
 	c.play(2100 * ms)
@@ -73,7 +73,7 @@
 // not available to flows.
 func TestMoreImportantRequestsComeFirst(t *testing.T) {
 	is := is.New(t)
-	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
+	c := &clients{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
 	for id := range lb.FlowID(200) {
 		c.tracker.RecordRequest(time.Duration(id)*5*ms, web, tap, 1000+id, 0.05)
@@ -84,7 +84,7 @@
 	is.True(!c.tracker.ExceedsSlots(time.Second, web, tap, 6))
 }
 
-// TestShortFlowsExceedNothing: callers who open a flow for each request commit no slots.
+// TestShortFlowsExceedNothing: clients that open a flow for each request commit no slots.
 func TestShortFlowsExceedNothing(t *testing.T) {
 	is := is.New(t)
 	tracker := New(DefaultSettings())
@@ -101,7 +101,7 @@
 // requests.
 func TestNothingIsExceededWithoutSlots(t *testing.T) {
 	is := is.New(t)
-	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
+	c := &clients{tracker: New(DefaultSettings()), period: 150 * ms}
 	c.open(0, 200*ms, 15)
 	c.play(time.Second)
 	is.True(!c.tracker.ExceedsSlots(time.Second, web, feed, 0))
@@ -110,9 +110,9 @@
 
 // TestTakenOverFlowsAreNoSurge: a balancer that has just started receives requests on flows that
 // others admitted, besides a few openings. It must not forecast growth from them.
-func TestTakenOverFlowsAreNoSurge(t *testing.T) {
+func TestFlowsOfOtherBalancersAreNoSurge(t *testing.T) {
 	is := is.New(t)
-	c := &callers{tracker: New(DefaultSettings()), period: 150 * ms}
+	c := &clients{tracker: New(DefaultSettings()), period: 150 * ms}
 	for id := range lb.FlowID(15) {
 		for now := time.Duration(id) * 10 * ms; now < 250*ms; now += c.period {
 			c.tracker.RecordRequest(now, web, feed, id, work)
--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -1,9 +1,9 @@
 // Package conntrack tracks the back end at which a flow is open, for the few flows whose opening
-// may be answered by more than one back end: a caller retransmits an opening that is not answered
-// in time, and the copy may be placed elsewhere. Caller and back ends echo the last token that they
+// may be answered by more than one back end: a client retransmits an opening that is not answered
+// in time, and the copy may be placed elsewhere. Client and back ends echo the last token that they
 // received, so a late answer to an earlier copy would send the packets of an open flow to a back
 // end that does not have the flow. The back end of the first packet after the opening is the one
-// that the caller accepted. Balancers announce these flows to each other, since later packets may
+// that the client accepted. Balancers announce these flows to each other, since later packets may
 // arrive at any of them. The package has no I/O and no clock.
 package conntrack
 
@@ -52,7 +52,7 @@
 	// ports; 0 means unknown.
 	OpeningID uint32
 	Token     Token
-	// Acknowledged is the last acknowledgement number that the caller sent.
+	// Acknowledged is the last acknowledgement number that the client sent.
 	Acknowledged uint32
 }
 
@@ -96,8 +96,8 @@
 	return &Table{settings: settings, entries: make(map[lb.FlowID]entry)}
 }
 
-// RecordOpening removes the state of a flow if the given opening is a new one with the same addresses and
-// ports.
+// RecordOpening removes the state of a flow if the given opening is a new one with the same
+// addresses and ports.
 func (t *Table) RecordOpening(id lb.FlowID, openingID uint32) {
 	if e, found := t.entries[id]; found && e.flow.OpeningID != openingID {
 		delete(t.entries, id)
@@ -115,8 +115,8 @@
 // IsOpen returns true if the back end at which a flow is open is known.
 func (t *Table) IsOpen(id lb.FlowID) bool { return t.entries[id].open }
 
-// RecordOpenFlow records a flow that is open at one back end while another one may still answer its opening,
-// and schedules its announcements.
+// RecordOpenFlow records a flow that is open at one back end while another one may still answer its
+// opening, and schedules its announcements.
 func (t *Table) RecordOpenFlow(now time.Duration, flow Flow) {
 	if t.track(now, entry{flow: flow, open: true}) {
 		t.announce(flow, now)
--- a/internal/conntrack/conntrack_test.go
+++ b/internal/conntrack/conntrack_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	accepted = Token(11) // of the back end whose answer the caller accepted
+	accepted = Token(11) // of the back end whose answer the client accepted
 	late     = Token(22) // of a back end that later answered an earlier copy
 )
 
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -142,7 +142,7 @@
 	Message message.Message
 }
 
-// Effects holds the results of one Step. The calling code reuses it; Step resets it first.
+// Effects holds the results of one Step. The caller reuses it; Step resets it first.
 type Effects struct {
 	Decision Decision // valid after a packet event
 	Messages []Outgoing
@@ -158,8 +158,8 @@
 	// Overload lists the services that have become overloaded or are no longer overloaded. The
 	// slice is valid until the next step.
 	Overload []overload.Change
-	// LoadSamples are this node's load measurements of services since the last samples, or nil while no
-	// samples are due.
+	// LoadSamples are this node's load measurements of services since the last samples, or nil
+	// while no samples are due.
 	LoadSamples []fleetload.Sample
 	// OpenFlows are the flows to announce to other balancers, for AffinityToken.
 	OpenFlows []conntrack.Flow
@@ -202,8 +202,8 @@
 	OpenFlows []conntrack.Flow
 	Peer      *PeerEvent
 	Tick      bool // sent at least every TickInterval
-	// ZoneContacts accompanies a tick. It lists when this node last received a message from balancers of
-	// other zones, for AffinityToken.
+	// ZoneContacts accompanies a tick. It lists when this node last received a message from
+	// balancers of other zones, for AffinityToken.
 	ZoneContacts []ZoneContact
 	Leave        bool // begins a planned stop
 	// RetryQueued decides the queued openings again. CloseQueue decides all of them finally and
@@ -279,8 +279,8 @@
 	OpeningHold time.Duration
 	// IdleTimeout ends flows that have sent no packets for this time. Placements settle no sooner.
 	IdleTimeout time.Duration
-	// PinLifetime is the maximum time for which a node forwards by a pin without asking the head
-	// again.
+	// PinLifetime is the maximum time for which a node forwards by a pin without relaying a
+	// packet of the flow to the head again.
 	PinLifetime time.Duration
 	// PauseLimit is the gap between two steps after which the node treats its view as unverified.
 	PauseLimit time.Duration
--- a/internal/core/chain.go
+++ b/internal/core/chain.go
@@ -197,7 +197,7 @@
 	return group.chain.head == core.self || group.chain.head == nil
 }
 
-// vouches reports whether this node knows every opening of the bucket that a client may still
+// vouches reports whether this node has seen every opening of the bucket that a client may still
 // retransmit. That requires that this node has been in the chain for OpeningHold without a pause or
 // a loss of contact, and that no node is missing that may have forwarded a copy on the other side
 // of a network partition.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -161,11 +161,11 @@
 // HeldOpenings returns the number of held openings, for AffinityToken.
 func (core *Core) HeldOpenings() int { return core.affinity.queuedOpenings() }
 
-// TrackedFlowStats returns counters of the flows that must not move to another back end when a late reply to
-// their opening arrives, for AffinityToken.
+// TrackedFlowStats returns counters of the flows that must not move to another back end when a late
+// reply to their opening arrives, for AffinityToken.
 func (core *Core) TrackedFlowStats() conntrack.Stats { return core.affinity.trackedStats() }
 
-// RecentFlows returns the flows counted by Tracked that were opened recently.
+// RecentFlows returns the flows counted by TrackedFlowStats that were opened recently.
 func (core *Core) RecentFlows() []conntrack.Flow { return core.affinity.recentFlows() }
 
 // OverloadStatus returns the load status of the services, for AffinityToken.
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -38,7 +38,7 @@
 	held.length = uint8(copy(held.bytes[:], datagram))
 }
 
-// heldOpening is the data kept of an opening in the admission queue.
+// heldOpening is the stored data of an opening in the admission queue.
 type heldOpening struct {
 	packet   Packet
 	datagram HeldDatagram
@@ -148,14 +148,14 @@
 }
 
 // retryHeld decides one held opening again.
-func (a *tokenAffinity) retryHeld(held *admissionqueue.QueuedOpening[heldOpening], chance admissionqueue.Phase) admissionqueue.Outcome {
+func (a *tokenAffinity) retryHeld(held *admissionqueue.QueuedOpening[heldOpening], phase admissionqueue.Phase) admissionqueue.Outcome {
 	decision := Decision{Service: held.Service, HeldFor: a.core.now - held.Arrived}
-	if chance == admissionqueue.PhaseExpired || a.core.now < a.core.dropPacketsUntil {
+	if phase == admissionqueue.PhaseExpired || a.core.now < a.core.dropPacketsUntil {
 		decision.drop(ReasonPaused)
 		a.release(held, &decision)
 		return admissionqueue.OutcomeRemoved
 	}
-	if !a.retryOpening(&held.Data.packet, &decision, chance) {
+	if !a.retryOpening(&held.Data.packet, &decision, phase) {
 		return admissionqueue.OutcomeQueued
 	}
 	a.release(held, &decision)
@@ -169,13 +169,13 @@
 // service is under pressure, the opening goes only to a back end that has freed a slot. If
 // admission decided instead, all held openings would go out together as soon as the admission rate
 // rises.
-func (a *tokenAffinity) retryOpening(packet *Packet, decision *Decision, chance admissionqueue.Phase) bool {
+func (a *tokenAffinity) retryOpening(packet *Packet, decision *Decision, phase admissionqueue.Phase) bool {
 	service := a.table.Service(&packet.Key)
 	frontend := packet.Key.Frontend()
 	objective, _ := a.table.Objective(&frontend)
 	if service == nil || len(service.Ready) == 0 || a.allZonesUnreachable(service) || !a.overload.NearLimit(service.Name) {
 		a.decideOpening(packet, decision)
-		if decision.Reason == ReasonOverload && chance == admissionqueue.PhaseWaiting {
+		if decision.Reason == ReasonOverload && phase == admissionqueue.PhaseWaiting {
 			a.overload.CancelRefusal(a.core.now, decision.Service, objective)
 			return false
 		}
@@ -188,7 +188,7 @@
 		a.forwardOpening(packet, decision, &frontend, host)
 		return true
 	}
-	if chance == admissionqueue.PhaseWaiting {
+	if phase == admissionqueue.PhaseWaiting {
 		return false
 	}
 	decision.Service = service.Name
@@ -213,19 +213,20 @@
 
 // HeldStats counts held openings.
 type HeldStats struct {
-	// Held counts the openings that were held, and Went those of them that were then forwarded. The
-	// others were refused or dropped.
+	// Held counts the openings that were held, and Forwarded the held ones that were then forwarded.
+	// The others were refused or dropped.
 	Held, Forwarded uint64
-	// ToFreedBackends counts the openings, held or not, that went to a back end which had just freed a slot.
+	// ToFreedBackends counts the openings, held or not, that went to a back end which had just
+	// freed a slot.
 	ToFreedBackends uint64
 	// HeldTime is the total time for which decided openings were held.
 	HeldTime time.Duration
 }
 
-func (waits *HeldStats) add(waited time.Duration, forwarded bool) {
-	waits.HeldTime += waited
+func (stats *HeldStats) add(held time.Duration, forwarded bool) {
+	stats.HeldTime += held
 	if forwarded {
-		waits.Forwarded++
+		stats.Forwarded++
 	}
 }
 
--- a/internal/core/reachability_test.go
+++ b/internal/core/reachability_test.go
@@ -64,7 +64,7 @@
 	counts := make(map[Reason]int)
 	for end := core.now + lasting; core.now < end; core.now += 20 * time.Millisecond {
 		if core.now%(100*time.Millisecond) == 0 {
-			core.Step(core.now, &Event{Tick: true, ZoneContacts: core.zonesHeard()}, &core.effects)
+			core.Step(core.now, &Event{Tick: true, ZoneContacts: core.zoneContacts()}, &core.effects)
 		}
 		decision := core.open(0)
 		reason := decision.Reason
@@ -76,14 +76,14 @@
 	return counts
 }
 
-func (core *zonedCore) zonesHeard() []ZoneContact {
-	var heard []ZoneContact
+func (core *zonedCore) zoneContacts() []ZoneContact {
+	var contacts []ZoneContact
 	for _, zone := range []lb.Zone{"za", "zb", "zc"} {
 		if !core.unreachable[zone] && !(zone == "za" && core.ownZoneUnreachable) {
-			heard = append(heard, ZoneContact{Zone: zone, At: core.now})
+			contacts = append(contacts, ZoneContact{Zone: zone, At: core.now})
 		}
 	}
-	return heard
+	return contacts
 }
 
 // TestOpeningsToUnreachableZones checks that openings are refused at once while no zone with back
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// reassignFrontend assigns a front end that its service has given up to the next service that
+// reassignFrontend assigns a front end that its service no longer has to the next service that
 // claims it, if any.
 func (core *Core) reassignFrontend(key lb.FrontendKey) {
 	delete(core.frontends, key)
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -10,8 +10,8 @@
 	Relayed   uint64
 	Dropped   uint64
 	Refused   uint64
-	// HeldOpenings counts the openings that were held. They also count in the fields above once they are
-	// decided.
+	// HeldOpenings counts the openings that were held. They also count in the fields above once
+	// they are decided.
 	HeldOpenings HeldStats
 	// ByReason counts dropped and refused packets, in the order of Reasons.
 	ByReason [reasonCount]uint64
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -30,14 +30,14 @@
 }
 
 // retain deletes the pickers of services for which service returns false.
-func (h *subsetPickers) retain(service func(lb.ServiceName) bool) {
-	maps.DeleteFunc(h.byService, func(name lb.ServiceName, _ *servicePicker) bool { return !service(name) })
+func (p *subsetPickers) retain(service func(lb.ServiceName) bool) {
+	maps.DeleteFunc(p.byService, func(name lb.ServiceName, _ *servicePicker) bool { return !service(name) })
 }
 
 // setMembers computes this node's position among the staying nodes of the zone. The nodes are
 // ordered by hash, so that neighbours on the ring are unlikely to share a rack or to have been
 // started together.
-func (h *subsetPickers) setMembers(self lb.NodeID, members []Member) {
+func (p *subsetPickers) setMembers(self lb.NodeID, members []Member) {
 	var staying []lb.NodeID
 	for _, member := range members {
 		if !member.Leaving || member.ID == self {
@@ -47,7 +47,7 @@
 	slices.SortFunc(staying, func(a, b lb.NodeID) int {
 		return compareHashes(a.Hash(), b.Hash())
 	})
-	h.position = subset.Position{Rank: max(0, slices.Index(staying, self)), Nodes: max(1, len(staying))}
+	p.position = subset.Position{Rank: max(0, slices.Index(staying, self)), Nodes: max(1, len(staying))}
 }
 
 func compareHashes(a, b lb.NodeHash) int {
@@ -61,23 +61,23 @@
 }
 
 // pickerFor returns the picker of a service, with a subset of the service's present back ends.
-func (h *subsetPickers) pickerFor(core *Core, service *steering.Service) *subset.Picker {
-	if h.byService == nil {
-		h.byService = make(map[lb.ServiceName]*servicePicker)
+func (p *subsetPickers) pickerFor(core *Core, service *steering.Service) *subset.Picker {
+	if p.byService == nil {
+		p.byService = make(map[lb.ServiceName]*servicePicker)
 	}
-	entry := h.byService[service.Name]
+	entry := p.byService[service.Name]
 	if entry == nil {
 		entry = &servicePicker{picker: subset.New(core.settings.Subset)}
-		h.byService[service.Name] = entry
+		p.byService[service.Name] = entry
 	}
-	if entry.service == service && entry.position == h.position {
+	if entry.service == service && entry.position == p.position {
 		return entry.picker
 	}
 	if entry.service != service {
 		entry.service, entry.ring = service, newRing(service)
 	}
-	entry.position = h.position
-	entry.picker.SetSubset(entry.ring, h.position, rendezvous.Mix(uint64(core.settings.Self.Hash())))
+	entry.position = p.position
+	entry.picker.SetSubset(entry.ring, p.position, rendezvous.Mix(uint64(core.settings.Self.Hash())))
 	return entry.picker
 }
 
--- a/internal/core/tail.go
+++ b/internal/core/tail.go
@@ -115,8 +115,8 @@
 	return handler.core.isConfirmed(handler.group, entry) || entry.learnedAt < handler.group.tailSince
 }
 
-// sendConfirmation tells the head, within the byte budget, that the tail has the record. It does so
-// only if the head may receive later packets of the flow.
+// sendConfirmation sends the head, within the byte budget, a confirmation that the tail has the
+// record. It does so only if the head may receive later packets of the flow.
 func (handler *packetHandler) sendConfirmation(head *node) {
 	entry := handler.record()
 	if entry == nil || needsNoRecords(handler.service.table, handler.index) {
--- a/internal/core/token_test.go
+++ b/internal/core/token_test.go
@@ -463,7 +463,7 @@
 func TestCopiesDoNotProbeUnresponsiveBackends(t *testing.T) {
 	is := is.New(t)
 	for steps := range 60 {
-		s := &coreWithSilentBackends{tokenCore: newTokenCore()}
+		s := &coreWithUnresponsiveBackends{tokenCore: newTokenCore()}
 		s.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive),
 			tokenBackend("i-3", "web", 3, lb.BackendActive), tokenBackend("i-4", "web", 4, lb.BackendActive)))
 		now := time.Duration(0)
@@ -472,31 +472,31 @@
 			s.open(now)
 			s.Step(now, &Event{Tick: true}, &s.effects)
 		}
-		for s.open(now).Identity > lastSilentIdentity {
+		for s.open(now).Identity > lastUnresponsiveIdentity {
 			now += time.Millisecond
 		}
 		copied := tokenOpening(s.number, 443)
 		copied.Copies = 1
 		now += 200 * time.Millisecond
 		s.open(now - time.Millisecond)
-		is.True(s.send(now, copied).Identity > lastSilentIdentity)
+		is.True(s.send(now, copied).Identity > lastUnresponsiveIdentity)
 	}
 }
 
-// lastSilentIdentity is the highest identity of the back ends that never reply.
-const lastSilentIdentity = 2
+// lastUnresponsiveIdentity is the highest identity of the back ends that never reply.
+const lastUnresponsiveIdentity = 2
 
-// coreWithSilentBackends is a core with four back ends, two of which never reply.
-type coreWithSilentBackends struct {
+// coreWithUnresponsiveBackends is a core with four back ends, two of which never reply.
+type coreWithUnresponsiveBackends struct {
 	*tokenCore
 	number uint16 // of the last flow
 }
 
 // open opens a flow and, if its back end replies, sends the next packet.
-func (s *coreWithSilentBackends) open(now time.Duration) Decision {
+func (s *coreWithUnresponsiveBackends) open(now time.Duration) Decision {
 	s.number++
 	decision := s.send(now, tokenOpening(s.number, 443))
-	if decision.Identity > lastSilentIdentity {
+	if decision.Identity > lastUnresponsiveIdentity {
 		s.send(now, Packet{Key: tokenFlow(s.number, 443), Kind: PacketMiddle, Token: decision.Token, Acknowledged: 1})
 	}
 	return decision
--- a/internal/core/zoneweights.go
+++ b/internal/core/zoneweights.go
@@ -10,8 +10,8 @@
 	"robinpulley.example/robinpulley/internal/zoneweight"
 )
 
-// ZoneWeights returns the zone weights of this node's new flows of each service, for AffinityToken. They
-// follow the fleet-wide load if it is known, and the steering table otherwise.
+// ZoneWeights returns the zone weights of this node's new flows of each service, for AffinityToken.
+// They follow the fleet-wide load if it is known, and the steering table otherwise.
 func (core *Core) ZoneWeights() map[lb.ServiceName]zoneweight.Weights {
 	affinity, ok := core.affinity.(*tokenAffinity)
 	if !ok || affinity.table == nil {
--- a/internal/dataplane/bench_test.go
+++ b/internal/dataplane/bench_test.go
@@ -66,7 +66,7 @@
 // benchmarkSend sends datagrams, window by window, and receives them at the host.
 func benchmarkSend(b *testing.B, testbed *testbed, to netip.AddrPort) {
 	segment := packet.Segment{Flags: packet.FlagACK, Payload: make([]byte, 512)}
-	inner, err := packet.BuildTCP(nil, caller, service, &segment)
+	inner, err := packet.BuildTCP(nil, client, service, &segment)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/dataplane/codec.go
+++ b/internal/dataplane/codec.go
@@ -21,7 +21,7 @@
 	AppendForward(dst []byte, decision *core.Decision) ([]byte, error)
 	// AppendRelay appends the datagram for another balancer.
 	AppendRelay(dst []byte, relay lb.Relay) ([]byte, error)
-	// AppendRefusal appends the answer to the caller and returns the address to which it must be
+	// AppendRefusal appends the answer to the client and returns the address to which it must be
 	// sent. The error is packet.ErrNoAnswer if the packet must not be answered.
 	AppendRefusal(dst []byte, refusal lb.Refusal) ([]byte, netip.AddrPort, error)
 }
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -35,7 +35,7 @@
 	is := is.New(t)
 	testbed := startPlane(t, loopback, forwardToHost)
 	const maxPayload = 65507 - 8 - 20 - 8 // headers: UDP, Geneve, inner IPv4 and inner UDP
-	inner, err := packet.BuildUDP(nil, caller, service, make([]byte, maxPayload))
+	inner, err := packet.BuildUDP(nil, client, service, make([]byte, maxPayload))
 	is.NoErr(err)
 	testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
 	is.Equal(testbed.host.receive().Inner, inner)
@@ -70,7 +70,7 @@
 	testbed.peer.send(encapsulate(t, openingPacket(t), lb.Relay{Hop: lb.HopTail}), testbed.plane.Address())
 	received := testbed.fabric.receive()
 	is.Equal(received.Refusal, refusal)
-	is.Equal(received.Destination(), caller)
+	is.Equal(received.Destination(), client)
 	is.True(received.IsReset())
 	counters := testbed.stop(t)
 	is.Equal(counters.Refused, uint64(1))
@@ -79,7 +79,7 @@
 
 // TestPacketsNotSent covers every case in which a well-formed packet is not sent.
 func TestPacketsNotSent(t *testing.T) {
-	reset, err := packet.BuildTCP(nil, caller, service, &packet.Segment{Flags: packet.FlagRST})
+	reset, err := packet.BuildTCP(nil, client, service, &packet.Segment{Flags: packet.FlagRST})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 	const sent = 20
 	for index := range sent {
 		segment := packet.Segment{Flags: packet.FlagSYN, Sequence: uint32(index)}
-		inner, err := packet.BuildTCP(nil, caller, service, &segment)
+		inner, err := packet.BuildTCP(nil, client, service, &segment)
 		is.NoErr(err)
 		testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
 	}
@@ -246,7 +246,7 @@
 		}
 		return forwardToHost(testbed, input)
 	})
-	middle, err := packet.BuildTCP(nil, caller, service, &packet.Segment{Flags: packet.FlagACK})
+	middle, err := packet.BuildTCP(nil, client, service, &packet.Segment{Flags: packet.FlagACK})
 	is.NoErr(err)
 	for range 10 {
 		testbed.fabric.send(encapsulate(t, openingPacket(t), lb.Relay{}), testbed.plane.Address())
@@ -287,7 +287,7 @@
 	const rounds = 50
 	for round := range uint64(rounds) {
 		for kind := range uint32(kinds) {
-			inner, err := packet.BuildTCP(nil, caller, service, &packet.Segment{Flags: packet.FlagSYN, Sequence: kind})
+			inner, err := packet.BuildTCP(nil, client, service, &packet.Segment{Flags: packet.FlagSYN, Sequence: kind})
 			is.NoErr(err)
 			testbed.fabric.send(encapsulate(t, inner, lb.Relay{}), testbed.plane.Address())
 		}
--- a/internal/dataplane/guard_test.go
+++ b/internal/dataplane/guard_test.go
@@ -28,8 +28,8 @@
 
 func TestGuard(t *testing.T) {
 	is := is.New(t)
-	flow := lb.NewFlowKey(caller, service, lb.TCP)
-	udpFlow := lb.NewFlowKey(caller, service, lb.UDP)
+	flow := lb.NewFlowKey(client, service, lb.TCP)
+	udpFlow := lb.NewFlowKey(client, service, lb.UDP)
 	other := netip.MustParseAddrPort("192.0.2.2:443")
 	guard := NewGuard()
 	is.True(!guard.Allows(&flow, hostA)) // no services set
@@ -78,7 +78,7 @@
 func BenchmarkGuard(b *testing.B) {
 	guard := NewGuard()
 	guard.Set(placement("a", 1, service, hostA, hostB))
-	flow := lb.NewFlowKey(caller, service, lb.TCP)
+	flow := lb.NewFlowKey(client, service, lb.TCP)
 	b.ReportAllocs()
 	for b.Loop() {
 		if !guard.Allows(&flow, hostB) {
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -19,7 +19,7 @@
 
 var (
 	loopback = netip.MustParseAddrPort("127.0.0.1:0")
-	caller   = netip.MustParseAddrPort("198.51.100.7:40001")
+	client   = netip.MustParseAddrPort("198.51.100.7:40001")
 	service  = netip.MustParseAddrPort("192.0.2.1:443")
 )
 
@@ -124,7 +124,7 @@
 func openingPacket(t testing.TB) []byte {
 	t.Helper()
 	segment := packet.Segment{Flags: packet.FlagSYN, Sequence: 1000}
-	inner, err := packet.BuildTCP(nil, caller, service, &segment)
+	inner, err := packet.BuildTCP(nil, client, service, &segment)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -1,7 +1,7 @@
 // Package disruption decides whether a zone can spare one more of its nodes. Routers that find
 // fewer than half of a zone's nodes ready use all of them, including stopped ones. A node that is
-// told to stop therefore waits until the nodes of its zone that stopped before it are back. The
-// package has no I/O and no clock.
+// requested to stop therefore waits until the nodes of its zone that stopped before it are back.
+// The package has no I/O and no clock.
 package disruption
 
 import (
@@ -13,7 +13,7 @@
 // Member is a live node of the zone.
 type Member struct {
 	ID      lb.NodeID
-	Leaving bool // it has been told to stop
+	Leaving bool // it has been requested to stop
 }
 
 // Settings configures a Zone. See DefaultSettings.
@@ -44,7 +44,7 @@
 	settings Settings
 	others   map[lb.NodeID]*node
 	stopping bool
-	// stoppedBefore holds the nodes that were unavailable when this node was told to stop. Nodes
+	// stoppedBefore holds the nodes that were unavailable when this node was requested to stop. Nodes
 	// that stop later wait for this node.
 	stoppedBefore map[lb.NodeID]bool
 }
@@ -102,7 +102,7 @@
 	return n.listed || now-n.since <= z.settings.AbsenceTimeout
 }
 
-// Stop records that this node has been told to stop.
+// Stop records that this node has been requested to stop.
 func (z *Zone) Stop(now time.Duration) {
 	z.stopping = true
 	z.stoppedBefore = make(map[lb.NodeID]bool)
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestSecondStopOfThreeWaits checks that b, told to stop while a is still stopping, waits until a
-// is back and routers have found it ready.
+// TestSecondStopOfThreeWaits checks that b, requested to stop while a is still stopping, waits
+// until a is back and routers have found it ready.
 func TestSecondStopOfThreeWaits(t *testing.T) {
 	is := is.New(t)
 	zone := newZone("b", "a", "c")
--- a/internal/fleetload/core.go
+++ b/internal/fleetload/core.go
@@ -20,9 +20,9 @@
 	Window time.Duration
 	// Smoothing is the time constant of the smoothed rates of a zone, at its root node.
 	Smoothing time.Duration
-	// ReportThreshold is the part of a capacity above which a node reports a service without being
-	// asked, as estimated from its own demand. ReleaseThreshold is the part of the capacity of the
-	// fleet and of each zone below which the root node stops tracking the service, after
+	// ReportThreshold is the part of a capacity above which a node reports a service without
+	// solicitation, as estimated from its own demand. ReleaseThreshold is the part of the capacity
+	// of the fleet and of each zone below which the root node stops tracking the service, after
 	// ReleaseDelay.
 	ReportThreshold, ReleaseThreshold float64
 	ReleaseDelay                      time.Duration
@@ -93,7 +93,7 @@
 	pending      map[lb.ServiceName]*sums
 	nextSend     time.Duration
 
-	// zones holds the last state of each zone, and services what is derived from them.
+	// zones holds the last state of each zone, and services the loads derived from them.
 	zones     map[lb.Zone]*zoneState
 	services  map[lb.ServiceName]Service
 	lastState message.LoadState // the last state received from above in the tree
@@ -143,7 +143,7 @@
 }
 
 func (c *Core) setPlace(place *tree.Place) {
-	if place.First != c.place.First {
+	if place.IsRoot != c.place.IsRoot {
 		clear(c.root.rates)
 		clear(c.root.nearLimitAt)
 		c.root.ratesUpdatedAt = c.now
@@ -188,7 +188,7 @@
 // applyState applies a state message: at the root node, the state of another zone from its root; at
 // other nodes, the state of all zones from the own root, which is forwarded down the tree.
 func (c *Core) applyState(state *message.LoadState, effects *Effects) {
-	if c.place.First {
+	if c.place.IsRoot {
 		for index := range state.Zones {
 			if state.Zones[index].Zone != c.settings.Zone {
 				c.updateZone(&state.Zones[index])
@@ -226,7 +226,7 @@
 		return
 	}
 	c.nextSend = c.now + c.settings.Window
-	if c.place.First {
+	if c.place.IsRoot {
 		c.publishState(effects)
 	} else {
 		c.report(effects)
@@ -270,7 +270,7 @@
 }
 
 // nearLimit reports whether a service is near its limit, extrapolating from this node's demand: the
-// routers distribute the callers of a zone evenly over its nodes.
+// routers distribute the clients of a zone evenly over its nodes.
 func (c *Core) nearLimit(service lb.ServiceName) bool {
 	seen := c.ownRates[service]
 	if seen == nil {
--- a/internal/fleetload/cost_test.go
+++ b/internal/fleetload/cost_test.go
@@ -60,7 +60,8 @@
 	bytes, messages                 float64
 }
 
-// treeLevels returns what the nodes of each level send while services are near their limit.
+// treeLevels returns the messages that the nodes of each level send while services are near their
+// limit.
 func treeLevels(t *testing.T, services int) []treeLevel {
 	random := rand.New(rand.NewPCG(12, 70))
 	settings := DefaultSettings("n", "z")
@@ -93,7 +94,7 @@
 	return levels
 }
 
-// TestTrafficOfLargeFleet computes what each level of the tree sends from the sizes of the
+// TestTrafficOfLargeFleet computes the traffic of each level of the tree from the sizes of the
 // messages. The budget of a node for all control traffic is 14 KB a second.
 func TestTrafficOfLargeFleet(t *testing.T) {
 	const budget = 14 << 10
--- a/internal/fleetload/fleet_test.go
+++ b/internal/fleetload/fleet_test.go
@@ -101,13 +101,13 @@
 		if n.dead {
 			continue
 		}
-		var heads []tree.Node
+		var roots []tree.Node
 		for zone := range living {
 			if zone != index/zoneNodes && len(living[zone]) > 0 {
-				heads = append(heads, living[zone][0])
+				roots = append(roots, living[zone][0])
 			}
 		}
-		place := tree.PlaceOf(n.id, living[index/zoneNodes], heads, count)
+		place := tree.PlaceOf(n.id, living[index/zoneNodes], roots, count)
 		f.step(n, &Event{Place: &place})
 	}
 }
@@ -239,7 +239,7 @@
 	is.Equal(f.sent, 0)
 }
 
-// TestDemandStepReachesAllNodes covers a surge in which one zone's callers triple their demand at
+// TestDemandStepReachesAllNodes covers a surge in which one zone's clients triple their demand at
 // once. Two seconds later all nodes of all zones must know it within 5%, without a large overshoot
 // before.
 func TestDemandStepReachesAllNodes(t *testing.T) {
@@ -400,8 +400,8 @@
 	is.True(own > 50) // accepted as it is: users of the data bound its effect
 }
 
-// TestTrafficNearLimit measures what a node sends while the fleet is near its limit, in bytes a
-// second.
+// TestTrafficNearLimit measures the bytes that a node sends per second while the fleet is near
+// its limit.
 func TestTrafficNearLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(10)
--- a/internal/fleetload/load.go
+++ b/internal/fleetload/load.go
@@ -1,7 +1,7 @@
-// Package fleetload aggregates the demand of the callers in each zone and the load of the back
+// Package fleetload aggregates the demand of the clients in each zone and the load of the back
 // ends, from the observations of all balancers. A single node sees some twenty openings a second,
 // spread over a hundred back ends: too few to tell a surge from random variation, and it learns
-// nothing of the demand of callers in other zones. Nodes report sums up the tree of their zone. The
+// nothing of the demand of clients in other zones. Nodes report sums up the tree of their zone. The
 // root nodes of the zones exchange the sums of their zones and send all of them down their trees.
 // Far from a capacity limit nothing is sent. The package is a deterministic core without I/O and
 // clock; see docs/design/hard-load.md.
@@ -22,10 +22,10 @@
 	SummedAt time.Duration
 }
 
-// Zone is the known state of the callers and the back ends of one zone.
+// Zone is the known state of the clients and the back ends of one zone.
 type Zone struct {
 	Zone lb.Zone
-	// Levels holds the demand of the callers in the zone, sorted by priority.
+	// Levels holds the demand of the clients in the zone, sorted by priority.
 	Levels []Level
 	// Load is the geometric mean of the loads of requests at the zone's back ends, whichever zone
 	// sent them (see overload.Controller), and Answers is the number of answers a second that it is
@@ -66,7 +66,7 @@
 // Answers aggregates answers of the back ends of one zone.
 type Answers struct {
 	Zone lb.Zone
-	// Count is the number of answers, and Logs the sum of the natural logarithms of their loads.
+	// Count is the number of answers, and LogSum the sum of the natural logarithms of their loads.
 	Count, LogSum float64
 	// Rejected is the number of further answers that came too quickly for a processed request,
 	// which is how full back ends reject one.
--- a/internal/fleetload/meter.go
+++ b/internal/fleetload/meter.go
@@ -23,13 +23,14 @@
 // NewMeter returns an empty meter.
 func NewMeter() *Meter { return &Meter{services: make(map[lb.ServiceName]*serviceMeter)} }
 
-// RecordBegun records a request sent on to a back end. The work is the duration of such a request at an
-// idle back end, in seconds.
+// RecordBegun records a request sent on to a back end. The work is the duration of such a request
+// at an idle back end, in seconds.
 func (m *Meter) RecordBegun(service lb.ServiceName, priority uint16, work float64) {
 	m.level(service, priority).Begun += work
 }
 
-// RecordRefused records an opening refused for lack of spare capacity; for work see Begun.
+// RecordRefused records an opening refused for lack of spare capacity; see RecordBegun for the
+// work.
 func (m *Meter) RecordRefused(service lb.ServiceName, priority uint16, work float64) {
 	m.level(service, priority).Refused += work
 }
@@ -41,8 +42,8 @@
 	answers.LogSum += log
 }
 
-// RecordRejection records an answer that came too quickly for a processed request, which is how full back
-// ends reject one.
+// RecordRejection records an answer that came too quickly for a processed request, which is how
+// full back ends reject one.
 func (m *Meter) RecordRejection(service lb.ServiceName, zone lb.Zone) {
 	m.zoneAnswers(service, zone).Rejected++
 }
--- a/internal/fleetload/root.go
+++ b/internal/fleetload/root.go
@@ -34,7 +34,7 @@
 	c.updateZone(&own)
 	c.root.number++
 	state := message.LoadState{Sender: c.settings.Self, Sequence: c.root.number, Zones: []message.ZoneWork{own}}
-	c.send(c.place.Heads, state, effects)
+	c.send(c.place.OtherRoots, state, effects)
 	c.updateServices(effects)
 	state.Zones = c.allZoneWork()
 	c.send(c.place.Children, state, effects)
@@ -59,17 +59,18 @@
 	})
 }
 
-// echoedServices returns the services that other zones have published as near their limit.
-func (c *Core) echoedServices() map[lb.ServiceName]bool {
-	echoed := make(map[lb.ServiceName]bool)
+// unsolicitedServices returns the services that other zones have published because the services are
+// near their limit there, and not only because this or another zone had published them.
+func (c *Core) unsolicitedServices() map[lb.ServiceName]bool {
+	unsolicited := make(map[lb.ServiceName]bool)
 	for zone, state := range c.zones {
 		for service, work := range state.work {
 			if zone != c.settings.Zone && !work.Solicited {
-				echoed[service] = true
+				unsolicited[service] = true
 			}
 		}
 	}
-	return echoed
+	return unsolicited
 }
 
 // aboveRelease reports whether a service is above the release threshold in a zone or in the whole
@@ -92,7 +93,7 @@
 // another zone. No demand is published as well, because it means spare capacity.
 func (c *Core) ownZoneWork() message.ZoneWork {
 	own := message.ZoneWork{Zone: c.settings.Zone}
-	services := c.echoedServices()
+	services := c.unsolicitedServices()
 	for service := range c.root.nearLimitAt {
 		services[service] = false
 	}
--- a/internal/fleetload/sums.go
+++ b/internal/fleetload/sums.go
@@ -106,7 +106,7 @@
 	sums
 }
 
-// updateRates moves the rates towards what was observed in the elapsed time. Rates of services
+// updateRates moves the rates towards those observed in the elapsed time. Rates of services
 // without observations decay, and are deleted when they are negligible.
 func updateRates(known map[lb.ServiceName]*rates, seen map[lb.ServiceName]*sums, elapsed, smoothing time.Duration) {
 	if elapsed <= 0 {
--- a/internal/health/assign_test.go
+++ b/internal/health/assign_test.go
@@ -31,7 +31,7 @@
 
 func TestEachBackendHasItsProbers(t *testing.T) {
 	is := is.New(t)
-	share := map[lb.NodeID]int{}
+	probes := map[lb.NodeID]int{}
 	for index := range 1000 {
 		backend := lb.BackendName(fmt.Sprintf("host-%d", index))
 		all := probers(zoneNodes(10), backend)
@@ -40,11 +40,11 @@
 		is.Equal(len(probers(nil, backend)), 0)
 		fewer := probers(zoneNodes(9), backend) // node-9 has died
 		for node := range all {
-			share[node]++
+			probes[node]++
 			is.True(fewer[node] || node == "node-9") // the other probers stay
 		}
 	}
-	for _, count := range share {
+	for _, count := range probes {
 		is.True(count > 150 && count < 250) // 200 each on average
 	}
 }
--- a/internal/health/prober.go
+++ b/internal/health/prober.go
@@ -15,9 +15,9 @@
 // Options configure a Prober.
 type Options struct {
 	Settings Settings
-	// Evidence returns the counts of openings that the data path has collected since the last call.
-	// Report calls it. It may be nil.
-	Evidence func() []Evidence
+	// OpeningCounts returns the counts of openings that the data path has collected since the last
+	// call. Report calls it. It may be nil.
+	OpeningCounts func() []OpeningCounts
 	// Client sends the probes; nil selects a client that follows no redirects and uses no proxy.
 	Client *http.Client
 }
@@ -65,9 +65,9 @@
 
 // Report returns the reports that became available since the last call, for publication.
 func (prober *Prober) Report() []message.BackendLoad {
-	var openingCounts []Evidence
-	if prober.options.Evidence != nil {
-		openingCounts = prober.options.Evidence()
+	var openingCounts []OpeningCounts
+	if prober.options.OpeningCounts != nil {
+		openingCounts = prober.options.OpeningCounts()
 	}
 	prober.lock.Lock()
 	defer prober.lock.Unlock()
--- a/internal/health/prober_test.go
+++ b/internal/health/prober_test.go
@@ -47,9 +47,9 @@
 		}
 		settings := DefaultSettings()
 		prober, err := NewProber(Options{
-			Settings: settings,
-			Client:   &http.Client{Transport: network},
-			Evidence: func() []Evidence { return []Evidence{{Backend: "host-1", Openings: 5, Unanswered: 5}} },
+			Settings:      settings,
+			Client:        &http.Client{Transport: network},
+			OpeningCounts: func() []OpeningCounts { return []OpeningCounts{{Backend: "host-1", Openings: 5, Unanswered: 5}} },
 		})
 		is.NoErr(err)
 		prober.SetTargets(testTargets(2)) // host-1 never answers
--- a/internal/health/report.go
+++ b/internal/health/report.go
@@ -12,19 +12,19 @@
 // its health and load to be used.
 const openingCountsOnlyAge = math.MaxUint32
 
-// Evidence counts the openings that the data path has observed for a back end since the last
-// report.
-type Evidence struct {
+// OpeningCounts holds the numbers of openings that the data path has observed for a back end since
+// the last report.
+type OpeningCounts struct {
 	Backend  lb.BackendName
 	Openings uint32
-	// Unanswered counts the openings that callers retransmitted.
+	// Unanswered counts the openings that clients retransmitted.
 	Unanswered uint32
 }
 
 // Report returns the reports that became available since the last call: answers of back ends, and
 // opening counts. Counts without unanswered openings are added only to reports that are sent
 // anyway, to stay within the budget for control traffic.
-func (scheduler *Scheduler) Report(now time.Duration, openingCounts []Evidence) []message.BackendLoad {
+func (scheduler *Scheduler) Report(now time.Duration, openingCounts []OpeningCounts) []message.BackendLoad {
 	var loads []message.BackendLoad
 	for _, state := range scheduler.targets {
 		if !state.unreported {
@@ -52,7 +52,7 @@
 	return uint32(min(max(age.Milliseconds(), 0), math.MaxUint32))
 }
 
-func addOpeningCounts(loads []message.BackendLoad, counts Evidence) []message.BackendLoad {
+func addOpeningCounts(loads []message.BackendLoad, counts OpeningCounts) []message.BackendLoad {
 	for index := range loads {
 		if loads[index].Backend == counts.Backend {
 			loads[index].Openings += counts.Openings
--- a/internal/health/scheduler.go
+++ b/internal/health/scheduler.go
@@ -6,7 +6,7 @@
 //
 // The health and load that a host reports may be outdated or wrong. So each report contains the age
 // of its values and, as an independent signal, the number of openings that the data path has
-// observed for the same back end and how many of them callers retransmitted for lack of an answer.
+// observed for the same back end and how many of them clients retransmitted for lack of an answer.
 package health
 
 import (
--- a/internal/health/scheduler_test.go
+++ b/internal/health/scheduler_test.go
@@ -183,14 +183,14 @@
 }
 
 // TestReportCarriesOpeningCountsWithAHealthyAnswer covers a host that answers each probe as healthy
-// and idle while its callers retransmit their openings: the report contains both.
+// and idle while its clients retransmit their openings: the report contains both.
 func TestReportCarriesOpeningCountsWithAHealthyAnswer(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	scheduler := NewScheduler(settings)
 	scheduler.SetTargets(0, testTargets(1))
 	completeProbe(t, scheduler, settings.Interval, Answer{Healthy: true}, nil)
-	loads := scheduler.Report(settings.Interval, []Evidence{
+	loads := scheduler.Report(settings.Interval, []OpeningCounts{
 		{Backend: "host-0", Openings: 20, Unanswered: 19},
 		{Backend: "elsewhere", Openings: 10, Unanswered: 4}, // probed by other nodes
 		{Backend: "well", Openings: 10},
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,4 +1,4 @@
-// Package loadreport defines the load report of a balancer for operators: the demand of callers and
+// Package loadreport defines the load report of a balancer for operators: the demand of clients and
 // the capacity of back ends by service, zone and priority, with the age of the data, and how many
 // openings this balancer admits, queues and refuses. It also merges the reports of several
 // balancers into one table. It has no I/O and no clock.
@@ -42,9 +42,9 @@
 	Zone lb.Zone `json:"zone"`
 	// Capacity is the number of requests that the zone's ready back ends process concurrently.
 	Capacity float64 `json:"capacity"`
-	// Weight is the part of this balancer's new flows that goes to the zone's back ends.
+	// Weight is the fraction of this balancer's new flows that goes to the zone's back ends.
 	Weight float64 `json:"part"`
-	// Demand is the work that callers in the zone request, by priority. It is empty unless Known is
+	// Demand is the work that clients in the zone request, by priority. It is empty unless Known is
 	// set.
 	Demand []Demand `json:"demand,omitempty"`
 	// Load is the duration of requests at the zone's back ends relative to idle back ends, and
@@ -55,7 +55,7 @@
 	Rejected float64 `json:"rejected,omitempty"`
 }
 
-// Demand is the work that callers request in openings and requests of one priority.
+// Demand is the work that clients request in openings and requests of one priority.
 type Demand struct {
 	Priority uint16  `json:"priority"`
 	Begun    float64 `json:"begun"`
@@ -115,19 +115,19 @@
 	// Known and AgeMillis describe the newest load data of any balancer.
 	Known     bool  `json:"known"`
 	AgeMillis int64 `json:"age_ms"`
-	// Capacity, Room and Load belong to the zone and are the same for all its priorities. Room is
-	// the spare capacity after the demand of the zone's own callers; it is negative if this demand
-	// exceeds the capacity of the back ends.
+	// Capacity, SpareCapacity and Load belong to the zone and are the same for all its priorities.
+	// SpareCapacity is the spare capacity after the demand of the zone's own clients; it is
+	// negative if this demand exceeds the capacity of the back ends.
 	Capacity      float64 `json:"capacity"`
 	SpareCapacity float64 `json:"room"`
 	Load          float64 `json:"load"`
-	// Demand is the demand of callers of this priority, and Refused the part of it that is refused,
+	// Demand is the demand of clients of this priority, and Refused the part of it that is refused,
 	// in slots.
 	Demand  float64 `json:"asked"`
 	Refused float64 `json:"refused"`
-	// LocalWeight is the part of the new flows of the zone's callers that goes to its own back ends,
-	// Admitted the mean admission rate, and Waiting the number of queued openings, at the Nodes
-	// balancers of the zone that have reported.
+	// LocalWeight is the fraction of the new flows of the zone's clients that goes to its own back
+	// ends, AdmissionRate the mean admission rate, and Queued the number of queued openings, at the
+	// Nodes balancers of the zone that have reported.
 	LocalWeight   float64 `json:"home"`
 	AdmissionRate float64 `json:"admitted"`
 	Queued        int     `json:"waiting"`
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -70,8 +70,8 @@
 }
 
 // newProber creates a prober with the interval and timeout of the settings.
-func newProber(settings *config.Settings, openingCounts func() []health.Evidence) (*health.Prober, error) {
-	options := health.Options{Settings: health.DefaultSettings(), Evidence: openingCounts}
+func newProber(settings *config.Settings, openingCounts func() []health.OpeningCounts) (*health.Prober, error) {
+	options := health.Options{Settings: health.DefaultSettings(), OpeningCounts: openingCounts}
 	options.Settings.Interval = settings.Health.Interval
 	options.Settings.Timeout = settings.Health.Timeout
 	return health.NewProber(options)
@@ -105,7 +105,7 @@
 
 // collectOpeningCounts returns the numbers of forwarded and unanswered openings per back end since the
 // last call.
-func (engine *engine) collectOpeningCounts() []health.Evidence {
+func (engine *engine) collectOpeningCounts() []health.OpeningCounts {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.openings.countExpired(engine.now())
--- a/internal/node/openingmonitor.go
+++ b/internal/node/openingmonitor.go
@@ -29,7 +29,7 @@
 type openingMonitor struct {
 	monitored map[openingKey]*monitoredOpening
 	byAge     []*monitoredOpening // oldest first
-	counts    map[placedBackend]*health.Evidence
+	counts    map[placedBackend]*health.OpeningCounts
 }
 
 // openingKey identifies an opening. A later flow with the same 5-tuple has another ID.
@@ -55,7 +55,7 @@
 func newOpeningMonitor() openingMonitor {
 	return openingMonitor{
 		monitored: make(map[openingKey]*monitoredOpening),
-		counts:    make(map[placedBackend]*health.Evidence),
+		counts:    make(map[placedBackend]*health.OpeningCounts),
 	}
 }
 
@@ -86,7 +86,7 @@
 		delete(monitor.monitored, expired.key)
 		count := monitor.counts[expired.backend]
 		if count == nil {
-			count = new(health.Evidence)
+			count = new(health.OpeningCounts)
 			monitor.counts[expired.backend] = count
 		}
 		count.Openings++
@@ -108,8 +108,8 @@
 }
 
 // collect returns the counts since the last call, ordered by back end name.
-func (monitor *openingMonitor) collect(placementOf func(lb.ServiceName) *lb.Placement) []health.Evidence {
-	var list []health.Evidence
+func (monitor *openingMonitor) collect(placementOf func(lb.ServiceName) *lb.Placement) []health.OpeningCounts {
+	var list []health.OpeningCounts
 	for placed, count := range monitor.counts {
 		if name, found := backendName(placementOf(placed.service), placed.backend); found {
 			count.Backend = name
@@ -117,13 +117,13 @@
 		}
 	}
 	clear(monitor.counts)
-	slices.SortFunc(list, func(a, b health.Evidence) int { return cmp.Compare(a.Backend, b.Backend) })
+	slices.SortFunc(list, func(a, b health.OpeningCounts) int { return cmp.Compare(a.Backend, b.Backend) })
 	return mergeByBackend(list)
 }
 
 // mergeByBackend adds up the counts of several services for the same back end.
-func mergeByBackend(sorted []health.Evidence) []health.Evidence {
-	var merged []health.Evidence
+func mergeByBackend(sorted []health.OpeningCounts) []health.OpeningCounts {
+	var merged []health.OpeningCounts
 	for _, entry := range sorted {
 		last := len(merged) - 1
 		if last >= 0 && merged[last].Backend == entry.Backend {
--- a/internal/node/openingmonitor_test.go
+++ b/internal/node/openingmonitor_test.go
@@ -28,14 +28,14 @@
 	monitor.countExpired(answerWindow)
 	is.True(monitor.hasUnanswered())
 	counts := monitor.collect(func(lb.ServiceName) *lb.Placement { return placement })
-	is.Equal(counts, []health.Evidence{
+	is.Equal(counts, []health.OpeningCounts{
 		{Backend: "good", Openings: 1},
 		{Backend: "unresponsive", Openings: 1, Unanswered: 1},
 	})
 	monitor.countExpired(answerWindow + time.Second)
 	is.True(!monitor.hasUnanswered())
 	counts = monitor.collect(func(lb.ServiceName) *lb.Placement { return placement })
-	is.Equal(counts, []health.Evidence{{Backend: "good", Openings: 1}})
+	is.Equal(counts, []health.OpeningCounts{{Backend: "good", Openings: 1}})
 }
 
 func TestOpeningMonitorIsBounded(t *testing.T) {
--- a/internal/outlier/core.go
+++ b/internal/outlier/core.go
@@ -27,7 +27,7 @@
 	// Window is the time between two reports of a node.
 	Window time.Duration
 	// WarmUp is how long a node reports no outcomes after its start: it receives flows that other
-	// nodes had before, and the backlog of waiting callers, and has not yet learned the typical
+	// nodes had before, and the backlog of waiting clients, and has not yet learned the typical
 	// response time.
 	WarmUp time.Duration
 	// HalfLife is the time in which reported outcomes lose half of their weight.
@@ -202,7 +202,7 @@
 	for _, outcome := range outcomes {
 		c.pending.record(outcome, c.watched[outcome.Identity])
 	}
-	if c.place.First {
+	if c.place.IsRoot {
 		c.detector.recordOwnOutcomes(c.now, outcomes)
 	}
 }
@@ -213,7 +213,7 @@
 		c.pending.add(report)
 		return
 	}
-	if c.place.First {
+	if c.place.IsRoot {
 		c.addToDetector(report.Backends)
 	}
 }
@@ -227,7 +227,7 @@
 
 // handleVerdict applies a verdict of the zone's root node and forwards it to the children.
 func (c *Core) handleVerdict(verdict *message.OutcomeVerdict, effects *Effects) {
-	if c.place.First || verdict.Sender == c.verdict.Sender && verdict.Sequence <= c.verdict.Sequence {
+	if c.place.IsRoot || verdict.Sender == c.verdict.Sender && verdict.Sequence <= c.verdict.Sequence {
 		return
 	}
 	c.verdict = *verdict
@@ -267,7 +267,7 @@
 }
 
 func (c *Core) tick(effects *Effects) {
-	if !c.place.First && c.verdictExpiry != 0 && c.now >= c.verdictExpiry {
+	if !c.place.IsRoot && c.verdictExpiry != 0 && c.now >= c.verdictExpiry {
 		c.verdictExpiry = 0
 		c.verdict = message.OutcomeVerdict{} // a restarted sender numbers its verdicts from one again
 		c.applyVerdict(&message.OutcomeVerdict{}, effects)
@@ -277,7 +277,7 @@
 	}
 	c.nextSend = c.now + c.settings.Window
 	c.report(effects)
-	if c.place.First {
+	if c.place.IsRoot {
 		c.publishVerdict(effects)
 	}
 }
@@ -289,9 +289,9 @@
 	if len(entries) == 0 {
 		return
 	}
-	if c.place.First {
+	if c.place.IsRoot {
 		c.addToDetector(entries)
-		c.send(c.place.Heads, message.OutcomeReport{WholeZone: true, Backends: entries}, effects)
+		c.send(c.place.OtherRoots, message.OutcomeReport{WholeZone: true, Backends: entries}, effects)
 		return
 	}
 	if c.place.Parent.IsValid() {
--- a/internal/outlier/core_test.go
+++ b/internal/outlier/core_test.go
@@ -79,7 +79,7 @@
 	const width = 8
 	for zone, nodes := range byZone {
 		for rank, node := range nodes {
-			place := &tree.Place{First: rank == 0, Nodes: len(f.nodes)}
+			place := &tree.Place{IsRoot: rank == 0, Nodes: len(f.nodes)}
 			if rank > 0 {
 				place.Parent = nodes[(rank-1)/width].address
 			}
@@ -88,7 +88,7 @@
 			}
 			for other, head := range byZone {
 				if rank == 0 && other != zone && len(head) > 0 {
-					place.Heads = append(place.Heads, head[0].address)
+					place.OtherRoots = append(place.OtherRoots, head[0].address)
 				}
 			}
 			f.step(node, &Event{Place: place})
--- a/internal/overload/fleet_test.go
+++ b/internal/overload/fleet_test.go
@@ -12,7 +12,7 @@
 // slots is the number of slots of the back ends in these tests.
 const slots = 100.0
 
-// overloadedState returns the fleet's state of a service whose callers request a quarter more than
+// overloadedState returns the fleet's state of a service whose clients request a quarter more than
 // its capacity.
 func overloadedState(at time.Duration) *fleetload.Service {
 	return &fleetload.Service{SummedAt: at, Zones: []fleetload.Zone{{Zone: "za", Load: 1, Answers: 2000, Levels: []fleetload.Level{
@@ -30,7 +30,7 @@
 	h := newHistory(1, DefaultSettings())
 	h.pass(web, 2*time.Second, h.calm)
 	h.pass(web, 2*time.Second, h.beyondLimit)
-	is.True(h.admitRate(web, feed) < 0.3) // without reports
+	is.True(h.admissionRate(web, feed) < 0.3) // without reports
 	for range 20 {
 		h.ApplyFleetLoad(h.now, web, overloadedState(h.now), slots)
 		h.pass(web, 200*ms, h.beyondLimit)
@@ -38,9 +38,9 @@
 	h.ApplyFleetLoad(h.now, web, overloadedState(h.now), slots)
 	want := h.services[web].fleet.RateOf(feed.Priority)
 	is.True(want > 0.3 && want < 0.9)
-	feedRate := h.admitRate(web, feed)
+	feedRate := h.admissionRate(web, feed)
 	is.True(feedRate > want-0.08 && feedRate < want+0.08)
-	is.Equal(h.admitRate(web, tap), 1.0)
+	is.Equal(h.admissionRate(web, tap), 1.0)
 }
 
 // TestStaleReportsDoNotCount checks that a node uses its own measurements again one second after
@@ -51,11 +51,11 @@
 	h.pass(web, 2*time.Second, h.calm)
 	h.ApplyFleetLoad(h.now, web, overloadedState(h.now), slots)
 	h.pass(web, 1100*ms, h.overloaded)
-	is.True(h.admitRate(web, feed) < 0.1)
+	is.True(h.admissionRate(web, feed) < 0.1)
 	h.pass(web, 4*time.Second, h.calm)
-	is.Equal(h.admitRate(web, feed), 1.0)
+	is.Equal(h.admissionRate(web, feed), 1.0)
 	h.ApplyFleetLoad(h.now, web, overloadedState(h.now-2*time.Second), slots) // outdated
-	is.Equal(h.admitRateAtNew(web, feed), 1.0)
+	is.Equal(h.admissionRateAtNew(web, feed), 1.0)
 }
 
 // TestOwnMeasuredCapacityTakesPrecedence checks that a node that measures spare capacity admits all
@@ -69,7 +69,7 @@
 		h.ApplyFleetLoad(h.now, web, wrong, slots)
 		h.pass(web, 200*ms, h.calm)
 	}
-	is.Equal(h.admitRate(web, feed), 1.0)
+	is.Equal(h.admissionRate(web, feed), 1.0)
 }
 
 // TestOwnMeasuredOverloadTakesPrecedence checks that a node that measures an overload refuses
@@ -84,7 +84,7 @@
 		h.ApplyFleetLoad(h.now, web, wrong, slots)
 		h.pass(web, 200*ms, h.overloaded)
 	}
-	is.True(h.admitRate(web, feed) < 0.2)
+	is.True(h.admissionRate(web, feed) < 0.2)
 }
 
 // TestOpenFlowsAreCounted checks the fraction of requests that arrive on flows opened earlier.
--- a/internal/overload/noanswers_test.go
+++ b/internal/overload/noanswers_test.go
@@ -9,7 +9,7 @@
 	"robinpulley.example/robinpulley/internal/fleetload"
 )
 
-// spareState returns the fleet's state of a service whose callers request a third of its capacity.
+// spareState returns the fleet's state of a service whose clients request a third of its capacity.
 func spareState(at time.Duration) *fleetload.Service {
 	return &fleetload.Service{SummedAt: at, Zones: []fleetload.Zone{{Zone: "za", Load: 0.4, Answers: 500, Levels: []fleetload.Level{
 		{Priority: tap.Priority, Begun: 10}, {Priority: feed.Priority, Begun: 20, Refused: 1},
@@ -24,17 +24,17 @@
 	h := newHistory(1, DefaultSettings())
 	h.pass(web, 2*time.Second, h.calm)
 	h.pass(web, 3*time.Second, h.overloaded)
-	is.True(h.admitRate(web, feed) < 0.02)
+	is.True(h.admissionRate(web, feed) < 0.02)
 	for range 5 { // no answers arrive
 		h.ApplyFleetLoad(h.now, web, spareState(h.now), slots)
 		h.now += 100 * ms
 		h.Tick(h.now)
 	}
-	is.Equal(h.admitRate(web, feed), 1.0)
-	is.Equal(h.admitRate(web, tap), 1.0)
+	is.Equal(h.admissionRate(web, feed), 1.0)
+	is.Equal(h.admissionRate(web, tap), 1.0)
 	h.ApplyFleetLoad(h.now, web, spareState(h.now), slots)
 	h.pass(web, time.Second, h.overloaded) // its own measurements count again
-	is.True(h.admitRate(web, feed) < 0.2)
+	is.True(h.admissionRate(web, feed) < 0.2)
 }
 
 // TestNodeWithoutAnswersAndReportsKeepsRefusing: without any data the service may be as overloaded
@@ -48,5 +48,5 @@
 		h.now += 100 * ms
 		h.Tick(h.now)
 	}
-	is.True(h.admitRate(web, feed) < 0.1)
+	is.True(h.admissionRate(web, feed) < 0.1)
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,9 +1,9 @@
 // Package overload implements overload control: while the back ends of a service receive more work
 // than they can complete in time, it decides which openings a balancer admits. The decision
-// combines two inputs: the admit rates that follow from the load reports of all balancers (package
-// admission), and the response times that this balancer measures itself. Since the work of the
-// other balancers lengthens those times too, the second input works without any reports. Open flows
-// are never affected. The package has no I/O and no clock. See docs/DESIGN.md, "Overload".
+// combines two inputs: the admission rates that follow from the load reports of all balancers
+// (package admission), and the response times that this balancer measures itself. Since the work of
+// the other balancers lengthens those times too, the second input works without any reports. Open
+// flows are never affected. The package has no I/O and no clock. See docs/DESIGN.md, "Overload".
 package overload
 
 import (
@@ -44,21 +44,21 @@
 	// MaxAnswerTime is the maximum response time that is evaluated. A longer one has no meaning:
 	// the request was retransmitted, or some of its packets went through another balancer.
 	MaxAnswerTime time.Duration
-	// FallRate is the decrease per second of the admit rate, on a natural logarithmic scale, while
+	// FallRate is the decrease per second of the admission rate, on a natural logarithmic scale, while
 	// the pressure is one above its limit. RiseRate is the increase per second while it is one
 	// below.
 	FallRate, RiseRate float64
-	// Damping is the immediate reduction of the admit rate, on the same scale, at a pressure of one
-	// above its limit.
+	// Damping is the immediate reduction of the admission rate, on the same scale, at a pressure of
+	// one above its limit.
 	Damping float64
 	// Limit is the pressure up to which no opening of the least important priority is refused.
 	Limit float64
 	// PriorityStep is the increase of a priority's limit for each less important priority in use,
 	// so that the more important priority is refused later.
 	PriorityStep float64
-	// MinAdmitRate is the fraction of openings that is admitted at any pressure. Without it there
+	// MinAdmissionRate is the fraction of openings that is admitted at any pressure. Without it there
 	// would be no answers that show the end of an overload.
-	MinAdmitRate float64
+	MinAdmissionRate float64
 	// FreeLoad is the load below which a back end receives openings regardless of the load of the
 	// others.
 	FreeLoad float64
@@ -66,7 +66,7 @@
 	// that the balancers report to each other. The sum of all reports is more precise than the
 	// measurements of one balancer, so it can be allowed to refuse later.
 	FleetTargetShare, FleetIdleRatio float64
-	// FleetLimitRise is added to the limits while the fleet's admit rates refuse openings. The
+	// FleetLimitRise is added to the limits while the fleet's admission rates refuse openings. The
 	// balancer's own measurements then decide only if they exceed the limit by far more than chance
 	// explains.
 	FleetLimitRise float64
@@ -74,10 +74,10 @@
 	// that only one balancer measures is then probably chance, or it precedes the reports about it,
 	// which follow shortly.
 	CalmLimitRise float64
-	// FleetRatesTimeout is how long the fleet's admit rates are valid after the time of the reports
-	// that they were computed from.
+	// FleetRatesTimeout is how long the fleet's admission rates are valid after the time of the
+	// reports that they were computed from.
 	FleetRatesTimeout time.Duration
-	// Fleet are the parameters of the computation of the fleet's admit rates.
+	// Fleet are the parameters of the computation of the fleet's admission rates.
 	Fleet admission.Settings
 	// CommittedLoad are the parameters of the forecast of the work on open flows.
 	CommittedLoad committedload.Settings
@@ -105,7 +105,7 @@
 		Damping:           8,
 		Limit:             0.9,
 		PriorityStep:      1.6,
-		MinAdmitRate:      0.002,
+		MinAdmissionRate:  0.002,
 		FreeLoad:          0.78,
 		FleetTargetShare:  0.5,
 		FleetIdleRatio:    3,
@@ -118,7 +118,7 @@
 	}
 }
 
-// Controller holds the load estimates and the admit rates of one balancer. It is not safe for
+// Controller holds the load estimates and the admission rates of one balancer. It is not safe for
 // concurrent use.
 type Controller struct {
 	settings  Settings
@@ -136,7 +136,7 @@
 	Overloaded bool
 	// Pressure is the ratio of the response times to the allowed response time.
 	Pressure float64
-	// Priority is the priority with the lowest admit rate, and Admitted is this rate.
+	// Priority is the priority with the lowest admission rate, and Admitted is this rate.
 	Priority uint16
 	Admitted float64
 	// Refused is the number of openings refused since the service became overloaded.
@@ -177,9 +177,9 @@
 	c.service(now, name).slots = slots
 }
 
-// ExceedsSlots returns true if the open flows that this balancer has admitted use up its share of the
-// slots. It returns false while the fleet's admit rates are known, since these decide then: the
-// shares of other balancers may be unused.
+// ExceedsSlots returns true if the open flows that this balancer has admitted use up its share of
+// the slots. It returns false while the fleet's admission rates are known, since these decide then:
+// the shares of other balancers may be unused.
 func (c *Controller) ExceedsSlots(now time.Duration, name lb.ServiceName, objective lb.Objective) bool {
 	s := c.service(now, name)
 	return !c.settings.Off && !s.fleetRatesFresh(now, &c.settings) && c.committed.ExceedsSlots(now, name, objective.Priority, s.slots)
@@ -237,8 +237,8 @@
 	return load < other
 }
 
-// ApplyFleetLoad applies the fleet's load report about a service. slots is the number of slots of its ready
-// back ends; 0 means unknown.
+// ApplyFleetLoad applies the fleet's load report about a service. slots is the number of slots of
+// its ready back ends; 0 means unknown.
 func (c *Controller) ApplyFleetLoad(now time.Duration, name lb.ServiceName, report *fleetload.Service, slots float64) {
 	if c.settings.Off {
 		return
@@ -266,8 +266,8 @@
 	return false
 }
 
-// admits returns true if an opening is admitted by the back end's load or by the admit rate of its
-// priority.
+// admits returns true if an opening is admitted by the back end's load or by the admission rate of
+// its priority.
 func (c *Controller) admits(now time.Duration, s *service, l *level, identity Identity, draw uint64) bool {
 	load, known := c.Load(now, identity)
 	if known && load < c.settings.FreeLoad && !s.fleetRefuses(now, &c.settings) {
@@ -282,9 +282,9 @@
 	return rate >= 1 || float64(draw>>11)/(1<<53) < rate
 }
 
-// HadSpareCapacity returns true if the response time of a request shows that its back end has spare capacity,
-// so that the slot that the request leaves can be reused. A response time far below the idle
-// response time does not: it is a rejection by a full back end.
+// HadSpareCapacity returns true if the response time of a request shows that its back end has spare
+// capacity, so that the slot that the request leaves can be reused. A response time far below the
+// idle response time does not: it is a rejection by a full back end.
 func (c *Controller) HadSpareCapacity(name lb.ServiceName, objective lb.Objective, took time.Duration) bool {
 	s := c.services[name]
 	if c.settings.Off || s == nil {
@@ -305,8 +305,8 @@
 	return !c.settings.Off && c.Pressure(name) > calmPressure
 }
 
-// CancelRefusal cancels the refusal that Admit has just recorded for an opening: the opening was queued, or
-// a free slot was found for it.
+// CancelRefusal cancels the refusal that Admit has just recorded for an opening: the opening was
+// queued, or a free slot was found for it.
 func (c *Controller) CancelRefusal(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	s := c.service(now, name)
 	s.refused--
@@ -314,7 +314,8 @@
 	c.meter.RecordRefused(name, objective.Priority, -s.class(objective).idle.value)
 }
 
-// RecordRefusal records that an opening is refused for lack of capacity, by Admit or after it was queued.
+// RecordRefusal records that an opening is refused for lack of capacity, by Admit or after it was
+// queued.
 func (c *Controller) RecordRefusal(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	s := c.service(now, name)
 	s.refused++
@@ -322,7 +323,8 @@
 	c.meter.RecordRefused(name, objective.Priority, s.class(objective).idle.value)
 }
 
-// RecordAdmission records that an opening is admitted, by Admit or because a slot became free for it.
+// RecordAdmission records that an opening is admitted, by Admit or because a slot became free for
+// it.
 func (c *Controller) RecordAdmission(now time.Duration, name lb.ServiceName, objective lb.Objective) {
 	c.service(now, name).level(objective.Priority, &c.settings).opened++
 	c.committed.RecordOpening(now, name, objective.Priority)
@@ -338,7 +340,7 @@
 	return s.pressure
 }
 
-// Tick updates the admit rates. The caller must call it several times a second.
+// Tick updates the admission rates. The caller must call it several times a second.
 func (c *Controller) Tick(now time.Duration) {
 	c.committed.Tick(now)
 	for name, s := range c.services {
@@ -413,7 +415,7 @@
 	Levels  []Level
 }
 
-// Level is the admit rate of the openings of one priority.
+// Level is the admission rate of the openings of one priority.
 type Level struct {
 	Priority uint16
 	Admitted float64
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -74,7 +74,7 @@
 	settings.Off = true
 	h := newHistory(1, settings)
 	h.pass(web, 5*time.Second, h.overloaded)
-	is.Equal(h.admitRate(web, feed), 1.0)
+	is.Equal(h.admissionRate(web, feed), 1.0)
 	is.True(!h.BackendOverloaded(h.now, 1))
 }
 
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestLimitsStayBounded checks that, for any measurements in any order, the admit rate is a number
-// from MinAdmitRate to 1, and does not fall with importance.
+// TestLimitsStayBounded checks that, for any measurements in any order, the admission rate is a
+// number from MinAdmissionRate to 1, and does not fall with importance.
 func TestLimitsStayBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -152,7 +152,7 @@
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "wait"))
 			objective := rapid.SampledFrom(objectives).Draw(t, "objective")
 			identity := Identity(rapid.IntRange(1, 4).Draw(t, "identity"))
-			minRate := settings.MinAdmitRate
+			minRate := settings.MinAdmissionRate
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				took := rapid.SampledFrom([]time.Duration{0, 1, ms, 40 * ms, time.Second, time.Hour}).Draw(t, "took")
@@ -167,7 +167,7 @@
 				c.ApplyFleetLoad(now, web, known, rapid.Float64Range(0, 200).Draw(t, "slots"))
 			}
 			if s := c.services[web]; s != nil && s.fleetRatesFresh(now, &settings) {
-				minRate = 0 // MinAdmitRate does not apply while the fleet reports answers
+				minRate = 0 // MinAdmissionRate does not apply while the fleet reports answers
 			}
 			for _, status := range c.Status(now) {
 				if math.IsNaN(status.Pressure) || status.Pressure < 0 || status.Pressure > maxLoad {
--- a/internal/overload/property_test.go
+++ b/internal/overload/property_test.go
@@ -74,8 +74,8 @@
 	return h.Admit(h.now, service, objective, Identity(1+h.random.IntN(backends)), h.random.Uint64())
 }
 
-// admitRate measures the fraction of 400 openings that is admitted.
-func (h *history) admitRate(service lb.ServiceName, objective lb.Objective) float64 {
+// admissionRate measures the fraction of 400 openings that is admitted.
+func (h *history) admissionRate(service lb.ServiceName, objective lb.Objective) float64 {
 	const openings = 400
 	admitted := 0
 	for range openings {
@@ -86,8 +86,8 @@
 	return float64(admitted) / openings
 }
 
-// admitRateAtNew measures the fraction that is admitted at a back end without measurements.
-func (h *history) admitRateAtNew(service lb.ServiceName, objective lb.Objective) float64 {
+// admissionRateAtNew measures the fraction that is admitted at a back end without measurements.
+func (h *history) admissionRateAtNew(service lb.ServiceName, objective lb.Objective) float64 {
 	const openings = 4000
 	admitted := 0
 	for range openings {
@@ -127,7 +127,7 @@
 		name: "openings of a service below its limit are not refused",
 		check: func(h *history) error {
 			h.pass(web, 5*time.Second, h.calm)
-			return expectAll(h.admitRate(web, feed))
+			return expectAll(h.admissionRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.IdleRatio, settings.FreeLoad = 0.5, 0 },
 	},
@@ -136,7 +136,7 @@
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
 			h.pass(web, time.Second, h.overloaded)
-			return expectFew(h.admitRate(web, feed))
+			return expectFew(h.admissionRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.FallRate, settings.Damping = 0, 0 },
 	},
@@ -144,7 +144,7 @@
 		name: "a controller that starts during an overload detects it",
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.overloaded)
-			return expectFew(h.admitRate(web, feed))
+			return expectFew(h.admissionRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.TargetShare = 100 },
 	},
@@ -153,7 +153,7 @@
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
 			h.pass(web, 60*time.Second, h.overloaded)
-			return expectFew(h.admitRate(web, feed))
+			return expectFew(h.admissionRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.RiseRate, settings.Limit = 20, 3 },
 	},
@@ -163,7 +163,7 @@
 			h.pass(web, 2*time.Second, h.calm)
 			h.pass(web, 10*time.Second, h.overloaded)
 			h.pass(web, 3*time.Second, h.calm)
-			return expectAll(h.admitRate(web, feed))
+			return expectAll(h.admissionRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.RiseRate, settings.FreeLoad = 0, 0 },
 	},
@@ -176,7 +176,7 @@
 				h.now += 100 * ms
 				h.Tick(h.now)
 			}
-			return expectAll(h.admitRate(web, feed))
+			return expectAll(h.admissionRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.AveragingTime = time.Hour },
 	},
@@ -185,7 +185,7 @@
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
 			h.pass(web, 3*time.Second, func() time.Duration { return 3 * h.calm() })
-			if tapRate, feedRate := h.admitRate(web, tap), h.admitRate(web, feed); tapRate < 0.9 || feedRate > 0.5 {
+			if tapRate, feedRate := h.admissionRate(web, tap), h.admissionRate(web, feed); tapRate < 0.9 || feedRate > 0.5 {
 				return fmt.Errorf("%.2f of the important openings and %.2f of the others were admitted", tapRate, feedRate)
 			}
 			return nil
@@ -198,7 +198,7 @@
 			newest := lb.Objective{Priority: 9}
 			h.pass(web, 2*time.Second, h.calm)
 			h.pass(web, 5*time.Second, h.overloaded)
-			first, second := h.admitRate(web, feed), h.admitRate(web, newest)
+			first, second := h.admissionRate(web, feed), h.admissionRate(web, newest)
 			if second > first+0.1 {
 				return fmt.Errorf("%.2f of the openings of a new priority and %.2f of those above it were admitted", second, first)
 			}
@@ -211,12 +211,12 @@
 		check: func(h *history) error {
 			h.pass(web, 2*time.Second, h.calm)
 			h.pass(web, 20*time.Second, func() time.Duration { return 2 * h.overloaded() })
-			if rate := h.admitRateAtNew(web, feed); rate == 0 {
+			if rate := h.admissionRateAtNew(web, feed); rate == 0 {
 				return fmt.Errorf("no opening was admitted")
 			}
 			return nil
 		},
-		mutate: func(settings *Settings) { settings.MinAdmitRate = 0 },
+		mutate: func(settings *Settings) { settings.MinAdmissionRate = 0 },
 	},
 	{
 		name: "all openings for a back end with spare capacity are admitted",
@@ -246,7 +246,7 @@
 					h.RecordAnswer(h.now, web, feed, "za", Identity(90+h.random.IntN(2)), 10*idleWork)
 				}
 			}
-			return expectAll(h.admitRateAtNew(web, feed))
+			return expectAll(h.admissionRateAtNew(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.useMean = true },
 	},
@@ -260,7 +260,7 @@
 			rate := 0.0
 			for range seconds {
 				h.pass(web, time.Second, spread)
-				rate += h.admitRateAtNew(web, feed) / seconds
+				rate += h.admissionRateAtNew(web, feed) / seconds
 			}
 			if rate < 0.95 {
 				return fmt.Errorf("%.2f of the openings were admitted", rate)
@@ -279,7 +279,7 @@
 				}
 				return h.overloaded()
 			})
-			return expectFew(h.admitRate(web, feed))
+			return expectFew(h.admissionRate(web, feed))
 		},
 		mutate: func(settings *Settings) { settings.countRejections = true },
 	},
@@ -292,7 +292,7 @@
 					h.RecordAnswer(h.now, docs, feed, "za", Identity(50+h.random.IntN(backends)), h.calm())
 				}
 			}
-			return expectAll(h.admitRateAtNew(docs, feed))
+			return expectAll(h.admissionRateAtNew(docs, feed))
 		},
 		mutate: func(settings *Settings) { settings.mergeServices = true },
 	},
--- a/internal/overload/queueing_test.go
+++ b/internal/overload/queueing_test.go
@@ -72,7 +72,7 @@
 }
 
 // TestOpeningsAdmittedLaterStartNewFlows checks that openings admitted from the queue count as
-// opened. Otherwise the requests on them would be taken for requests on flows opened earlier.
+// opened. Otherwise the requests on them would be mistaken for requests on flows opened earlier.
 func TestOpeningsAdmittedLaterStartNewFlows(t *testing.T) {
 	is := is.New(t)
 	c := New(DefaultSettings())
--- a/internal/overload/service.go
+++ b/internal/overload/service.go
@@ -26,7 +26,7 @@
 	lastAnswerAt  time.Duration // time of the most recent answer
 	levels        []*level      // in order of priority, the most important first
 	adapted       time.Duration
-	// fleet holds the admit rates computed from the fleet's load reports; fleetAt is the time of
+	// fleet holds the admission rates computed from the fleet's load reports; fleetAt is the time of
 	// these reports.
 	fleet   admission.Service
 	fleetAt time.Duration
@@ -34,17 +34,17 @@
 	slots float64
 
 	overloaded   bool
-	lastRefusing time.Duration // last time at which a priority had an admit rate below 1
+	lastRefusing time.Duration // last time at which a priority had an admission rate below 1
 	refused      uint64        // since the service became overloaded
 	// refusedTotal counts all refused openings.
 	refusedTotal uint64
 }
 
-// level is the admit rate of the openings of one priority.
+// level is the admission rate of the openings of one priority.
 type level struct {
 	priority    uint16
 	lastOpening time.Duration // time of the most recent opening
-	logRate     float64       // natural logarithm of the admit rate; at most 0
+	logRate     float64       // natural logarithm of the admission rate; at most 0
 	// opened counts the admitted openings and begun the started requests; both decay with
 	// openFlowWindow.
 	opened, begun float64
@@ -90,8 +90,8 @@
 }
 
 // level returns the level of a priority, and creates it if needed. A new level starts with the
-// admit rate of the next more important one: it must not admit openings while more important ones
-// are refused.
+// admission rate of the next more important one: it must not admit openings while more important
+// ones are refused.
 func (s *service) level(priority uint16, settings *Settings) *level {
 	index, found := slices.BinarySearchFunc(s.levels, priority, func(l *level, priority uint16) int {
 		return int(l.priority) - int(priority)
@@ -149,7 +149,7 @@
 // maxLimit is less than maxLoad, so that the pressure can exceed it.
 const maxLimit = 3
 
-// admitted returns the admit rate of a level at the given pressure.
+// admitted returns the admission rate of a level at the given pressure.
 func (s *service) admitted(now time.Duration, l *level, pressure float64, settings *Settings) float64 {
 	if s.lacksAnswers(now, settings) {
 		return s.fleet.RateOf(l.priority)
@@ -160,14 +160,14 @@
 	case s.hasSpareCapacity(settings):
 		return 1
 	case s.fleetRefuses(now, settings):
-		// MinAdmitRate does not apply here. The fleet as a whole always receives answers, whatever
-		// this balancer admits, and callers that keep their flows would accumulate through it.
+		// MinAdmissionRate does not apply here. The fleet as a whole always receives answers, whatever
+		// this balancer admits, and clients that keep their flows would accumulate through it.
 		return min(s.fleet.RateOf(l.priority), math.Exp(min(log, 0)))
 	}
-	return max(settings.MinAdmitRate, math.Exp(min(log, 0)))
+	return max(settings.MinAdmissionRate, math.Exp(min(log, 0)))
 }
 
-// fleetRefuses returns true if the fleet's admit rates are current and refuse some openings.
+// fleetRefuses returns true if the fleet's admission rates are current and refuse some openings.
 func (s *service) fleetRefuses(now time.Duration, settings *Settings) bool {
 	return s.fleetRatesFresh(now, settings) && s.fleet.Refuses()
 }
@@ -181,8 +181,8 @@
 	return now-s.lastAnswerAt > settings.AveragingTime && s.fleetRatesFresh(now, settings)
 }
 
-// fleetRatesFresh returns true if admit rates computed from the fleet's reports exist and are not
-// older than FleetRatesTimeout.
+// fleetRatesFresh returns true if admission rates computed from the fleet's reports exist and are
+// not older than FleetRatesTimeout.
 func (s *service) fleetRatesFresh(now time.Duration, settings *Settings) bool {
 	return len(s.fleet.Rates()) > 0 && now-s.fleetAt <= settings.FleetRatesTimeout
 }
@@ -210,7 +210,7 @@
 // rateWindow is the time constant, in seconds, of the average rate of answers.
 const rateWindow = 1.0
 
-// adapt adjusts the admit rates of all levels to the pressure.
+// adapt adjusts the admission rates of all levels to the pressure.
 func (s *service) adapt(now time.Duration, settings *Settings) {
 	s.updateAveragingTime(now, settings)
 	step := min(now-s.adapted, maxStep).Seconds()
@@ -220,7 +220,7 @@
 		l.opened *= decay
 		l.begun *= decay
 		if s.lacksAnswers(now, settings) {
-			l.logRate = math.Log(max(settings.MinAdmitRate, s.fleet.RateOf(l.priority)))
+			l.logRate = math.Log(max(settings.MinAdmissionRate, s.fleet.RateOf(l.priority)))
 			continue
 		}
 		excess := s.pressure - s.limit(now, l, settings)
@@ -229,12 +229,12 @@
 			rate = settings.RiseRate
 		}
 		l.logRate -= rate * min(excess, 1) * step
-		l.logRate = min(0, max(l.logRate, math.Log(settings.MinAdmitRate)))
+		l.logRate = min(0, max(l.logRate, math.Log(settings.MinAdmissionRate)))
 	}
 }
 
-// overloadedRate is the admit rate below which a service is reported as overloaded. The end of the
-// overload is reported once nothing has been refused for calmTime.
+// overloadedRate is the admission rate below which a service is reported as overloaded. The end of
+// the overload is reported once nothing has been refused for calmTime.
 const (
 	overloadedRate = 0.9
 	calmTime       = 2 * time.Second
--- a/internal/passivehealth/observer.go
+++ b/internal/passivehealth/observer.go
@@ -1,9 +1,9 @@
 // Package passivehealth estimates the state of back ends from the packets that pass one balancer:
 // which back ends leave openings unanswered, and which are slow.
 //
-// Back ends answer callers directly (direct server return), so a balancer sees only the packets of
-// callers. It infers that an opening was answered when the caller's next packet arrives, and that a
-// request was answered when the caller acknowledges new data. The estimates only improve the choice
+// Back ends answer clients directly (direct server return), so a balancer sees only the packets of
+// clients. It infers that an opening was answered when the client's next packet arrives, and that a
+// request was answered when the client acknowledges new data. The estimates only improve the choice
 // of back ends; correctness does not depend on them. The package has no I/O and no clock.
 package passivehealth
 
@@ -23,7 +23,7 @@
 	// UnresponsiveTime is how long a back end gets no new flows after a missing answer. The time
 	// doubles with each further missing answer, up to MaxUnresponsiveTime.
 	UnresponsiveTime, MaxUnresponsiveTime time.Duration
-	// OpeningRetention is how long openings are kept: as long as callers retransmit them.
+	// OpeningRetention is how long openings are kept: as long as clients retransmit them.
 	OpeningRetention time.Duration
 	// RecoveryHalfLife is the half-life with which the latency excess of a slow back end decays
 	// while it receives no requests.
@@ -91,8 +91,8 @@
 
 // Change records that a back end has become unresponsive, or has answered again.
 type Change struct {
-	Identity Identity
-	Silent   bool
+	Identity     Identity
+	Unresponsive bool
 	// Missing is the number of consecutive openings without an answer.
 	Missing int
 }
@@ -270,7 +270,7 @@
 	state := o.stateOf(pending.identity)
 	state.missingAnswers++
 	if now >= state.unresponsiveUntil {
-		change := Change{Identity: pending.identity, Silent: true, Missing: state.missingAnswers}
+		change := Change{Identity: pending.identity, Unresponsive: true, Missing: state.missingAnswers}
 		o.changes = append(o.changes, change)
 	}
 	const maxDoublings = 8
--- a/internal/passivehealth/observer_test.go
+++ b/internal/passivehealth/observer_test.go
@@ -24,7 +24,7 @@
 	observer.Opened(0, 7, first)
 	is.Equal(observer.Factor(50*ms, web, first), 1.0)
 	observer.Tick(120 * ms)
-	is.Equal(observer.Changes(), []Change{{Identity: first, Silent: true, Missing: 1}})
+	is.Equal(observer.Changes(), []Change{{Identity: first, Unresponsive: true, Missing: 1}})
 	is.Equal(len(observer.Changes()), 0)
 	is.Equal(observer.Factor(120*ms, web, first), 0.0)
 	is.Equal(observer.Factor(120*ms, web, second), 1.0)
--- a/internal/passivehealth/outcome.go
+++ b/internal/passivehealth/outcome.go
@@ -33,7 +33,7 @@
 	identity     Identity
 	frontend     lb.FrontendKey
 	at           time.Duration
-	acknowledged uint32 // the caller's acknowledgement number when the request began
+	acknowledged uint32 // the client's acknowledgement number when the request began
 }
 
 // exchangeRetention is how long an exchange is kept: the answer size shows with the next request of
@@ -51,7 +51,7 @@
 func (o *Observer) Reopened(flow lb.FlowID) { delete(o.exchanges, flow) }
 
 // Measure uses a later packet of a flow to measure an answer: its size is the advance of the
-// caller's acknowledgement number between a request and the next request or the close.
+// client's acknowledgement number between a request and the next request or the close.
 func (o *Observer) Measure(now time.Duration, flow lb.FlowID, frontend lb.FrontendKey, identity Identity, acknowledged uint32, hasData, closing bool) {
 	last, waiting := o.exchanges[flow]
 	if waiting && (hasData || closing) && last.acknowledged != acknowledged {
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -1,7 +1,7 @@
 // Package reachability decides which zones have back ends that this balancer can reach. An opening
-// that no back end would receive can then be refused immediately instead of keeping its caller
+// that no back end would receive can then be refused immediately instead of keeping its client
 // waiting for its deadline, and flows go to zones that respond. This limits the effect of a
-// partitioned zone, whose callers retry all their requests. The decision is based on answers of
+// partitioned zone, whose clients retry all their requests. The decision is based on answers of
 // back ends and on messages received from balancers in the zone. One sign of life makes a zone
 // reachable again. No safety property depends on the decision. The package has no I/O and no clock;
 // see docs/design/reachability.md.
@@ -42,7 +42,7 @@
 func DefaultSettings(own lb.Zone) Settings {
 	return Settings{
 		Own: own,
-		// If a fifth of the packets is lost in each direction, a loss at which no caller is served
+		// If a fifth of the packets is lost in each direction, a loss at which no client is served
 		// well, four openings in a row go unanswered once in sixty times, and a message from one
 		// member in the meantime prevents the decision.
 		MinUnresponsive: 4,
@@ -51,7 +51,7 @@
 		MinUnresponsiveIfLost: 2,
 		// Twice the time after which an opening is answered or retransmitted.
 		MinUnresponsiveTime: 200 * time.Millisecond,
-		// A caller whose opening is used as a probe loses 200 ms until it retransmits, half of a
+		// A client whose opening is used as a probe loses 200 ms until it retransmits, half of a
 		// usual objective. Probes are therefore few, and a recovered zone is still detected within
 		// half a second.
 		ProbeInterval:       250 * time.Millisecond,
@@ -66,13 +66,13 @@
 type Change struct {
 	Zone      lb.Zone
 	Reachable bool
-	// Unresponsive is the number of back ends that have left openings unanswered since the time Silence
-	// ago, and Probes the number of probes sent while the zone was unreachable.
+	// Unresponsive is the number of back ends that have left openings unanswered since the time
+	// UnresponsiveFor ago, and Probes the number of probes sent while the zone was unreachable.
 	Unresponsive, Probes int
 	UnresponsiveFor      time.Duration
-	// SinceAnswer and Heard are the times since the last answer of a back end of the zone and since
-	// the last message from a balancer in it. Lost is set if the membership also considers the zone
-	// lost.
+	// SinceAnswer and SinceMemberSeen are the times since the last answer of a back end of the zone
+	// and since the last message from a balancer in it. MembershipLost is set if the membership
+	// also considers the zone lost.
 	SinceAnswer, SinceMemberSeen time.Duration
 	MembershipLost               bool
 	// LifeSign is the sign of life that made the zone reachable again; otherwise it is empty.
@@ -163,8 +163,8 @@
 	t.restore(now, name, z, LifeSignAnswer)
 }
 
-// MemberSeen records when the last message from a balancer in the zone was received, and whether the
-// membership considers the zone lost.
+// MemberSeen records when the last message from a balancer in the zone was received, and whether
+// the membership considers the zone lost.
 func (t *Tracker) MemberSeen(now time.Duration, name lb.Zone, at time.Duration, lost bool) {
 	z := t.zone(name)
 	z.membershipLost = lost
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -149,7 +149,7 @@
 	is.True(w.AllReachable())
 }
 
-// TestSingleNodeIsPartitioned checks that a partitioned node refuses openings, so that its callers
+// TestSingleNodeIsPartitioned checks that a partitioned node refuses openings, so that its clients
 // immediately retry at other nodes, while a node that still receives messages continues.
 func TestSingleNodeIsPartitioned(t *testing.T) {
 	is := is.New(t)
--- a/internal/steering/compiler.go
+++ b/internal/steering/compiler.go
@@ -327,7 +327,7 @@
 	}
 	zones := len(c.zones)
 	if c.zones[c.zone] == 0 {
-		zones++ // the balancer's own zone has callers even if it has no hosts
+		zones++ // the balancer's own zone has clients even if it has no hosts
 	}
 	service.setEvenWeights(c.zone, zones)
 	service.ColdNeeded = lb.TotalSlots(service.zoneCapacity) < lb.TotalSlots(capacityByZone(service.Cold))
@@ -376,10 +376,10 @@
 // tokenHash returns the part of a token that names one instance of a back end. If back ends publish
 // their start time, the hash distinguishes the flows of a restarted back end from those of its
 // previous instance.
-func tokenHash(name lb.BackendName, born int64) uint32 {
+func tokenHash(name lb.BackendName, startUnixMillis int64) uint32 {
 	hash := xxhash.Sum64String(string(name))
-	if born != 0 {
-		hash = rendezvous.Mix(hash ^ uint64(born))
+	if startUnixMillis != 0 {
+		hash = rendezvous.Mix(hash ^ uint64(startUnixMillis))
 	}
 	return uint32(hash)
 }
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -25,8 +25,8 @@
 // fields changes.
 type Host struct {
 	view.Backend
-	// InstanceID identifies one instance of the back end, from one start to the next (see view.Backend).
-	// Statistics about a back end are keyed by it.
+	// InstanceID identifies one instance of the back end, from one start to the next (see
+	// view.Backend). Statistics about a back end are keyed by it.
 	InstanceID uint64
 	// Cold is set if the host has just started and may receive only few new flows; see
 	// Service.Cold.
@@ -147,8 +147,8 @@
 // Services iterates over all services that a route or a back end names, in no particular order.
 func (t *Table) Services() iter.Seq2[lb.ServiceName, *Service] { return maps.All(t.services) }
 
-// HostOfInstance returns the host with the given instance, or nil if none is known.
-func (t *Table) HostOfInstance(run uint64) *Host { return t.byInstance.get(run) }
+// HostOfInstance returns the host with the given instance ID, or nil if none is known.
+func (t *Table) HostOfInstance(instance uint64) *Host { return t.byInstance.get(instance) }
 
 // HasZone reports whether the zone contains a known back end.
 func (t *Table) HasZone(zone lb.Zone) bool { return t.zones[zone] > 0 }
@@ -238,10 +238,11 @@
 func (t *Table) ServiceNamed(name lb.ServiceName) *Service { return t.services[name] }
 
 // Pick returns the host for a new flow: the ready host that ranks highest in weighted rendezvous
-// hashing, a lapsed host if no host is ready, or nil if there is neither. The weights are those of
-// the ready hosts, from Weights; nil selects the weights under Even. The factors, from 0 to 1, are
-// by how much this balancer reduces the weight of each ready host; nil reduces none, which makes
-// the choice the same at all balancers of the zone. Hosts with FactorUnreached get no flows.
+// hashing, a lapsed host if no host is ready, or nil if there is neither. The weights are
+// one per ready host, as HostWeights returns them; nil selects the weights that follow from
+// EvenZoneWeights. The factors, from 0 to 1, are those by which this balancer multiplies the weight
+// of each ready host; nil changes no weight, which makes the choice the same at all balancers of
+// the zone. Hosts with FactorUnreachable get no flows.
 func (s *Service) Pick(flow lb.FlowID, weights, factors []float64) *Host {
 	if weights == nil {
 		weights = s.evenWeights()
@@ -255,8 +256,8 @@
 // FactorUnreachable is the factor of a ready host in a zone that this balancer cannot reach.
 const FactorUnreachable = -1.0
 
-// PickAlternative returns an alternative choice, independent of the choice of Pick: a ready host of any
-// zone, in proportion to capacity. It returns nil if the factor of that host is 0 or below.
+// PickAlternative returns an alternative choice, independent of the choice of Pick: a ready host of
+// any zone, in proportion to capacity. It returns nil if the factor of that host is 0 or below.
 func (s *Service) PickAlternative(flow lb.FlowID, factors []float64) *Host {
 	if len(s.Ready) == 0 {
 		return nil
@@ -338,7 +339,7 @@
 	return t.byHash.get(uint32(token) ^ uint32(frontend.Hash()))
 }
 
-// alternativeKey makes the choice of PickOther independent of the choice of Pick.
+// alternativeKey makes the choice of PickAlternative independent of the choice of Pick.
 const alternativeKey = 0x94d049bb133111eb
 
 // serviceKey makes the choice of a service independent of the choice of a host.
--- a/internal/steering/weights.go
+++ b/internal/steering/weights.go
@@ -17,7 +17,7 @@
 // serviceSums holds sums over all ready hosts of a service.
 type serviceSums struct {
 	once sync.Once
-	// weights holds the weights of the ready hosts under Even.
+	// weights holds the weights of the ready hosts that follow from EvenZoneWeights.
 	weights []float64
 	// capacities holds the running sums of the capacities of the ready hosts.
 	capacities []uint64
@@ -41,8 +41,8 @@
 // modify it.
 func (s *Service) Capacity() map[lb.Zone]float64 { return s.zoneCapacity }
 
-// EvenZoneWeights returns the zone weights used while the load of the zones is unknown. The caller must not
-// modify them.
+// EvenZoneWeights returns the zone weights used while the load of the zones is unknown. The caller
+// must not modify them.
 func (s *Service) EvenZoneWeights() zoneweight.Weights { return s.even }
 
 // HostWeights returns the weight of each ready host under the given zone weights for new flows.
@@ -89,8 +89,8 @@
 // then reduces its share of new flows.
 const warmingFactor = 0.5
 
-// RelativeCapacity returns the capacity of the host relative to other hosts of its service, as stated by the
-// back end.
+// RelativeCapacity returns the capacity of the host relative to other hosts of its service, as
+// stated by the back end.
 func (h *Host) RelativeCapacity() float64 {
 	if h.Warming {
 		return warmingFactor * h.capacity()
--- a/internal/steering/weights_test.go
+++ b/internal/steering/weights_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestPickOtherFollowsCapacities checks that PickOther ignores zones.
-func TestPickOtherFollowsCapacities(t *testing.T) {
+// TestPickAlternativeFollowsCapacities checks that PickAlternative ignores zones.
+func TestPickAlternativeFollowsCapacities(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	fill(world, 6)
@@ -214,14 +214,14 @@
 	world := newWorld()
 	fill(world, 6)
 	service := world.table(zoneA).services["web"]
-	unreached := FactorUnreachable
+	unreachable := FactorUnreachable
 	for number := range 200 {
 		flow := lb.FlowID(number)
-		is.Equal(service.Pick(flow, nil, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
-		is.Equal(service.Pick(flow, nil, []float64{unreached, unreached, unreached, 0, 1, 0.5}) == service.Ready[3], false)
-		chosen := service.Pick(flow, nil, []float64{unreached, unreached, unreached, 0, 0, 1}) // most reachable hosts are unresponsive
+		is.Equal(service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}), nil)
+		is.Equal(service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, 0, 1, 0.5}) == service.Ready[3], false)
+		chosen := service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, 0, 0, 1}) // most reachable hosts are unresponsive
 		is.True(chosen == service.Ready[3] || chosen == service.Ready[4] || chosen == service.Ready[5])
-		is.Equal(service.PickAlternative(flow, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
+		is.Equal(service.PickAlternative(flow, []float64{unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}), nil)
 	}
 }
 
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -51,7 +51,7 @@
 
 // member is a back end in a subset.
 type member struct {
-	index    int // in the list of back ends given to NewRing
+	index    int // in the list of back ends passed to NewRing
 	identity Identity
 	weight   float64 // fraction of the zone's flows; the weights add up to 1
 	credit   float64 // round-robin credit, in flows
@@ -63,7 +63,7 @@
 	zone        lb.Zone
 	credit      float64
 	members     []member
-	share       float64 // weight of the zone for the current pick
+	weight      float64 // weight of the zone for the current pick
 	factor      float64 // weighted mean of the members' factors for the current pick
 	unavailable float64 // sum of the weights of members with factor 0 for the current pick
 }
@@ -179,7 +179,7 @@
 // for long does not receive a burst.
 const maxCredit = 2
 
-// Pick returns the index, in the list given to NewRing, of the back end for the next flow. It
+// Pick returns the index, in the list passed to NewRing, of the back end for the next flow. It
 // returns -1 if there is none, or if more than maxUnavailable of the subset in the selected zone is
 // unavailable. zoneWeights are the fractions of this node's flows per zone. factor returns the
 // factor, from 0 to 1, by which a back end's weight is multiplied, and busy returns the number of
@@ -218,7 +218,7 @@
 	sum := 0.0
 	for index := range p.subsets {
 		s := &p.subsets[index]
-		s.factor, s.unavailable, s.share = 0, 0, zoneWeights[s.zone]
+		s.factor, s.unavailable, s.weight = 0, 0, zoneWeights[s.zone]
 		for index := range s.members {
 			m := &s.members[index]
 			m.factor = factor(m.index)
@@ -228,16 +228,16 @@
 			}
 		}
 		if s.factor > 0 {
-			sum += s.share
+			sum += s.weight
 		}
 	}
 	var best *zoneSubset
 	for index := range p.subsets {
 		s := &p.subsets[index]
-		if s.factor == 0 || s.share == 0 {
+		if s.factor == 0 || s.weight == 0 {
 			continue
 		}
-		s.credit += s.share / sum
+		s.credit += s.weight / sum
 		if best == nil || s.credit > best.credit {
 			best = s
 		}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -25,10 +25,10 @@
 }
 
 // zoneWeights returns the weights of the zones of fleetOf.
-func zoneWeights(shares ...float64) map[lb.Zone]float64 {
+func zoneWeights(fractions ...float64) map[lb.Zone]float64 {
 	weights := map[lb.Zone]float64{}
-	for zone, share := range shares {
-		weights[lb.Zone(fmt.Sprintf("zone-%d", zone))] = share
+	for zone, fraction := range fractions {
+		weights[lb.Zone(fmt.Sprintf("zone-%d", zone))] = fraction
 	}
 	return weights
 }
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestPicksFollowWeights checks that the number of picks of each back end differs from its weight's
-// share by at most three.
+// TestPicksFollowWeights checks that the number of picks of each back end differs from the
+// number that follows from its weight by at most three.
 func TestPicksFollowWeights(t *testing.T) {
 	is := is.New(t)
 	backends := fleetOf(40)
@@ -160,7 +160,7 @@
 	}
 	is.Equal(countPicks(p, oneZone, len(backends), 400, fullWeight, busy)[3], 0)
 	after := countPicks(p, oneZone, len(backends), 16, fullWeight, noRequests)
-	is.True(after[3] <= 2+16*3/15) // its share of the picks, at most three, and two by its credit
+	is.True(after[3] <= 2+16*3/15) // the picks that follow from its weight, at most three, and two by its credit
 }
 
 // TestNodesStartAtDifferentBackends checks that nodes that start together do not all send their
--- a/internal/tokennode/enginelog.go
+++ b/internal/tokennode/enginelog.go
@@ -64,7 +64,7 @@
 func (engine *engine) logBackends() {
 	for _, change := range engine.coreEffects.Backends {
 		event := logging.EventBackendResponsive
-		if change.Silent {
+		if change.Unresponsive {
 			event = logging.EventBackendUnresponsive
 		}
 		engine.logger.Info().
--- a/internal/tokennode/fleetload.go
+++ b/internal/tokennode/fleetload.go
@@ -49,8 +49,8 @@
 	place := treePlaceOf(engine.settings.Node, engine.follower.ZoneNodes(), engine.follower.ZoneRelays(), engine.otherMembers+1)
 	engine.treePlace = place
 	engine.requestFlows()
-	becomesRoot := place.First && !engine.evaluatesOutliers
-	engine.evaluatesOutliers = place.First
+	becomesRoot := place.IsRoot && !engine.evaluatesOutliers
+	engine.evaluatesOutliers = place.IsRoot
 	engine.outlierStep(&outlier.Event{Place: &place})
 	engine.loadStep(&fleetload.Event{Place: &place})
 	if becomesRoot {
--- a/internal/tree/tree.go
+++ b/internal/tree/tree.go
@@ -1,6 +1,7 @@
 // Package tree arranges the nodes of each zone in a tree, over which they aggregate observations
 // upwards and distribute decisions downwards. The nodes do not agree on the tree: each computes it
-// from its own membership list. While two lists differ, messages may be lost or counted twice.
+// from its own membership list. While two lists differ, which is brief, messages may be lost
+// or counted twice.
 package tree
 
 import (
@@ -21,21 +22,21 @@
 
 // Place is the position of a node in the tree over its zone.
 type Place struct {
-	// First is set for the root of the tree, which decides for its zone. Parent is then invalid.
-	First    bool
+	// IsRoot is set for the root of the tree, which decides for its zone. Parent is then invalid.
+	IsRoot   bool
 	Parent   netip.AddrPort
 	Children []netip.AddrPort
 	// Nodes is the number of nodes in the fleet, and ZoneNodes the number in the zone.
 	Nodes, ZoneNodes int
-	// Heads holds the root nodes of the other zones. It is set only for a root node.
-	Heads []netip.AddrPort
+	// OtherRoots holds the root nodes of the other zones. It is set only for a root node.
+	OtherRoots []netip.AddrPort
 }
 
 // Neighbours returns all nodes with which this node exchanges messages, except the given one: the
 // sender, when a message is forwarded.
 func (p *Place) Neighbours(except netip.AddrPort) []netip.AddrPort {
 	var neighbours []netip.AddrPort
-	for _, nodes := range [][]netip.AddrPort{{p.Parent}, p.Children, p.Heads} {
+	for _, nodes := range [][]netip.AddrPort{{p.Parent}, p.Children, p.OtherRoots} {
 		for _, node := range nodes {
 			if node.IsValid() && node != except {
 				neighbours = append(neighbours, node)
@@ -46,25 +47,25 @@
 }
 
 // PlaceOf returns the place of a node in the tree over its zone's nodes, which must be sorted by
-// rank. heads holds the root nodes of the other zones, and nodes is the number of nodes in the
+// rank. otherRoots holds the root nodes of the other zones, and nodes is the number of nodes in the
 // fleet. A node that is missing from its zone's list, because its own membership considers it dead,
 // has neither parent nor children, and receives no decisions until it is in the list again.
-func PlaceOf(self lb.NodeID, zone, heads []Node, nodes int) Place {
+func PlaceOf(self lb.NodeID, zone, otherRoots []Node, nodes int) Place {
 	rank := -1
 	for index := range zone {
 		if zone[index].ID == self {
 			rank = index
 		}
 	}
-	place := Place{First: rank == 0, Nodes: nodes, ZoneNodes: len(zone)}
+	place := Place{IsRoot: rank == 0, Nodes: nodes, ZoneNodes: len(zone)}
 	if rank < 0 {
 		return place
 	}
 	if rank > 0 {
 		place.Parent = zone[(rank-1)/Width].Control
 	} else {
-		for index := range heads {
-			place.Heads = append(place.Heads, heads[index].Control)
+		for index := range otherRoots {
+			place.OtherRoots = append(place.OtherRoots, otherRoots[index].Control)
 		}
 	}
 	for child := rank*Width + 1; child <= (rank+1)*Width && child < len(zone); child++ {
--- a/internal/tree/tree_test.go
+++ b/internal/tree/tree_test.go
@@ -14,7 +14,7 @@
 // and that only its root is connected to the other zones.
 func TestPlacesFormOneTree(t *testing.T) {
 	is := is.New(t)
-	heads := []Node{{ID: "head", Control: netip.MustParseAddrPort("10.9.0.1:7946")}}
+	otherRoots := []Node{{ID: "head", Control: netip.MustParseAddrPort("10.9.0.1:7946")}}
 	for _, count := range []int{1, 2, 9, 10, 300} {
 		var zone []Node
 		for index := range count {
@@ -23,10 +23,10 @@
 		}
 		parents := map[netip.AddrPort]netip.AddrPort{}
 		for _, peer := range zone {
-			place := PlaceOf(peer.ID, zone, heads, count)
-			is.Equal(place.First, peer.ID == "n-0")
-			is.Equal(place.Parent.IsValid(), !place.First)
-			is.Equal(len(place.Heads) == 1, place.First)
+			place := PlaceOf(peer.ID, zone, otherRoots, count)
+			is.Equal(place.IsRoot, peer.ID == "n-0")
+			is.Equal(place.Parent.IsValid(), !place.IsRoot)
+			is.Equal(len(place.OtherRoots) == 1, place.IsRoot)
 			is.True(len(place.Children) <= Width)
 			for _, child := range place.Children {
 				is.Equal(parents[child], netip.AddrPort{}) // only one parent
@@ -35,11 +35,11 @@
 		}
 		is.Equal(len(parents), count-1)
 		for _, peer := range zone[1:] {
-			is.Equal(PlaceOf(peer.ID, zone, heads, count).Parent, parents[peer.Control])
+			is.Equal(PlaceOf(peer.ID, zone, otherRoots, count).Parent, parents[peer.Control])
 		}
 	}
-	unknown := PlaceOf("unknown", heads, nil, 1)
-	is.Equal(unknown.First, false)
+	unknown := PlaceOf("unknown", otherRoots, nil, 1)
+	is.Equal(unknown.IsRoot, false)
 	is.Equal(unknown.Parent.IsValid(), false)
 }
 
--- a/internal/weight/weight_test.go
+++ b/internal/weight/weight_test.go
@@ -17,39 +17,39 @@
 
 func unhealthy() weight.View { return weight.View{Freshness: fresh, Unhealthy: true, Load: 100} }
 
-func repeat(shares []weight.BackendState, times int, settings *weight.Settings) []weight.BackendState {
+func repeat(states []weight.BackendState, times int, settings *weight.Settings) []weight.BackendState {
 	for range times {
-		for index, factor := range weight.Step(shares, settings) {
-			shares[index].Factor = factor
+		for index, factor := range weight.Step(states, settings) {
+			states[index].Factor = factor
 		}
 	}
-	return shares
+	return states
 }
 
 func TestUnhealthyFactorFallsToFloorInBoundedSteps(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := []weight.BackendState{{1000, healthy(100)}, {1000, healthy(100)}, {1000, unhealthy()}}
-	is.Equal(weight.Step(shares, &settings), []uint16{1000, 1000, 900})
-	shares = repeat(shares, 50, &settings)
-	is.Equal(shares[2].Factor, settings.UnhealthyFloor)
+	states := []weight.BackendState{{1000, healthy(100)}, {1000, healthy(100)}, {1000, unhealthy()}}
+	is.Equal(weight.Step(states, &settings), []uint16{1000, 1000, 900})
+	states = repeat(states, 50, &settings)
+	is.Equal(states[2].Factor, settings.UnhealthyFloor)
 }
 
 func TestPanicModeKeepsAllFactors(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := []weight.BackendState{{1000, healthy(100)}, {1000, unhealthy()}, {1000, unhealthy()}}
-	shares = repeat(shares, 50, &settings)
-	for _, share := range shares {
-		is.Equal(share.Factor, uint16(1000))
+	states := []weight.BackendState{{1000, healthy(100)}, {1000, unhealthy()}, {1000, unhealthy()}}
+	states = repeat(states, 50, &settings)
+	for _, state := range states {
+		is.Equal(state.Factor, uint16(1000))
 	}
 }
 
 func TestSlowStartReachesFullFactor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := []weight.BackendState{{1000, healthy(500)}, {settings.SlowStart, healthy(50)}}
-	is.Equal(weight.Step(shares, &settings)[1], settings.SlowStart+settings.MaxStep)
+	states := []weight.BackendState{{1000, healthy(500)}, {settings.SlowStart, healthy(50)}}
+	is.Equal(weight.Step(states, &settings)[1], settings.SlowStart+settings.MaxStep)
 	unreported := repeat([]weight.BackendState{{1000, weight.View{}}, {settings.SlowStart, weight.View{}}}, 9, &settings)
 	is.Equal(unreported[1].Factor, uint16(1000))
 }
@@ -57,18 +57,18 @@
 func TestOverloadedBackEndFallsToLoadFloor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := []weight.BackendState{{1000, healthy(100)}, {1000, healthy(105)}, {1000, healthy(900)}}
-	next := weight.Step(shares, &settings)
+	states := []weight.BackendState{{1000, healthy(100)}, {1000, healthy(105)}, {1000, healthy(900)}}
+	next := weight.Step(states, &settings)
 	is.Equal(next[2], uint16(900))
-	shares = repeat(shares, 50, &settings)
-	is.Equal(shares[2].Factor, settings.LoadFloor)
+	states = repeat(states, 50, &settings)
+	is.Equal(states[2].Factor, settings.LoadFloor)
 }
 
 func TestSlowStartRisesToLoadFloor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	shares := repeat([]weight.BackendState{{1000, healthy(300)}, {settings.SlowStart, healthy(300)}}, 9, &settings)
-	is.Equal(shares[1].Factor, settings.LoadFloor)
+	states := repeat([]weight.BackendState{{1000, healthy(300)}, {settings.SlowStart, healthy(300)}}, 9, &settings)
+	is.Equal(states[1].Factor, settings.LoadFloor)
 }
 
 func TestOldReportsCountLessAndExpire(t *testing.T) {
@@ -106,9 +106,9 @@
 func TestStepsAreBounded(t *testing.T) {
 	settings := weight.DefaultSettings()
 	rapid.Check(t, func(t *rapid.T) {
-		shares := make([]weight.BackendState, rapid.IntRange(1, 14).Draw(t, "count"))
-		for index := range shares {
-			shares[index] = weight.BackendState{
+		states := make([]weight.BackendState, rapid.IntRange(1, 14).Draw(t, "count"))
+		for index := range states {
+			states[index] = weight.BackendState{
 				Factor: uint16(rapid.IntRange(1, 1000).Draw(t, "factor")),
 				View: weight.View{
 					Freshness: uint32(rapid.IntRange(0, 1000).Draw(t, "freshness")),
@@ -117,8 +117,8 @@
 				},
 			}
 		}
-		for index, factor := range weight.Step(shares, &settings) {
-			present := shares[index].Factor
+		for index, factor := range weight.Step(states, &settings) {
+			present := states[index].Factor
 			if factor < 1 || factor > weight.FullFactor {
 				t.Fatalf("factor %d", factor)
 			}
--- a/internal/zoneweight/zoneweight.go
+++ b/internal/zoneweight/zoneweight.go
@@ -1,9 +1,9 @@
 // Package zoneweight computes how the new flows of one zone are split over the back ends of all
-// zones. It handles callers of one zone whose demand exceeds the capacity of its back ends while
-// other zones have spare capacity, callers that move between zones, and zones whose back ends are
-// few or out of service. A zone keeps its flows as long as its callers see no delay. Demand beyond
+// zones. It handles clients of one zone whose demand exceeds the capacity of its back ends while
+// other zones have spare capacity, clients that move between zones, and zones whose back ends are
+// few or out of service. A zone keeps its flows as long as its clients see no delay. Demand beyond
 // that goes to zones with spare capacity, and when all zones are full, all get the same load.
-// Demand is measured at the callers, independent of which back ends serve them. The weights
+// Demand is measured at the clients, independent of which back ends serve them. The weights
 // therefore do not feed back into their own input and cannot oscillate.
 package zoneweight
 
@@ -17,16 +17,17 @@
 )
 
 const (
-	// LocalThreshold is the utilization of a zone up to which it keeps its flows. Where each of many nodes
-	// picks at random among back ends of two slots, the mean queueing delay is a third of the
-	// service time at a utilization of 0.5, and equals it at 0.7 (M/M/2 with exponential service
-	// times; half of that with the small variance of typical work), so callers notice nothing below
-	// 0.5. The known demand is half a second old, and the remaining capacity absorbs a surge during
-	// that time: if one zone's callers triple their demand, 0.1% of their requests, weighted by
-	// importance, are not served in time, against 0.8% with a threshold of 0.7 and 2.5% with 0.85.
+	// LocalThreshold is the utilization of a zone up to which it keeps its flows. Where each of
+	// many nodes picks at random among back ends of two slots, the mean queueing delay is a third
+	// of the service time at a utilization of 0.5, and equals it at 0.7 (M/M/2 with exponential
+	// service times; half of that with the small variance of typical work), so clients notice
+	// nothing below 0.5. The known demand is half a second old, and the remaining capacity absorbs
+	// a surge during that time: if one zone's clients triple their demand, 0.1% of their requests,
+	// weighted by importance, are not served in time, against 0.8% with a threshold of 0.7 and 2.5%
+	// with 0.85.
 	LocalThreshold = 0.5
-	// MinRemoteWeight is the minimum part of a zone's new flows that goes to other zones, so that their back
-	// ends are known to respond before they are needed.
+	// MinRemoteWeight is the minimum fraction of a zone's new flows that goes to other zones, so
+	// that their back ends are known to respond before they are needed.
 	MinRemoteWeight = 0.02
 	// MaxStep is the maximum change of a weight per reporting window of the fleet. It bounds the
 	// effect of one wrong sum, and still moves all flows of a zone within three windows.
@@ -38,17 +39,18 @@
 	Zone lb.Zone
 	// Capacity is the number of requests that the ready back ends process concurrently, in slots.
 	Capacity float64
-	// Demand is the work that callers in the zone request, in slots, and Known states whether it is
+	// Demand is the work that clients in the zone request, in slots, and Known states whether it is
 	// known. A zone with unknown demand is assumed to have no spare capacity.
 	Demand float64
 	Known  bool
 }
 
-// Weights maps the zone of the back ends to its part of one zone's new flows. The parts sum to 1.
+// Weights maps the zone of the back ends to its fraction of one zone's new flows. The weights sum
+// to 1.
 type Weights map[lb.Zone]float64
 
-// EvenZones returns zones with equal demand that together use the capacity of all back ends. It is the
-// assumption while demand is unknown, and gives all back ends the same load whatever the actual
+// EvenZones returns zones with equal demand that together use the capacity of all back ends. It is
+// the assumption while demand is unknown, and gives all back ends the same load whatever the actual
 // demand.
 func EvenZones(capacity map[lb.Zone]float64, own lb.Zone, count int) []Zone {
 	demand := lb.TotalSlots(capacity) / float64(max(count, 1))
@@ -135,7 +137,7 @@
 	return max(threshold, demand/capacity), total
 }
 
-// localWeight returns the part of its own demand that a zone's back ends serve.
+// localWeight returns the fraction of its own demand that a zone's back ends serve.
 func localWeight(zone *Zone, level float64) float64 {
 	if zone.Capacity == 0 {
 		return 0
@@ -146,8 +148,8 @@
 	return level * zone.Capacity / zone.Demand
 }
 
-// spareCapacities returns what each of the other zones can serve beyond the demand of its own
-// callers, and the total.
+// spareCapacities returns the work that each of the other zones can serve beyond the demand of its
+// own clients, in slots, and the total.
 func spareCapacities(zones []Zone, self int, level float64) (spare []float64, total float64) {
 	spare = make([]float64, len(zones))
 	for index := range zones {
@@ -159,8 +161,8 @@
 	return spare, total
 }
 
-// MoveTowards returns weights moved from before towards wanted, with a change of at most step in any
-// of them.
+// MoveTowards returns weights moved from before towards wanted, with a change of at most step in
+// any of them.
 func MoveTowards(before, wanted Weights, step float64) Weights {
 	largest := 0.0
 	for zone := range before {
@@ -173,12 +175,12 @@
 		return wanted
 	}
 	moved := make(Weights, len(wanted))
-	part := step / largest
+	fraction := step / largest
 	for zone, value := range before {
-		moved[zone] = value * (1 - part)
+		moved[zone] = value * (1 - fraction)
 	}
 	for zone, value := range wanted {
-		moved[zone] += value * part
+		moved[zone] += value * fraction
 	}
 	return moved
 }
--- a/internal/zoneweight/zoneweight_test.go
+++ b/internal/zoneweight/zoneweight_test.go
@@ -27,8 +27,8 @@
 func utilization(all []Zone, threshold float64) map[lb.Zone]float64 {
 	work := map[lb.Zone]float64{}
 	for _, from := range all {
-		for to, part := range Split(from.Zone, all, threshold) {
-			work[to] += part * from.Demand
+		for to, weight := range Split(from.Zone, all, threshold) {
+			work[to] += weight * from.Demand
 		}
 	}
 	for _, zone := range all {
@@ -39,18 +39,18 @@
 	return work
 }
 
-// TestOverloadedZoneUsesSpareCapacityOfOthers covers a surge in which the callers of one zone
+// TestOverloadedZoneUsesSpareCapacityOfOthers covers a surge in which the clients of one zone
 // triple their demand, beyond the capacity of its back ends, while most back ends of the other
 // zones are idle.
 func TestOverloadedZoneUsesSpareCapacityOfOthers(t *testing.T) {
 	is := is.New(t)
 	overloaded := makeZones(96, 80, 26, 80, 32, 80)
-	for _, part := range utilization(overloaded, LocalThreshold) {
-		is.True(part <= 154.0/240+2*MinRemoteWeight) // total demand is above Home, so all zones are filled equally
+	for _, used := range utilization(overloaded, LocalThreshold) {
+		is.True(used <= 154.0/240+2*MinRemoteWeight) // total demand is above LocalThreshold, so all zones are filled equally
 	}
 	relieved := makeZones(60, 80, 20, 80, 25, 80)
-	for _, part := range utilization(relieved, LocalThreshold) {
-		is.True(part <= LocalThreshold+2*MinRemoteWeight) // there is spare capacity below Home, so no zone is above it
+	for _, used := range utilization(relieved, LocalThreshold) {
+		is.True(used <= LocalThreshold+2*MinRemoteWeight) // there is spare capacity below LocalThreshold, so no zone is above it
 	}
 	is.Equal(Split("z1", overloaded, LocalThreshold)["z1"], 1-MinRemoteWeight) // zones with spare capacity keep their flows
 	is.Equal(Split("z2", overloaded, LocalThreshold)["z2"], 1-MinRemoteWeight)
@@ -77,8 +77,8 @@
 			demand += zone.Demand
 			capacity += zone.Capacity
 		}
-		for _, part := range utilization(all, LocalThreshold) {
-			is.True(math.Abs(part/(demand/capacity)-1) < 0.05)
+		for _, used := range utilization(all, LocalThreshold) {
+			is.True(math.Abs(used/(demand/capacity)-1) < 0.05)
 		}
 	}
 }
@@ -87,9 +87,9 @@
 // capacity.
 func TestZoneWithoutBackEnds(t *testing.T) {
 	is := is.New(t)
-	parts := Split("z0", makeZones(30, 0, 70, 80, 10, 80), LocalThreshold)
-	is.Equal(parts["z0"], 0.0)
-	is.True(parts["z2"] > 0.9) // the other zone is full
+	weights := Split("z0", makeZones(30, 0, 70, 80, 10, 80), LocalThreshold)
+	is.Equal(weights["z0"], 0.0)
+	is.True(weights["z2"] > 0.9) // the other zone is full
 	is.Equal(Split("z0", makeZones(30, 0, 0, 0), LocalThreshold), nil)
 }
 
@@ -100,12 +100,12 @@
 	is := is.New(t)
 	all := makeZones(96, 80, 20, 80, 20, 80)
 	all[2].Known = false
-	parts := Split("z0", all, LocalThreshold)
-	is.True(parts["z2"] <= MinRemoteWeight)
-	is.True(parts["z1"] > 0.2)
+	weights := Split("z0", all, LocalThreshold)
+	is.True(weights["z2"] <= MinRemoteWeight)
+	is.True(weights["z1"] > 0.2)
 	all[1].Known = false
-	parts = Split("z0", all, LocalThreshold)
-	is.True(parts["z0"] >= 1-MinRemoteWeight) // no zone is known to have spare capacity
+	weights = Split("z0", all, LocalThreshold)
+	is.True(weights["z0"] >= 1-MinRemoteWeight) // no zone is known to have spare capacity
 	all[0].Known = false
 	is.Equal(Split("z0", all, LocalThreshold), nil)
 }
@@ -127,23 +127,23 @@
 			all = append(all, zone)
 		}
 		own := all[random.IntN(len(all))].Zone
-		parts := Split(own, all, LocalThreshold)
-		if parts == nil {
+		weights := Split(own, all, LocalThreshold)
+		if weights == nil {
 			continue
 		}
 		sum := 0.0
-		for zone, part := range parts {
-			if !(part >= 0 && part <= 1+1e-9) {
-				t.Fatalf("weight of zone %s is %v for zones %v", zone, part, all)
+		for zone, weight := range weights {
+			if !(weight >= 0 && weight <= 1+1e-9) {
+				t.Fatalf("weight of zone %s is %v for zones %v", zone, weight, all)
 			}
-			sum += part
+			sum += weight
 		}
 		if math.Abs(sum-1) > 1e-6 {
-			t.Fatalf("weights sum to %v: %v for zones %v", sum, parts, all)
+			t.Fatalf("weights sum to %v: %v for zones %v", sum, weights, all)
 		}
 		for index := range all {
-			if all[index].Capacity == 0 && parts[all[index].Zone] > 0 {
-				t.Fatalf("flows for a zone without back ends: weights %v for zones %v", parts, all)
+			if all[index].Capacity == 0 && weights[all[index].Zone] > 0 {
+				t.Fatalf("flows for a zone without back ends: weights %v for zones %v", weights, all)
 			}
 		}
 	}
@@ -157,8 +157,8 @@
 	moved := MoveTowards(before, wanted, MaxStep)
 	is.True(math.Abs(before["z0"]-moved["z0"]) <= MaxStep+1e-9)
 	sum := 0.0
-	for _, part := range moved {
-		sum += part
+	for _, weight := range moved {
+		sum += weight
 	}
 	is.True(math.Abs(sum-1) < 1e-9)
 	for range 3 {
@@ -167,7 +167,7 @@
 	is.Equal(moved, wanted)
 }
 
-func TestKnownMergesCapacityAndDemand(t *testing.T) {
+func TestKnownZonesMergesCapacityAndDemand(t *testing.T) {
 	is := is.New(t)
 	capacity := map[lb.Zone]float64{"za": 10, "zc": 20}
 	service := fleetload.Service{Zones: []fleetload.Zone{
