--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -256,14 +256,14 @@
 
 // loadOf returns the load of all back ends, and the fraction of requests that they reject.
 func loadOf(state *fleetload.Service, settings *Settings) (load, rejected float64) {
-	logs, answers := settings.NeutralAnswers*math.Log(settings.Limit/2), settings.NeutralAnswers
+	logSum, answers := settings.NeutralAnswers*math.Log(settings.Limit/2), settings.NeutralAnswers
 	for index := range state.Zones {
 		zone := &state.Zones[index]
 		rejected += max(0, zone.Rejected)
 		if zone.Answers > 0 && zone.Load > 0 {
-			logs += zone.Answers * math.Log(zone.Load)
+			logSum += zone.Answers * math.Log(zone.Load)
 			answers += zone.Answers
 		}
 	}
-	return math.Exp(logs / answers), rejected / (answers + rejected)
+	return math.Exp(logSum / answers), rejected / (answers + rejected)
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -106,9 +106,9 @@
 	p.states = append(p.states, report)
 }
 
-func (p *simulation) level(index int, share float64) fleetload.Level {
+func (p *simulation) level(index int, fraction float64) fleetload.Level {
 	return fleetload.Level{
-		Priority: uint16(index + 1), Begun: share * p.levels[index].Begun, Refused: share * p.levels[index].Refused,
+		Priority: uint16(index + 1), Begun: fraction * p.levels[index].Begun, Refused: fraction * p.levels[index].Refused,
 	}
 }
 
@@ -318,8 +318,8 @@
 		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "pause"))
 			state := fleetload.Service{SummedAt: now, Zones: rapid.SliceOfN(zone, 0, 3).Draw(t, "zones")}
-			share := rapid.Float64Range(-1, 2).Draw(t, "open flow share")
-			service.Update(now, &state, amount.Draw(t, "slots"), func(uint16) float64 { return share }, &settings)
+			openFlowShare := rapid.Float64Range(-1, 2).Draw(t, "open flow share")
+			service.Update(now, &state, amount.Draw(t, "slots"), func(uint16) float64 { return openFlowShare }, &settings)
 			if ratio := service.capacityRatio; ratio < settings.MinWork || ratio > settings.MaxWork {
 				t.Fatalf("capacity ratio %v", ratio)
 			}
--- a/internal/admissionqueue/levels.go
+++ b/internal/admissionqueue/levels.go
@@ -12,8 +12,8 @@
 func (q *Queue[K]) Levels() map[Level]int {
 	levels := make(map[Level]int)
 	for _, index := range q.order {
-		waiter := &q.entries[index]
-		levels[Level{waiter.Service, waiter.Objective.Priority}]++
+		opening := &q.entries[index]
+		levels[Level{opening.Service, opening.Objective.Priority}]++
 	}
 	return levels
 }
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -132,8 +132,9 @@
 	return l.owns(backend.Identity) && l.sentInWindow(now, backend.Identity) < l.nodeLimit(backend.Rate)
 }
 
-// Sent records that this node sends a new flow, or a retransmitted opening, to a cold back end.
-func (l *Limiter) Sent(now time.Duration, identity Identity) {
+// RecordSent records that this node sends a new flow, or a retransmitted opening, to a cold back
+// end.
+func (l *Limiter) RecordSent(now time.Duration, identity Identity) {
 	l.sent[identity] = append(l.sent[identity], now)
 }
 
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -136,7 +136,7 @@
 			}
 			for index, backend := range backends {
 				for node.limiter.Allows(now, backend) {
-					node.limiter.Sent(now, backend.Identity)
+					node.limiter.RecordSent(now, backend.Identity)
 					arrivals[index] = append(arrivals[index], now+time.Duration(z.random.Int64N(int64(50*ms))))
 				}
 			}
@@ -288,7 +288,7 @@
 	now := l.settings.StartupDelay
 	for range 2 {
 		is.True(l.Allows(now, backend))
-		l.Sent(now, backend.Identity)
+		l.RecordSent(now, backend.Identity)
 	}
 	is.Equal(l.Allows(now+l.settings.Window-ms, backend), false)
 	is.True(l.Allows(now+l.settings.Window, backend))
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -221,7 +221,7 @@
 	sent := now
 	now += 5 * time.Millisecond
 	for identity := range reachability.Identity(4) {
-		tracker.Unanswered(sent+300*time.Millisecond, "", identity+1, sent+time.Duration(identity))
+		tracker.RecordUnanswered(sent+300*time.Millisecond, "", identity+1, sent+time.Duration(identity))
 	}
 	tracker.Tick(sent + 300*time.Millisecond)
 	is.True(!tracker.Reachable(""))
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -14,9 +14,9 @@
 		switch {
 		case host == nil: // removed in the meantime
 		case sign.Missing:
-			a.reachability.Unanswered(a.core.now, host.Zone, reachability.Identity(sign.Identity), sign.Sent)
+			a.reachability.RecordUnanswered(a.core.now, host.Zone, reachability.Identity(sign.Identity), sign.Sent)
 		default:
-			a.reachability.Answered(a.core.now, host.Zone)
+			a.reachability.RecordAnswer(a.core.now, host.Zone)
 		}
 	}
 }
@@ -25,7 +25,7 @@
 func (a *tokenAffinity) updateReachability(zones []ZoneContact) {
 	a.reachability.Tick(a.core.now)
 	for _, zone := range zones {
-		a.reachability.MemberSeen(a.core.now, zone.Zone, zone.At, zone.Lost)
+		a.reachability.RecordMemberSeen(a.core.now, zone.Zone, zone.At, zone.Lost)
 	}
 }
 
--- a/internal/core/reachability_test.go
+++ b/internal/core/reachability_test.go
@@ -91,10 +91,10 @@
 // its whole zone is cut off. A few openings are still forwarded as probes, which detect when the
 // zones are reachable again.
 func TestOpeningsToUnreachableZones(t *testing.T) {
-	for _, alone := range []bool{false, true} {
+	for _, onlyThisNode := range []bool{false, true} {
 		is := is.New(t)
 		core := newZonedCore()
-		core.ownZoneUnreachable = alone
+		core.ownZoneUnreachable = onlyThisNode
 		is.Equal(core.run(2 * time.Second)[ReasonUnreachable], 0)
 		core.unreachable = map[lb.Zone]bool{"zb": true, "zc": true}
 		core.run(500 * time.Millisecond)
@@ -140,8 +140,8 @@
 		core.settings.Picking = picking
 		core.run(2 * time.Second)
 		affinity := core.affinity.(*tokenAffinity)
-		parts := zoneweight.Weights{"zb": 1}
-		affinity.serviceWeights["web"] = &serviceWeights{byZone: parts, byHost: affinity.table.ServiceNamed("web").HostWeights(parts)}
+		weights := zoneweight.Weights{"zb": 1}
+		affinity.serviceWeights["web"] = &serviceWeights{byZone: weights, byHost: affinity.table.ServiceNamed("web").HostWeights(weights)}
 		is.Equal(core.run(time.Second)["zb"], 50)
 		core.unreachable = map[lb.Zone]bool{"zb": true}
 		core.run(time.Second)
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -119,7 +119,7 @@
 		ring := service.Ring()
 		index := a.subsets.pickerFor(a.core, service).Pick(a.zoneWeights(service),
 			func(index int) float64 { return max(0, a.weightFactor(service, ring[index])) }, // hosts in unreachable zones get no flows
-			func(index int) int { return a.observer.Busy(passivehealth.Identity(ring[index].InstanceID)) },
+			func(index int) int { return a.observer.InFlight(passivehealth.Identity(ring[index].InstanceID)) },
 		)
 		if index >= 0 {
 			return ring[index]
--- a/internal/core/token.go
+++ b/internal/core/token.go
@@ -138,7 +138,7 @@
 	flow := packet.Key.ID()
 	a.trackedFlows.RecordOpening(flow, packet.OpeningID)
 	if packet.Copies == 0 {
-		a.observer.Reopened(flow)
+		a.observer.RecordNewFlow(flow)
 	}
 	service := a.table.Service(&packet.Key)
 	if service == nil {
@@ -169,9 +169,9 @@
 func (a *tokenAffinity) forwardOpening(packet *Packet, decision *Decision, frontend *lb.FrontendKey, host *steering.Host) {
 	setForward(decision, host)
 	decision.Token = host.Token(frontend)
-	a.observer.Opened(a.core.now, packet.Key.ID(), passivehealth.Identity(host.InstanceID))
+	a.observer.RecordOpening(a.core.now, packet.Key.ID(), passivehealth.Identity(host.InstanceID))
 	if host.Cold {
-		a.coldStart.Sent(a.core.now, coldstart.Identity(host.InstanceID))
+		a.coldStart.RecordSent(a.core.now, coldstart.Identity(host.InstanceID))
 	}
 }
 
@@ -196,7 +196,7 @@
 // went there. If the first choice is overloaded, a second choice replaces it if it is less loaded.
 // Copies go to no back end that leaves openings unanswered.
 func (a *tokenAffinity) chooseHost(service *steering.Service, flow lb.FlowID, copies uint32) (host *steering.Host, placed bool) {
-	if identity, found := a.observer.Placed(a.core.now, flow); found {
+	if identity, found := a.observer.PlacedBackend(a.core.now, flow); found {
 		host := a.table.HostOfInstance(uint64(identity))
 		if host != nil && (service.IsReady(host) || host.Cold && host.Service == service.Name && a.coldStartAllows(service, host)) {
 			return host, true
@@ -300,15 +300,15 @@
 	if host.Token(&frontend) != token {
 		return // the flow belongs to a previous instance; its reset says nothing about the health of the present one
 	}
-	if pending, found := a.observer.Pending(flow); found && pending != passivehealth.Identity(host.InstanceID) {
+	if pending, found := a.observer.PendingBackend(flow); found && pending != passivehealth.Identity(host.InstanceID) {
 		a.trackedFlows.RecordOpenFlow(a.core.now, conntrack.Flow{ID: flow, Token: conntrack.Token(token), Acknowledged: packet.Acknowledged})
 	}
 	if packet.Kind == PacketClosing {
 		a.overload.CloseFlow(flow)
 	}
-	a.observer.Measure(a.core.now, flow, frontend, passivehealth.Identity(host.InstanceID),
+	a.observer.MeasureAnswer(a.core.now, flow, frontend, passivehealth.Identity(host.InstanceID),
 		packet.Acknowledged, packet.HasData, packet.Kind == PacketClosing)
-	latency, answered, requestBegan := a.observer.Later(a.core.now, flow, host.Service,
+	latency, answered, requestBegan := a.observer.RecordLaterPacket(a.core.now, flow, host.Service,
 		passivehealth.Identity(host.InstanceID), packet.Acknowledged, packet.HasData)
 	a.applyReachabilitySigns()
 	if !answered && !requestBegan {
@@ -329,7 +329,7 @@
 // token. In that case another balancer has placed a copy of the opening, and the reply to that copy
 // arrived after the flow was opened.
 func (a *tokenAffinity) trackOpenFlow(flow lb.FlowID, frontend *lb.FrontendKey, token steering.Token) {
-	identity, acknowledged, found := a.observer.Exchanging(flow)
+	identity, acknowledged, found := a.observer.LastRequest(flow)
 	if !found || a.trackedFlows.IsOpen(flow) {
 		return
 	}
--- a/internal/core/token_test.go
+++ b/internal/core/token_test.go
@@ -307,7 +307,7 @@
 	is.Equal(opened.Identity, uint64(1)) // the identity in packets does not change with the instance
 	core.Step(200*time.Millisecond, &Event{Tick: true}, &core.effects)
 	is.Equal(observer.Factor(200*time.Millisecond, "web", oldInstance), 0.0) // the back end has left the opening unanswered
-	is.Equal(observer.Busy(oldInstance), 1)
+	is.Equal(observer.InFlight(oldInstance), 1)
 
 	restarted := old
 	restarted.Revision = 10
@@ -316,16 +316,16 @@
 	core.Step(200*time.Millisecond, &Event{Ejected: []passivehealth.Identity{oldInstance}}, &core.effects) // a late ejection
 	newInstance := passivehealth.Identity(restarted.Backend.InstanceID())
 	is.Equal(observer.Factor(200*time.Millisecond, "web", newInstance), 1.0)
-	is.Equal(observer.Busy(newInstance), 0)
-	is.Equal(observer.Busy(oldInstance), 0)
+	is.Equal(observer.InFlight(newInstance), 0)
+	is.Equal(observer.InFlight(oldInstance), 0)
 	is.Equal(core.send(200*time.Millisecond, tokenOpening(2, 443)).Action, ActionForward)
 
-	busy := observer.Busy(newInstance)
+	busy := observer.InFlight(newInstance)
 	laterDecision := core.send(200*time.Millisecond, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token, HasData: true})
 	is.Equal(laterDecision.Action, ActionForward)
 	is.Equal(laterDecision.Identity, uint64(1))
 	is.Equal(laterDecision.Token, opened.Token)
-	is.Equal(observer.Busy(newInstance), busy) // the back end resets the flow, so no reply is outstanding
+	is.Equal(observer.InFlight(newInstance), busy) // the back end resets the flow, so no reply is outstanding
 	is.Equal(len(core.effects.Outcomes), 0)
 
 	core.replica.Prune(time.Second + view.TombstoneRetention) // clients have given up by then
--- a/internal/fleetload/core.go
+++ b/internal/fleetload/core.go
@@ -321,19 +321,19 @@
 func (c *Core) addLoads(name lb.ServiceName, service *Service) {
 	for index := range service.Zones {
 		zone := &service.Zones[index]
-		count, logs, rejected := 0.0, 0.0, 0.0
+		count, logSum, rejected := 0.0, 0.0, 0.0
 		for _, state := range c.zones {
 			for _, answers := range state.work[name].Answers {
 				if answers.Zone == zone.Zone {
 					count += fromThousandths(answers.Count)
-					logs += fromThousandths(answers.LogLoadSum)
+					logSum += fromThousandths(answers.LogLoadSum)
 					rejected += fromThousandths(answers.Rejected)
 				}
 			}
 		}
 		zone.Answers, zone.Rejected = count, rejected
 		if count > 0 {
-			zone.Load = math.Exp(logs / count)
+			zone.Load = math.Exp(logSum / count)
 		}
 	}
 }
--- a/internal/fleetload/root.go
+++ b/internal/fleetload/root.go
@@ -14,7 +14,7 @@
 	rates          map[lb.ServiceName]*rates
 	nearLimitAt    map[lb.ServiceName]time.Duration // when a service was last near its limit in some zone
 	ratesUpdatedAt time.Duration                    // when rates were last updated
-	number         uint64                           // sequence number of the last state sent
+	sequence       uint64                           // sequence number of the last state sent
 	publishing     bool                             // whether the last state contained services
 }
 
@@ -32,8 +32,8 @@
 	}
 	c.root.publishing = len(own.Services) > 0
 	c.updateZone(&own)
-	c.root.number++
-	state := message.LoadState{Sender: c.settings.Self, Sequence: c.root.number, Zones: []message.ZoneWork{own}}
+	c.root.sequence++
+	state := message.LoadState{Sender: c.settings.Self, Sequence: c.root.sequence, Zones: []message.ZoneWork{own}}
 	c.send(c.place.OtherRoots, state, effects)
 	c.updateServices(effects)
 	state.Zones = c.allZoneWork()
--- a/internal/lab/surge/fleet.go
+++ b/internal/lab/surge/fleet.go
@@ -112,7 +112,7 @@
 		parts[index] = 1
 		for _, status := range w.nodes[index].core.OverloadStatus() {
 			for _, level := range status.Levels {
-				parts[index] = min(parts[index], level.Admitted)
+				parts[index] = min(parts[index], level.AdmissionRate)
 			}
 		}
 	}
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -22,7 +22,7 @@
 	// the number of outcomes in the fleet.
 	nodes       int
 	ownOutcomes map[lb.ServiceName]*decayingSum
-	number      uint64 // number of the last verdict
+	sequence    uint64 // sequence number of the last verdict
 	publishedAt time.Duration
 	published   bool // the last verdict was not empty and must be renewed or withdrawn
 	// lastWatched holds the watched back ends of the last verdict.
@@ -280,7 +280,7 @@
 
 // nextVerdict returns the verdict that must be sent now, or nil if none must.
 func (d *detector) nextVerdict(now time.Duration, changed bool) *message.OutcomeVerdict {
-	verdict := &message.OutcomeVerdict{Sequence: d.number + 1}
+	verdict := &message.OutcomeVerdict{Sequence: d.sequence + 1}
 	newSuspect := false // a suspect is not yet in a published verdict
 	for identity, rec := range d.records {
 		if rec.ejectedUntil > 0 {
@@ -302,7 +302,7 @@
 	}
 	slices.Sort(verdict.Ejected)
 	slices.Sort(verdict.Watched)
-	d.number++
+	d.sequence++
 	d.publishedAt = now
 	d.published = nonEmpty
 	return verdict
--- a/internal/overload/estimate.go
+++ b/internal/overload/estimate.go
@@ -140,10 +140,10 @@
 
 // relativeTime returns a response time divided by the given fraction of the target or by the given
 // multiple of the idle time, whichever is less.
-func (c *class) relativeTime(took time.Duration, share, ratio float64) float64 {
+func (c *class) relativeTime(took time.Duration, fraction, ratio float64) float64 {
 	allowed := ratio * c.idle.value
-	if c.target > 0 && (allowed == 0 || share*c.target < allowed) {
-		allowed = share * c.target
+	if c.target > 0 && (allowed == 0 || fraction*c.target < allowed) {
+		allowed = fraction * c.target
 	}
 	if allowed == 0 {
 		return neutralLoad
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -136,9 +136,9 @@
 	Overloaded bool
 	// Pressure is the ratio of the response times to the allowed response time.
 	Pressure float64
-	// Priority is the priority with the lowest admission rate, and Admitted is this rate.
-	Priority uint16
-	Admitted float64
+	// Priority is the priority with the lowest admission rate, and AdmissionRate is this rate.
+	Priority      uint16
+	AdmissionRate float64
 	// Refused is the number of openings refused since the service became overloaded.
 	Refused uint64
 }
@@ -417,8 +417,8 @@
 
 // Level is the admission rate of the openings of one priority.
 type Level struct {
-	Priority uint16
-	Admitted float64
+	Priority      uint16
+	AdmissionRate float64
 }
 
 // Status returns the state of all services that had openings.
@@ -427,7 +427,7 @@
 	for name, s := range c.services {
 		status := Status{Service: name, Pressure: s.pressure, Refused: s.refusedTotal}
 		for _, l := range s.levels {
-			status.Levels = append(status.Levels, Level{Priority: l.priority, Admitted: s.admitted(now, l, s.pressure, &c.settings)})
+			status.Levels = append(status.Levels, Level{Priority: l.priority, AdmissionRate: s.admitted(now, l, s.pressure, &c.settings)})
 		}
 		statuses = append(statuses, status)
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -89,7 +89,7 @@
 	began := append([]Change(nil), h.Changes()...)
 	is.Equal(len(began), 1)
 	is.True(began[0].Overloaded && began[0].Service == web && began[0].Priority == feed.Priority)
-	is.True(began[0].Pressure > 0.85 && began[0].Admitted < overloadedRate)
+	is.True(began[0].Pressure > 0.85 && began[0].AdmissionRate < overloadedRate)
 	h.pass(web, 8*time.Second, h.calm)
 	ended := h.Changes()
 	is.Equal(len(ended), 1)
@@ -175,10 +175,10 @@
 				}
 				above := 1.0
 				for _, level := range status.Levels {
-					if !(level.Admitted >= minRate && level.Admitted <= above+1e-9) {
+					if !(level.AdmissionRate >= minRate && level.AdmissionRate <= above+1e-9) {
 						t.Fatalf("levels %v", status.Levels)
 					}
-					above = level.Admitted
+					above = level.AdmissionRate
 				}
 			}
 		}
--- a/internal/overload/service.go
+++ b/internal/overload/service.go
@@ -56,8 +56,8 @@
 		if l.priority != priority || l.begun == 0 {
 			continue
 		}
-		if share := 1 - l.opened/l.begun; share > minOpenFlowShare {
-			return share
+		if fraction := 1 - l.opened/l.begun; fraction > minOpenFlowShare {
+			return fraction
 		}
 	}
 	return 0
@@ -242,17 +242,17 @@
 
 // change returns a change if the service has become overloaded or is no longer overloaded.
 func (s *service) change(now time.Duration, settings *Settings) (Change, bool) {
-	change := Change{Pressure: s.pressure, Admitted: 1}
+	change := Change{Pressure: s.pressure, AdmissionRate: 1}
 	for _, l := range s.levels {
-		if admitted := s.admitted(now, l, s.pressure, settings); admitted < change.Admitted {
-			change.Admitted, change.Priority = admitted, l.priority
+		if admitted := s.admitted(now, l, s.pressure, settings); admitted < change.AdmissionRate {
+			change.AdmissionRate, change.Priority = admitted, l.priority
 		}
 	}
-	if change.Admitted < 1 {
+	if change.AdmissionRate < 1 {
 		s.lastRefusing = now
 	}
 	switch {
-	case !s.overloaded && change.Admitted < overloadedRate:
+	case !s.overloaded && change.AdmissionRate < overloadedRate:
 		s.overloaded = true
 		s.refused = 0
 		change.Overloaded = true
--- a/internal/passivehealth/observer.go
+++ b/internal/passivehealth/observer.go
@@ -142,8 +142,8 @@
 	return state
 }
 
-// Opened records that an opening was forwarded to a back end.
-func (o *Observer) Opened(now time.Duration, flow lb.FlowID, identity Identity) {
+// RecordOpening records that an opening was forwarded to a back end.
+func (o *Observer) RecordOpening(now time.Duration, flow lb.FlowID, identity Identity) {
 	earlier, found := o.openings[flow]
 	if found && earlier.identity == identity {
 		return // a retransmission
@@ -157,10 +157,10 @@
 	}
 }
 
-// Placed returns the back end to which an earlier copy of the opening was forwarded. It returns
-// false if that back end left the opening unanswered and no answer of it was observed since, or if
-// it left later openings unanswered.
-func (o *Observer) Placed(now time.Duration, flow lb.FlowID) (Identity, bool) {
+// PlacedBackend returns the back end to which an earlier copy of the opening was forwarded. It
+// returns false if that back end left the opening unanswered and no answer of it was observed
+// since, or if it left later openings unanswered.
+func (o *Observer) PlacedBackend(now time.Duration, flow lb.FlowID) (Identity, bool) {
 	earlier, found := o.openings[flow]
 	if !found || now-earlier.at > o.settings.OpeningRetention {
 		return 0, false
@@ -172,9 +172,9 @@
 	return earlier.identity, true
 }
 
-// Pending returns the back end to which the opening of a flow was forwarded, until a later packet
-// of the flow arrives.
-func (o *Observer) Pending(flow lb.FlowID) (Identity, bool) {
+// PendingBackend returns the back end to which the opening of a flow was forwarded, until a later
+// packet of the flow arrives.
+func (o *Observer) PendingBackend(flow lb.FlowID) (Identity, bool) {
 	pending, found := o.openings[flow]
 	return pending.identity, found
 }
@@ -186,11 +186,11 @@
 	return state != nil && state.missingAnswers > 0
 }
 
-// Later records a later packet of a flow. The packet shows that the back end has answered the
-// opening. If it acknowledges new data, the back end has also answered the previous request:
-// answered is then true, and took is the response time. hasData must be true if the packet carries
-// data. begun is true if a new request begins with the packet.
-func (o *Observer) Later(now time.Duration, flow lb.FlowID, service lb.ServiceName, identity Identity, acknowledged uint32, hasData bool) (took time.Duration, answered, begun bool) {
+// RecordLaterPacket records a later packet of a flow. The packet shows that the back end has
+// answered the opening. If it acknowledges new data, the back end has also answered the previous
+// request: answered is then true, and took is the response time. hasData must be true if the packet
+// carries data. begun is true if a new request begins with the packet.
+func (o *Observer) RecordLaterPacket(now time.Duration, flow lb.FlowID, service lb.ServiceName, identity Identity, acknowledged uint32, hasData bool) (took time.Duration, answered, begun bool) {
 	if pending, found := o.openings[flow]; found {
 		delete(o.openings, flow)
 		o.removeInFlight(pending.identity)
@@ -228,9 +228,9 @@
 	}
 }
 
-// Busy returns the number of openings and requests that passed this balancer and are in flight at a
-// back end, as far as the balancer can observe.
-func (o *Observer) Busy(identity Identity) int {
+// InFlight returns the number of openings and requests that passed this balancer and are in flight
+// at a back end, as far as the balancer can observe.
+func (o *Observer) InFlight(identity Identity) int {
 	state := o.backends[identity]
 	if state == nil {
 		return 0
--- a/internal/passivehealth/observer_test.go
+++ b/internal/passivehealth/observer_test.go
@@ -21,7 +21,7 @@
 func TestUnansweredOpeningMakesBackendUnresponsive(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	observer.Opened(0, 7, first)
+	observer.RecordOpening(0, 7, first)
 	is.Equal(observer.Factor(50*ms, web, first), 1.0)
 	observer.Tick(120 * ms)
 	is.Equal(observer.Changes(), []Change{{Identity: first, Unresponsive: true, Missing: 1}})
@@ -37,7 +37,7 @@
 	observer := New(DefaultSettings())
 	now := time.Duration(0)
 	for flow := range lb.FlowID(10) {
-		observer.Opened(now, flow, first)
+		observer.RecordOpening(now, flow, first)
 		now += 150 * ms
 		observer.Tick(now)
 	}
@@ -45,8 +45,8 @@
 	is.Equal(observer.Factor(now+limit-ms, web, first), 0.0)
 	is.Equal(observer.Factor(now+limit, web, first), 1.0)
 	observer.Changes()
-	observer.Opened(now, 99, first)
-	observer.Later(now+3*ms, 99, web, first, 1, false)
+	observer.RecordOpening(now, 99, first)
+	observer.RecordLaterPacket(now+3*ms, 99, web, first, 1, false)
 	is.Equal(observer.Changes(), []Change{{Identity: first}})
 	is.Equal(observer.Factor(now+3*ms, web, first), 1.0)
 }
@@ -54,12 +54,12 @@
 func TestLostOpeningToAResponsiveBackendIsIgnored(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	observer.Opened(0, 1, first)
-	observer.Opened(10*ms, 2, first)
-	observer.Later(13*ms, 2, web, first, 1, false)
+	observer.RecordOpening(0, 1, first)
+	observer.RecordOpening(10*ms, 2, first)
+	observer.RecordLaterPacket(13*ms, 2, web, first, 1, false)
 	observer.Tick(300 * ms)
 	is.Equal(observer.Factor(300*ms, web, first), 1.0)
-	identity, placed := observer.Placed(300*ms, 1) // the retransmission goes to the same back end
+	identity, placed := observer.PlacedBackend(300*ms, 1) // the retransmission goes to the same back end
 	is.True(placed)
 	is.Equal(identity, first)
 }
@@ -67,13 +67,13 @@
 func TestRetransmittedOpeningLeavesAnUnresponsiveBackend(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	observer.Opened(0, 1, first)
-	_, placed := observer.Placed(50*ms, 1)
+	observer.RecordOpening(0, 1, first)
+	_, placed := observer.PlacedBackend(50*ms, 1)
 	is.True(placed) // before the answer timeout
-	_, placed = observer.Placed(200*ms, 1)
+	_, placed = observer.PlacedBackend(200*ms, 1)
 	is.Equal(placed, false)
-	observer.Opened(200*ms, 1, second)
-	identity, placed := observer.Placed(250*ms, 1)
+	observer.RecordOpening(200*ms, 1, second)
+	identity, placed := observer.PlacedBackend(250*ms, 1)
 	is.True(placed)
 	is.Equal(identity, second)
 }
@@ -84,9 +84,9 @@
 	for index := range requests {
 		flow := lb.FlowID(identity)<<32 | lb.FlowID(index)
 		acknowledged := uint32(index)
-		observer.Later(now, flow, web, identity, acknowledged, true)
+		observer.RecordLaterPacket(now, flow, web, identity, acknowledged, true)
 		now += took
-		observer.Later(now, flow, web, identity, acknowledged+1, false)
+		observer.RecordLaterPacket(now, flow, web, identity, acknowledged+1, false)
 	}
 	return now
 }
@@ -117,9 +117,9 @@
 func TestRetransmittedRequestIsTimedFromItsFirstCopy(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	observer.Later(0, 1, web, first, 5, true)
-	observer.Later(200*ms, 1, web, first, 5, true)
-	observer.Later(230*ms, 1, web, first, 6, false)
+	observer.RecordLaterPacket(0, 1, web, first, 5, true)
+	observer.RecordLaterPacket(200*ms, 1, web, first, 5, true)
+	observer.RecordLaterPacket(230*ms, 1, web, first, 6, false)
 	is.True(math.Abs(observer.backends[first].latency-0.230) < 0.001)
 }
 
@@ -129,8 +129,8 @@
 	settings.MaxFlows = 100
 	observer := New(settings)
 	for flow := range lb.FlowID(1000) {
-		observer.Opened(0, flow, first)
-		observer.Later(0, flow+5000, web, first, 1, true)
+		observer.RecordOpening(0, flow, first)
+		observer.RecordLaterPacket(0, flow+5000, web, first, 1, true)
 	}
 	is.True(len(observer.openings) <= 100 && len(observer.requests) <= 100)
 	observer.Tick(10 * time.Second)
@@ -144,9 +144,9 @@
 func TestAnswersAndMissingAnswersAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	observer.Opened(10*ms, 7, first)
-	observer.Opened(20*ms, 8, second)
-	observer.Later(30*ms, 8, web, second, 1, false)
+	observer.RecordOpening(10*ms, 7, first)
+	observer.RecordOpening(20*ms, 8, second)
+	observer.RecordLaterPacket(30*ms, 8, web, second, 1, false)
 	is.Equal(observer.Signs(), []Sign{{Identity: second}})
 	for now := 40 * ms; now < 400*ms; now += 20 * ms {
 		observer.Tick(now)
@@ -160,35 +160,35 @@
 func TestInFlightOpeningsAndRequestsAreCounted(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	observer.Opened(0, 1, 7)
-	observer.Opened(0, 1, 7) // a retransmission
-	observer.Opened(0, 2, 7)
-	is.Equal(observer.Busy(7), 2)
-	observer.Opened(0, 2, 8) // a retransmission to another back end
-	is.Equal(observer.Busy(7), 1)
-	is.Equal(observer.Busy(8), 1)
-	observer.Later(time.Millisecond, 1, "web", 7, 10, true)
-	is.Equal(observer.Busy(7), 1) // the request of flow 1
-	observer.Later(50*time.Millisecond, 1, "web", 7, 500, false)
-	is.Equal(observer.Busy(7), 0)
-	observer.Later(60*time.Millisecond, 1, "web", 7, 500, true)
-	is.Equal(observer.Busy(7), 1)
+	observer.RecordOpening(0, 1, 7)
+	observer.RecordOpening(0, 1, 7) // a retransmission
+	observer.RecordOpening(0, 2, 7)
+	is.Equal(observer.InFlight(7), 2)
+	observer.RecordOpening(0, 2, 8) // a retransmission to another back end
+	is.Equal(observer.InFlight(7), 1)
+	is.Equal(observer.InFlight(8), 1)
+	observer.RecordLaterPacket(time.Millisecond, 1, "web", 7, 10, true)
+	is.Equal(observer.InFlight(7), 1) // the request of flow 1
+	observer.RecordLaterPacket(50*time.Millisecond, 1, "web", 7, 500, false)
+	is.Equal(observer.InFlight(7), 0)
+	observer.RecordLaterPacket(60*time.Millisecond, 1, "web", 7, 500, true)
+	is.Equal(observer.InFlight(7), 1)
 	observer.Tick(10 * time.Second)
-	is.Equal(observer.Busy(7), 0)
-	is.Equal(observer.Busy(8), 0)
+	is.Equal(observer.InFlight(7), 0)
+	is.Equal(observer.InFlight(8), 0)
 }
 
 func TestPendingOpening(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	_, found := observer.Pending(7)
+	_, found := observer.PendingBackend(7)
 	is.Equal(found, false)
-	observer.Opened(0, 7, first)
-	identity, found := observer.Pending(7)
+	observer.RecordOpening(0, 7, first)
+	identity, found := observer.PendingBackend(7)
 	is.True(found)
 	is.Equal(identity, first)
-	observer.Later(3*ms, 7, web, first, 1, false)
-	_, found = observer.Pending(7)
+	observer.RecordLaterPacket(3*ms, 7, web, first, 1, false)
+	_, found = observer.PendingBackend(7)
 	is.Equal(found, false)
 }
 
@@ -198,12 +198,12 @@
 func TestRetransmittedOpeningLeavesABackendThatStoppedAnswering(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	observer.Opened(0, 1, first)
-	observer.Opened(0, 2, first)
-	observer.Later(5*ms, 2, web, first, 1, false)
-	observer.Opened(20*ms, 3, first) // also left unanswered
+	observer.RecordOpening(0, 1, first)
+	observer.RecordOpening(0, 2, first)
+	observer.RecordLaterPacket(5*ms, 2, web, first, 1, false)
+	observer.RecordOpening(20*ms, 3, first) // also left unanswered
 	observer.Tick(150 * ms)
-	_, placed := observer.Placed(200*ms, 1)
+	_, placed := observer.PlacedBackend(200*ms, 1)
 	is.Equal(placed, false)
 }
 
@@ -212,11 +212,11 @@
 	is := is.New(t)
 	observer := New(DefaultSettings())
 	is.True(!observer.Suspect(first))
-	observer.Opened(0, 1, first)
+	observer.RecordOpening(0, 1, first)
 	observer.Tick(150 * ms)
 	is.True(observer.Suspect(first))
 	is.Equal(observer.Factor(time.Second, web, first), 1.0) // the back end is retried
 	is.True(observer.Suspect(first))
-	observer.Later(1100*ms, 1, web, first, 1, false)
+	observer.RecordLaterPacket(1100*ms, 1, web, first, 1, false)
 	is.True(!observer.Suspect(first))
 }
--- a/internal/passivehealth/outcome.go
+++ b/internal/passivehealth/outcome.go
@@ -40,19 +40,19 @@
 // the flow, or with its end.
 const exchangeRetention = 5 * time.Second
 
-// Exchanging returns the back end to which the last request of a flow was forwarded and the
+// LastRequest returns the back end to which the last request of a flow was forwarded and the
 // acknowledgement number of that request, within exchangeRetention of the request.
-func (o *Observer) Exchanging(flow lb.FlowID) (identity Identity, acknowledged uint32, found bool) {
+func (o *Observer) LastRequest(flow lb.FlowID) (identity Identity, acknowledged uint32, found bool) {
 	last, found := o.exchanges[flow]
 	return last.identity, last.acknowledged, found
 }
 
-// Reopened records that a new flow begins with the same addresses and ports.
-func (o *Observer) Reopened(flow lb.FlowID) { delete(o.exchanges, flow) }
+// RecordNewFlow records that a new flow begins with the same addresses and ports.
+func (o *Observer) RecordNewFlow(flow lb.FlowID) { delete(o.exchanges, flow) }
 
-// Measure uses a later packet of a flow to measure an answer: its size is the advance of the
+// MeasureAnswer uses a later packet of a flow to measure an answer: its size is the advance of the
 // client's acknowledgement number between a request and the next request or the close.
-func (o *Observer) Measure(now time.Duration, flow lb.FlowID, frontend lb.FrontendKey, identity Identity, acknowledged uint32, hasData, closing bool) {
+func (o *Observer) MeasureAnswer(now time.Duration, flow lb.FlowID, frontend lb.FrontendKey, identity Identity, acknowledged uint32, hasData, closing bool) {
 	last, waiting := o.exchanges[flow]
 	if waiting && (hasData || closing) && last.acknowledged != acknowledged {
 		delete(o.exchanges, flow)
--- a/internal/passivehealth/outcome_test.go
+++ b/internal/passivehealth/outcome_test.go
@@ -20,8 +20,8 @@
 
 // runExchange sends a request on a flow and closes the flow after an answer of the given size.
 func runExchange(observer *Observer, flow lb.FlowID, frontend lb.FrontendKey, identity Identity, bytes uint32) {
-	observer.Measure(0, flow, frontend, identity, 1000, true, false)
-	observer.Measure(20*ms, flow, frontend, identity, 1000+bytes, false, true)
+	observer.MeasureAnswer(0, flow, frontend, identity, 1000, true, false)
+	observer.MeasureAnswer(20*ms, flow, frontend, identity, 1000+bytes, false, true)
 }
 
 // badOutcomes returns the number of bad outcomes, and of all outcomes, since the last call.
@@ -100,7 +100,7 @@
 	serveRequests(observer, 0, first, 20*ms, 100)
 	badOutcomes(observer)
 	now := 10 * time.Second
-	observer.Later(now, 5000, web, second, 1, true)
+	observer.RecordLaterPacket(now, 5000, web, second, 1, true)
 	observer.Tick(now + 250*ms)
 	_, all := badOutcomes(observer)
 	is.Equal(all, 0) // before the timeout
@@ -109,7 +109,7 @@
 	bad, all := badOutcomes(observer)
 	is.Equal(bad, 1) // reported once
 	is.Equal(all, 1)
-	observer.Later(now+600*ms, 5000, web, second, 2, false)
+	observer.RecordLaterPacket(now+600*ms, 5000, web, second, 2, false)
 	bad, all = badOutcomes(observer)
 	is.Equal(bad, 0)
 	is.Equal(all, 1)
@@ -122,7 +122,7 @@
 	serveRequests(observer, 0, first, 200*ms, 100)
 	badOutcomes(observer)
 	now := 100 * time.Second
-	observer.Later(now, 5000, web, second, 1, true)
+	observer.RecordLaterPacket(now, 5000, web, second, 1, true)
 	observer.Tick(now + 2*time.Second)
 	_, all := badOutcomes(observer)
 	is.Equal(all, 0)
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// Answered records an answer of a back end in the zone.
-func (t *Tracker) Answered(now time.Duration, name lb.Zone) {
+// RecordAnswer records an answer of a back end in the zone.
+func (t *Tracker) RecordAnswer(now time.Duration, name lb.Zone) {
 	z := t.zone(name)
 	z.lastAnswer = now
 	z.membersAlive = false
@@ -163,9 +163,9 @@
 	t.restore(now, name, z, LifeSignAnswer)
 }
 
-// MemberSeen records when the last message from a balancer in the zone was received, and whether
-// the membership considers the zone lost.
-func (t *Tracker) MemberSeen(now time.Duration, name lb.Zone, at time.Duration, lost bool) {
+// RecordMemberSeen records when the last message from a balancer in the zone was received, and
+// whether the membership considers the zone lost.
+func (t *Tracker) RecordMemberSeen(now time.Duration, name lb.Zone, at time.Duration, lost bool) {
 	z := t.zone(name)
 	z.membershipLost = lost
 	if at <= z.memberSeen {
@@ -181,8 +181,9 @@
 	}
 }
 
-// Unanswered records an opening, sent to a back end at the time sent, that got no answer in time.
-func (t *Tracker) Unanswered(now time.Duration, name lb.Zone, identity Identity, sent time.Duration) {
+// RecordUnanswered records an opening, sent to a back end at the time sent, that got no answer in
+// time.
+func (t *Tracker) RecordUnanswered(now time.Duration, name lb.Zone, identity Identity, sent time.Duration) {
 	z := t.zone(name)
 	relevant := z.lastAnswer != never && sent > max(z.lastAnswer, z.memberSeen, t.resumedAt)
 	if !relevant || z.unreachable || z.membersAlive {
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -61,7 +61,7 @@
 
 func (w *world) reportUnanswered() {
 	for len(w.pending) > 0 && w.now-w.pending[0].sent >= answerTimeout {
-		w.Unanswered(w.now, w.pending[0].zone, w.pending[0].identity, w.pending[0].sent)
+		w.RecordUnanswered(w.now, w.pending[0].zone, w.pending[0].identity, w.pending[0].sent)
 		w.pending = w.pending[1:]
 	}
 }
@@ -69,7 +69,7 @@
 func (w *world) reportMembers() {
 	for _, zone := range []lb.Zone{zoneA, zoneB} {
 		if !w.balancersDown[zone] {
-			w.MemberSeen(w.now, zone, w.now, false)
+			w.RecordMemberSeen(w.now, zone, w.now, false)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		if w.backEndsDown[zone] {
 			w.pending = append(w.pending, unansweredOpening{zone, Identity(w.opened % 40), w.now})
 		} else {
-			w.Answered(w.now, zone)
+			w.RecordAnswer(w.now, zone)
 		}
 		return
 	}
@@ -174,11 +174,11 @@
 	w.run(2 * time.Second)
 	w.balancersDown[zoneB] = true
 	for range 50 {
-		w.MemberSeen(w.now, zoneB, time.Second, true)
+		w.RecordMemberSeen(w.now, zoneB, time.Second, true)
 		w.run(200 * time.Millisecond)
 		is.True(w.AllReachable())
 		// One opening in five is lost, in either direction.
-		w.Unanswered(w.now, zoneB, Identity(w.opened), w.now-answerTimeout)
+		w.RecordUnanswered(w.now, zoneB, Identity(w.opened), w.now-answerTimeout)
 	}
 	is.Equal(len(w.changes), 0)
 }
@@ -237,14 +237,14 @@
 func TestFewerUnresponsiveBackEndsSufficeIfMembershipLost(t *testing.T) {
 	is := is.New(t)
 	tracker := New(DefaultSettings("zone-own"))
-	tracker.Answered(time.Second, zoneA)
-	tracker.MemberSeen(time.Second, zoneA, time.Second, true)
-	tracker.Unanswered(2*time.Second, zoneA, 1, 1900*time.Millisecond)
-	tracker.Unanswered(3*time.Second, zoneA, 1, 2900*time.Millisecond)
+	tracker.RecordAnswer(time.Second, zoneA)
+	tracker.RecordMemberSeen(time.Second, zoneA, time.Second, true)
+	tracker.RecordUnanswered(2*time.Second, zoneA, 1, 1900*time.Millisecond)
+	tracker.RecordUnanswered(3*time.Second, zoneA, 1, 2900*time.Millisecond)
 	is.True(tracker.AllReachable())
-	tracker.Unanswered(4*time.Second, zoneA, 2, 3900*time.Millisecond)
+	tracker.RecordUnanswered(4*time.Second, zoneA, 2, 3900*time.Millisecond)
 	is.True(!tracker.Reachable(zoneA))
-	tracker.MemberSeen(5*time.Second, zoneA, 3*time.Second, true) // an outdated time
+	tracker.RecordMemberSeen(5*time.Second, zoneA, 3*time.Second, true) // an outdated time
 	is.True(!tracker.Reachable(zoneA))
 	tracker.Forget(func(lb.Zone) bool { return false })
 	is.True(tracker.AllReachable())
@@ -255,9 +255,9 @@
 func TestOneUnresponsiveBackEndIsNotEnough(t *testing.T) {
 	is := is.New(t)
 	tracker := New(DefaultSettings("zone-own"))
-	tracker.Answered(0, zoneA)
+	tracker.RecordAnswer(0, zoneA)
 	for now := time.Second; now < 10*time.Second; now += openingInterval {
-		tracker.Unanswered(now, zoneA, 7, now-answerTimeout)
+		tracker.RecordUnanswered(now, zoneA, 7, now-answerTimeout)
 	}
 	is.True(tracker.AllReachable())
 }
@@ -283,18 +283,18 @@
 				case event < 60:
 					sent := now - answerTimeout - time.Duration(random.IntN(50))*time.Millisecond
 					before := tracker.Reachable(zone)
-					tracker.Unanswered(now, zone, Identity(random.IntN(10)), sent)
+					tracker.RecordUnanswered(now, zone, Identity(random.IntN(10)), sent)
 					if before && !tracker.Reachable(zone) {
 						unreachable[zone]++
 						is.True(answered[zone])
 						is.True(now-signs[zone] >= 200*time.Millisecond)
 					}
 				case event < 61:
-					tracker.Answered(now, zone)
+					tracker.RecordAnswer(now, zone)
 					answered[zone], signs[zone] = true, now
 					is.True(tracker.Reachable(zone))
 				case event < 62:
-					tracker.MemberSeen(now, zone, now, false)
+					tracker.RecordMemberSeen(now, zone, now, false)
 					signs[zone] = now
 					is.True(tracker.Reachable(zone))
 				case event < 80:
--- a/internal/steering/compiler_test.go
+++ b/internal/steering/compiler_test.go
@@ -144,9 +144,9 @@
 func describeWithoutReplica(table *Table) string {
 	text := describeTable(table, view.NewReplica())
 	for number := range 8 {
-		for born := range int64(3) {
-			if host := table.byHash.get(tokenHash(lb.BackendName(fmt.Sprintf("i-%d", number+1)), born)); host != nil {
-				text += fmt.Sprintf(" %d/%d=%s", number, born, host.Name)
+		for startUnixMillis := range int64(3) {
+			if host := table.byHash.get(tokenHash(lb.BackendName(fmt.Sprintf("i-%d", number+1)), startUnixMillis)); host != nil {
+				text += fmt.Sprintf(" %d/%d=%s", number, startUnixMillis, host.Name)
 			}
 		}
 	}
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -118,8 +118,8 @@
 				blue++
 			}
 		}
-		share := float64(blue) / requests
-		is.True(share > 0.58 && share < 0.82) // 0.70 within 3.7 standard deviations
+		fraction := float64(blue) / requests
+		is.True(fraction > 0.58 && fraction < 0.82) // 0.70 within 3.7 standard deviations
 	}
 }
 
@@ -207,9 +207,9 @@
 	replica.ApplyChanges(time.Second, &view.Changes{Revision: 12, Changes: []view.Change{
 		{Revision: 11, Deleted: "i-1"}, {Revision: 12, Deleted: "i-2"},
 	}})
-	gone := Compile(replica, zoneA, time.Second).Service(&flow)
-	is.Equal(len(gone.Lapsed), 1) // a cold host is not a last resort
-	is.Equal(gone.Lapsed[0].Name, lb.BackendName("i-1"))
+	deleted := Compile(replica, zoneA, time.Second).Service(&flow)
+	is.Equal(len(deleted.Lapsed), 1) // a cold host is not a last resort
+	is.Equal(deleted.Lapsed[0].Name, lb.BackendName("i-1"))
 }
 
 func TestColdHostsAreNeededAsMajority(t *testing.T) {
--- a/internal/steering/weights_test.go
+++ b/internal/steering/weights_test.go
@@ -54,8 +54,8 @@
 					load[host.Name] += service.evenWeights()[index] / sum / float64(len(zones))
 				}
 			}
-			for _, share := range load {
-				is.True(math.Abs(share*float64(total)-1) < 3*zoneweight.MinRemoteWeight)
+			for _, fraction := range load {
+				is.True(math.Abs(fraction*float64(total)-1) < 3*zoneweight.MinRemoteWeight)
 			}
 		})
 	}
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -63,7 +63,7 @@
 	zone        lb.Zone
 	credit      float64
 	members     []member
-	weight      float64 // weight of the zone for the current pick
+	zoneWeight  float64 // weight of the zone for the current pick
 	factor      float64 // weighted mean of the members' factors for the current pick
 	unavailable float64 // sum of the weights of members with factor 0 for the current pick
 }
@@ -182,9 +182,9 @@
 // Pick returns the index, in the list passed to NewRing, of the back end for the next flow. It
 // returns -1 if there is none, or if more than maxUnavailable of the subset in the selected zone is
 // unavailable. zoneWeights are the fractions of this node's flows per zone. factor returns the
-// factor, from 0 to 1, by which a back end's weight is multiplied, and busy returns the number of
-// this node's requests in flight there.
-func (p *Picker) Pick(zoneWeights map[lb.Zone]float64, factor func(index int) float64, busy func(index int) int) int {
+// factor, from 0 to 1, by which a back end's weight is multiplied, and inFlight returns the
+// number of this node's requests in flight there.
+func (p *Picker) Pick(zoneWeights map[lb.Zone]float64, factor func(index int) float64, inFlight func(index int) int) int {
 	best := p.pickZone(zoneWeights, factor)
 	if best == nil || best.unavailable > maxUnavailable {
 		return -1
@@ -199,7 +199,7 @@
 		m.credit = min(m.credit+m.weight*m.factor/best.factor, maxCredit)
 		score := m.credit
 		if p.settings.InFlightPenalty > 0 {
-			score -= p.settings.InFlightPenalty * float64(busy(m.index))
+			score -= p.settings.InFlightPenalty * float64(inFlight(m.index))
 		}
 		if score > highest {
 			chosen, highest = m, score
@@ -218,7 +218,7 @@
 	sum := 0.0
 	for index := range p.subsets {
 		s := &p.subsets[index]
-		s.factor, s.unavailable, s.weight = 0, 0, zoneWeights[s.zone]
+		s.factor, s.unavailable, s.zoneWeight = 0, 0, zoneWeights[s.zone]
 		for index := range s.members {
 			m := &s.members[index]
 			m.factor = factor(m.index)
@@ -228,16 +228,16 @@
 			}
 		}
 		if s.factor > 0 {
-			sum += s.weight
+			sum += s.zoneWeight
 		}
 	}
 	var best *zoneSubset
 	for index := range p.subsets {
 		s := &p.subsets[index]
-		if s.factor == 0 || s.weight == 0 {
+		if s.factor == 0 || s.zoneWeight == 0 {
 			continue
 		}
-		s.credit += s.weight / sum
+		s.credit += s.zoneWeight / sum
 		if best == nil || s.credit > best.credit {
 			best = s
 		}
--- a/internal/tokennode/enginelog.go
+++ b/internal/tokennode/enginelog.go
@@ -54,7 +54,7 @@
 			Str(logging.FieldService, string(change.Service)).
 			Float64(logging.FieldPressure, change.Pressure).
 			Uint16(logging.FieldPriority, change.Priority).
-			Float64(logging.FieldAdmissionRate, change.Admitted).
+			Float64(logging.FieldAdmissionRate, change.AdmissionRate).
 			Uint64(logging.FieldRefused, change.Refused).
 			Send()
 	}
--- a/internal/tokennode/fleetloadlog.go
+++ b/internal/tokennode/fleetloadlog.go
@@ -112,7 +112,7 @@
 	for _, status := range engine.core.OverloadStatus() {
 		pressures[status.Service] = status.Pressure
 		for _, level := range status.Levels {
-			rates[levelKey{status.Service, level.Priority}] = level.Admitted
+			rates[levelKey{status.Service, level.Priority}] = level.AdmissionRate
 		}
 	}
 	engine.loadLog.admissionRates.retain(func(key levelKey) bool { return engine.table.HasService(key.service) })
--- a/internal/tokennode/loadreport.go
+++ b/internal/tokennode/loadreport.go
@@ -84,7 +84,7 @@
 func addOverload(reported *loadreport.Service, status overload.Status) {
 	reported.Pressure, reported.Refused = status.Pressure, status.Refused
 	for _, level := range status.Levels {
-		reported.Levels = append(reported.Levels, loadreport.Admission{Priority: level.Priority, Rate: level.Admitted})
+		reported.Levels = append(reported.Levels, loadreport.Admission{Priority: level.Priority, Rate: level.AdmissionRate})
 	}
 }
 
--- a/internal/tokennode/metrics.go
+++ b/internal/tokennode/metrics.go
@@ -239,7 +239,7 @@
 		output.Add(metricPressure, status.Pressure, string(status.Service))
 		output.Count(metricOverloadRefused, status.Refused, string(status.Service))
 		for _, level := range status.Levels {
-			output.Add(metricAdmissionRate, level.Admitted, string(status.Service), strconv.Itoa(int(level.Priority)))
+			output.Add(metricAdmissionRate, level.AdmissionRate, string(status.Service), strconv.Itoa(int(level.Priority)))
 		}
 	}
 }
--- a/internal/weight/backend.go
+++ b/internal/weight/backend.go
@@ -132,12 +132,12 @@
 		if left <= 0 {
 			continue
 		}
-		share := uint64(left) * FullFactor / uint64(settings.MaxAge)
-		freshest = max(freshest, share)
-		total += share
-		load += share * uint64(report.load)
+		weight := uint64(left) * FullFactor / uint64(settings.MaxAge)
+		freshest = max(freshest, weight)
+		total += weight
+		load += weight * uint64(report.load)
 		if !report.healthy {
-			unhealthy += share
+			unhealthy += weight
 		}
 	}
 	if total == 0 {
