--- a/internal/admissionqueue/queue.go
+++ b/internal/admissionqueue/queue.go
@@ -178,7 +178,7 @@
 	}
 	q.nextSequence++
 	s.waiting++
-	index := slices.IndexFunc(q.entries, func(w QueuedOpening[K]) bool { return !w.used })
+	index := slices.IndexFunc(q.entries, func(queued QueuedOpening[K]) bool { return !queued.used })
 	q.entries[index] = added
 	at, _ := slices.BinarySearchFunc(q.order, index, func(a, b int) int { return q.compare(&q.entries[a], &q.entries[b]) })
 	q.order = slices.Insert(q.order, at, index)
@@ -196,14 +196,14 @@
 }
 
 // Remove removes an opening that Find returned.
-func (q *Queue[K]) Remove(w *QueuedOpening[K]) {
-	q.order = slices.DeleteFunc(q.order, func(index int) bool { return &q.entries[index] == w })
-	q.clear(w)
+func (q *Queue[K]) Remove(queued *QueuedOpening[K]) {
+	q.order = slices.DeleteFunc(q.order, func(index int) bool { return &q.entries[index] == queued })
+	q.clear(queued)
 }
 
-func (q *Queue[K]) clear(w *QueuedOpening[K]) {
-	q.services[w.Service].waiting--
-	*w = QueuedOpening[K]{}
+func (q *Queue[K]) clear(queued *QueuedOpening[K]) {
+	q.services[queued.Service].waiting--
+	*queued = QueuedOpening[K]{}
 }
 
 // Retry retries each queued opening, in order: decide returns the decision on it. If all is true,
@@ -212,33 +212,33 @@
 	q.scratch = append(q.scratch[:0], q.order...)
 	q.order = q.order[:0]
 	for _, index := range q.scratch {
-		w := &q.entries[index]
-		w.Retries++
-		phase := q.phase(now, w)
+		queued := &q.entries[index]
+		queued.Retries++
+		phase := q.phase(now, queued)
 		if all && phase == PhaseWaiting {
 			phase = PhaseFinal
 		}
-		switch decide(w, phase) {
+		switch decide(queued, phase) {
 		case OutcomeQueued:
 			q.order = append(q.order, index)
 			continue
 		case OutcomeReleased:
-			s := q.serviceState(now, w.Service)
+			s := q.serviceState(now, queued.Service)
 			s.released++
 		}
-		q.clear(w)
+		q.clear(queued)
 	}
 }
 
 // phase returns which outcomes are possible for an opening now. q.order holds the openings before
 // it that stay queued.
-func (q *Queue[K]) phase(now time.Duration, w *QueuedOpening[K]) Phase {
+func (q *Queue[K]) phase(now time.Duration, queued *QueuedOpening[K]) Phase {
 	switch {
-	case now > w.Due+q.settings.Grace && !q.settings.refusesLate:
+	case now > queued.Due+q.settings.Grace && !q.settings.refusesLate:
 		return PhaseExpired
-	case now >= w.Due && !q.settings.keepsOverdue:
+	case now >= queued.Due && !q.settings.keepsOverdue:
 		return PhaseFinal
-	case q.unservable(now, q.serviceState(now, w.Service), q.ahead(w), w.Due-now):
+	case q.unservable(now, q.serviceState(now, queued.Service), q.ahead(queued), queued.Due-now):
 		return PhaseFinal
 	}
 	return PhaseWaiting
@@ -246,11 +246,11 @@
 
 // ahead returns the number of queued openings of the same service that are retried before the given
 // one.
-func (q *Queue[K]) ahead(w *QueuedOpening[K]) int {
+func (q *Queue[K]) ahead(queued *QueuedOpening[K]) int {
 	count := 0
 	for _, index := range q.order {
 		other := &q.entries[index]
-		if other.Service == w.Service && q.compare(other, w) < 0 {
+		if other.Service == queued.Service && q.compare(other, queued) < 0 {
 			count++
 		}
 	}
--- a/internal/fleetload/root.go
+++ b/internal/fleetload/root.go
@@ -97,12 +97,12 @@
 	for service := range c.root.nearLimitAt {
 		services[service] = false
 	}
-	for service, echo := range services {
+	for service, solicited := range services {
 		work := message.ServiceWork{Service: service}
 		if rate := c.root.rates[service]; rate != nil {
 			work = rate.message(service)
 		}
-		work.Solicited = echo
+		work.Solicited = solicited
 		own.Services = append(own.Services, work)
 	}
 	own.Services = topByWork(own.Services, c.settings.MaxServices)
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -202,11 +202,11 @@
 	slices.SortFunc(candidates, func(left, right Identity) int {
 		return cmp.Or(cmp.Compare(d.records[right].bad, d.records[left].bad), cmp.Compare(left, right))
 	})
-	slots := int(d.settings.MaxEjectedFraction*float64(len(identities))) - ejected
+	ejectable := int(d.settings.MaxEjectedFraction*float64(len(identities))) - ejected
 	suspects := d.countSuspects()
 	for _, identity := range candidates {
 		rec := d.records[identity]
-		if slots <= 0 {
+		if ejectable <= 0 {
 			rec.watched = false // it cannot be ejected, and other suspects need the slot
 			continue
 		}
@@ -215,7 +215,7 @@
 		if d.shouldEject(now, rec, baseline, healthy, mayWatch) {
 			rec.ejectedUntil = now + d.settings.EjectionTime
 			addChange(identity, rec)
-			slots--
+			ejectable--
 		}
 		if rec.watched && !wasWatched {
 			suspects++
@@ -248,13 +248,13 @@
 		return false
 	}
 	failing := d.settings.FailingBadRatio
-	likelihood := float64(rec.watchedBad)*math.Log(failing/healthy) +
+	logRatio := float64(rec.watchedBad)*math.Log(failing/healthy) +
 		float64(rec.watchedGood)*math.Log((1-failing)/(1-healthy))
-	if likelihood <= d.settings.ClearThreshold {
+	if logRatio <= d.settings.ClearThreshold {
 		*rec = record{at: rec.at, recent: rec.recent}
 		return false
 	}
-	return likelihood >= d.settings.EjectThreshold && rec.reporters >= d.settings.MinReporters &&
+	return logRatio >= d.settings.EjectThreshold && rec.reporters >= d.settings.MinReporters &&
 		now-rec.watchedAt >= d.settings.MinWatchTime
 }
 
--- a/internal/passivehealth/observer.go
+++ b/internal/passivehealth/observer.go
@@ -81,12 +81,12 @@
 	sizes     map[lb.FrontendKey]*answerSizes
 	outcomes  []Outcome
 	// ejected holds the back ends that outlier detection has ejected.
-	ejected      map[Identity]bool
-	backends     map[Identity]*backendState
-	typical      map[lb.ServiceName]float64 // seconds; response time of fast answers of a service
-	nextSweep    time.Duration
-	changes      []Change
-	observations []Sign
+	ejected   map[Identity]bool
+	backends  map[Identity]*backendState
+	typical   map[lb.ServiceName]float64 // seconds; response time of fast answers of a service
+	nextSweep time.Duration
+	changes   []Change
+	signs     []Sign
 }
 
 // Change records that a back end has become unresponsive, or has answered again.
@@ -115,9 +115,9 @@
 // Signs returns the observations since the last call. The slice is valid until the next call of any
 // method.
 func (o *Observer) Signs() []Sign {
-	observations := o.observations
-	o.observations = o.observations[:0]
-	return observations
+	signs := o.signs
+	o.signs = o.signs[:0]
+	return signs
 }
 
 // New returns an observer without any observations.
@@ -239,7 +239,7 @@
 }
 
 func (o *Observer) recordAnswer(now time.Duration, identity Identity) {
-	o.observations = append(o.observations, Sign{Identity: identity})
+	o.signs = append(o.signs, Sign{Identity: identity})
 	state := o.stateOf(identity)
 	if state.missingAnswers > 0 {
 		o.changes = append(o.changes, Change{Identity: identity})
@@ -255,7 +255,8 @@
 	return state == nil || state.lastAnswerAt <= since
 }
 
-// checkOverdue counts the answer to an opening as missing when AnswerTimeout has passed.
+// checkOverdue counts the answer to an opening as missing when AnswerTimeout has passed and no
+// answer of its back end was observed since the opening.
 func (o *Observer) checkOverdue(now time.Duration, flow lb.FlowID, pending opening) {
 	if pending.overdue || now-pending.at < o.settings.AnswerTimeout {
 		return
@@ -266,7 +267,7 @@
 		return // the back end has answered other flows: this packet, or its answer, was lost
 	}
 	o.recordOutcome(pending.identity, true)
-	o.observations = append(o.observations, Sign{Identity: pending.identity, Missing: true, Sent: pending.at})
+	o.signs = append(o.signs, Sign{Identity: pending.identity, Missing: true, Sent: pending.at})
 	state := o.stateOf(pending.identity)
 	state.missingAnswers++
 	if now >= state.unresponsiveUntil {
