--- a/internal/admissionqueue/queue.go
+++ b/internal/admissionqueue/queue.go
@@ -1,5 +1,5 @@
 // Package admissionqueue queues the first copies of openings for which there is no spare capacity
-// at present, for part of the time that their callers can wait, in place of refusing them
+// at present, for part of the time that their clients can wait, in place of refusing them
 // immediately. It decides the order in which they are retried, when their waiting time ends, and
 // which ones can't be admitted in time. The caller of the queue decides whether there is capacity.
 // The package has no I/O and no clock. See docs/design/waiting.md.
@@ -50,7 +50,7 @@
 	keepsUnservable, refusesLate, keepsOverdue bool
 }
 
-// firstCopyDelay is the time after which a caller sends the first copy of an opening that was not
+// firstCopyDelay is the time after which a client sends the first copy of an opening that was not
 // answered.
 const firstCopyDelay = 200 * time.Millisecond
 
@@ -63,7 +63,7 @@
 		// With two slots per back end and requests of 50 ms, a slot becomes free every 25 ms on
 		// average. A retry of the queue takes a few microseconds.
 		Interval: 10 * time.Millisecond,
-		// Callers try three times, and a try that is admitted takes up to two fifths of the target.
+		// Clients try three times, and a try that is admitted takes up to two fifths of the target.
 		// Three waits of a fifth each fit in the rest.
 		WaitShare: 0.2,
 		MaxWait:   120 * time.Millisecond,
@@ -96,7 +96,7 @@
 	used     bool
 }
 
-// Phase says which outcomes are possible for an opening at a retry.
+// Phase determines which outcomes are possible for an opening at a retry.
 type Phase uint8
 
 // These are the possible values.
@@ -106,7 +106,7 @@
 	// PhaseFinal means that the opening must be released or refused: its deadline has passed, or it
 	// can't be admitted before it.
 	PhaseFinal
-	// PhaseExpired means that the opening must be dropped, since its caller may have sent a copy to
+	// PhaseExpired means that the opening must be dropped, since its client may have sent a copy to
 	// another node.
 	PhaseExpired
 )
@@ -158,7 +158,7 @@
 func (q *Queue[K]) Len() int { return len(q.order) }
 
 // maxWait returns the maximum waiting time for an objective. It is 0 for an objective without a
-// target, since nothing limits then how long the caller can wait.
+// target, since nothing limits then how long the client can wait.
 func (q *Queue[K]) maxWait(objective lb.Objective) time.Duration {
 	return min(time.Duration(q.settings.WaitShare*float64(objective.Target())), q.settings.MaxWait)
 }
@@ -178,7 +178,7 @@
 	}
 	q.nextSequence++
 	s.waiting++
-	index := slices.IndexFunc(q.entries, func(w QueuedOpening[K]) bool { return !w.used })
+	index := slices.IndexFunc(q.entries, func(queued QueuedOpening[K]) bool { return !queued.used })
 	q.entries[index] = added
 	at, _ := slices.BinarySearchFunc(q.order, index, func(a, b int) int { return q.compare(&q.entries[a], &q.entries[b]) })
 	q.order = slices.Insert(q.order, at, index)
@@ -196,14 +196,14 @@
 }
 
 // Remove removes an opening that Find returned.
-func (q *Queue[K]) Remove(w *QueuedOpening[K]) {
-	q.order = slices.DeleteFunc(q.order, func(index int) bool { return &q.entries[index] == w })
-	q.clear(w)
+func (q *Queue[K]) Remove(queued *QueuedOpening[K]) {
+	q.order = slices.DeleteFunc(q.order, func(index int) bool { return &q.entries[index] == queued })
+	q.clear(queued)
 }
 
-func (q *Queue[K]) clear(w *QueuedOpening[K]) {
-	q.services[w.Service].waiting--
-	*w = QueuedOpening[K]{}
+func (q *Queue[K]) clear(queued *QueuedOpening[K]) {
+	q.services[queued.Service].waiting--
+	*queued = QueuedOpening[K]{}
 }
 
 // Retry retries each queued opening, in order: decide returns the decision on it. If all is true,
@@ -212,33 +212,33 @@
 	q.scratch = append(q.scratch[:0], q.order...)
 	q.order = q.order[:0]
 	for _, index := range q.scratch {
-		w := &q.entries[index]
-		w.Retries++
-		phase := q.phase(now, w)
+		queued := &q.entries[index]
+		queued.Retries++
+		phase := q.phase(now, queued)
 		if all && phase == PhaseWaiting {
 			phase = PhaseFinal
 		}
-		switch decide(w, phase) {
+		switch decide(queued, phase) {
 		case OutcomeQueued:
 			q.order = append(q.order, index)
 			continue
 		case OutcomeReleased:
-			s := q.serviceState(now, w.Service)
+			s := q.serviceState(now, queued.Service)
 			s.released++
 		}
-		q.clear(w)
+		q.clear(queued)
 	}
 }
 
 // phase returns which outcomes are possible for an opening now. q.order holds the openings before
 // it that stay queued.
-func (q *Queue[K]) phase(now time.Duration, w *QueuedOpening[K]) Phase {
+func (q *Queue[K]) phase(now time.Duration, queued *QueuedOpening[K]) Phase {
 	switch {
-	case now > w.Due+q.settings.Grace && !q.settings.refusesLate:
+	case now > queued.Due+q.settings.Grace && !q.settings.refusesLate:
 		return PhaseExpired
-	case now >= w.Due && !q.settings.keepsOverdue:
+	case now >= queued.Due && !q.settings.keepsOverdue:
 		return PhaseFinal
-	case q.unservable(now, q.serviceState(now, w.Service), q.ahead(w), w.Due-now):
+	case q.unservable(now, q.serviceState(now, queued.Service), q.ahead(queued), queued.Due-now):
 		return PhaseFinal
 	}
 	return PhaseWaiting
@@ -246,11 +246,11 @@
 
 // ahead returns the number of queued openings of the same service that are retried before the given
 // one.
-func (q *Queue[K]) ahead(w *QueuedOpening[K]) int {
+func (q *Queue[K]) ahead(queued *QueuedOpening[K]) int {
 	count := 0
 	for _, index := range q.order {
 		other := &q.entries[index]
-		if other.Service == w.Service && q.compare(other, w) < 0 {
+		if other.Service == queued.Service && q.compare(other, queued) < 0 {
 			count++
 		}
 	}
--- a/internal/core/reachability_test.go
+++ b/internal/core/reachability_test.go
@@ -64,7 +64,7 @@
 	counts := make(map[Reason]int)
 	for end := core.now + lasting; core.now < end; core.now += 20 * time.Millisecond {
 		if core.now%(100*time.Millisecond) == 0 {
-			core.Step(core.now, &Event{Tick: true, ZoneContacts: core.zonesHeard()}, &core.effects)
+			core.Step(core.now, &Event{Tick: true, ZoneContacts: core.zoneContacts()}, &core.effects)
 		}
 		decision := core.open(0)
 		reason := decision.Reason
@@ -76,14 +76,14 @@
 	return counts
 }
 
-func (core *zonedCore) zonesHeard() []ZoneContact {
-	var heard []ZoneContact
+func (core *zonedCore) zoneContacts() []ZoneContact {
+	var contacts []ZoneContact
 	for _, zone := range []lb.Zone{"za", "zb", "zc"} {
 		if !core.unreachable[zone] && !(zone == "za" && core.ownZoneUnreachable) {
-			heard = append(heard, ZoneContact{Zone: zone, At: core.now})
+			contacts = append(contacts, ZoneContact{Zone: zone, At: core.now})
 		}
 	}
-	return heard
+	return contacts
 }
 
 // TestOpeningsToUnreachableZones checks that openings are refused at once while no zone with back
@@ -91,10 +91,10 @@
 // its whole zone is cut off. A few openings are still forwarded as probes, which detect when the
 // zones are reachable again.
 func TestOpeningsToUnreachableZones(t *testing.T) {
-	for _, alone := range []bool{false, true} {
+	for _, onlyThisNode := range []bool{false, true} {
 		is := is.New(t)
 		core := newZonedCore()
-		core.ownZoneUnreachable = alone
+		core.ownZoneUnreachable = onlyThisNode
 		is.Equal(core.run(2 * time.Second)[ReasonUnreachable], 0)
 		core.unreachable = map[lb.Zone]bool{"zb": true, "zc": true}
 		core.run(500 * time.Millisecond)
@@ -140,8 +140,8 @@
 		core.settings.Picking = picking
 		core.run(2 * time.Second)
 		affinity := core.affinity.(*tokenAffinity)
-		parts := zoneweight.Weights{"zb": 1}
-		affinity.serviceWeights["web"] = &serviceWeights{byZone: parts, byHost: affinity.table.ServiceNamed("web").HostWeights(parts)}
+		weights := zoneweight.Weights{"zb": 1}
+		affinity.serviceWeights["web"] = &serviceWeights{byZone: weights, byHost: affinity.table.ServiceNamed("web").HostWeights(weights)}
 		is.Equal(core.run(time.Second)["zb"], 50)
 		core.unreachable = map[lb.Zone]bool{"zb": true}
 		core.run(time.Second)
--- a/internal/lab/surge/fleet.go
+++ b/internal/lab/surge/fleet.go
@@ -116,7 +116,7 @@
 		rates[index] = 1
 		for _, status := range s.nodes[index].core.OverloadStatus() {
 			for _, level := range status.Levels {
-				rates[index] = min(rates[index], level.Admitted)
+				rates[index] = min(rates[index], level.AdmissionRate)
 			}
 		}
 	}
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -22,7 +22,7 @@
 	// the number of outcomes in the fleet.
 	nodes       int
 	ownOutcomes map[lb.ServiceName]*decayingSum
-	number      uint64 // number of the last verdict
+	sequence    uint64 // sequence number of the last verdict
 	publishedAt time.Duration
 	published   bool // the last verdict was not empty and must be renewed or withdrawn
 	// lastWatched holds the watched back ends of the last verdict.
@@ -202,11 +202,11 @@
 	slices.SortFunc(candidates, func(left, right Identity) int {
 		return cmp.Or(cmp.Compare(d.records[right].bad, d.records[left].bad), cmp.Compare(left, right))
 	})
-	slots := int(d.settings.MaxEjectedFraction*float64(len(identities))) - ejected
+	ejectable := int(d.settings.MaxEjectedFraction*float64(len(identities))) - ejected
 	suspects := d.countSuspects()
 	for _, identity := range candidates {
 		rec := d.records[identity]
-		if slots <= 0 {
+		if ejectable <= 0 {
 			rec.watched = false // it cannot be ejected, and other suspects need the slot
 			continue
 		}
@@ -215,7 +215,7 @@
 		if d.shouldEject(now, rec, baseline, healthy, mayWatch) {
 			rec.ejectedUntil = now + d.settings.EjectionTime
 			addChange(identity, rec)
-			slots--
+			ejectable--
 		}
 		if rec.watched && !wasWatched {
 			suspects++
@@ -248,13 +248,13 @@
 		return false
 	}
 	failing := d.settings.FailingBadRatio
-	likelihood := float64(rec.watchedBad)*math.Log(failing/healthy) +
+	logRatio := float64(rec.watchedBad)*math.Log(failing/healthy) +
 		float64(rec.watchedGood)*math.Log((1-failing)/(1-healthy))
-	if likelihood <= d.settings.ClearThreshold {
+	if logRatio <= d.settings.ClearThreshold {
 		*rec = record{at: rec.at, recent: rec.recent}
 		return false
 	}
-	return likelihood >= d.settings.EjectThreshold && rec.reporters >= d.settings.MinReporters &&
+	return logRatio >= d.settings.EjectThreshold && rec.reporters >= d.settings.MinReporters &&
 		now-rec.watchedAt >= d.settings.MinWatchTime
 }
 
@@ -280,7 +280,7 @@
 
 // nextVerdict returns the verdict that must be sent now, or nil if none must.
 func (d *detector) nextVerdict(now time.Duration, changed bool) *message.OutcomeVerdict {
-	verdict := &message.OutcomeVerdict{Sequence: d.number + 1}
+	verdict := &message.OutcomeVerdict{Sequence: d.sequence + 1}
 	newSuspect := false // a suspect is not yet in a published verdict
 	for identity, rec := range d.records {
 		if rec.ejectedUntil > 0 {
@@ -302,7 +302,7 @@
 	}
 	slices.Sort(verdict.Ejected)
 	slices.Sort(verdict.Watched)
-	d.number++
+	d.sequence++
 	d.publishedAt = now
 	d.published = nonEmpty
 	return verdict
--- a/internal/passivehealth/observer.go
+++ b/internal/passivehealth/observer.go
@@ -1,9 +1,9 @@
 // Package passivehealth estimates the state of back ends from the packets that pass one balancer:
 // which back ends leave openings unanswered, and which are slow.
 //
-// Back ends answer callers directly (direct server return), so a balancer sees only the packets of
-// callers. It infers that an opening was answered when the caller's next packet arrives, and that a
-// request was answered when the caller acknowledges new data. The estimates only improve the choice
+// Back ends answer clients directly (direct server return), so a balancer sees only the packets of
+// clients. It infers that an opening was answered when the client's next packet arrives, and that a
+// request was answered when the client acknowledges new data. The estimates only improve the choice
 // of back ends; correctness does not depend on them. The package has no I/O and no clock.
 package passivehealth
 
@@ -23,7 +23,7 @@
 	// UnresponsiveTime is how long a back end gets no new flows after a missing answer. The time
 	// doubles with each further missing answer, up to MaxUnresponsiveTime.
 	UnresponsiveTime, MaxUnresponsiveTime time.Duration
-	// OpeningRetention is how long openings are kept: as long as callers retransmit them.
+	// OpeningRetention is how long openings are kept: as long as clients retransmit them.
 	OpeningRetention time.Duration
 	// RecoveryHalfLife is the half-life with which the latency excess of a slow back end decays
 	// while it receives no requests.
@@ -81,18 +81,18 @@
 	sizes     map[lb.FrontendKey]*answerSizes
 	outcomes  []Outcome
 	// ejected holds the back ends that outlier detection has ejected.
-	ejected      map[Identity]bool
-	backends     map[Identity]*backendState
-	typical      map[lb.ServiceName]float64 // seconds; response time of fast answers of a service
-	nextSweep    time.Duration
-	changes      []Change
-	observations []Sign
+	ejected   map[Identity]bool
+	backends  map[Identity]*backendState
+	typical   map[lb.ServiceName]float64 // seconds; response time of fast answers of a service
+	nextSweep time.Duration
+	changes   []Change
+	signs     []Sign
 }
 
 // Change records that a back end has become unresponsive, or has answered again.
 type Change struct {
-	Identity Identity
-	Silent   bool
+	Identity     Identity
+	Unresponsive bool
 	// Missing is the number of consecutive openings without an answer.
 	Missing int
 }
@@ -115,9 +115,9 @@
 // Signs returns the observations since the last call. The slice is valid until the next call of any
 // method.
 func (o *Observer) Signs() []Sign {
-	observations := o.observations
-	o.observations = o.observations[:0]
-	return observations
+	signs := o.signs
+	o.signs = o.signs[:0]
+	return signs
 }
 
 // New returns an observer without any observations.
@@ -142,8 +142,8 @@
 	return state
 }
 
-// Opened records that an opening was forwarded to a back end.
-func (o *Observer) Opened(now time.Duration, flow lb.FlowID, identity Identity) {
+// RecordOpening records that an opening was forwarded to a back end.
+func (o *Observer) RecordOpening(now time.Duration, flow lb.FlowID, identity Identity) {
 	earlier, found := o.openings[flow]
 	if found && earlier.identity == identity {
 		return // a retransmission
@@ -157,10 +157,10 @@
 	}
 }
 
-// Placed returns the back end to which an earlier copy of the opening was forwarded. It returns
-// false if that back end left the opening unanswered and no answer of it was observed since, or if
-// it left later openings unanswered.
-func (o *Observer) Placed(now time.Duration, flow lb.FlowID) (Identity, bool) {
+// PlacedBackend returns the back end to which an earlier copy of the opening was forwarded. It
+// returns false if that back end left the opening unanswered and no answer of it was observed
+// since, or if it left later openings unanswered.
+func (o *Observer) PlacedBackend(now time.Duration, flow lb.FlowID) (Identity, bool) {
 	earlier, found := o.openings[flow]
 	if !found || now-earlier.at > o.settings.OpeningRetention {
 		return 0, false
@@ -172,9 +172,9 @@
 	return earlier.identity, true
 }
 
-// Pending returns the back end to which the opening of a flow was forwarded, until a later packet
-// of the flow arrives.
-func (o *Observer) Pending(flow lb.FlowID) (Identity, bool) {
+// PendingBackend returns the back end to which the opening of a flow was forwarded, until a later
+// packet of the flow arrives.
+func (o *Observer) PendingBackend(flow lb.FlowID) (Identity, bool) {
 	pending, found := o.openings[flow]
 	return pending.identity, found
 }
@@ -186,11 +186,11 @@
 	return state != nil && state.missingAnswers > 0
 }
 
-// Later records a later packet of a flow. The packet shows that the back end has answered the
-// opening. If it acknowledges new data, the back end has also answered the previous request:
-// answered is then true, and took is the response time. hasData must be true if the packet carries
-// data. begun is true if a new request begins with the packet.
-func (o *Observer) Later(now time.Duration, flow lb.FlowID, service lb.ServiceName, identity Identity, acknowledged uint32, hasData bool) (took time.Duration, answered, begun bool) {
+// RecordLaterPacket records a later packet of a flow. The packet shows that the back end has
+// answered the opening. If it acknowledges new data, the back end has also answered the previous
+// request: answered is then true, and took is the response time. hasData must be true if the packet
+// carries data. begun is true if a new request begins with the packet.
+func (o *Observer) RecordLaterPacket(now time.Duration, flow lb.FlowID, service lb.ServiceName, identity Identity, acknowledged uint32, hasData bool) (took time.Duration, answered, begun bool) {
 	if pending, found := o.openings[flow]; found {
 		delete(o.openings, flow)
 		o.removeInFlight(pending.identity)
@@ -228,9 +228,9 @@
 	}
 }
 
-// Busy returns the number of openings and requests that passed this balancer and are in flight at a
-// back end, as far as the balancer can observe.
-func (o *Observer) Busy(identity Identity) int {
+// InFlight returns the number of openings and requests that passed this balancer and are in flight
+// at a back end, as far as the balancer can observe.
+func (o *Observer) InFlight(identity Identity) int {
 	state := o.backends[identity]
 	if state == nil {
 		return 0
@@ -239,7 +239,7 @@
 }
 
 func (o *Observer) recordAnswer(now time.Duration, identity Identity) {
-	o.observations = append(o.observations, Sign{Identity: identity})
+	o.signs = append(o.signs, Sign{Identity: identity})
 	state := o.stateOf(identity)
 	if state.missingAnswers > 0 {
 		o.changes = append(o.changes, Change{Identity: identity})
@@ -255,7 +255,8 @@
 	return state == nil || state.lastAnswerAt <= since
 }
 
-// checkOverdue counts the answer to an opening as missing when AnswerTimeout has passed.
+// checkOverdue counts the answer to an opening as missing when AnswerTimeout has passed and no
+// answer of its back end was observed since the opening.
 func (o *Observer) checkOverdue(now time.Duration, flow lb.FlowID, pending opening) {
 	if pending.overdue || now-pending.at < o.settings.AnswerTimeout {
 		return
@@ -266,11 +267,11 @@
 		return // the back end has answered other flows: this packet, or its answer, was lost
 	}
 	o.recordOutcome(pending.identity, true)
-	o.observations = append(o.observations, Sign{Identity: pending.identity, Missing: true, Sent: pending.at})
+	o.signs = append(o.signs, Sign{Identity: pending.identity, Missing: true, Sent: pending.at})
 	state := o.stateOf(pending.identity)
 	state.missingAnswers++
 	if now >= state.unresponsiveUntil {
-		change := Change{Identity: pending.identity, Silent: true, Missing: state.missingAnswers}
+		change := Change{Identity: pending.identity, Unresponsive: true, Missing: state.missingAnswers}
 		o.changes = append(o.changes, change)
 	}
 	const maxDoublings = 8
--- a/internal/steering/weights_test.go
+++ b/internal/steering/weights_test.go
@@ -54,8 +54,8 @@
 					load[host.Name] += service.evenWeights()[index] / sum / float64(len(zones))
 				}
 			}
-			for _, share := range load {
-				is.True(math.Abs(share*float64(total)-1) < 3*zoneweight.MinRemoteWeight)
+			for _, fraction := range load {
+				is.True(math.Abs(fraction*float64(total)-1) < 3*zoneweight.MinRemoteWeight)
 			}
 		})
 	}
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestPickOtherFollowsCapacities checks that PickOther ignores zones.
-func TestPickOtherFollowsCapacities(t *testing.T) {
+// TestPickAlternativeFollowsCapacities checks that PickAlternative ignores zones.
+func TestPickAlternativeFollowsCapacities(t *testing.T) {
 	is := is.New(t)
 	world := newWorld()
 	fill(world, 6)
@@ -214,14 +214,14 @@
 	world := newWorld()
 	fill(world, 6)
 	service := world.table(zoneA).services["web"]
-	unreached := FactorUnreachable
+	unreachable := FactorUnreachable
 	for number := range 200 {
 		flow := lb.FlowID(number)
-		is.Equal(service.Pick(flow, nil, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
-		is.Equal(service.Pick(flow, nil, []float64{unreached, unreached, unreached, 0, 1, 0.5}) == service.Ready[3], false)
-		chosen := service.Pick(flow, nil, []float64{unreached, unreached, unreached, 0, 0, 1}) // most reachable hosts are unresponsive
+		is.Equal(service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}), nil)
+		is.Equal(service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, 0, 1, 0.5}) == service.Ready[3], false)
+		chosen := service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, 0, 0, 1}) // most reachable hosts are unresponsive
 		is.True(chosen == service.Ready[3] || chosen == service.Ready[4] || chosen == service.Ready[5])
-		is.Equal(service.PickAlternative(flow, []float64{unreached, unreached, unreached, unreached, unreached, unreached}), nil)
+		is.Equal(service.PickAlternative(flow, []float64{unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}), nil)
 	}
 }
 
--- a/internal/tokennode/enginelog.go
+++ b/internal/tokennode/enginelog.go
@@ -54,7 +54,7 @@
 			Str(logging.FieldService, string(change.Service)).
 			Float64(logging.FieldPressure, change.Pressure).
 			Uint16(logging.FieldPriority, change.Priority).
-			Float64(logging.FieldAdmissionRate, change.Admitted).
+			Float64(logging.FieldAdmissionRate, change.AdmissionRate).
 			Uint64(logging.FieldRefused, change.Refused).
 			Send()
 	}
@@ -64,7 +64,7 @@
 func (engine *engine) logBackends() {
 	for _, change := range engine.coreEffects.Backends {
 		event := logging.EventBackendResponsive
-		if change.Silent {
+		if change.Unresponsive {
 			event = logging.EventBackendUnresponsive
 		}
 		engine.logger.Info().
