--- a/internal/adminserver/adminserver_test.go
+++ b/internal/adminserver/adminserver_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// TestServedPages checks the pages for health, readiness and metrics, and a page of the caller.
+// TestServedPages checks the pages for health, readiness and metrics, and a custom page.
 func TestServedPages(t *testing.T) {
 	is := is.New(t)
 	server, err := Open(netip.MustParseAddrPort("127.0.0.1:0"))
--- a/internal/baseline/step.go
+++ b/internal/baseline/step.go
@@ -135,8 +135,8 @@
 	started bool  // the first use fills the bucket
 }
 
-// allow removes one token, and reports whether there was one. The bucket refills at perSecond tokens
-// per second.
+// allow removes one token, and reports whether there was one. The bucket refills at perSecond
+// tokens per second.
 func (limit *tokenBucket) allow(now time.Duration, perSecond int64) bool {
 	capacity := perSecond * int64(time.Second)
 	if !limit.started {
--- a/internal/catalog/derive.go
+++ b/internal/catalog/derive.go
@@ -17,7 +17,7 @@
 }
 
 // Desired is the desired state of one service according to the configuration. A back end that is in
-// the service's placement but neither in Backends nor in Unknown must be removed from the
+// the service's placement but neither in Backends nor in UnknownBackends must be removed from the
 // placement.
 type Desired struct {
 	Name lb.ServiceName
@@ -26,8 +26,8 @@
 	Presence Presence
 	Service  Service          // valid only if Presence is Present
 	Backends []DesiredBackend // sorted by name; valid only if Presence is Present
-	// UnknownBackends lists, in sorted order, the back ends that have a document of which no valid version
-	// has been read. If they are in the placement, they must stay there unchanged.
+	// UnknownBackends lists, in sorted order, the back ends that have a document of which no valid
+	// version has been read. If they are in the placement, they must stay there unchanged.
 	UnknownBackends []lb.BackendName
 }
 
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -131,10 +131,10 @@
 // affected.
 func (index *Index) reject(key string, cause error) ([]lb.ServiceName, error) {
 	delete(index.frontendConflicts, lb.ServiceName(strings.TrimPrefix(key, ServicePrefix)))
-	kept := index.hasValid(key)
+	hadValid := index.hasValid(key)
 	_, known := index.problems[key]
-	index.problems[key] = Problem{Key: key, Cause: cause, PreviousInUse: kept}
-	if kept || known || strings.HasPrefix(key, ZonePrefix) {
+	index.problems[key] = Problem{Key: key, Cause: cause, PreviousInUse: hadValid}
+	if hadValid || known || strings.HasPrefix(key, ZonePrefix) {
 		return nil, cause
 	}
 	if name, found := strings.CutPrefix(key, ServicePrefix); found {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -31,8 +31,8 @@
 	ControlAddress netip.AddrPort
 	// AdminAddress is the endpoint for metrics, health and debugging over HTTP.
 	AdminAddress netip.AddrPort
-	// FabricReplyAddresses are the fabric's endpoints that receive refusals. It is not required with
-	// AffinityToken, where responses are sent to the caller.
+	// FabricReplyAddresses are the fabric's endpoints that receive refusals. It is not required
+	// with AffinityToken, where responses are sent to the client.
 	FabricReplyAddresses []netip.AddrPort
 
 	// StoreEndpoints are the base URLs of the store's JSON gateway, or, with AffinityToken, of the
@@ -67,8 +67,8 @@
 
 // The modes of the admission queue.
 const (
-	// AdmissionQueuePriority queues the first copy of an opening for a fraction of its objective's target
-	// time, in the order of priorities; see package admissionqueue.
+	// AdmissionQueuePriority queues the first copy of an opening for a fraction of its objective's
+	// target time, in the order of priorities; see package admissionqueue.
 	AdmissionQueuePriority AdmissionQueue = "priority"
 	// AdmissionQueueOff refuses such openings at once.
 	AdmissionQueueOff AdmissionQueue = "off"
@@ -89,7 +89,7 @@
 
 // Timings holds the timeouts and limits of the protocol (docs/DESIGN.md, "The chain").
 type Timings struct {
-	// OpeningHold is the maximum time for which callers retransmit one opening.
+	// OpeningHold is the maximum time for which clients retransmit one opening.
 	OpeningHold time.Duration
 	// IdleTimeout is the time after which a flow without packets ends.
 	IdleTimeout time.Duration
@@ -110,7 +110,8 @@
 	RetryAfter time.Duration
 	// DrainGrace is the time without packets from the fabric after which a planned stop ends.
 	DrainGrace time.Duration
-	// DrainLimit is the time after which a planned stop ends even if the fabric still sends packets.
+	// DrainLimit is the time after which a planned stop ends even if the fabric still sends
+	// packets.
 	DrainLimit time.Duration
 }
 
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -129,7 +129,7 @@
 const (
 	// WriteDone means that the write took effect, with the result's ModRevision.
 	WriteDone WriteOutcome = iota + 1
-	// WriteConflict means that another write came first; this one had no effect.
+	// WriteConflict means that another write took effect before; this one had no effect.
 	WriteConflict
 	// WriteUnknown means that the response was lost: the write may have taken effect, or may still
 	// take effect.
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -205,17 +205,17 @@
 // steppedTargets returns the current targets with the next weights.
 func (c *Controller) steppedTargets(s *service) []placement.Target {
 	targets := placement.Targets(s.stored, s.stored.Current)
-	shares := make([]weight.BackendState, len(targets))
+	states := make([]weight.BackendState, len(targets))
 	operator := make([]uint16, len(targets))
 	for index, target := range targets {
 		operator[index] = s.operatorWeight(target)
-		shares[index].Factor = weightFactor(target.Weight, operator[index])
+		states[index].Factor = weightFactor(target.Weight, operator[index])
 		if backend := c.backends[target.Name]; backend != nil {
-			shares[index].View = backend.View(c.now, &c.settings.Weights)
+			states[index].View = backend.View(c.now, &c.settings.Weights)
 		}
 	}
-	for index, factor := range weight.Step(shares, &c.settings.Weights) {
-		if factor != shares[index].Factor {
+	for index, factor := range weight.Step(states, &c.settings.Weights) {
+		if factor != states[index].Factor {
 			targets[index].Weight = scale(operator[index], factor)
 		}
 	}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -123,8 +123,8 @@
 	is.True(reinstated >= scale(sum/4, uint16(1000-deadband))) // mean weight less the deadband
 }
 
-// TestAtMostHalfOfBackendsFailTogether covers reports that all back ends are unresponsive, for which
-// a fault of the balancers or their network is the more likely cause.
+// TestAtMostHalfOfBackendsFailTogether covers reports that all back ends are unresponsive, for
+// which a fault of the balancers or their network is the more likely cause.
 func TestAtMostHalfOfBackendsFailTogether(t *testing.T) {
 	is := is.New(t)
 	l := newLoadedCluster(t, 4, func(int) message.BackendLoad {
--- a/internal/controller/racing_test.go
+++ b/internal/controller/racing_test.go
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// recordDesired records the back ends of the operators' configuration as of the document's revision.
+// recordDesired records the back ends of the operators' configuration as of the document's
+// revision.
 func (s *randomSchedule) recordDesired(document Document) {
 	next := maps.Clone(s.desired[len(s.desired)-1])
 	if catalog.IsConfiguration(document.Key) {
--- a/internal/controller/targets.go
+++ b/internal/controller/targets.go
@@ -32,7 +32,8 @@
 	return c.matchesDesired(s, s.stored.Current)
 }
 
-// preparedMatchesDesired reports whether the last generation, which is prepared, has the desired state.
+// preparedMatchesDesired reports whether the last generation, which is prepared, has the desired
+// state.
 func (c *Controller) preparedMatchesDesired(s *service) bool {
 	return s.desired.presence == catalog.Present &&
 		s.stored.ConfigRevision >= s.lastChange &&
--- a/internal/controller/writes.go
+++ b/internal/controller/writes.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// resolvePending ends the pending write if the placement seen in the store shows that it took effect.
+// resolvePending ends the pending write if the placement seen in the store shows that it took
+// effect.
 func (c *Controller) resolvePending(s *service, seen *lb.Placement) {
 	if s.pending != nil && seen != nil && seen.WriteID == s.pending.id {
 		c.finishWrite(s)
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -73,7 +73,7 @@
 // leave in place.
 const minMembers = 2
 
-// drain takes the target back end of the fault out of its service.
+// drain removes the target back end of the fault from its service.
 func (run *run) drain(fault Fault) {
 	service := run.serviceByName(fault.Service)
 	if len(service.members) <= minMembers {
--- a/internal/experiment/flow.go
+++ b/internal/experiment/flow.go
@@ -238,8 +238,8 @@
 	answerMayHaveRun                         // refusal by a balancer with the verdict lb.MayHaveRun
 )
 
-// handleAnswer handles an answer that reaches the client of a flow. Answers to a flow that has ended
-// are ignored.
+// handleAnswer handles an answer that reaches the client of a flow. Answers to a flow that has
+// ended are ignored.
 func (run *run) handleAnswer(index int32, kind answerKind, retryAfter time.Duration) {
 	flow := &run.flows[index]
 	switch {
--- a/internal/follower/fleet_dissemination_test.go
+++ b/internal/follower/fleet_dissemination_test.go
@@ -62,7 +62,7 @@
 	answered := 0
 	for requester := range 100 {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, byte(requester)}), 7946)
-		request := &PeerMessage{From: "requester", Address: address, Message: message.ViewRequest{}}
+		request := &PeerMessage{From: "asker", Address: address, Message: message.ViewRequest{}}
 		seed.core.Step(fleet.now, &Event{Message: request}, &effects)
 		is.Equal(len(effects.Messages), 0)
 	}
@@ -85,7 +85,7 @@
 	address := netip.MustParseAddrPort("10.9.0.1:7946")
 	var effects Effects
 	wholeViews := func() int {
-		request := &PeerMessage{From: "requester", Address: address, Message: message.ViewRequest{}}
+		request := &PeerMessage{From: "asker", Address: address, Message: message.ViewRequest{}}
 		seed.core.Step(fleet.now, &Event{Message: request}, &effects)
 		seed.core.Step(fleet.now, &Event{}, &effects)
 		count := 0
--- a/internal/follower/parts_test.go
+++ b/internal/follower/parts_test.go
@@ -36,7 +36,7 @@
 
 // newPair returns a pair whose sender has the store's present state.
 func newPair(t *testing.T, store *viewtest.Store) *pair {
-	p := &pair{t: t, sender: New(DefaultSettings("sender", "zone", 1)), requester: New(DefaultSettings("requester", "zone", 2))}
+	p := &pair{t: t, sender: New(DefaultSettings("teller", "zone", 1)), requester: New(DefaultSettings("asker", "zone", 2))}
 	p.requester.settings.Seeds = []netip.AddrPort{senderAddress}
 	var effects Effects
 	p.sender.Step(0, &Event{}, &effects)
@@ -59,9 +59,9 @@
 func (p *pair) step(core *Core, event *Event) {
 	var effects Effects
 	core.Step(p.now, event, &effects)
-	to, from, address := p.requester, lb.NodeID("sender"), senderAddress
+	to, from, address := p.requester, lb.NodeID("teller"), senderAddress
 	if core == p.requester {
-		to, from, address = p.sender, "requester", requesterAddress
+		to, from, address = p.sender, "asker", requesterAddress
 	}
 	for _, outgoing := range effects.Messages {
 		line, err := message.Encode(nil, from, outgoing.Message)
--- a/internal/follower/peers.go
+++ b/internal/follower/peers.go
@@ -36,8 +36,8 @@
 	core.checkWatcher()
 }
 
-// ZoneNodes returns the nodes of the local zone by rank, including this one. The result is valid until
-// the next step.
+// ZoneNodes returns the nodes of the local zone by rank, including this one. The result is valid
+// until the next step.
 func (core *Core) ZoneNodes() []Peer { return core.zoneNodes }
 
 // ZoneRelays returns the first nodes of the other zones. The result is valid until the next step.
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -147,7 +147,7 @@
 	if failure == FailureCompacted {
 		core.needsListing = true
 		core.nextRead = core.now
-		core.takeOver(result.Read.Reason, core.settings.SilenceTimeout)
+		core.takeOver(result.Read.Reason, core.settings.NoUpdateTimeout)
 		if core.sendsDigests() {
 			core.sendDigest(effects)
 		}
--- a/internal/follower/request.go
+++ b/internal/follower/request.go
@@ -15,8 +15,8 @@
 // A node requests the view from peers before it reads the store itself. These are the fractions of
 // the respective limits after which it does so.
 const (
-	requestSilenceFraction = 0.75
-	requestAgeFraction     = 0.9 // of TakeoverAge; larger than the age of a view at the end of the designated watcher's watch
+	requestNoUpdateFraction = 0.75
+	requestAgeFraction      = 0.9 // of TakeoverAge; larger than the age of a view at the end of the designated watcher's watch
 )
 
 // shouldRequestView returns whether this node should request the view from peers: its view has not
@@ -28,9 +28,9 @@
 	if core.active {
 		return false
 	}
-	silenceLimit := time.Duration(requestSilenceFraction * float64(core.settings.SilenceTimeout))
+	noUpdateLimit := time.Duration(requestNoUpdateFraction * float64(core.settings.NoUpdateTimeout))
 	ageLimit := time.Duration(requestAgeFraction * float64(core.settings.TakeoverAge))
-	return core.age() >= ageLimit || core.age() >= silenceLimit && core.now-core.lastUpdateAt >= silenceLimit
+	return core.age() >= ageLimit || core.age() >= noUpdateLimit && core.now-core.lastUpdateAt >= noUpdateLimit
 }
 
 // requestView requests the view, or the changes that this node lacks, from the nodes that
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -32,9 +32,9 @@
 	// SlowTakeoverStep is added for each further position if a takeover is not urgent: the view is
 	// current, or other nodes are already trying and the store does not answer them.
 	SlowTakeoverStep time.Duration
-	// SilenceTimeout is the age of the view at which a node reads the store itself if no peer has
+	// NoUpdateTimeout is the age of the view at which a node reads the store itself if no peer has
 	// sent a message about the view for this time.
-	SilenceTimeout time.Duration
+	NoUpdateTimeout time.Duration
 	// DigestInterval is the time between two digests.
 	DigestInterval time.Duration
 	// TreeFanout is the number of nodes to which one node forwards a message within a zone.
@@ -54,7 +54,7 @@
 // DefaultSettings returns the default settings of a node. With them, a change is in force within
 // 2.6 s after the store has acknowledged it, even if the designated watcher fails at that moment.
 // TakeoverStep exceeds the time for a read and its dissemination (30 to 50 ms), so that a node
-// learns of a takeover before its own turn.
+// learns of a takeover before it takes over itself.
 func DefaultSettings(self lb.NodeID, zone lb.Zone, seed uint64) Settings {
 	return Settings{
 		Self:             self,
@@ -67,7 +67,7 @@
 		TakeoverStep:     60 * time.Millisecond,
 		TakeoverAgeLimit: 2200 * time.Millisecond,
 		SlowTakeoverStep: 400 * time.Millisecond,
-		SilenceTimeout:   1200 * time.Millisecond,
+		NoUpdateTimeout:  1200 * time.Millisecond,
 		DigestInterval:   400 * time.Millisecond,
 		TreeFanout:       4,
 		VerifyWait:       1500 * time.Millisecond,
@@ -82,7 +82,7 @@
 const defaultLimit = 3 * time.Second
 
 // maxLimit is the largest limit that ScaledTo applies. With it, a change is in force within 4.8 s
-// (as 2.6 s for a limit of 3 s), and the fleet must manage within 5 s.
+// (2.6 s for a limit of 3 s, scaled), and the fleet must put a change into force within 5 s.
 const maxLimit = 5500 * time.Millisecond
 
 // ScaledTo returns settings that put a change into force within a limit. It scales all times by the
@@ -95,7 +95,7 @@
 	backoffLimit, callTimeout := settings.BackoffLimit, settings.CallTimeout
 	for _, duration := range []*time.Duration{
 		&settings.WatchWait, &settings.ChangeInterval, &settings.TakeoverAge, &settings.TakeoverStep,
-		&settings.TakeoverAgeLimit, &settings.SilenceTimeout, &settings.DigestInterval, &settings.BackoffLimit,
+		&settings.TakeoverAgeLimit, &settings.NoUpdateTimeout, &settings.DigestInterval, &settings.BackoffLimit,
 		&settings.CallTimeout,
 	} {
 		*duration = time.Duration(float64(*duration) * ratio)
--- a/internal/follower/watcher.go
+++ b/internal/follower/watcher.go
@@ -27,9 +27,9 @@
 	case core.age() >= core.takeoverAge(position):
 		return ReasonViewAge, true
 	}
-	silenceLimit := core.settings.SilenceTimeout + delay
+	noUpdateLimit := core.settings.NoUpdateTimeout + delay
 	lastUpdate := max(core.lastUpdateAt, core.startAt+warmUpTime)
-	return ReasonNoUpdates, core.now-lastUpdate >= silenceLimit && core.age() >= silenceLimit
+	return ReasonNoUpdates, core.now-lastUpdate >= noUpdateLimit && core.age() >= noUpdateLimit
 }
 
 // seedVerifyDelay is how long after its start a seed waits for others to verify its first view. It
@@ -132,7 +132,7 @@
 
 // receivesUpdates returns whether peers have sent messages about the view recently.
 func (core *Core) receivesUpdates() bool {
-	return core.now-core.lastUpdateAt < core.settings.SilenceTimeout
+	return core.now-core.lastUpdateAt < core.settings.NoUpdateTimeout
 }
 
 // watcherStatus returns which node reads the store for the others, as far as this node knows.
--- a/internal/follower/watcher_test.go
+++ b/internal/follower/watcher_test.go
@@ -320,7 +320,7 @@
 	core.Step(0, &Event{Read: &ReadResult{Read: Read{Kind: ReadList}, Listing: store.List()}}, &effects)
 	for requester := range 20 {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, byte(requester)}), 7946)
-		request := &PeerMessage{From: "requester", Address: address, Message: message.ViewRequest{After: 1}}
+		request := &PeerMessage{From: "asker", Address: address, Message: message.ViewRequest{After: 1}}
 		core.Step(time.Second, &Event{Message: request}, &effects)
 		is.Equal(len(effects.Messages), 0)
 	}
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -33,9 +33,9 @@
 	nextExchange    time.Duration // earliest time of the next exchange
 	nextLargeAnswer time.Duration // earliest time of the next large answer
 	nextSnapshot    time.Duration
-	// differsSince contains, for each peer whose digest differs from this node's, the time since
-	// when it does. It is kept per peer because a few nodes that lack the same placements agree
-	// with each other, but still differ from all others.
+	// differsSince contains, for each peer whose digest differs from this node's, the time at which
+	// the difference was first seen. It is kept per peer because a few nodes that lack the same
+	// placements agree with each other, but still differ from all others.
 	differsSince map[lb.NodeID]time.Duration
 }
 
--- a/internal/gossip/reporter.go
+++ b/internal/gossip/reporter.go
@@ -14,7 +14,7 @@
 	maxDigests   = 256
 	maxRevisions = 256
 	// minStatementInterval is the minimum time between statements. It combines the reports of
-	// several nodes into one statement, because each statement goes to every publisher.
+	// several nodes into one statement, because each statement is sent to every publisher.
 	minStatementInterval = 150 * time.Millisecond
 	// minCountInterval is the minimum time between statements that differ only in their counts of
 	// nodes.
--- a/internal/lb/relay.go
+++ b/internal/lb/relay.go
@@ -38,13 +38,13 @@
 	// Proposal is the back end that the head proposes (HopTail) or that the tail decided on
 	// (HopReturn). NoBackend with Refuse set means a refusal.
 	Proposal BackendID
-	// FromRecord is true if the proposal comes from a record that an earlier tail confirmed, not from a
-	// placement table.
+	// FromRecord is true if the proposal comes from a record that an earlier tail confirmed, not
+	// from a placement table.
 	FromRecord bool
 	// Refuse is true if the head proposes to refuse the flow, by admission control.
 	Refuse bool
-	// HeadComplete is true if the head has been in this bucket's chain for so long that it has a record
-	// of every opening that is still being retransmitted.
+	// HeadComplete is true if the head has been in this bucket's chain for so long that it has a
+	// record of every opening that is still being retransmitted.
 	HeadComplete bool
 	// Established is true if the ingress node saw this UDP flow before its bucket was in motion.
 	Established bool
@@ -53,8 +53,8 @@
 	Rerouted bool
 }
 
-// Refusal is the immediate response to the fabric and the caller that a request was refused.
+// Refusal is the immediate response to the fabric and the client that a request was refused.
 type Refusal struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // the delay before the caller retries; spread over callers
+	RetryAfter time.Duration // the delay before the client retries; spread over clients
 }
--- a/internal/lb/types.go
+++ b/internal/lb/types.go
@@ -122,7 +122,7 @@
 // Bucket returns the flow's bucket in the placement table of its service.
 func (id FlowID) Bucket() uint16 { return uint16(uint64(id) % BucketCount) }
 
-// Frontend is an address to which callers send requests: virtual IP address, port and protocol.
+// Frontend is an address to which clients send requests: virtual IP address, port and protocol.
 type Frontend struct {
 	Address  netip.AddrPort `json:"address"`
 	Protocol Protocol       `json:"protocol"`
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// StoppedImmediately logs that the process ends without a planned stop or before the planned stop is
-// complete, and returns lb.ErrStoppedAtOnce.
+// StoppedImmediately logs that the process ends without a planned stop or before the planned stop
+// is complete, and returns lb.ErrStoppedImmediately.
 func (l *Lifecycle) StoppedImmediately() error {
 	l.LogEvent(logging.EventStoppedImmediately)
 	return lb.ErrStoppedImmediately
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -14,23 +14,23 @@
 
 func TestPlannedStopBeginsOnce(t *testing.T) {
 	is := is.New(t)
-	life := New(zerolog.Nop())
-	is.Equal(life.IsStopping(), false)
-	life.Stop()
-	life.Stop() // a second call has no effect
-	is.True(life.IsStopping())
-	<-life.Stopping()
+	lifecycle := New(zerolog.Nop())
+	is.Equal(lifecycle.IsStopping(), false)
+	lifecycle.Stop()
+	lifecycle.Stop() // a second call has no effect
+	is.True(lifecycle.IsStopping())
+	<-lifecycle.Stopping()
 }
 
 func TestLifecycleEvents(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
-	life := New(zerolog.New(&output))
-	life.LogFailure(nil)
+	lifecycle := New(zerolog.New(&output))
+	lifecycle.LogFailure(nil)
 	is.Equal(output.Len(), 0)
-	life.LogFailure(errors.New("no more descriptors"))
-	life.LogStopped(DrainLimit)
-	is.True(errors.Is(life.StoppedImmediately(), lb.ErrStoppedImmediately))
+	lifecycle.LogFailure(errors.New("no more descriptors"))
+	lifecycle.LogStopped(DrainLimit)
+	is.True(errors.Is(lifecycle.StoppedImmediately(), lb.ErrStoppedImmediately))
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	is.Equal(lines, []string{
 		`{"level":"error","error":"no more descriptors","event":"failed"}`,
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -119,10 +119,11 @@
 	FieldProbes           = "probes"
 
 	FieldAdmission = "admission"
-	// FieldAdmissionQueue is the mode of the admission queue, as set by the setting of the same name.
+	// FieldAdmissionQueue is the mode of the admission queue, as set by the setting of the same
+	// name.
 	FieldAdmissionQueue = "waiting"
-	// FieldQueueTime is the time that an opening spent in the admission queue before the decision, in
-	// milliseconds.
+	// FieldQueueTime is the time that an opening spent in the admission queue before the decision,
+	// in milliseconds.
 	FieldQueueTime = "waited_ms"
 )
 
@@ -135,9 +136,9 @@
 	queueInterval = 50 * time.Millisecond
 )
 
-// NewNonBlockingWriter returns a writer that queues lines for output and never blocks, so that a stalled log
-// consumer does not delay packets. Lines that exceed the queue's capacity are dropped, and their
-// number is passed to onDropped. Close writes the queued lines and leaves output open.
+// NewNonBlockingWriter returns a writer that queues lines for output and never blocks, so that a
+// stalled log consumer does not delay packets. Lines that exceed the queue's capacity are dropped,
+// and their number is passed to onDropped. Close writes the queued lines and leaves output open.
 func NewNonBlockingWriter(output io.Writer, onDropped func(lines int)) io.WriteCloser {
 	withoutClose := struct{ io.Writer }{output}
 	return diode.NewWriter(withoutClose, queueLines, queueInterval, onDropped)
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -62,8 +62,8 @@
 
 	// viewHash is the hash of the live entries and this node.
 	viewHash uint64
-	// differsSince contains, for each peer whose view differs from this node's, the time since when
-	// it does.
+	// differsSince contains, for each peer whose view differs from this node's, the time at which
+	// the difference was first seen.
 	differsSince map[lb.NodeID]time.Duration
 	joined       bool
 	changed      bool // the result of Members differs from the one last announced
--- a/internal/message/load.go
+++ b/internal/message/load.go
@@ -39,8 +39,8 @@
 	Service lb.ServiceName `json:"s"`
 	Levels  []LevelWork    `json:"w,omitempty"`
 	Answers []ZoneAnswers  `json:"a,omitempty"`
-	// Solicited is set if the sender reports this service only because other nodes are near their limit
-	// with it.
+	// Solicited is set if the sender reports this service only because other nodes are near their
+	// limit with it.
 	Solicited bool `json:"e,omitempty"`
 }
 
@@ -61,8 +61,8 @@
 // LoadState is sent between the first nodes of zones, each with its own zone only, and down the
 // distribution tree of a zone, with all zones.
 type LoadState struct {
-	// Sender is the first node of a zone, and Number is the sequence number of the state among its
-	// states.
+	// Sender is the first node of a zone, and Sequence is the sequence number of the state among
+	// its states.
 	Sender   lb.NodeID  `json:"sender"`
 	Sequence uint64     `json:"number"`
 	Zones    []ZoneWork `json:"zones"`
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -155,8 +155,8 @@
 
 // Want lists versions of the sender: those of every service in Groups, and those of single
 // services. The receiver answers with its placements that are newer, and with a Want of its own if
-// some of its placements are older. If a service in one of Groups is not listed, the sender does
-// not know it. A Want without Groups announces new placements.
+// some of its placements are older. If a service in one of Groups is not listed, the sender has
+// no placement of it. A Want without Groups announces new placements.
 type Want struct {
 	Groups   []uint16         `json:"groups,omitempty"`
 	Versions []ServiceVersion `json:"versions,omitempty"`
--- a/internal/message/openflow.go
+++ b/internal/message/openflow.go
@@ -17,7 +17,7 @@
 }
 
 // OpenFlows announces flows along the distribution trees of the zones and between the first nodes
-// of the zones, until all nodes know them.
+// of the zones, until all nodes have received them.
 type OpenFlows struct {
 	Flows []OpenFlow `json:"flows,omitempty"`
 	// Request is set by a sender that has just started. It requests the flows of the last seconds.
--- a/internal/message/outcome.go
+++ b/internal/message/outcome.go
@@ -16,7 +16,8 @@
 	Identity uint64 `json:"i"`
 	Bad      int    `json:"b"`
 	Good     int    `json:"g,omitempty"`
-	// NewReporters is the number of nodes that observed bad outcomes and had not reported any before.
+	// NewReporters is the number of nodes that observed bad outcomes and had not reported any
+	// before.
 	NewReporters int `json:"n,omitempty"`
 }
 
@@ -30,8 +31,8 @@
 
 // OutcomeVerdict is sent down the distribution tree of a zone.
 type OutcomeVerdict struct {
-	// Sender is the first node of the zone, and Number is the sequence number of the verdict among
-	// its verdicts.
+	// Sender is the first node of the zone, and Sequence is the sequence number of the verdict
+	// among its verdicts.
 	Sender   lb.NodeID `json:"sender"`
 	Sequence uint64    `json:"number"`
 	// Watched lists the back ends whose good outcomes nodes report as well.
--- a/internal/message/text.go
+++ b/internal/message/text.go
@@ -14,8 +14,8 @@
 	flowBytes    = 8
 	backendBytes = 2
 	openingBytes = 4
-	// shortRecordBytes is the size of a record without an opening ID, longRecordBytes that of a
-	// record with one.
+	// shortRecordBytes is the size of a record without an opening ID, longRecordBytes the size of
+	// a record with one.
 	shortRecordBytes = flowBytes + backendBytes
 	longRecordBytes  = shortRecordBytes + openingBytes
 	groupHashBytes   = 8
--- a/internal/message/validate.go
+++ b/internal/message/validate.go
@@ -54,7 +54,7 @@
 	case ViewDigest:
 		return TypeViewDigest, validateViewDigest(message)
 	case ViewRequest:
-		return TypeViewRequest, validateViewWant(message)
+		return TypeViewRequest, validateViewRequest(message)
 	case OutcomeReport:
 		return TypeOutcomeReport, validateOutcomeReport(message)
 	case OutcomeVerdict:
--- a/internal/message/view.go
+++ b/internal/message/view.go
@@ -16,8 +16,8 @@
 // it, and receivers pass it on.
 type ViewDigest struct {
 	Revision int64 `json:"revision"`
-	// MinCurrentRevision is the lowest revision at which another view is as current as the sender's (see
-	// view.Replica).
+	// MinCurrentRevision is the lowest revision at which another view is as current as the sender's
+	// (see view.Replica).
 	MinCurrentRevision int64 `json:"changed"`
 	// AgeMillis is the time since the store confirmed that the view is the newest.
 	AgeMillis int64 `json:"age_ms"`
@@ -85,7 +85,7 @@
 	return checkAge(TypeViewDigest, message.AgeMillis)
 }
 
-func validateViewWant(message ViewRequest) error {
+func validateViewRequest(message ViewRequest) error {
 	if message.After < 0 {
 		return fieldError(TypeViewRequest, "after", message.After, "negative")
 	}
--- a/internal/node/engine.go
+++ b/internal/node/engine.go
@@ -78,8 +78,8 @@
 }
 
 // runInput runs one input under the mutex and processes the resulting messages of this node to
-// itself. It sends messages to other nodes after it has released the mutex, because encoding a large
-// message takes time during which packets would wait.
+// itself. It sends messages to other nodes after it has released the mutex, because encoding a
+// large message takes time during which packets would wait.
 func (engine *engine) runInput(run func()) {
 	for _, outgoing := range engine.runLocked(run) {
 		engine.transmit(outgoing.to, outgoing.message)
@@ -149,8 +149,8 @@
 	engine.runInput(func() { engine.dispatch(from) })
 }
 
-// beginLeave starts the planned stop: it announces the stop to the other members, and makes the core
-// hand over its records.
+// beginLeave starts the planned stop: it announces the stop to the other members, and makes the
+// core hand over its records.
 func (engine *engine) beginLeave() {
 	engine.runInput(func() {
 		engine.memberStep(&member.Event{Leave: true})
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -103,8 +103,8 @@
 	return engine.openings.hasUnanswered()
 }
 
-// collectOpeningCounts returns the numbers of forwarded and unanswered openings per back end since the
-// last call.
+// collectOpeningCounts returns the numbers of forwarded and unanswered openings per back end since
+// the last call.
 func (engine *engine) collectOpeningCounts() []health.Evidence {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -124,12 +124,11 @@
 	})
 }
 
-// loadsPerMessage is the maximum number of back ends in a message. With names of up to 60 bytes such a
-// message fits into a datagram.
+// loadsPerMessage is the maximum number of back ends in a message. With names of up to 60 bytes
+// such a message fits into a datagram.
 const loadsPerMessage = 8
 
 // publishers returns the IDs of the nodes that watch the store, which also publish placements.
-
 func (engine *engine) publishers() []lb.NodeID {
 	var ids []lb.NodeID
 	for _, watcher := range rendezvous.Watchers(stayingCandidates(engine.directory.list())) {
--- a/internal/node/machinelist.go
+++ b/internal/node/machinelist.go
@@ -36,7 +36,8 @@
 	for {
 		failed = node.readMachines(ctx, client, failed)
 		interval := machinesInterval(len(node.directory.all()), time.Since(started))
-		// Half of the interval is random, so that nodes that start together do not stay synchronized.
+		// Half of the interval is random, so that nodes that start together do not stay
+		// synchronized.
 		interval = interval/2 + rand.N(interval)
 		select {
 		case <-ctx.Done():
@@ -81,8 +82,8 @@
 	node.engine.applyMachines(memberList)
 }
 
-// memberMachines returns the platform's machines in the form of the membership, without machines that
-// are leaving.
+// memberMachines returns the platform's machines in the form of the membership, without machines
+// that are leaving.
 func memberMachines(list []machines.Machine) []member.Machine {
 	result := make([]member.Machine, 0, len(list))
 	for _, machine := range list {
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// applyMembers logs changes of the members, and passes the new members to the directory and the other
-// state machines.
+// applyMembers logs changes of the members, and passes the new members to the directory and the
+// other state machines.
 func (engine *engine) applyMembers(members []member.Member) {
 	engine.logMembers(members)
 	engine.directory.set(members)
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -28,7 +28,7 @@
 // incoming is one message from a peer, or from this node to itself.
 type incoming struct {
 	from    lb.NodeID
-	address netip.AddrPort // invalid if the message came by TCP from an unknown sender
+	address netip.AddrPort // invalid if the message arrived over TCP from an unknown sender
 	message message.Message
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -58,7 +58,7 @@
 		"Requests that the store's rate limit refused.")
 	metricStoreRetries = metrics.New(prometheus.CounterValue, "store_retries_total",
 		"Requests to the store that were repeated.")
-	metricStoreLostAnswers = metrics.New(prometheus.CounterValue, "store_lost_answers_total",
+	metricStoreLostResponses = metrics.New(prometheus.CounterValue, "store_lost_answers_total",
 		"Writes whose answer was lost.")
 	metricStoreResolved = metrics.New(prometheus.CounterValue, "store_resolved_answers_total",
 		"Writes whose lost answer was resolved.")
@@ -87,7 +87,7 @@
 	metricRecords, metricPins, metricKnownUDP, metricFlowBytes, metricVersion, metricMoving,
 	metricMembers, metricStoreUp,
 	metricStoreRequests, metricStoreFailures, metricStoreThrottled, metricStoreRetries,
-	metricStoreLostAnswers, metricStoreResolved, metricWrites, metricPublished, metricInForce,
+	metricStoreLostResponses, metricStoreResolved, metricWrites, metricPublished, metricInForce,
 	metricZoneNodes, metricZoneBehind, metricWatcher, metricProbes, metricReady,
 	metricReceived, metricReceivedBytes, metricSent, metricMalformed, metricUnsent, metricSocketErrors,
 }, transport.Metrics()...)
@@ -219,7 +219,7 @@
 	output.Count(metricStoreFailures, stats.Failures)
 	output.Count(metricStoreThrottled, stats.Throttled)
 	output.Count(metricStoreRetries, stats.Retries)
-	output.Count(metricStoreLostAnswers, stats.LostResponses)
+	output.Count(metricStoreLostResponses, stats.LostResponses)
 	output.Count(metricStoreResolved, stats.ResolvedOutcomes)
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node assembles a balancer with affinity chain. It connects the decision core, the data
-// plane, the messages between balancers, the membership, the gossip of placements, the store and the
-// publisher of placements (package controller). The packages of these parts implement the
+// plane, the messages between balancers, the membership, the gossip of placements, the store and
+// the publisher of placements (package controller). The packages of these parts implement the
 // protocol; this package contains none of its rules.
 package node
 
@@ -117,8 +117,8 @@
 // start.
 func (node *Node) Reload() { node.lifecycle.LogEvent(logging.EventReloadIgnored) }
 
-// Run serves until a planned stop is finished or ctx ends. If ctx ends, Run stops at once and
-// returns lb.ErrStoppedAtOnce.
+// Run serves until a planned stop is finished or ctx ends. If ctx ends, Run stops immediately and
+// returns lb.ErrStoppedImmediately.
 func (node *Node) Run(ctx context.Context) error {
 	running, cancel := context.WithCancel(ctx)
 	defer node.background.Wait()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -76,8 +76,8 @@
 	return addresses
 }
 
-// build creates a node whose seeds are the nodes created before it. It retries with other addresses if
-// another process binds one of the addresses before the node does.
+// build creates a node whose seeds are the nodes created before it. It retries with other addresses
+// if another process binds one of the addresses before the node does.
 func (fleet *fleet) build(name, zone string) (*node.Node, *config.Settings) {
 	is := is.New(fleet.t)
 	for {
@@ -117,8 +117,8 @@
 	return started
 }
 
-// waitUntil waits for a condition. The time limit is far above the expected time and only ends a test
-// that hangs.
+// waitUntil waits for a condition. The time limit is far above the expected time and only ends a
+// test that hangs.
 func (fleet *fleet) waitUntil(description string, condition func() bool) {
 	fleet.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
@@ -317,7 +317,7 @@
 	fleet.waitUntil("the stopped node is no longer a member", func() bool { return len(fleet.nodes[0].State().Members) == 1 })
 }
 
-func TestCanceledContextStopsAtOnce(t *testing.T) {
+func TestCanceledContextStopsImmediately(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(t)
 	started := fleet.start("a", "za")
--- a/internal/node/openingmonitor_test.go
+++ b/internal/node/openingmonitor_test.go
@@ -14,7 +14,7 @@
 func TestOpeningMonitorCountsUnansweredOpenings(t *testing.T) {
 	is := is.New(t)
 	monitor := newOpeningMonitor()
-	placement := &lb.Placement{Backends: []lb.PlacedBackend{{ID: 1, Name: "good"}, {ID: 2, Name: "unresponsive"}}}
+	placement := &lb.Placement{Backends: []lb.PlacedBackend{{ID: 1, Name: "good"}, {ID: 2, Name: "silent"}}}
 	record := func(at time.Duration, port uint16, backend lb.BackendID, action core.Action) {
 		packet := core.Packet{Key: lb.FlowKey{SourcePort: port}, Kind: core.PacketOpening}
 		monitor.recordDecision(at, &packet, &core.Decision{Action: action, Service: "wallet", Backend: backend})
@@ -30,7 +30,7 @@
 	counts := monitor.collect(func(lb.ServiceName) *lb.Placement { return placement })
 	is.Equal(counts, []health.Evidence{
 		{Backend: "good", Openings: 1},
-		{Backend: "unresponsive", Openings: 1, Unanswered: 1},
+		{Backend: "silent", Openings: 1, Unanswered: 1},
 	})
 	monitor.countExpired(answerWindow + time.Second)
 	is.True(!monitor.hasUnanswered())
--- a/internal/node/operations_test.go
+++ b/internal/node/operations_test.go
@@ -14,7 +14,6 @@
 
 // TestOperationsPageIsComplete checks that the operations page names every setting, log event and
 // metric, and no metric that does not exist.
-
 func TestOperationsPageIsComplete(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("../../docs/operations-node.md")
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -13,8 +13,8 @@
 )
 
 // partition is a network partition that fault injection simulates: no message and no relayed packet
-// passes between this node and the zones on the other side, in either direction. The zero value is no
-// partition.
+// passes between this node and the zones on the other side, in either direction. The zero value is
+// no partition.
 type partition struct {
 	blockedAddresses atomic.Pointer[map[netip.AddrPort]bool] // nil without a partition
 
@@ -68,8 +68,8 @@
 	return blocked != nil && (*blocked)[address]
 }
 
-// servePartition partitions this node from the zones given as ?zone=A&zone=B. Without any zone it ends
-// the partition.
+// servePartition partitions this node from the zones given as ?zone=A&zone=B. Without any zone it
+// ends the partition.
 func (node *Node) servePartition(response http.ResponseWriter, request *http.Request) {
 	names := request.URL.Query()["zone"]
 	zones := make([]lb.Zone, len(names))
--- a/internal/node/ready.go
+++ b/internal/node/ready.go
@@ -16,7 +16,8 @@
 // readinessPollInterval is the time between checks of a starting node's readiness.
 const readinessPollInterval = 50 * time.Millisecond
 
-// waitUntilReady waits until this node has the placements, and marks it as ready, or until ctx ends.
+// waitUntilReady waits until this node has the placements, and marks it as ready, or until ctx
+// ends.
 func (node *Node) waitUntilReady(ctx context.Context) {
 	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
@@ -46,9 +47,8 @@
 		Send()
 }
 
-// listPlacements reads all placements in the store and applies them. The store client delays attempts
-// while the store is down.
-
+// listPlacements reads all placements in the store and applies them. The store client delays
+// attempts while the store is down.
 func (node *Node) listPlacements(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeRequestTimeout)
 	defer cancel()
--- a/internal/node/seeds.go
+++ b/internal/node/seeds.go
@@ -16,9 +16,9 @@
 	joinedSeedInterval = 10 * time.Second // interval while other members are known
 )
 
-// contactSeeds sends join requests to the seeds of the settings until ctx ends: to all of them while
-// this node knows no other member, and then, at a longer interval, to those that are not members. The
-// later requests merge two parts of a fleet that lost each other.
+// contactSeeds sends join requests to the seeds of the settings until ctx ends: to all of them
+// while this node knows no other member, and then, at a longer interval, to those that are not
+// members. The later requests merge two parts of a fleet that lost each other.
 func (node *Node) contactSeeds(ctx context.Context) {
 	for {
 		members := node.directory.list()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// runPlannedStop runs a planned stop. The node announces that it leaves, hands over its records, and
-// continues to relay and forward packets until the fabric no longer sends any to it.
+// runPlannedStop runs a planned stop. The node announces that it leaves, hands over its records,
+// and continues to relay and forward packets until the fabric no longer sends any to it.
 func (node *Node) runPlannedStop(ctx context.Context) error {
 	node.lifecycle.LogEvent(logging.EventStopping)
 	node.engine.beginLeave()
--- a/internal/node/storerequests.go
+++ b/internal/node/storerequests.go
@@ -26,8 +26,8 @@
 	epoch  string
 }
 
-// storeRequestQueue holds the controller's requests to the store. The controller limits the number of
-// outstanding writes and reads. Of the zone's status documents, the queue keeps only the latest.
+// storeRequestQueue holds the controller's requests to the store. The controller limits the number
+// of outstanding writes and reads. Of the zone's status documents, the queue keeps only the latest.
 type storeRequestQueue struct {
 	mutex        sync.Mutex
 	pending      []storeRequest
@@ -182,9 +182,9 @@
 	return &controller.ReadBack{Service: service, Document: documentOf(&kv, false)}
 }
 
-// writeStatus writes the zone's status, unless there is a later one, and reports whether it needs no
-// retry. It writes one status at a time, so that a late write does not replace a newer status with
-// an older one.
+// writeStatus writes the zone's status, unless there is a later one, and reports whether it needs
+// no retry. It writes one status at a time, so that a late write does not replace a newer status
+// with an older one.
 func (node *Node) writeStatus(running context.Context, status *catalog.ZoneStatus) bool {
 	node.statusMutex.Lock()
 	defer node.statusMutex.Unlock()
@@ -205,8 +205,8 @@
 	return node.overwrite(ctx, key, value, writeID)
 }
 
-// retryStatus waits for statusRetryDelay and adds a zone status that could not be written to the queue
-// again, unless there is a later one.
+// retryStatus waits for statusRetryDelay and adds a zone status that could not be written to the
+// queue again, unless there is a later one.
 func (node *Node) retryStatus(running context.Context, status *catalog.ZoneStatus) {
 	select {
 	case <-running.Done():
--- a/internal/node/storewatch.go
+++ b/internal/node/storewatch.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// documentsOf returns a batch of the watch in the form of the controller, or nil if the batch changes
-// no document that the controller reads. In particular, the status documents that the zones write
-// must not count as changes.
+// documentsOf returns a batch of the watch in the form of the controller, or nil if the batch
+// changes no document that the controller reads. In particular, the status documents that the zones
+// write must not count as changes.
 func documentsOf(batch store.Batch) *controller.Documents {
 	documents := &controller.Documents{Complete: batch.Reset, Revision: batch.Revision}
 	for index := range batch.Events {
--- a/internal/node/viewcheck.go
+++ b/internal/node/viewcheck.go
@@ -13,11 +13,11 @@
 // digestRequestInterval is the time between digest requests to the peers of a zone.
 const digestRequestInterval = 200 * time.Millisecond
 
-// viewCheck determines whether this node's placements are up to date after the process was paused or
-// the node lost contact with others. It requests the digests of peers' placements. A peer of every
-// zone must have the same digest, because the peers on this node's side of a network partition may
-// have missed the same changes. Only answers to requests that were sent after the pause or the loss
-// of contact count.
+// viewCheck determines whether this node's placements are up to date after the process was paused
+// or the node lost contact with others. It requests the digests of peers' placements. A peer of
+// every zone must have the same digest, because the peers on this node's side of a network
+// partition may have missed the same changes. Only answers to requests that were sent after the
+// pause or the loss of contact count.
 type viewCheck struct {
 	random         *rand.Rand
 	unverified     bool
@@ -81,8 +81,8 @@
 	}
 }
 
-// applyDigestAnswer processes the answer to a digest request. Once a peer of every zone has answered
-// with this node's digest, it marks the core's view as verified.
+// applyDigestAnswer processes the answer to a digest request. Once a peer of every zone has
+// answered with this node's digest, it marks the core's view as verified.
 func (engine *engine) applyDigestAnswer(from lb.NodeID, answer *message.PingAck) {
 	check := &engine.viewCheck
 	if !check.unverified || answer.Sequence < check.firstValid || answer.Sequence > check.lastSequence {
--- a/internal/node/viewcheck_test.go
+++ b/internal/node/viewcheck_test.go
@@ -48,8 +48,8 @@
 	return fixture
 }
 
-// pauseAndRequest advances the clock without any step, as a pause of the process does, and then sends
-// digest requests to the peers.
+// pauseAndRequest advances the clock without any step, as a pause of the process does, and then
+// sends digest requests to the peers.
 func (fixture *contactFixture) pauseAndRequest() {
 	fixture.now += time.Minute
 	fixture.engine.runInput(func() {
--- a/internal/node/writecount.go
+++ b/internal/node/writecount.go
@@ -37,7 +37,6 @@
 }
 
 // outcomeName returns the name of an outcome in metrics.
-
 func outcomeName(outcome controller.WriteOutcome) string {
 	switch outcome {
 	case controller.WriteDone:
--- a/internal/operator/load.go
+++ b/internal/operator/load.go
@@ -50,7 +50,7 @@
 
 // ReadLoad requests the load reports of the balancers at the given admin addresses, each of which
 // is HOST:PORT or a base URL, and combines them into one table. If some balancers do not respond,
-// it returns the table of the others together with ErrNoAnswer.
+// it returns the table of the others together with ErrNoResponse.
 func ReadLoad(ctx context.Context, addresses []string, filter LoadFilter) (*Load, error) {
 	urls, err := reportURLs(addresses)
 	if err != nil {
--- a/internal/packet/bench_test.go
+++ b/internal/packet/bench_test.go
@@ -6,15 +6,15 @@
 
 // BenchmarkDecode measures decoding for each transport and IP version.
 func BenchmarkDecode(b *testing.B) {
-	tcp := tcpPacket(b, caller4, service4, Segment{Flags: FlagACK, Payload: make([]byte, 512)})
+	tcp := tcpPacket(b, client4, service4, Segment{Flags: FlagACK, Payload: make([]byte, 512)})
 	cases := []struct {
 		name     string
 		datagram []byte
 	}{
 		{"tcp4", wrap(b, tcp, Header{})},
 		{"tcp4-relayed", wrap(b, tcp, Header{Relay: testRelay})},
-		{"tcp6", wrap(b, tcpPacket(b, caller6, service6, opening), Header{})},
-		{"udp4", wrap(b, udpPacket(b, caller4, service4, "query"), Header{})},
+		{"tcp6", wrap(b, tcpPacket(b, client6, service6, opening), Header{})},
+		{"udp4", wrap(b, udpPacket(b, client4, service4, "query"), Header{})},
 	}
 	for _, test := range cases {
 		b.Run(test.name, func(b *testing.B) {
@@ -31,7 +31,7 @@
 
 // BenchmarkEncode measures encoding with and without the relay option.
 func BenchmarkEncode(b *testing.B) {
-	inner := tcpPacket(b, caller4, service4, Segment{Flags: FlagACK, Payload: make([]byte, 512)})
+	inner := tcpPacket(b, client4, service4, Segment{Flags: FlagACK, Payload: make([]byte, 512)})
 	cases := []struct {
 		name   string
 		header Header
@@ -58,8 +58,8 @@
 		name  string
 		inner []byte
 	}{
-		{"reset", tcpPacket(b, caller4, service4, opening)},
-		{"prohibited", udpPacket(b, caller4, service4, "query")},
+		{"reset", tcpPacket(b, client4, service4, opening)},
+		{"prohibited", udpPacket(b, client4, service4, "query")},
 	}
 	for _, test := range cases {
 		b.Run(test.name, func(b *testing.B) {
--- a/internal/packet/build.go
+++ b/internal/packet/build.go
@@ -11,8 +11,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// defaultTTL is the TTL or hop limit of the packets that this package builds (the value that RFC
-// 1700 recommends).
+// defaultTTL is the TTL or hop limit of the packets that this package builds. RFC 1700 recommends
+// 64.
 const defaultTTL = 64
 
 // BuildTCP appends to dst an inner IP packet that contains the TCP segment, with correct checksums.
--- a/internal/packet/cause_test.go
+++ b/internal/packet/cause_test.go
@@ -56,11 +56,11 @@
 }
 
 func TestCauses(t *testing.T) {
-	tcp4 := func() []byte { return wrap(t, tcpPacket(t, caller4, service4, opening), Header{}) }
-	tcp6 := func() []byte { return wrap(t, tcpPacket(t, caller6, service6, opening), Header{}) }
-	udp4 := func() []byte { return wrap(t, udpPacket(t, caller4, service4, "query"), Header{}) }
+	tcp4 := func() []byte { return wrap(t, tcpPacket(t, client4, service4, opening), Header{}) }
+	tcp6 := func() []byte { return wrap(t, tcpPacket(t, client6, service6, opening), Header{}) }
+	udp4 := func() []byte { return wrap(t, udpPacket(t, client4, service4, "query"), Header{}) }
 	relayed := func() []byte {
-		return wrap(t, tcpPacket(t, caller4, service4, opening), Header{Relay: testRelay})
+		return wrap(t, tcpPacket(t, client4, service4, opening), Header{Relay: testRelay})
 	}
 	relayData := fixedHeaderLength + optionHeaderLength
 	refusal := []byte{0xff, 0x52, 0x02, 2, 1, 1, 0, 0, 0, 0, 0, 9}
@@ -143,14 +143,14 @@
 
 func TestUnknownOptionIsIgnoredUnlessCritical(t *testing.T) {
 	is := is.New(t)
-	inner := tcpPacket(t, caller4, service4, opening)
+	inner := tcpPacket(t, client4, service4, opening)
 	packet := decode(t, withOptions(wrap(t, inner, Header{}), 0x01, 0x02, 0x03, 1, 9, 9, 9, 9))
 	is.Equal(packet.Inner, inner)
 }
 
 func TestMaxLengthOptionsAreDecoded(t *testing.T) {
 	is := is.New(t)
-	inner := tcpPacket(t, caller4, service4, opening)
+	inner := tcpPacket(t, client4, service4, opening)
 	options := make([]byte, optionsLengthMask*optionUnit)
 	options[3] = optionLengthMask             // 128 bytes
 	options[128+3] = (252-128)/optionUnit - 1 // the remaining bytes
--- a/internal/packet/fuzz_test.go
+++ b/internal/packet/fuzz_test.go
@@ -15,10 +15,10 @@
 // it. More seeds are in testdata/fuzz/FuzzDecode.
 func FuzzDecode(f *testing.F) {
 	for _, inner := range [][]byte{
-		tcpPacket(f, caller4, service4, opening),
-		tcpPacket(f, caller6, service6, opening),
-		udpPacket(f, caller4, service4, "query"),
-		udpPacket(f, caller6, service6, "query"),
+		tcpPacket(f, client4, service4, opening),
+		tcpPacket(f, client6, service6, opening),
+		udpPacket(f, client4, service4, "query"),
+		udpPacket(f, client6, service6, "query"),
 	} {
 		f.Add(wrap(f, inner, Header{}))
 		f.Add(wrap(f, inner, Header{VNI: testVNI, Relay: testRelay, Refusal: testRefusal}))
--- a/internal/packet/icmp.go
+++ b/internal/packet/icmp.go
@@ -17,7 +17,7 @@
 // quoted packet (RFC 4443, section 3).
 const icmpv6UnusedLength = 4
 
-// decodeICMP decodes an ICMP error. Routers between a back end and a caller send such errors, for
+// decodeICMP decodes an ICMP error. Routers between a back end and a client send such errors, for
 // instance "packet too big", to the service's address, and they must reach the back end that has
 // the flow. decodeICMP therefore sets the key to the flow's key in the direction of the ICMP
 // message, so that the core handles the message like any other packet of the flow.
--- a/internal/packet/option.go
+++ b/internal/packet/option.go
@@ -39,13 +39,13 @@
 
 // Flags of the relay option.
 const (
-	relayKnown uint8 = 1 << iota
+	relayFromRecord uint8 = 1 << iota
 	relayRefuse
-	relayVouched
+	relayHeadComplete
 	relayEstablished
 	relayRerouted
 
-	relayFlags = relayKnown | relayRefuse | relayVouched | relayEstablished | relayRerouted
+	relayFlags = relayFromRecord | relayRefuse | relayHeadComplete | relayEstablished | relayRerouted
 )
 
 // encodeRelay writes the data of the relay option.
@@ -53,9 +53,9 @@
 	clear(data)
 	data[0] = relayFormat
 	data[1] = uint8(relay.Hop)
-	data[2] = flagIf(relay.FromRecord, relayKnown) |
+	data[2] = flagIf(relay.FromRecord, relayFromRecord) |
 		flagIf(relay.Refuse, relayRefuse) |
-		flagIf(relay.HeadComplete, relayVouched) |
+		flagIf(relay.HeadComplete, relayHeadComplete) |
 		flagIf(relay.Established, relayEstablished) |
 		flagIf(relay.Rerouted, relayRerouted)
 	binary.BigEndian.PutUint16(data[4:], uint16(relay.Proposal))
@@ -93,9 +93,9 @@
 		Ingress:      lb.NodeHash(binary.BigEndian.Uint64(data[8:])),
 		Version:      lb.Version(binary.BigEndian.Uint64(data[16:])),
 		Proposal:     lb.BackendID(binary.BigEndian.Uint16(data[4:])),
-		FromRecord:   flags&relayKnown != 0,
+		FromRecord:   flags&relayFromRecord != 0,
 		Refuse:       flags&relayRefuse != 0,
-		HeadComplete: flags&relayVouched != 0,
+		HeadComplete: flags&relayHeadComplete != 0,
 		Established:  flags&relayEstablished != 0,
 		Rerouted:     flags&relayRerouted != 0,
 	}
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	caller4  = netip.MustParseAddrPort("198.51.100.7:40001")
+	client4  = netip.MustParseAddrPort("198.51.100.7:40001")
 	service4 = netip.MustParseAddrPort("192.0.2.1:443")
-	caller6  = netip.MustParseAddrPort("[2001:db8::7]:40001")
+	client6  = netip.MustParseAddrPort("[2001:db8::7]:40001")
 	service6 = netip.MustParseAddrPort("[2001:db8:1::1]:443")
 
 	// testRelay has no zero field; TestRelayOptionCarriesEveryField checks this.
@@ -73,7 +73,7 @@
 }
 
 func TestTCPRoundTrip(t *testing.T) {
-	for _, ends := range [][2]netip.AddrPort{{caller4, service4}, {caller6, service6}} {
+	for _, ends := range [][2]netip.AddrPort{{client4, service4}, {client6, service6}} {
 		is := is.New(t)
 		source, destination := ends[0], ends[1]
 		segment := Segment{
@@ -98,7 +98,7 @@
 }
 
 func TestUDPRoundTrip(t *testing.T) {
-	for _, ends := range [][2]netip.AddrPort{{caller4, service4}, {caller6, service6}} {
+	for _, ends := range [][2]netip.AddrPort{{client4, service4}, {client6, service6}} {
 		is := is.New(t)
 		inner := udpPacket(t, ends[0], ends[1], "query")
 		packet := decode(t, wrap(t, inner, Header{}))
@@ -127,7 +127,7 @@
 	for _, test := range cases {
 		is := is.New(t)
 		segment := Segment{Flags: test.flags, Sequence: 77}
-		packet := decode(t, wrap(t, tcpPacket(t, caller4, service4, segment), Header{}))
+		packet := decode(t, wrap(t, tcpPacket(t, client4, service4, segment), Header{}))
 		is.Equal(packet.Kind, test.kind)
 		is.Equal(packet.OpeningID, test.openingID)
 	}
@@ -141,7 +141,7 @@
 	for index := range fields.NumField() {
 		is.True(!fields.Field(index).IsZero()) // testRelay must set every field
 	}
-	inner := tcpPacket(t, caller4, service4, opening)
+	inner := tcpPacket(t, client4, service4, opening)
 	packet := decode(t, wrap(t, inner, Header{Relay: testRelay}))
 	is.Equal(packet.Relay, testRelay)
 }
@@ -151,7 +151,7 @@
 func TestRelayOptionIsCritical(t *testing.T) {
 	is := is.New(t)
 	const criticalBit = 0x40 // in the second byte of the header
-	inner := tcpPacket(t, caller4, service4, opening)
+	inner := tcpPacket(t, client4, service4, opening)
 	relayed := wrap(t, inner, Header{Relay: testRelay, Refusal: testRefusal})
 	is.Equal(relayed[1], uint8(criticalBit))
 	is.Equal(optionType(relayed[fixedHeaderLength+2])&optionCritical, optionCritical)
@@ -161,7 +161,7 @@
 
 // TestRelayFlagsAreIndependent checks each flag separately.
 func TestRelayFlagsAreIndependent(t *testing.T) {
-	inner := tcpPacket(t, caller4, service4, opening)
+	inner := tcpPacket(t, client4, service4, opening)
 	for _, relay := range []lb.Relay{
 		{Hop: lb.HopHead},
 		{Hop: lb.HopHead, FromRecord: true},
@@ -177,8 +177,8 @@
 
 func TestBytesAfterInnerPacketAreDiscarded(t *testing.T) {
 	for _, inner := range [][]byte{
-		tcpPacket(t, caller4, service4, opening),
-		tcpPacket(t, caller6, service6, opening),
+		tcpPacket(t, client4, service4, opening),
+		tcpPacket(t, client6, service6, opening),
 	} {
 		is := is.New(t)
 		padded := append(append([]byte{}, inner...), 0, 0, 0)
@@ -190,11 +190,11 @@
 
 func TestPacketIsResetByDecode(t *testing.T) {
 	is := is.New(t)
-	packet := decode(t, wrap(t, tcpPacket(t, caller4, service4, opening),
+	packet := decode(t, wrap(t, tcpPacket(t, client4, service4, opening),
 		Header{VNI: testVNI, Relay: testRelay, Refusal: lb.Refusal{Verdict: lb.NotRun}}))
-	is.NoErr(Decode(wrap(t, udpPacket(t, caller6, service6, ""), Header{}), packet))
+	is.NoErr(Decode(wrap(t, udpPacket(t, client6, service6, ""), Header{}), packet))
 	is.Equal(packet.Packet, core.Packet{
-		Key:  lb.NewFlowKey(caller6, service6, lb.UDP),
+		Key:  lb.NewFlowKey(client6, service6, lb.UDP),
 		Kind: core.PacketUnmarked,
 	})
 	is.Equal(packet.VNI, uint32(0))
@@ -202,7 +202,7 @@
 }
 
 func TestRefusalOptionRoundsUp(t *testing.T) {
-	inner := tcpPacket(t, caller4, service4, opening)
+	inner := tcpPacket(t, client4, service4, opening)
 	cases := []struct{ given, want time.Duration }{
 		{0, 0},
 		{-time.Second, 0},
@@ -220,7 +220,7 @@
 
 func TestEncodeRejectsInvalidInput(t *testing.T) {
 	is := is.New(t)
-	inner := tcpPacket(t, caller4, service4, opening)
+	inner := tcpPacket(t, client4, service4, opening)
 	before := []byte("before")
 	for _, test := range []struct {
 		inner []byte
@@ -234,13 +234,13 @@
 		is.True(err != nil)
 		is.Equal(after, before)
 	}
-	_, err := BuildUDP(nil, caller4, service6, nil)
+	_, err := BuildUDP(nil, client4, service6, nil)
 	is.True(err != nil) // the addresses have different IP versions
 }
 
 func TestMaxOverhead(t *testing.T) {
 	is := is.New(t)
-	inner := tcpPacket(t, caller4, service4, opening)
+	inner := tcpPacket(t, client4, service4, opening)
 	header := Header{Relay: testRelay, Refusal: lb.Refusal{Verdict: lb.NotRun}}
 	is.Equal(len(wrap(t, inner, header))-len(inner), MaxOverhead)
 }
@@ -249,7 +249,7 @@
 // entries at random under the race detector.
 func TestDecodeAndEncodeAllocateNothing(t *testing.T) {
 	is := is.New(t)
-	datagram := wrap(t, tcpPacket(t, caller4, service4, opening), Header{Relay: testRelay})
+	datagram := wrap(t, tcpPacket(t, client4, service4, opening), Header{Relay: testRelay})
 	packet := new(Packet)
 	encoder := newEncoder()
 	header := new(Header)
--- a/internal/packet/refusal.go
+++ b/internal/packet/refusal.go
@@ -8,9 +8,9 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// ErrMustNotAnswer means that a packet must not be answered, because it is an RST (RFC 9293, section
-// 3.10.7.1) or an ICMP message (RFC 1122, section 3.2.2), or because one of its addresses does not
-// identify a single host.
+// ErrMustNotAnswer means that a packet must not be answered, because it is an RST (RFC 9293,
+// section 3.10.7.1) or an ICMP message (RFC 1122, section 3.2.2), or because one of its addresses
+// does not identify a single host.
 var ErrMustNotAnswer = errors.New("packet must not be answered")
 
 // Codes for "administratively prohibited" (RFC 1812, section 5.2.7.1; RFC 4443, section 3.1).
@@ -35,7 +35,7 @@
 // AppendRefusal appends to dst the datagram that reports the refusal of the packet to its sender: a
 // TCP RST, or for UDP an ICMP error "administratively prohibited", in Geneve with the refusal as an
 // option. The datagram goes to the fabric, which delivers the inner packet to the sender. If the
-// packet must not be answered, AppendRefusal returns dst unchanged and ErrNoAnswer.
+// packet must not be answered, AppendRefusal returns dst unchanged and ErrMustNotAnswer.
 func AppendRefusal(dst []byte, packet *Packet, refusal lb.Refusal) ([]byte, error) {
 	if !answerable(packet) {
 		return dst, ErrMustNotAnswer
@@ -50,7 +50,7 @@
 	return Encode(dst, builder.buffer.Bytes(), &header)
 }
 
-// answerable reports whether the packet may be answered; see ErrNoAnswer.
+// answerable reports whether the packet may be answered; see ErrMustNotAnswer.
 func answerable(packet *Packet) bool {
 	if packet.ICMP != (ICMPError{}) || packet.Segment.Flags.Has(FlagRST) {
 		return false
--- a/internal/packet/refusal_test.go
+++ b/internal/packet/refusal_test.go
@@ -98,7 +98,7 @@
 		},
 	}
 	for _, test := range cases {
-		for _, ends := range [][2]netip.AddrPort{{caller4, service4}, {caller6, service6}} {
+		for _, ends := range [][2]netip.AddrPort{{client4, service4}, {client6, service6}} {
 			t.Run(test.name, func(t *testing.T) {
 				is := is.New(t)
 				answer := refuse(t, tcpPacket(t, ends[0], ends[1], test.segment))
@@ -113,7 +113,7 @@
 
 func TestUDPIsRefusedByAdminProhibited(t *testing.T) {
 	for _, payload := range []string{"", "query", strings.Repeat("x", 1301)} {
-		for _, ends := range [][2]netip.AddrPort{{caller4, service4}, {caller6, service6}} {
+		for _, ends := range [][2]netip.AddrPort{{client4, service4}, {client6, service6}} {
 			is := is.New(t)
 			inner := udpPacket(t, ends[0], ends[1], payload)
 			answer := refuse(t, inner)
@@ -134,11 +134,11 @@
 
 func TestUnanswerablePackets(t *testing.T) {
 	multicast := netip.MustParseAddrPort("224.0.0.9:443")
-	prohibited := refuse(t, udpPacket(t, caller4, service4, "query"))
+	prohibited := refuse(t, udpPacket(t, client4, service4, "query"))
 	for _, inner := range [][]byte{
-		tcpPacket(t, caller4, service4, Segment{Flags: FlagRST}),
-		tcpPacket(t, caller4, service4, Segment{Flags: FlagRST | FlagACK}),
-		udpPacket(t, caller4, multicast, "query"),
+		tcpPacket(t, client4, service4, Segment{Flags: FlagRST}),
+		tcpPacket(t, client4, service4, Segment{Flags: FlagRST | FlagACK}),
+		udpPacket(t, client4, multicast, "query"),
 		udpPacket(t, multicast, service4, "query"),
 		udpPacket(t, netip.MustParseAddrPort("0.0.0.0:9"), service4, "query"),
 		prohibited.Inner,
@@ -152,12 +152,12 @@
 	}
 }
 
-// TestICMPErrorHasKeyOfItsFlow has a router report to the service that a packet to the caller was
-// too big. The ICMP error must get the key of the caller's flow.
+// TestICMPErrorHasKeyOfItsFlow has a router report to the service that a packet to the client was
+// too big. The ICMP error must get the key of the client's flow.
 func TestICMPErrorHasKeyOfItsFlow(t *testing.T) {
 	is := is.New(t)
 	router := netip.MustParseAddr("203.0.113.1")
-	quote := tcpPacket(t, service4, caller4, Segment{Flags: FlagACK, Payload: make([]byte, 1400)})
+	quote := tcpPacket(t, service4, client4, Segment{Flags: FlagACK, Payload: make([]byte, 1400)})
 	icmp := layers.ICMPv4{TypeCode: layers.CreateICMPv4TypeCode(
 		layers.ICMPv4TypeDestinationUnreachable, layers.ICMPv4CodeFragmentationNeeded)}
 	builder := newBuilder()
@@ -165,12 +165,12 @@
 	is.NoErr(err)
 	is.NoErr(builder.serialize(&icmp, quote[:ipv4HeaderLength+8])) // the minimum that RFC 792 requires
 	packet := decode(t, wrap(t, builder.buffer.Bytes(), Header{}))
-	is.Equal(packet.Key, lb.NewFlowKey(caller4, service4, lb.TCP))
+	is.Equal(packet.Key, lb.NewFlowKey(client4, service4, lb.TCP))
 	is.Equal(packet.Kind, core.PacketMiddle)
 	is.Equal(packet.ICMP, ICMPError{Type: 3, Code: 4})
 	is.True(!packet.IsAdminProhibited())
 
-	_, err = builder.setNetwork(router, caller4.Addr(), layers.IPProtocolICMPv4)
+	_, err = builder.setNetwork(router, client4.Addr(), layers.IPProtocolICMPv4)
 	is.NoErr(err)
 	is.NoErr(builder.serialize(&icmp, quote))
 	err = Decode(wrap(t, builder.buffer.Bytes(), Header{}), new(Packet))
@@ -180,7 +180,7 @@
 // TestICMPv6ErrorHasKeyOfItsFlow is the same test for ICMPv6 "packet too big" and UDP.
 func TestICMPv6ErrorHasKeyOfItsFlow(t *testing.T) {
 	is := is.New(t)
-	quote := udpPacket(t, service6, caller6, strings.Repeat("x", 1400))
+	quote := udpPacket(t, service6, client6, strings.Repeat("x", 1400))
 	tooBig := append(make([]byte, icmpv6UnusedLength), quote[:1200]...)
 	builder := newBuilder()
 	network, err := builder.setNetwork(netip.MustParseAddr("2001:db8:2::1"), service6.Addr(), layers.IPProtocolICMPv6)
@@ -189,7 +189,7 @@
 	is.NoErr(icmp.SetNetworkLayerForChecksum(network))
 	is.NoErr(builder.serialize(&icmp, tooBig))
 	packet := decode(t, wrap(t, builder.buffer.Bytes(), Header{}))
-	is.Equal(packet.Key, lb.NewFlowKey(caller6, service6, lb.UDP))
+	is.Equal(packet.Key, lb.NewFlowKey(client6, service6, lb.UDP))
 	is.Equal(packet.Kind, core.PacketUnmarked)
 	is.Equal(packet.ICMP, ICMPError{Type: 2})
 }
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -16,8 +16,8 @@
 	Key                   string
 	Revision              int64
 	CompareCreateRevision bool
-	// HeldAtRevision is a store revision at which a read showed that the condition held; 0 if unknown. After
-	// a lost response, Commit reads the history from this revision on.
+	// HeldAtRevision is a store revision at which a read showed that the condition held; 0 if
+	// unknown. After a lost response, Commit reads the history from this revision on.
 	HeldAtRevision int64
 }
 
--- a/internal/tokennode/admin.go
+++ b/internal/tokennode/admin.go
@@ -24,8 +24,8 @@
 	promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(response, request)
 }
 
-// isReady reports whether routers may send packets to the node, and the reason if not. The node
-// is not ready before it has a view, nor, during a planned stop, once its zone can serve without it.
+// isReady reports whether routers may send packets to the node, and the reason if not. The node is
+// not ready before it has a view, nor, during a planned stop, once its zone can serve without it.
 func (node *Node) isReady() (ready bool, reason string) {
 	if node.notReady.Load() {
 		return false, "stopping"
--- a/internal/tokennode/badinput_test.go
+++ b/internal/tokennode/badinput_test.go
@@ -83,7 +83,7 @@
 	is.NoErr(err)
 	testbed.logger = logger
 	for _, node := range testbed.nodes {
-		testbed.stopAtOnce(node)
+		testbed.stopImmediately(node)
 		testbed.start(node)
 	}
 	testbed.waitUntil("the nodes are ready again", func() bool { return testbed.ready(0) && testbed.ready(1) })
--- a/internal/tokennode/fleetloadlog.go
+++ b/internal/tokennode/fleetloadlog.go
@@ -30,7 +30,8 @@
 // loadInputs holds the inputs from which zone weights and admission rates are computed. Amounts
 // are in slots, for the local zone and for the sum of all other zones.
 type loadInputs struct {
-	// hasLoad reports whether recent load data on the service exists, and age is the age of the data.
+	// hasLoad reports whether recent load data on the service exists, and age is the age of the
+	// data.
 	hasLoad                  bool
 	age                      time.Duration
 	demand, demandOthers     float64
@@ -130,7 +131,6 @@
 }
 
 // loadInputs returns the current load inputs of a service.
-
 func (engine *engine) loadInputs(service lb.ServiceName) loadInputs {
 	var capacity map[lb.Zone]float64
 	if found := engine.table.ServiceNamed(service); found != nil {
--- a/internal/tokennode/histogram.go
+++ b/internal/tokennode/histogram.go
@@ -24,7 +24,8 @@
 	histogram.counts[min(bucket, histogramBuckets-1)]++
 }
 
-// buckets returns the cumulative counts by upper bound in seconds, in the form that Prometheus uses.
+// buckets returns the cumulative counts by upper bound in seconds, in the form that Prometheus
+// uses.
 func (histogram *durationHistogram) buckets() map[float64]uint64 {
 	cumulative := make(map[float64]uint64, histogramBuckets)
 	sum := uint64(0)
--- a/internal/tokennode/load_test.go
+++ b/internal/tokennode/load_test.go
@@ -25,8 +25,8 @@
 	return report
 }
 
-// TestLoadReportCoversCapacityAndDemand checks that a report always contains the capacities, and the
-// clients' demand only while it is near the capacity of the back ends.
+// TestLoadReportCoversCapacityAndDemand checks that a report always contains the capacities, and
+// the clients' demand only while it is near the capacity of the back ends.
 func TestLoadReportCoversCapacityAndDemand(t *testing.T) {
 	is := is.New(t)
 	testbed := newTestbed(t, 2)
--- a/internal/tokennode/metrics.go
+++ b/internal/tokennode/metrics.go
@@ -313,7 +313,7 @@
 	reachability    []reachability.Status
 	age             float64 // seconds
 	takeoverRank    int
-	isWatcher       float64 // 1 while this node is a designated watcher of the store, else 0
+	isWatcher       float64 // 1 while this node is the designated watcher of the store, else 0
 	members         int
 	leaving         int
 
--- a/internal/tokennode/node.go
+++ b/internal/tokennode/node.go
@@ -1,6 +1,6 @@
-// Package tokennode assembles a balancer with affinity token, whose packets carry a token that names
-// their back end (docs/design-platform.md). It connects the decision core, the data plane, the
-// membership, the follower of the store and the admin address. The packages of these parts
+// Package tokennode assembles a balancer with affinity token, whose packets carry a token that
+// names their back end (docs/design-platform.md). It connects the decision core, the data plane,
+// the membership, the follower of the store and the admin address. The packages of these parts
 // implement the balancing rules; this package contains none.
 package tokennode
 
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// burstSeconds is the burst that a node may send after a quiet period, in seconds of its budget. The
-// designated watchers of a zone publish many changes in quick succession, but few over hours.
+// burstSeconds is the burst that a node may send after a quiet period, in seconds of its budget.
+// The designated watcher publishes many changes in quick succession, but few over hours.
 const burstSeconds = 16
 
 // budgetOf returns the budget for messages to other nodes.
@@ -144,8 +144,8 @@
 	}
 }
 
-// Run serves until a planned stop is finished or ctx ends. If ctx ends, Run stops at once and
-// returns lb.ErrStoppedAtOnce.
+// Run serves until a planned stop is finished or ctx ends. If ctx ends, Run stops immediately and
+// returns lb.ErrStoppedImmediately.
 func (node *Node) Run(ctx context.Context) error {
 	running, cancel := context.WithCancel(ctx)
 	defer node.background.Wait()
@@ -316,7 +316,6 @@
 }
 
 // seedsToContact returns the seeds other than this node: all of them, or a random one.
-
 func seedsToContact(settings *config.Settings, all bool) []netip.AddrPort {
 	seeds := slices.DeleteFunc(slices.Clone(settings.Seeds), func(seed netip.AddrPort) bool {
 		return seed == settings.ControlAddress
--- a/internal/tokennode/outliers.go
+++ b/internal/tokennode/outliers.go
@@ -40,7 +40,6 @@
 
 // updateOutlierServices passes the ready back ends of each service to outlier detection, if this
 // node evaluates the outcome reports of its zone.
-
 func (engine *engine) updateOutlierServices() {
 	if !engine.evaluatesOutliers || engine.table == nil {
 		return
--- a/internal/tokennode/platform_test.go
+++ b/internal/tokennode/platform_test.go
@@ -36,7 +36,7 @@
 	requests.Go(func() { testbed.requestOnAll(flows) })
 	is.NoErr(<-testbed.nodes[0].ended)
 	requests.Wait()
-	testbed.stopAtOnce(testbed.nodes[1])
+	testbed.stopImmediately(testbed.nodes[1])
 	testbed.requestOnAll(flows)
 	testbed.start(testbed.nodes[0])
 	testbed.start(testbed.nodes[1])
@@ -45,8 +45,8 @@
 	testbed.checkCounts()
 }
 
-// TestPlannedStopsOfOneZoneRunOneAfterAnother checks that of a zone's three nodes, the second one to
-// start a planned stop stays ready until the first one has been restarted.
+// TestPlannedStopsOfOneZoneRunOneAfterAnother checks that of a zone's three nodes, the second one
+// to start a planned stop stays ready until the first one has been restarted.
 func TestPlannedStopsOfOneZoneRunOneAfterAnother(t *testing.T) {
 	is := is.New(t)
 	testbed := newTestbed(t, 5) // zone-0 has nodes 0, 2 and 4
@@ -87,7 +87,7 @@
 			testbed := newTestbed(t, 3)
 			flows := testbed.openFlows(webFrontend, 6)
 			testbed.store.SetFault(fault)
-			testbed.stopAtOnce(testbed.nodes[2])
+			testbed.stopImmediately(testbed.nodes[2])
 			testbed.start(testbed.nodes[2]) // gets its view from its peers
 			testbed.waitUntil("the restarted node is ready", func() bool { return testbed.ready(2) })
 			testbed.requestOnAll(flows)
@@ -126,7 +126,8 @@
 }
 
 // TestLateOpeningAnswerDoesNotMoveFlow guards against resets of open flows by a host that was
-// paused. The host answers openings late, after copies of them have opened the flows at other hosts.
+// paused. The host answers openings late, after copies of them have opened the flows at other
+// hosts.
 func TestLateOpeningAnswerDoesNotMoveFlow(t *testing.T) {
 	testbed := newTestbed(t, 2)
 	flows, resume := testbed.openWhileStalled(webFrontend)
@@ -209,8 +210,8 @@
 	return 0
 }
 
-// checkAcceptedTwice checks that two hosts answered the opening of at least one of the flows, so that
-// the test covers a late answer.
+// checkAcceptedTwice checks that two hosts answered the opening of at least one of the flows, so
+// that the test covers a late answer.
 func (testbed *testbed) checkAcceptedTwice(flows []openFlow) {
 	testbed.t.Helper()
 	acceptedTwice := slices.ContainsFunc(flows, func(flow openFlow) bool { return len(flow.Accepting) > 1 })
--- a/internal/tokennode/queue_test.go
+++ b/internal/tokennode/queue_test.go
@@ -101,9 +101,8 @@
 	is.Equal(state.stats.HeldOpenings.HeldTime, 255*time.Millisecond)
 }
 
-// TestPlannedStopDecidesAllHeldOpenings checks that closing the queue decides on all held openings at
-// once, and that no opening is held afterwards.
-
+// TestPlannedStopDecidesAllHeldOpenings checks that closing the queue decides on all held openings
+// at once, and that no opening is held afterwards.
 func TestPlannedStopDecidesAllHeldOpenings(t *testing.T) {
 	is := is.New(t)
 	now := time.Duration(0)
--- a/internal/tokennode/reload.go
+++ b/internal/tokennode/reload.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// reloadOnce reads the settings and applies those that may change at run time, which are the timings
-// and the seeds. It logs whether the other settings have changed, which needs a restart. Invalid
-// settings change nothing. A periodic reload, as opposed to a requested one, logs nothing if the
-// settings are unchanged.
+// reloadOnce reads the settings and applies those that may change at run time, which are the
+// timings and the seeds. It logs whether the other settings have changed, which needs a restart.
+// Invalid settings change nothing. A periodic reload, as opposed to a requested one, logs nothing
+// if the settings are unchanged.
 func (node *Node) reloadOnce(requested bool) {
 	settings, err := node.options.Reload()
 	if err != nil {
--- a/internal/tokennode/stop.go
+++ b/internal/tokennode/stop.go
@@ -25,9 +25,9 @@
 	finalSendTime = 20 * time.Millisecond
 )
 
-// runPlannedStop runs a planned stop. The node stays ready until its zone can serve without it, then
-// reports that it is not ready, goes on serving until the routers no longer send packets to it, and
-// stops.
+// runPlannedStop runs a planned stop. The node stays ready until its zone can serve without it,
+// then reports that it is not ready, goes on serving until the routers no longer send packets to
+// it, and stops.
 func (node *Node) runPlannedStop(ctx context.Context) error {
 	node.lifecycle.LogEvent(logging.EventStopping)
 	node.engine.announceLeave()
--- a/internal/tokennode/testbed_test.go
+++ b/internal/tokennode/testbed_test.go
@@ -185,8 +185,8 @@
 	})
 }
 
-// stopAtOnce stops a node without a planned stop.
-func (testbed *testbed) stopAtOnce(node *testNode) {
+// stopImmediately stops a node without a planned stop.
+func (testbed *testbed) stopImmediately(node *testNode) {
 	node.cancel()
 	<-node.ended
 }
--- a/internal/view/prune.go
+++ b/internal/view/prune.go
@@ -9,8 +9,9 @@
 // maxDeletedRoutes bounds the deleted routes that are remembered.
 const maxDeletedRoutes = 1 << 12
 
-// Prune drops tombstones older than GoneRetention, and deleted routes and restored zones if there
-// are many of them. It returns whether it dropped a back end or a previous instance of a back end.
+// Prune drops tombstones older than TombstoneRetention, and deleted routes and restored zones if
+// there are many of them. It returns whether it dropped a back end or a previous instance of a back
+// end.
 func (r *Replica) Prune(now time.Duration) bool {
 	r.pruneRoutes()
 	r.pruneEvacuations()
--- a/internal/view/replica.go
+++ b/internal/view/replica.go
@@ -9,8 +9,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TombstoneRetention is how long a replica remembers a back end whose entry was deleted: some back ends
-// continue to serve their flows without an entry.
+// TombstoneRetention is how long a replica remembers a back end whose entry was deleted: some back
+// ends continue to serve their flows without an entry.
 const TombstoneRetention = 75 * time.Second
 
 // Replica is a balancer's copy of the store's state. It is not safe for concurrent use.
@@ -33,8 +33,8 @@
 	expiring map[lb.BackendName]bool
 	// unknownRemovals are back ends of which only the deletion is known; see RemovalEntry.
 	unknownRemovals map[lb.BackendName]unknownRemoval
-	// changedBackends are the back ends that have changed since the last call of Touched; it is nil
-	// before the first call.
+	// changedBackends are the back ends that have changed since the last call of ChangedBackends;
+	// it is nil before the first call.
 	changedBackends map[lb.BackendName]bool
 }
 
@@ -101,8 +101,8 @@
 // none.
 func (r *Replica) ConfigurationRevision() int64 { return r.configurationRevision }
 
-// ChangedBackends returns the back ends that have changed since the last call, in no particular order. On
-// the first call, all is true, and any back end may have changed.
+// ChangedBackends returns the back ends that have changed since the last call, in no particular
+// order. On the first call, all is true, and any back end may have changed.
 func (r *Replica) ChangedBackends() (names []lb.BackendName, all bool) {
 	all = r.changedBackends == nil
 	names = slices.Collect(maps.Keys(r.changedBackends))
@@ -311,12 +311,12 @@
 // KnownBackend is a back end with the state that the replica tracks for it.
 type KnownBackend struct {
 	Backend Backend
-	// Deleted is set if the entry was deleted. GoneAt is the time at which the replica learned of the
-	// deletion.
+	// Deleted is set if the entry was deleted. DeletedAt is the time at which the replica learned
+	// of the deletion.
 	Deleted   bool
 	DeletedAt time.Duration
-	// DeletedDuringOutage is set if the entry was deleted while the balancer had no contact to the store. During
-	// an outage, the store drops the entries of back ends that cannot reach it.
+	// DeletedDuringOutage is set if the entry was deleted while the balancer had no contact to the
+	// store. During an outage, the store drops the entries of back ends that cannot reach it.
 	DeletedDuringOutage bool
 	// ColdUntil is the latest time at which the back end has warmed up.
 	ColdUntil time.Duration
--- a/internal/view/unknown_removal.go
+++ b/internal/view/unknown_removal.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// pruneUnknownRemovals drops unknown removals that are older than GoneRetention.
+// pruneUnknownRemovals drops unknown removals that are older than TombstoneRetention.
 func (r *Replica) pruneUnknownRemovals(now time.Duration) {
 	for name, removal := range r.unknownRemovals {
 		if now-removal.at > TombstoneRetention {
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -16,7 +16,7 @@
 type Backend struct {
 	Name lb.BackendName `json:"name"`
 	// Identity is the number by which packets name the back end. A back end that restarts may keep
-	// its identity; see Run.
+	// its identity; see InstanceID.
 	Identity uint64         `json:"identity"`
 	Service  lb.ServiceName `json:"service"`
 	Address  netip.AddrPort `json:"address"`
@@ -31,14 +31,16 @@
 	// ColdMillis is how much longer the back end stays cold, counted from the moment at which a
 	// node reads or receives this value. Delays in transit therefore only lengthen the cold period.
 	ColdMillis int64 `json:"cold_ms,omitempty"`
-	// StartUnixMillis is the start time of the back end in milliseconds since 1970, by its own clock. It is 0
-	// if the back end does not state it; such a back end has a different Identity after each start.
+	// StartUnixMillis is the start time of the back end in milliseconds since 1970, by its own
+	// clock. It is 0 if the back end does not state it; such a back end has a different Identity
+	// after each start.
 	StartUnixMillis int64 `json:"born,omitempty"`
 }
 
-// InstanceID returns a number for this instance of the back end, that is, for the time between one start
-// and the next. Everything that a node learns about a back end belongs to one instance and does not
-// apply to a later one under the same name. All nodes compute the same number for an instance.
+// InstanceID returns a number for this instance of the back end, that is, for the time between one
+// start and the next. Everything that a node learns about a back end belongs to one instance and
+// does not apply to a later one under the same name. All nodes compute the same number for an
+// instance.
 func (b *Backend) InstanceID() uint64 {
 	if b.StartUnixMillis == 0 {
 		return b.Identity
@@ -46,8 +48,8 @@
 	return rendezvous.Mix(b.Identity ^ rendezvous.Mix(uint64(b.StartUnixMillis)))
 }
 
-// Target is one share of a traffic split: a service and its weight relative to the sum of all
-// weights.
+// Target is one destination of a traffic split: a service and its weight. The service receives the
+// fraction of the new flows that its weight has in the sum of all weights.
 type Target struct {
 	Service lb.ServiceName `json:"service"`
 	Weight  uint32         `json:"weight"`
@@ -104,8 +106,8 @@
 	Rejected []Rejection
 }
 
-// Change is one change. Exactly one of Configuration, Backend, Gone, Withdrawn, Evacuated and
-// Restored is set.
+// Change is one change. Exactly one of Configuration, Backend, Deleted, Unreadable, Evacuated
+// and Restored is set.
 type Change struct {
 	Revision      int64
 	Configuration *Configuration
