--- a/internal/catalog/index_test.go
+++ b/internal/catalog/index_test.go
@@ -27,9 +27,9 @@
 	return Backend{Name: lb.BackendName(fmt.Sprintf("b%d", number)), Host: host, Zone: "a", Labels: labels}
 }
 
-// TestIndexMatchesDirectEvaluation makes random changes of documents. After each change
-// it compares the desired state of every service with a direct evaluation of its selector, and
-// checks that every service whose desired state has changed was returned as affected.
+// TestIndexMatchesDirectEvaluation makes random changes of documents. After each change it compares
+// the desired state of every service with a direct evaluation of its selector, and checks that
+// every service whose desired state has changed was returned as affected.
 func TestIndexMatchesDirectEvaluation(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// override replaces the file's values by those of the flags that are set.
+// override replaces the file's values by the values of the flags that are set.
 func (raw *document) override(flags Overrides) {
 	overrideString(&raw.Node, flags.Node)
 	overrideString(&raw.Zone, flags.Zone)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -74,7 +74,7 @@
 	AdmissionQueueOff AdmissionQueue = "off"
 )
 
-// Limits bounds the rate at which the balancer sends.
+// Limits bounds the rates of control messages and of new flows at cold back ends.
 type Limits struct {
 	// ControlBytesPerSecond bounds all messages to peers.
 	ControlBytesPerSecond int
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -161,8 +161,8 @@
 	run.fabric = slices.DeleteFunc(run.fabric, func(other int32) bool { return other == index })
 }
 
-// join starts a new balancer. The fabric starts to send packets to it after
-// Timings.Spread, when all nodes have adopted the new membership.
+// join starts a new balancer. The fabric starts to send packets to it after Timings.Spread, when
+// all nodes have adopted the new membership.
 func (run *run) join(zone lb.Zone) {
 	if zone == "" {
 		zone = run.scenario.Zones[0]
--- a/internal/follower/publish.go
+++ b/internal/follower/publish.go
@@ -59,7 +59,7 @@
 	core.publishPending = false
 	revision := result.Publication.Snapshot.View.Revision
 	if result.Failure == FailureConflict {
-		core.publishedRevision = revision // another node has written an equally new snapshot
+		core.publishedRevision = revision // another node has written a snapshot that is at least as new
 	}
 	if result.Failure != FailureNone {
 		return
--- a/internal/follower/settings.go
+++ b/internal/follower/settings.go
@@ -85,10 +85,11 @@
 // (2.6 s for a limit of 3 s, scaled), and the fleet must put a change into force within 5 s.
 const maxLimit = 5500 * time.Millisecond
 
-// ScaledTo returns settings that put a change into force within a limit. It scales all times by the
-// same ratio, so that a fleet whose users tolerate more delay makes fewer requests. CallTimeout is
-// never increased, because a lost request must end and be repeated within the limit. BackoffLimit
-// is never increased either, so that retries against a failing store do not become slower.
+// ScaledTo returns settings that put a change into force within a limit. It scales the times of
+// watches, takeovers, digests and retries by the same ratio, so that a fleet whose users tolerate
+// more delay makes fewer requests. CallTimeout is never increased, because a lost request must end
+// and be repeated within the limit. BackoffLimit is never increased either, so that retries against
+// a failing store do not become slower.
 func (settings Settings) ScaledTo(limit time.Duration) Settings {
 	limit = min(limit, maxLimit)
 	ratio := limit.Seconds() / defaultLimit.Seconds()
--- a/internal/follower/watcher.go
+++ b/internal/follower/watcher.go
@@ -147,10 +147,10 @@
 	return message.WatcherStatus{Watcher: core.watcher, WatcherAgeMillis: age.Milliseconds(), Listing: core.watcherListing}
 }
 
-// takeOver makes this node the designated watcher after a successful read that no other node made
-// in time. A leaving node does not take over. Neither does this node if a watcher was reported
-// within the given time, because then updates have merely failed to reach this node. A read to
-// verify the first view is no reason either, unless this node is an initial reader, because
+// takeOver makes this node the designated watcher after the store has answered a read that no other
+// node made in time. A leaving node does not take over. Neither does this node if a watcher was
+// reported within the given time, because then updates have merely failed to reach this node. A
+// read to verify the first view is no reason either, unless this node is an initial reader, because
 // otherwise the seeds read.
 func (core *Core) takeOver(reason Reason, within time.Duration) {
 	if core.active || reason == ReasonCompacted || core.leaving {
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -56,7 +56,7 @@
 }
 
 func (core *Core) dropAnnouncement(service lb.ServiceName) {
-	index := slices.IndexFunc(core.announcements, func(hot announcement) bool { return hot.Service == service })
+	index := slices.IndexFunc(core.announcements, func(current announcement) bool { return current.Service == service })
 	if index < 0 {
 		return
 	}
@@ -84,11 +84,11 @@
 func (core *Core) announceFirst(count int, effects *Effects) {
 	versions := make([]message.ServiceVersion, count)
 	rest := slices.Clone(core.announcements[count:])
-	for index, hot := range core.announcements[:count] {
-		versions[index] = hot.ServiceVersion
-		hot.remainingRounds--
-		if hot.remainingRounds > 0 {
-			rest = append(rest, hot)
+	for index, current := range core.announcements[:count] {
+		versions[index] = current.ServiceVersion
+		current.remainingRounds--
+		if current.remainingRounds > 0 {
+			rest = append(rest, current)
 		}
 	}
 	core.announcements = rest
--- a/internal/member/update.go
+++ b/internal/member/update.go
@@ -76,9 +76,9 @@
 // or dead update counts as a suspicion of the incarnation known to this node, which the node
 // concerned can refute.
 func (core *Core) applyWithoutIncarnation(update *message.MemberUpdate, known *entry) bool {
-	accusation := update.State == message.MemberSuspect || update.State == message.MemberDead
+	raisesSuspicion := update.State == message.MemberSuspect || update.State == message.MemberDead
 	knownAlready := known.suspect() && update.State == message.MemberSuspect
-	if !accusation || !known.live() || knownAlready {
+	if !raisesSuspicion || !known.live() || knownAlready {
 		return false
 	}
 	if known.incarnation == 0 {
--- a/internal/operator/load.go
+++ b/internal/operator/load.go
@@ -18,7 +18,7 @@
 )
 
 // ErrNoResponse means that a balancer did not respond or returned an invalid report.
-var ErrNoResponse = errors.New("no answer from a balancer")
+var ErrNoResponse = errors.New("no response from a balancer")
 
 // Limits for requests of load reports.
 const (
@@ -132,14 +132,14 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the answer")
+		return nil, errors.Wrap(err, "read the response")
 	}
 	if len(body) > maxReportBytes {
-		return nil, errors.Newf("the answer exceeds %d bytes", maxReportBytes)
+		return nil, errors.Newf("the response exceeds %d bytes", maxReportBytes)
 	}
 	report := &loadreport.Report{}
 	if err := json.Unmarshal(body, report); err != nil {
-		return nil, errors.Wrap(err, "decode the answer")
+		return nil, errors.Wrap(err, "decode the response")
 	}
-	return report, errors.Wrap(report.Validate(), "invalid answer")
+	return report, errors.Wrap(report.Validate(), "invalid response")
 }
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -24,7 +24,7 @@
 	// ClassDocument contains placements and views. They wait behind ClassState.
 	ClassDocument
 	// ClassReport contains reports of the versions in force. They wait behind the placements that
-	// they refer to: if they were sent first, they would delay the placements that they wait for.
+	// they refer to: if they were sent first, they would delay these placements.
 	ClassReport
 	// ClassHint contains messages that save hops, or protect flows against a second failure. They
 	// are dropped if the budget is short.
--- a/internal/view/evacuation.go
+++ b/internal/view/evacuation.go
@@ -49,7 +49,7 @@
 	return zones
 }
 
-// setEvacuation applies an entry unless the replica has an equally new one.
+// setEvacuation applies an entry unless the replica has one that is at least as new.
 func (r *Replica) setEvacuation(entry EvacuationEntry) {
 	existing := r.evacuations[entry.Zone]
 	if existing != nil && existing.Revision >= entry.Revision {
--- a/internal/view/replica.go
+++ b/internal/view/replica.go
@@ -210,7 +210,7 @@
 	return r.lastChange != previousChange
 }
 
-// setConfiguration applies a configuration unless the replica has an equally new one.
+// setConfiguration applies a configuration unless the replica has one that is at least as new.
 func (r *Replica) setConfiguration(revision int64, configuration *Configuration) {
 	if revision <= r.configurationRevision {
 		return
@@ -245,7 +245,7 @@
 	r.routes[route.Frontend] = &RouteEntry{Revision: revision, Route: *route}
 }
 
-// setBackend replaces a back end unless the replica has an equally new entry.
+// setBackend replaces a back end unless the replica has an entry that is at least as new.
 func (r *Replica) setBackend(now time.Duration, revision int64, backend *Backend) {
 	existing := r.backends[backend.Name]
 	if existing != nil && existing.Revision >= revision {
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -11,8 +11,8 @@
 )
 
 // Snapshot is a whole view that a balancer writes to the store, so that balancers that start need
-// not list all entries. It may be several seconds old. A balancer receives the later
-// changes from a peer, or by a watch of the store from the snapshot's revision.
+// not list all entries. It may be several seconds old. A balancer receives the later changes from a
+// peer, or by a watch of the store from the snapshot's revision.
 type Snapshot struct {
 	View Delta
 }
