--- a/internal/follower/api.go
+++ b/internal/follower/api.go
@@ -96,7 +96,7 @@
 	FailureConflict    Failure = "conflict"    // another node has written a newer snapshot
 )
 
-// Answered returns whether the store processed the request. This includes the cases that it has no
+// Answered reports whether the store processed the request. This includes the cases that it has no
 // snapshot, has compacted its history, or already has a newer snapshot.
 func (failure Failure) Answered() bool {
 	switch failure {
--- a/internal/follower/dissemination.go
+++ b/internal/follower/dissemination.go
@@ -9,7 +9,7 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// sendsDigests returns whether this node publishes digests: the designated watcher does, and if no
+// sendsDigests reports whether this node publishes digests: the designated watcher does, and if no
 // messages about the view arrive, so does the first node of each zone.
 func (core *Core) sendsDigests() bool {
 	if !core.verified {
--- a/internal/follower/fleet_test.go
+++ b/internal/follower/fleet_test.go
@@ -184,7 +184,7 @@
 	fleet.deliveries = append(later, fleet.deliveries...)
 }
 
-// isTooLong returns whether the transport would drop a message because of its size.
+// isTooLong reports whether the transport would drop a message because of its size.
 func isTooLong(sent message.Message) bool {
 	delta, found := sent.(message.ViewDelta)
 	if !found || len(delta.Delta.Backends) < 1000 {
@@ -194,7 +194,7 @@
 	return err != nil
 }
 
-// routed returns whether a message is sent without a request, through a tree.
+// routed reports whether a message is sent without a request, through a tree.
 func routed(sent message.Message) bool {
 	switch received := sent.(type) {
 	case message.ViewDigest:
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -113,7 +113,7 @@
 // Rank returns this node's position among the nodes of its zone in the takeover order.
 func (core *Core) Rank() int { return core.rank }
 
-// IsWatcher returns whether this node is the designated watcher.
+// IsWatcher reports whether this node is the designated watcher.
 func (core *Core) IsWatcher() bool { return core.active }
 
 // Step processes one event and fills effects. If the time is earlier than in the previous step, the
--- a/internal/follower/read.go
+++ b/internal/follower/read.go
@@ -115,7 +115,7 @@
 	core.sendDigest(effects) // without delay, before other nodes start to read
 }
 
-// apply applies the result of a read and returns whether anything changed.
+// apply applies the result of a read and reports whether anything changed.
 func (core *Core) apply(result *ReadResult) bool {
 	core.setReplicaAge()
 	core.assembly = view.Assembly{} // its parts start at an older revision
--- a/internal/follower/request.go
+++ b/internal/follower/request.go
@@ -19,7 +19,7 @@
 	requestAgeFraction      = 0.9 // of TakeoverAge; larger than the age of a view at the end of the designated watcher's watch
 )
 
-// shouldRequestView returns whether this node should request the view from peers: its view has not
+// shouldRequestView reports whether this node should request the view from peers: its view has not
 // been verified yet, or the node would soon have to read the store itself.
 func (core *Core) shouldRequestView() bool {
 	if !core.verified {
--- a/internal/follower/watcher.go
+++ b/internal/follower/watcher.go
@@ -13,7 +13,7 @@
 // watcher until it learns of a watcher that precedes it, until its reads fail, or until it leaves.
 // Nodes wait for different times, in takeover order, so that usually only one of them reads.
 
-// readReason returns whether this node should read the store, and why.
+// readReason reports whether this node should read the store, and why.
 func (core *Core) readReason() (reason Reason, due bool) {
 	position := core.takeoverPosition()
 	delay := time.Duration(position) * core.settings.TakeoverStep
@@ -82,7 +82,7 @@
 // precede it.
 const warmUpPosition = 4
 
-// isInitialReader returns whether this node reads the store first when a fleet starts. This holds
+// isInitialReader reports whether this node reads the store first when a fleet starts. This holds
 // for a seed and for a node without seeds.
 func (core *Core) isInitialReader() bool {
 	return core.settings.IsSeed || len(core.settings.Seeds) == 0
@@ -130,7 +130,7 @@
 	return core.settings.TakeoverAgeLimit + time.Duration(position-lastFastPosition)*core.settings.SlowTakeoverStep
 }
 
-// receivesUpdates returns whether peers have sent messages about the view recently.
+// receivesUpdates reports whether peers have sent messages about the view recently.
 func (core *Core) receivesUpdates() bool {
 	return core.now-core.lastUpdateAt < core.settings.NoUpdateTimeout
 }
@@ -210,7 +210,7 @@
 	}
 }
 
-// yieldsTo returns whether this node yields the role of the designated watcher to another node that
+// yieldsTo reports whether this node yields the role of the designated watcher to another node that
 // also has it.
 func (core *Core) yieldsTo(other lb.NodeID) bool {
 	if !core.isAvailable(other) {
@@ -241,7 +241,7 @@
 	core.watcherLostAt = core.now
 }
 
-// isAvailable returns whether a peer is alive and not leaving.
+// isAvailable reports whether a peer is alive and not leaving.
 func (core *Core) isAvailable(id lb.NodeID) bool {
 	return slices.ContainsFunc(core.peers, func(peer Peer) bool { return peer.ID == id && !peer.Leaving })
 }
--- a/internal/view/history.go
+++ b/internal/view/history.go
@@ -8,7 +8,7 @@
 	To   int64 `json:"to"`
 }
 
-// contains returns whether a revision lies in the span.
+// contains reports whether a revision lies in the span.
 func (s Span) contains(revision int64) bool { return s.From < revision && revision < s.To }
 
 // enclosingSpan returns the smallest span that contains both spans; nil stands for an empty span.
--- a/internal/view/parts.go
+++ b/internal/view/parts.go
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// contains returns whether a back end belongs to the part.
+// contains reports whether a back end belongs to the part.
 func (p *Part) contains(name lb.BackendName) bool {
 	bucket := bucketOf(name)
 	return p.From <= bucket && bucket < p.To
--- a/internal/view/prune.go
+++ b/internal/view/prune.go
@@ -10,7 +10,7 @@
 const maxDeletedRoutes = 1 << 12
 
 // Prune drops tombstones older than TombstoneRetention, and deleted routes and restored zones if
-// there are many of them. It returns whether it dropped a back end or a previous instance of a back
+// there are many of them. It reports whether it dropped a back end or a previous instance of a back
 // end.
 func (r *Replica) Prune(now time.Duration) bool {
 	r.pruneRoutes()
@@ -24,7 +24,7 @@
 }
 
 // pruneBackend drops the tombstone or the previous instance of a back end if it has expired. It
-// returns whether it dropped anything.
+// reports whether it dropped anything.
 func (r *Replica) pruneBackend(now time.Duration, name lb.BackendName) bool {
 	entry := r.backends[name]
 	switch {
--- a/internal/view/replica.go
+++ b/internal/view/replica.go
@@ -138,7 +138,7 @@
 	return entry.knownBackend(), true
 }
 
-// Configured returns whether the replica has a configuration.
+// Configured reports whether the replica has a configuration.
 func (r *Replica) Configured() bool { return r.configurationRevision > 0 }
 
 // outageAge is the age of a view from which on the store is assumed to have been unreachable.
@@ -154,7 +154,7 @@
 	r.revision = max(r.revision, revision)
 }
 
-// ApplyListing applies a listing and returns whether anything changed. It ignores a listing that is
+// ApplyListing applies a listing and reports whether anything changed. It ignores a listing that is
 // older than the replica.
 func (r *Replica) ApplyListing(now time.Duration, listing *Listing) bool {
 	if listing.Revision < r.revision {
@@ -185,7 +185,7 @@
 	return r.lastChange != previousChange
 }
 
-// ApplyChanges applies changes that start at or before the replica's revision, and returns whether
+// ApplyChanges applies changes that start at or before the replica's revision, and reports whether
 // anything changed.
 func (r *Replica) ApplyChanges(now time.Duration, changes *Changes) bool {
 	previousChange := r.lastChange
--- a/internal/view/replication.go
+++ b/internal/view/replication.go
@@ -8,7 +8,7 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// HasHistorySince returns whether the replica can compute the changes after a revision, so that it
+// HasHistorySince reports whether the replica can compute the changes after a revision, so that it
 // need not send the whole view.
 func (r *Replica) HasHistorySince(after int64) bool {
 	return after <= r.revision && r.history.baseRevision(after) > 0
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -31,7 +31,7 @@
 	return &Snapshot{View: *r.Delta(now, 0)}
 }
 
-// ApplySnapshot applies a snapshot and returns whether anything changed. It ignores a snapshot that
+// ApplySnapshot applies a snapshot and reports whether anything changed. It ignores a snapshot that
 // is older than the replica.
 func (r *Replica) ApplySnapshot(now time.Duration, snapshot *Snapshot) bool {
 	_, changed := r.ApplyDelta(now, &snapshot.View)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -64,7 +64,7 @@
 	Objective lb.Objective `json:"objective,omitzero"`
 }
 
-// equal returns whether two routes of the same front end have the same content.
+// equal reports whether two routes of the same front end have the same content.
 func (r *Route) equal(other *Route) bool {
 	return r.Objective == other.Objective && slices.Equal(r.Targets, other.Targets)
 }
