--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -73,7 +73,7 @@
 // leave in place.
 const minMembers = 2
 
-// drain takes the target back end of the fault out of its service.
+// drain removes the target back end of the fault from its service.
 func (run *run) drain(fault Fault) {
 	service := run.serviceByName(fault.Service)
 	if len(service.members) <= minMembers {
@@ -161,8 +161,8 @@
 	run.fabric = slices.DeleteFunc(run.fabric, func(other int32) bool { return other == index })
 }
 
-// join starts a new balancer. The fabric starts to send packets to it after
-// Timings.Spread, when all nodes have adopted the new membership.
+// join starts a new balancer. The fabric starts to send packets to it after Timings.Spread, when
+// all nodes have adopted the new membership.
 func (run *run) join(zone lb.Zone) {
 	if zone == "" {
 		zone = run.scenario.Zones[0]
--- a/internal/follower/watcher.go
+++ b/internal/follower/watcher.go
@@ -13,7 +13,7 @@
 // watcher until it learns of a watcher that precedes it, until its reads fail, or until it leaves.
 // Nodes wait for different times, in takeover order, so that usually only one of them reads.
 
-// readReason returns whether this node should read the store, and why.
+// readReason reports whether this node should read the store, and why.
 func (core *Core) readReason() (reason Reason, due bool) {
 	position := core.takeoverPosition()
 	delay := time.Duration(position) * core.settings.TakeoverStep
@@ -27,9 +27,9 @@
 	case core.age() >= core.takeoverAge(position):
 		return ReasonViewAge, true
 	}
-	silenceLimit := core.settings.SilenceTimeout + delay
+	noUpdateLimit := core.settings.NoUpdateTimeout + delay
 	lastUpdate := max(core.lastUpdateAt, core.startAt+warmUpTime)
-	return ReasonNoUpdates, core.now-lastUpdate >= silenceLimit && core.age() >= silenceLimit
+	return ReasonNoUpdates, core.now-lastUpdate >= noUpdateLimit && core.age() >= noUpdateLimit
 }
 
 // seedVerifyDelay is how long after its start a seed waits for others to verify its first view. It
@@ -82,7 +82,7 @@
 // precede it.
 const warmUpPosition = 4
 
-// isInitialReader returns whether this node reads the store first when a fleet starts. This holds
+// isInitialReader reports whether this node reads the store first when a fleet starts. This holds
 // for a seed and for a node without seeds.
 func (core *Core) isInitialReader() bool {
 	return core.settings.IsSeed || len(core.settings.Seeds) == 0
@@ -130,9 +130,9 @@
 	return core.settings.TakeoverAgeLimit + time.Duration(position-lastFastPosition)*core.settings.SlowTakeoverStep
 }
 
-// receivesUpdates returns whether peers have sent messages about the view recently.
+// receivesUpdates reports whether peers have sent messages about the view recently.
 func (core *Core) receivesUpdates() bool {
-	return core.now-core.lastUpdateAt < core.settings.SilenceTimeout
+	return core.now-core.lastUpdateAt < core.settings.NoUpdateTimeout
 }
 
 // watcherStatus returns which node reads the store for the others, as far as this node knows.
@@ -147,10 +147,10 @@
 	return message.WatcherStatus{Watcher: core.watcher, WatcherAgeMillis: age.Milliseconds(), Listing: core.watcherListing}
 }
 
-// takeOver makes this node the designated watcher after a successful read that no other node made
-// in time. A leaving node does not take over. Neither does this node if a watcher was reported
-// within the given time, because then updates have merely failed to reach this node. A read to
-// verify the first view is no reason either, unless this node is an initial reader, because
+// takeOver makes this node the designated watcher after the store has answered a read that no other
+// node made in time. A leaving node does not take over. Neither does this node if a watcher was
+// reported within the given time, because then updates have merely failed to reach this node. A
+// read to verify the first view is no reason either, unless this node is an initial reader, because
 // otherwise the seeds read.
 func (core *Core) takeOver(reason Reason, within time.Duration) {
 	if core.active || reason == ReasonCompacted || core.leaving {
@@ -210,7 +210,7 @@
 	}
 }
 
-// yieldsTo returns whether this node yields the role of the designated watcher to another node that
+// yieldsTo reports whether this node yields the role of the designated watcher to another node that
 // also has it.
 func (core *Core) yieldsTo(other lb.NodeID) bool {
 	if !core.isAvailable(other) {
@@ -241,7 +241,7 @@
 	core.watcherLostAt = core.now
 }
 
-// isAvailable returns whether a peer is alive and not leaving.
+// isAvailable reports whether a peer is alive and not leaving.
 func (core *Core) isAvailable(id lb.NodeID) bool {
 	return slices.ContainsFunc(core.peers, func(peer Peer) bool { return peer.ID == id && !peer.Leaving })
 }
--- a/internal/view/prune.go
+++ b/internal/view/prune.go
@@ -9,8 +9,9 @@
 // maxDeletedRoutes bounds the deleted routes that are remembered.
 const maxDeletedRoutes = 1 << 12
 
-// Prune drops tombstones older than GoneRetention, and deleted routes and restored zones if there
-// are many of them. It returns whether it dropped a back end or a previous instance of a back end.
+// Prune drops tombstones older than TombstoneRetention, and deleted routes and restored zones if
+// there are many of them. It reports whether it dropped a back end or a previous instance of a back
+// end.
 func (r *Replica) Prune(now time.Duration) bool {
 	r.pruneRoutes()
 	r.pruneEvacuations()
@@ -23,7 +24,7 @@
 }
 
 // pruneBackend drops the tombstone or the previous instance of a back end if it has expired. It
-// returns whether it dropped anything.
+// reports whether it dropped anything.
 func (r *Replica) pruneBackend(now time.Duration, name lb.BackendName) bool {
 	entry := r.backends[name]
 	switch {
--- a/internal/view/replica.go
+++ b/internal/view/replica.go
@@ -9,8 +9,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// TombstoneRetention is how long a replica remembers a back end whose entry was deleted: some back ends
-// continue to serve their flows without an entry.
+// TombstoneRetention is how long a replica remembers a back end whose entry was deleted: some back
+// ends continue to serve their flows without an entry.
 const TombstoneRetention = 75 * time.Second
 
 // Replica is a balancer's copy of the store's state. It is not safe for concurrent use.
@@ -33,8 +33,8 @@
 	expiring map[lb.BackendName]bool
 	// unknownRemovals are back ends of which only the deletion is known; see RemovalEntry.
 	unknownRemovals map[lb.BackendName]unknownRemoval
-	// changedBackends are the back ends that have changed since the last call of Touched; it is nil
-	// before the first call.
+	// changedBackends are the back ends that have changed since the last call of ChangedBackends;
+	// it is nil before the first call.
 	changedBackends map[lb.BackendName]bool
 }
 
@@ -101,8 +101,8 @@
 // none.
 func (r *Replica) ConfigurationRevision() int64 { return r.configurationRevision }
 
-// ChangedBackends returns the back ends that have changed since the last call, in no particular order. On
-// the first call, all is true, and any back end may have changed.
+// ChangedBackends returns the back ends that have changed since the last call, in no particular
+// order. On the first call, all is true, and any back end may have changed.
 func (r *Replica) ChangedBackends() (names []lb.BackendName, all bool) {
 	all = r.changedBackends == nil
 	names = slices.Collect(maps.Keys(r.changedBackends))
@@ -138,7 +138,7 @@
 	return entry.knownBackend(), true
 }
 
-// Configured returns whether the replica has a configuration.
+// Configured reports whether the replica has a configuration.
 func (r *Replica) Configured() bool { return r.configurationRevision > 0 }
 
 // outageAge is the age of a view from which on the store is assumed to have been unreachable.
@@ -154,7 +154,7 @@
 	r.revision = max(r.revision, revision)
 }
 
-// ApplyListing applies a listing and returns whether anything changed. It ignores a listing that is
+// ApplyListing applies a listing and reports whether anything changed. It ignores a listing that is
 // older than the replica.
 func (r *Replica) ApplyListing(now time.Duration, listing *Listing) bool {
 	if listing.Revision < r.revision {
@@ -185,7 +185,7 @@
 	return r.lastChange != previousChange
 }
 
-// ApplyChanges applies changes that start at or before the replica's revision, and returns whether
+// ApplyChanges applies changes that start at or before the replica's revision, and reports whether
 // anything changed.
 func (r *Replica) ApplyChanges(now time.Duration, changes *Changes) bool {
 	previousChange := r.lastChange
@@ -210,7 +210,7 @@
 	return r.lastChange != previousChange
 }
 
-// setConfiguration applies a configuration unless the replica has an equally new one.
+// setConfiguration applies a configuration unless the replica has one that is at least as new.
 func (r *Replica) setConfiguration(revision int64, configuration *Configuration) {
 	if revision <= r.configurationRevision {
 		return
@@ -245,7 +245,7 @@
 	r.routes[route.Frontend] = &RouteEntry{Revision: revision, Route: *route}
 }
 
-// setBackend replaces a back end unless the replica has an equally new entry.
+// setBackend replaces a back end unless the replica has an entry that is at least as new.
 func (r *Replica) setBackend(now time.Duration, revision int64, backend *Backend) {
 	existing := r.backends[backend.Name]
 	if existing != nil && existing.Revision >= revision {
@@ -311,12 +311,12 @@
 // KnownBackend is a back end with the state that the replica tracks for it.
 type KnownBackend struct {
 	Backend Backend
-	// Deleted is set if the entry was deleted. GoneAt is the time at which the replica learned of the
-	// deletion.
+	// Deleted is set if the entry was deleted. DeletedAt is the time at which the replica learned
+	// of the deletion.
 	Deleted   bool
 	DeletedAt time.Duration
-	// DeletedDuringOutage is set if the entry was deleted while the balancer had no contact to the store. During
-	// an outage, the store drops the entries of back ends that cannot reach it.
+	// DeletedDuringOutage is set if the entry was deleted while the balancer had no contact to the
+	// store. During an outage, the store drops the entries of back ends that cannot reach it.
 	DeletedDuringOutage bool
 	// ColdUntil is the latest time at which the back end has warmed up.
 	ColdUntil time.Duration
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -11,8 +11,8 @@
 )
 
 // Snapshot is a whole view that a balancer writes to the store, so that balancers that start need
-// not list all entries. It may be several seconds old. To learn the present state, a balancer asks
-// a peer or watches the store from the snapshot's revision.
+// not list all entries. It may be several seconds old. A balancer receives the later changes from a
+// peer, or by a watch of the store from the snapshot's revision.
 type Snapshot struct {
 	View Delta
 }
@@ -31,7 +31,7 @@
 	return &Snapshot{View: *r.Delta(now, 0)}
 }
 
-// ApplySnapshot applies a snapshot and returns whether anything changed. It ignores a snapshot that
+// ApplySnapshot applies a snapshot and reports whether anything changed. It ignores a snapshot that
 // is older than the replica.
 func (r *Replica) ApplySnapshot(now time.Duration, snapshot *Snapshot) bool {
 	_, changed := r.ApplyDelta(now, &snapshot.View)
