--- a/cmd/robinctl/trace.go
+++ b/cmd/robinctl/trace.go
@@ -29,7 +29,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	matches := trace.Of(lines, command.Flow, command.Around)
+	matches := trace.LinesOfFlow(lines, command.Flow, command.Around)
 	if len(matches) == 0 {
 		return errors.Wrapf(operator.ErrNotFound, "flow %q in %d lines of %d logs", command.Flow, len(lines), len(command.Logs))
 	}
--- a/cmd/robinlab/demo.go
+++ b/cmd/robinlab/demo.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	return runs.Demo(ctx, cluster.Options{Binaries: binaries, Directory: command.Out}, os.Stdout)
+	return runs.RunDemo(ctx, cluster.Options{Binaries: binaries, Directory: command.Out}, os.Stdout)
 }
 
 // binaryDirectory returns the directory of this program, which also contains the other programs.
--- a/cmd/robinlab/faults.go
+++ b/cmd/robinlab/faults.go
@@ -23,10 +23,10 @@
 		return err
 	}
 	options := runs.FaultOptions{
-		Cluster: cluster.Options{Binaries: binaries, Directory: command.Out},
-		Timed:   true,
-		Stops:   command.Stops,
-		Changes: command.Changes,
+		Cluster:      cluster.Options{Binaries: binaries, Directory: command.Out},
+		Timed:        true,
+		PlannedStops: command.Stops,
+		Changes:      command.Changes,
 	}
-	return runs.Faults(ctx, command.Names, options, os.Stdout)
+	return runs.RunFaults(ctx, command.Names, options, os.Stdout)
 }
--- a/cmd/robinlab/platform.go
+++ b/cmd/robinlab/platform.go
@@ -26,9 +26,9 @@
 		{At: 4 * time.Second, Fault: "stop", Target: 1},
 		{At: 7 * time.Second, Fault: "kill", Target: 2},
 		{At: 9 * time.Second, Fault: "change", Target: 0},
-		{At: 10 * time.Second, Lasts: 2 * time.Second, Fault: "store_silent"},
+		{At: 10 * time.Second, Duration: 2 * time.Second, Fault: "store_silent"},
 		{At: 14 * time.Second, Fault: "change", Target: 0},
-		{At: 15 * time.Second, Lasts: 2 * time.Second, Fault: "evacuate", Target: 0},
+		{At: 15 * time.Second, Duration: 2 * time.Second, Fault: "evacuate", Target: 0},
 		{At: 19 * time.Second, Fault: "reload", Target: 0},
 	}
 }
@@ -41,7 +41,7 @@
 	}
 	settings.Seed = 1
 	settings.Steps = demoSteps()
-	settings.Size = soak.Size{Nodes: 4, Hosts: 3, Zones: 2, Flows: 20} // few enough for one zone to serve all flows
+	settings.Size = soak.Size{Nodes: 4, Hosts: 3, Zones: 2, ShortFlows: 20} // few enough for one zone to serve all flows
 	report, err := soak.Run(ctx, settings, faults.All(), os.Stdout)
 	if err != nil {
 		return err
@@ -49,9 +49,9 @@
 	if err := report.Print(os.Stdout); err != nil {
 		return err
 	}
-	if len(report.Violations) > 0 || report.Unknown > 0 {
+	if len(report.Violations) > 0 || report.UnknownFlowPackets > 0 {
 		return errors.Newf("%d rule violations, %d packets arrived at the wrong host; logs are in %s",
-			len(report.Violations), report.Unknown, command.Out)
+			len(report.Violations), report.UnknownFlowPackets, command.Out)
 	}
 	return nil
 }
--- a/cmd/robinlab/simulators.go
+++ b/cmd/robinlab/simulators.go
@@ -186,10 +186,10 @@
 	settings := hostsim.Settings{
 		Name: command.Name, Service: command.Service,
 		Slots: command.Slots, Queue: command.Queue, Conns: command.Conns,
-		ServiceTime: time.Duration(command.RequestMs) * time.Millisecond,
-		ColdStart:   time.Duration(command.ColdMs) * time.Millisecond,
-		PushEvery:   time.Duration(command.PushMs) * time.Millisecond,
-		Seed:        command.Seed,
+		ServiceTime:  time.Duration(command.RequestMs) * time.Millisecond,
+		ColdStart:    time.Duration(command.ColdMs) * time.Millisecond,
+		PushInterval: time.Duration(command.PushMs) * time.Millisecond,
+		Seed:         command.Seed,
 	}
 	for _, text := range command.Frontends {
 		frontend, err := netip.ParseAddrPort(text)
--- a/cmd/robinlab/soak.go
+++ b/cmd/robinlab/soak.go
@@ -74,11 +74,11 @@
 		if len(report.Violations) > 0 {
 			failed = append(failed, seed)
 		}
-		if rules := report.Unchecked(); len(rules) > 0 {
+		if rules := report.UnverifiedRules(); len(rules) > 0 {
 			fmt.Printf("seed %d never checked %v: no node was undisturbed for long enough\n", seed, rules)
 			unchecked = append(unchecked, seed)
 		}
-		if rules := report.Unreached(); len(rules) > 0 {
+		if rules := report.UnexercisedRules(); len(rules) > 0 {
 			fmt.Printf("seed %d had faults for %v, but no opening tested the rule: most nodes were disturbed, or had just started\n", seed, rules)
 		}
 	}
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -37,10 +37,10 @@
 // ends is removed.
 func TestMovedFlows(t *testing.T) {
 	const flows = 10_000
-	first, err := placement.New("web", placement.Stamp{WriteID: "1"},
+	first, err := placement.New("web", placement.WriteStamp{WriteID: "1"},
 		placement.SetFrontends([]lb.Frontend{frontend}), placement.Prepare(targets(10)), placement.Commit())
 	is.New(t).NoErr(err)
-	second, err := placement.Next(first, placement.Stamp{WriteID: "2"}, placement.Prepare(targets(9)), placement.Commit())
+	second, err := placement.Next(first, placement.WriteStamp{WriteID: "2"}, placement.Prepare(targets(9)), placement.Commit())
 	is.New(t).NoErr(err)
 	cases := []struct {
 		method    baseline.Method
@@ -83,7 +83,7 @@
 // TestLimit checks that openings above a node's share of the admission limit are refused.
 func TestLimit(t *testing.T) {
 	is := is.New(t)
-	document, err := placement.New("web", placement.Stamp{WriteID: "1"}, placement.SetFrontends([]lb.Frontend{frontend}),
+	document, err := placement.New("web", placement.WriteStamp{WriteID: "1"}, placement.SetFrontends([]lb.Frontend{frontend}),
 		placement.SetOpensPerSecond(40), placement.Prepare(targets(3)), placement.Commit())
 	is.NoErr(err)
 	balancer := baseline.New(baseline.ConsistentHash, core.DefaultSettings("a", "1"))
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -245,12 +245,12 @@
 func TestExcessBackendsAreReportedAndOthersServe(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1, nil)
-	for number := range placement.MaxActive + 2 {
+	for number := range placement.MaxGenerationBackends + 2 {
 		c.putBackend(number, "wallet")
 	}
 	c.putService(testService, "app=wallet")
 	c.run(5 * time.Second)
-	is.Equal(len(activeWeights(c.store.placement(testService))), placement.MaxActive)
+	is.Equal(len(activeWeights(c.store.placement(testService))), placement.MaxGenerationBackends)
 	is.Equal(len(c.publishers[0].problems), 1)
 	is.Equal(c.publishers[0].controller.PublishedRevision(), c.store.revision)
 }
--- a/internal/controller/documents.go
+++ b/internal/controller/documents.go
@@ -103,10 +103,10 @@
 	s.lastChange = max(s.lastChange, revisions.last)
 	previous := s.desired
 	s.desired = deriveDesired(c.index.Desired(s.name))
-	if excess := len(s.desired.backends) - placement.MaxActive; excess > 0 {
+	if excess := len(s.desired.backends) - placement.MaxGenerationBackends; excess > 0 {
 		c.addProblem(catalog.ServiceKey(s.name), errors.Newf("selects %d back ends; the last %d by name get no flows, the maximum is %d",
-			len(s.desired.backends), excess, placement.MaxActive))
-		s.desired.backends = s.desired.backends[:placement.MaxActive]
+			len(s.desired.backends), excess, placement.MaxGenerationBackends))
+		s.desired.backends = s.desired.backends[:placement.MaxGenerationBackends]
 	}
 	c.updateServicesByBackend(s, previous.backends)
 	c.updateOwners(s, previous.frontends)
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -198,7 +198,7 @@
 	if slices.Equal(from, to) || !sameBackends(from, to) {
 		return
 	}
-	moved := placement.MovedBetween(after, from, to)
+	moved := placement.CountMovedBuckets(after, from, to)
 	s.moves = append(s.moves, bucketMove{at: c.now, buckets: moved})
 }
 
@@ -241,9 +241,9 @@
 
 // movedBuckets returns the number of buckets that the targets would move.
 func (c *Controller) movedBuckets(s *service, targets []placement.Target) int {
-	next, err := placement.Next(s.stored, placement.Stamp{WriteID: "estimate"}, placement.Prepare(targets))
+	next, err := placement.Next(s.stored, placement.WriteStamp{WriteID: "estimate"}, placement.Prepare(targets))
 	if err != nil {
 		return lb.BucketCount
 	}
-	return placement.MovedBetween(next, currentBackends(next), next.Generations[len(next.Generations)-1].Backends)
+	return placement.CountMovedBuckets(next, currentBackends(next), next.Generations[len(next.Generations)-1].Backends)
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -138,7 +138,7 @@
 		return nil
 	}
 	last := document.Generations[len(document.Generations)-1].Backends
-	if placement.MovedBetween(document, currentBackends(document), last) > 0 {
+	if placement.CountMovedBuckets(document, currentBackends(document), last) > 0 {
 		return nil
 	}
 	return placement.Commit()(document)
@@ -223,7 +223,7 @@
 	document := s.stored
 	var ids []lb.BackendID
 	for _, backend := range document.Backends {
-		if placement.Forgettable(document, backend.ID) && c.isDeletedBackend(s, backend.Name) {
+		if placement.CanForget(document, backend.ID) && c.isDeletedBackend(s, backend.Name) {
 			ids = append(ids, backend.ID)
 		}
 	}
--- a/internal/controller/writes.go
+++ b/internal/controller/writes.go
@@ -11,7 +11,7 @@
 
 // startWrite starts the proposed write.
 func (c *Controller) startWrite(s *service, next proposal) {
-	stamp := placement.Stamp{WriteID: c.nextWriteID(), ConfigRevision: next.configRevision}
+	stamp := placement.WriteStamp{WriteID: c.nextWriteID(), ConfigRevision: next.configRevision}
 	document, err := build(s, stamp, next)
 	if err != nil {
 		c.addProblem(catalog.PlacementKey(s.name), err)
@@ -31,7 +31,7 @@
 }
 
 // build returns the placement that results from a proposal.
-func build(s *service, stamp placement.Stamp, next proposal) (*lb.Placement, error) {
+func build(s *service, stamp placement.WriteStamp, next proposal) (*lb.Placement, error) {
 	if s.stored == nil {
 		return placement.New(s.name, stamp, next.changes...)
 	}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -37,10 +37,10 @@
 		return document
 	}
 	frontends := placement.SetFrontends([]lb.Frontend{testFrontend, testFrontendUDP})
-	calm = must(placement.New(testService, placement.Stamp{WriteID: "1"}, frontends, placement.Prepare(testTargets(before)), placement.Commit()))
-	prepared = must(placement.Next(calm, placement.Stamp{WriteID: "2"}, placement.Prepare(testTargets(after))))
-	committed = must(placement.Next(prepared, placement.Stamp{WriteID: "3"}, placement.Commit()))
-	settled = must(placement.Next(committed, placement.Stamp{WriteID: "4"}, placement.Settle(prepared.Version)))
+	calm = must(placement.New(testService, placement.WriteStamp{WriteID: "1"}, frontends, placement.Prepare(testTargets(before)), placement.Commit()))
+	prepared = must(placement.Next(calm, placement.WriteStamp{WriteID: "2"}, placement.Prepare(testTargets(after))))
+	committed = must(placement.Next(prepared, placement.WriteStamp{WriteID: "3"}, placement.Commit()))
+	settled = must(placement.Next(committed, placement.WriteStamp{WriteID: "4"}, placement.Settle(prepared.Version)))
 	return calm, prepared, committed, settled
 }
 
--- a/internal/core/network_test.go
+++ b/internal/core/network_test.go
@@ -289,9 +289,9 @@
 	network.awaitPrepared(version, network.now+2*time.Second)
 }
 
-func (network *network) nextStamp() placement.Stamp {
+func (network *network) nextStamp() placement.WriteStamp {
 	network.order++
-	return placement.Stamp{WriteID: fmt.Sprint(network.order)}
+	return placement.WriteStamp{WriteID: fmt.Sprint(network.order)}
 }
 
 // awaitPrepared commits as soon as the prepared document is in force everywhere, at the latest at
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -9,12 +9,12 @@
 // applyReachabilitySigns passes answered and unanswered openings of back ends to the reachability
 // tracker of their zones.
 func (a *tokenAffinity) applyReachabilitySigns() {
-	for _, sign := range a.observer.Signs() {
+	for _, sign := range a.observer.Observations() {
 		host := a.table.HostOfInstance(uint64(sign.Identity))
 		switch {
 		case host == nil: // removed in the meantime
 		case sign.Missing:
-			a.reachability.RecordUnanswered(a.core.now, host.Zone, reachability.Identity(sign.Identity), sign.Sent)
+			a.reachability.RecordUnanswered(a.core.now, host.Zone, reachability.Identity(sign.Identity), sign.SentAt)
 		default:
 			a.reachability.RecordAnswer(a.core.now, host.Zone)
 		}
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -134,7 +134,7 @@
 func (a *tokenAffinity) pickUnsuspectedByRank(service *steering.Service, flow lb.FlowID) *steering.Host {
 	a.updateWeightFactors(service)
 	for index, host := range service.Ready {
-		if a.weightFactors[index] > 0 && a.observer.Suspect(passivehealth.Identity(host.InstanceID)) {
+		if a.weightFactors[index] > 0 && a.observer.IsSuspect(passivehealth.Identity(host.InstanceID)) {
 			a.weightFactors[index] = 0
 		}
 	}
--- a/internal/core/token.go
+++ b/internal/core/token.go
@@ -211,7 +211,7 @@
 		return host, false
 	}
 	first := a.pickHost(service, flow)
-	if copies > 0 && first != nil && a.observer.Suspect(passivehealth.Identity(first.InstanceID)) {
+	if copies > 0 && first != nil && a.observer.IsSuspect(passivehealth.Identity(first.InstanceID)) {
 		if unsuspected := a.pickUnsuspectedByRank(service, flow); unsuspected != nil {
 			return unsuspected, false
 		}
--- a/internal/experiment/publisher.go
+++ b/internal/experiment/publisher.go
@@ -90,8 +90,8 @@
 }
 
 // stamp returns the stamp of a write at the current virtual time.
-func (service *service) stamp() placement.Stamp {
-	return placement.Stamp{WriteID: fmt.Sprintf("write-%d", service.run.queue.Now())}
+func (service *service) stamp() placement.WriteStamp {
+	return placement.WriteStamp{WriteID: fmt.Sprintf("write-%d", service.run.queue.Now())}
 }
 
 // targets returns the members of the service as targets of a placement.
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -307,8 +307,8 @@
 	return list
 }
 
-func stamp(version int) placement.Stamp {
-	return placement.Stamp{WriteID: fmt.Sprintf("node-0000/1/%d", version), ConfigRevision: int64(version)}
+func stamp(version int) placement.WriteStamp {
+	return placement.WriteStamp{WriteID: fmt.Sprintf("node-0000/1/%d", version), ConfigRevision: int64(version)}
 }
 
 // newDocument returns version 1 of a service with 14 back ends.
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -41,7 +41,7 @@
 type simulation struct {
 	now    time.Time
 	queue  []delivery
-	client *clientsim.Caller
+	client *clientsim.Client
 	fabric *fabricsim.Fabric
 	hosts  []*hostsim.Host
 	policy balancerPolicy
@@ -70,7 +70,7 @@
 		sim.hosts = append(sim.hosts, hostsim.New(sim.now, hostsim.Settings{
 			Name: string(rune('a' + i)), Service: service, Frontends: []netip.AddrPort{frontend},
 			Slots: 2, Queue: 64, Conns: 2000, ServiceTime: 5 * time.Millisecond,
-			PushEvery: 100 * time.Millisecond, Seed: uint64(i),
+			PushInterval: 100 * time.Millisecond, Seed: uint64(i),
 		}, send))
 	}
 	return sim
--- a/internal/lab/clientsim/client.go
+++ b/internal/lab/clientsim/client.go
@@ -72,8 +72,8 @@
 	attempt *requestAttempt
 }
 
-// Caller generates the load. Its methods may be called from several goroutines.
-type Caller struct {
+// Client generates the load. Its methods may be called from several goroutines.
+type Client struct {
 	mutex            sync.Mutex
 	settings         Settings
 	send             wire.Sender
@@ -94,8 +94,8 @@
 }
 
 // New returns a client that starts its load with the first tick.
-func New(settings Settings, send wire.Sender) *Caller {
-	return &Caller{
+func New(settings Settings, send wire.Sender) *Client {
+	return &Client{
 		settings:         settings,
 		send:             send,
 		random:           rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
@@ -109,7 +109,7 @@
 
 // Stop stops opening flows and closes the feeds and UDP flows. Taps and uploads in progress are
 // completed.
-func (client *Caller) Stop(now time.Time) {
+func (client *Client) Stop(now time.Time) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	client.stopped = true
@@ -123,7 +123,7 @@
 
 // Tick opens due flows, sends keepalives, retransmits, and gives up flows whose time limit has
 // passed.
-func (client *Caller) Tick(now time.Time) {
+func (client *Client) Tick(now time.Time) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	if !client.stopped {
@@ -137,7 +137,7 @@
 
 // openDue opens feeds and UDP flows up to their configured numbers, and the taps and uploads that
 // are due at their rates.
-func (client *Caller) openDue(now time.Time) {
+func (client *Client) openDue(now time.Time) {
 	for range maxOpeningsPerTick {
 		if client.feeds < client.settings.Feeds {
 			client.feeds++
@@ -158,7 +158,7 @@
 
 // arrivalDue reports whether an arrival of a Poisson process is due, and if so advances at to the
 // next arrival.
-func (client *Caller) arrivalDue(now time.Time, at *time.Time, rate float64) bool {
+func (client *Client) arrivalDue(now time.Time, at *time.Time, rate float64) bool {
 	if rate <= 0 {
 		return false
 	}
@@ -172,7 +172,7 @@
 	return true
 }
 
-func (client *Caller) startRequest(now time.Time, kind wire.Kind, size int, udp bool) {
+func (client *Client) startRequest(now time.Time, kind wire.Kind, size int, udp bool) {
 	client.nextID++
 	client.report.Started++
 	attempt := &requestAttempt{requestID: fmt.Sprintf("%s-%d", client.settings.Name, client.nextID), kind: kind, udp: udp}
@@ -183,7 +183,7 @@
 	client.open(now, attempt)
 }
 
-func (client *Caller) randomBody(size int) []byte {
+func (client *Client) randomBody(size int) []byte {
 	body := make([]byte, size)
 	for i := range body {
 		body[i] = byte(client.random.Uint32())
@@ -192,7 +192,7 @@
 }
 
 // open opens the flow of an attempt. Each attempt has its own client address and id.
-func (client *Caller) open(now time.Time, attempt *requestAttempt) {
+func (client *Client) open(now time.Time, attempt *requestAttempt) {
 	attempt.number++
 	attempt.request.ID = attempt.attemptID()
 	attempt.startedAt = now
@@ -212,7 +212,7 @@
 }
 
 // nextLocal returns an inner address and port that this client has not used before.
-func (client *Caller) nextLocal() netip.AddrPort {
+func (client *Client) nextLocal() netip.AddrPort {
 	client.nextPort++
 	if client.nextPort < firstPort {
 		client.nextPort = firstPort
@@ -222,7 +222,7 @@
 	return netip.AddrPortFrom(wire.ClientAddress(client.settings.Port, client.nextIndex, ipv6), client.nextPort)
 }
 
-func (client *Caller) openDueRetries(now time.Time) {
+func (client *Client) openDueRetries(now time.Time) {
 	waiting := client.retries[:0]
 	for _, r := range client.retries {
 		if now.Before(r.at) {
@@ -235,7 +235,7 @@
 	client.retries = waiting
 }
 
-func (client *Caller) tickAttempt(now time.Time, attempt *requestAttempt) {
+func (client *Client) tickAttempt(now time.Time, attempt *requestAttempt) {
 	if attempt.udp {
 		client.tickUDP(now, attempt)
 		return
@@ -261,7 +261,7 @@
 	}
 }
 
-func (client *Caller) tickUDP(now time.Time, attempt *requestAttempt) {
+func (client *Client) tickUDP(now time.Time, attempt *requestAttempt) {
 	if !now.Before(attempt.keepaliveAt) {
 		attempt.keepaliveAt = now.Add(keepaliveInterval)
 		client.sendUDP(attempt)
@@ -271,13 +271,13 @@
 	}
 }
 
-func (client *Caller) sendUDP(attempt *requestAttempt) {
+func (client *Client) sendUDP(attempt *requestAttempt) {
 	segment := wire.Segment{Source: attempt.local, Destination: client.settings.Frontend, Protocol: lb.UDP}
 	segment.Payload = wire.EncodeLine(attempt.request)
 	client.emit(&segment)
 }
 
-func (client *Caller) closeAttempt(now time.Time, attempt *requestAttempt) {
+func (client *Client) closeAttempt(now time.Time, attempt *requestAttempt) {
 	if attempt.udp {
 		delete(client.attempts, attempt.local)
 		return
@@ -291,7 +291,7 @@
 
 // fail records a flow as broken, or its request as unanswered, and removes the attempt. Feeds and
 // UDP flows are replaced by new ones at the next tick.
-func (client *Caller) fail(now time.Time, attempt *requestAttempt, cause Cause) {
+func (client *Client) fail(now time.Time, attempt *requestAttempt, cause Cause) {
 	failure := Failure{
 		ID: attempt.attemptID(), Kind: attempt.kind, Local: attempt.local.String(),
 		Host: attempt.host, Cause: cause, UnixMillis: now.UnixMilli(),
@@ -304,7 +304,7 @@
 	client.remove(attempt)
 }
 
-func (client *Caller) remove(attempt *requestAttempt) {
+func (client *Client) remove(attempt *requestAttempt) {
 	delete(client.attempts, attempt.local)
 	if attempt.udp {
 		client.udpFlows--
@@ -313,13 +313,13 @@
 	}
 }
 
-func (client *Caller) flush(attempt *requestAttempt) {
+func (client *Client) flush(attempt *requestAttempt) {
 	for _, segment := range attempt.endpoint.Output() {
 		client.emit(&segment)
 	}
 }
 
-func (client *Caller) emit(segment *wire.Segment) {
+func (client *Client) emit(segment *wire.Segment) {
 	if datagram, err := wire.Encode(segment); err == nil {
 		client.send(client.settings.Fabric, datagram)
 	}
--- a/internal/lab/clientsim/receive.go
+++ b/internal/lab/clientsim/receive.go
@@ -13,7 +13,7 @@
 )
 
 // Receive handles a datagram from a host, or a refusal forwarded by the fabric.
-func (client *Caller) Receive(now time.Time, datagram []byte) {
+func (client *Client) Receive(now time.Time, datagram []byte) {
 	var decoded packet.Packet
 	if packet.Decode(datagram, &decoded) != nil {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-func (client *Caller) receiveSegment(now time.Time, attempt *requestAttempt, segment *packet.Segment) {
+func (client *Client) receiveSegment(now time.Time, attempt *requestAttempt, segment *packet.Segment) {
 	endpoint := attempt.endpoint
 	data := endpoint.Receive(now, segment)
 	client.flush(attempt)
@@ -59,13 +59,13 @@
 	}
 }
 
-func (client *Caller) markOpened(now time.Time, attempt *requestAttempt) {
+func (client *Client) markOpened(now time.Time, attempt *requestAttempt) {
 	attempt.opened = true
 	client.report.Opened++
 	_ = client.openingLatencies.RecordValue(now.Sub(attempt.startedAt).Microseconds()) // a latency above one minute is out of range and not counted
 }
 
-func (client *Caller) receiveAnswer(now time.Time, attempt *requestAttempt, answer *wire.Answer) {
+func (client *Client) receiveAnswer(now time.Time, attempt *requestAttempt, answer *wire.Answer) {
 	if !client.checkAnswer(attempt, answer) {
 		return
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (client *Caller) checkAnswer(attempt *requestAttempt, answer *wire.Answer) bool {
+func (client *Client) checkAnswer(attempt *requestAttempt, answer *wire.Answer) bool {
 	if answer.Service != client.settings.Service {
 		client.report.WrongService = append(client.report.WrongService, attempt.attemptID())
 		return false
@@ -99,7 +99,7 @@
 	return true
 }
 
-func (client *Caller) receiveUDPAnswer(now time.Time, attempt *requestAttempt, payload []byte) {
+func (client *Client) receiveUDPAnswer(now time.Time, attempt *requestAttempt, payload []byte) {
 	var answer wire.Answer
 	if json.Unmarshal(payload, &answer) != nil || !client.checkAnswer(attempt, &answer) {
 		return
@@ -115,7 +115,7 @@
 }
 
 // receiveRefusal handles a refusal by a balancer. Only requests that did not run are retried.
-func (client *Caller) receiveRefusal(now time.Time, attempt *requestAttempt, refusal lb.Refusal) {
+func (client *Client) receiveRefusal(now time.Time, attempt *requestAttempt, refusal lb.Refusal) {
 	if refusal.Verdict != lb.NotRun {
 		client.report.MayHaveRun = append(client.report.MayHaveRun, attempt.local.String())
 		client.fail(now, attempt, CauseMayHaveRun)
@@ -131,7 +131,7 @@
 
 // scheduleRetry schedules another attempt of a refused request, on a new flow, unless the client is
 // stopped.
-func (client *Caller) scheduleRetry(now time.Time, refused *requestAttempt, after time.Duration) {
+func (client *Client) scheduleRetry(now time.Time, refused *requestAttempt, after time.Duration) {
 	next := &requestAttempt{
 		requestID: refused.requestID, number: refused.number, kind: refused.kind,
 		udp: refused.udp, request: refused.request,
--- a/internal/lab/clientsim/report.go
+++ b/internal/lab/clientsim/report.go
@@ -83,7 +83,7 @@
 }
 
 // Report returns a copy of the client's report.
-func (client *Caller) Report() Report {
+func (client *Client) Report() Report {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	report := client.report
@@ -104,7 +104,7 @@
 }
 
 // Handler returns a handler for GET /report and POST /stop, which calls Stop.
-func (client *Caller) Handler() http.Handler {
+func (client *Client) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /report", func(response http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(response).Encode(client.Report())
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -244,7 +244,7 @@
 
 func (cluster *Cluster) unregister(ctx context.Context, balancer *Balancer) error {
 	removed := balancer.machine
-	removed.Gone = true
+	removed.Deleted = true
 	return cluster.postMachine(ctx, removed)
 }
 
--- a/internal/lab/hostsim/host.go
+++ b/internal/lab/hostsim/host.go
@@ -22,16 +22,16 @@
 
 // Settings configures a host.
 type Settings struct {
-	Name        string
-	Service     string
-	Frontends   []netip.AddrPort // virtual addresses that the host serves
-	Slots       int              // requests served concurrently
-	Queue       int              // maximum number of waiting requests
-	Conns       int              // maximum number of flows
-	ServiceTime time.Duration    // time of one request in a slot
-	ColdStart   time.Duration    // time after the start in which requests take coldFactor times as long
-	PushEvery   time.Duration    // between pushes on a feed
-	Seed        uint64
+	Name         string
+	Service      string
+	Frontends    []netip.AddrPort // virtual addresses that the host serves
+	Slots        int              // requests served concurrently
+	Queue        int              // maximum number of waiting requests
+	Conns        int              // maximum number of flows
+	ServiceTime  time.Duration    // time of one request in a slot
+	ColdStart    time.Duration    // time after the start in which requests take coldFactor times as long
+	PushInterval time.Duration    // between pushes on a feed
+	Seed         uint64
 }
 
 // coldFactor is the factor by which a request takes longer while the host is cold.
@@ -297,7 +297,7 @@
 	if flow.feedID == "" || now.Before(flow.pushAt) || flow.endpoint.RemoteClosed() {
 		return
 	}
-	flow.pushAt = now.Add(host.settings.PushEvery)
+	flow.pushAt = now.Add(host.settings.PushInterval)
 	flow.pushes++
 	answer := host.newAnswer(flow.feedID)
 	answer.Push = flow.pushes
--- a/internal/lab/platformsim/client.go
+++ b/internal/lab/platformsim/client.go
@@ -20,8 +20,8 @@
 	ErrReset = errors.New("the flow was reset")
 	// ErrResetByNode means that a balancer reset the flow. It wraps ErrReset.
 	ErrResetByNode = errors.Wrap(ErrReset, "by a balancer")
-	// ErrMixed means that the answer belongs to another request.
-	ErrMixed = errors.New("the answer belongs to another request")
+	// ErrWrongAnswer means that the answer belongs to another request.
+	ErrWrongAnswer = errors.New("the answer belongs to another request")
 	// ErrNoAnswer means that a request was not answered, although it was retransmitted.
 	ErrNoAnswer = errors.New("no answer")
 )
@@ -38,8 +38,8 @@
 	requestTimeout   = 8 * time.Second
 )
 
-// Caller is one client machine. Its flows have different ports at the same address.
-type Caller struct {
+// Client is one client machine. Its flows have different ports at the same address.
+type Client struct {
 	address [4]byte
 	port    uint16
 	socket  *net.UDPConn
@@ -53,13 +53,13 @@
 	done     chan struct{}
 }
 
-// NewCaller starts a client at a loopback address. port is the UDP port of all data addresses.
-func NewCaller(address netip.Addr, port uint16, router *Router) (*Caller, error) {
+// NewClient starts a client at a loopback address. port is the UDP port of all data addresses.
+func NewClient(address netip.Addr, port uint16, router *Router) (*Client, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(address, port)))
 	if err != nil {
 		return nil, err
 	}
-	client := &Caller{
+	client := &Client{
 		address: address.As4(), port: port, socket: socket, router: router,
 		flows: map[uint16]*Flow{}, nextPort: 1024, done: make(chan struct{}),
 	}
@@ -69,27 +69,27 @@
 
 // SetZone sets the zone whose nodes get the client's packets from now on, including packets of
 // open flows. An empty zone means the nodes of any zone.
-func (client *Caller) SetZone(zone string) {
+func (client *Client) SetZone(zone string) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	client.zone = zone
 }
 
 // Close closes the client's socket and waits for its goroutine to end.
-func (client *Caller) Close() {
+func (client *Client) Close() {
 	_ = client.socket.Close()
 	<-client.done
 }
 
 // Forged returns the number of received packets that are malformed or whose checksum is wrong,
 // without resets by balancers.
-func (client *Caller) Forged() uint64 {
+func (client *Client) Forged() uint64 {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	return client.forged
 }
 
-func (client *Caller) run() {
+func (client *Client) run() {
 	defer close(client.done)
 	buffer := make([]byte, 2048)
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (client *Caller) receive(from netip.AddrPort, datagram []byte) {
+func (client *Client) receive(from netip.AddrPort, datagram []byte) {
 	packet, forged, ok := decode(datagram)
 	packet.from = from
 	nodeReset := packet.isNodeReset()
@@ -124,7 +124,7 @@
 
 // Flow is one flow of a client. It must be used by one goroutine at a time.
 type Flow struct {
-	client   *Caller
+	client   *Client
 	port     uint16
 	frontend netip.AddrPort
 	received chan wirePacket
@@ -136,15 +136,15 @@
 	Copies int
 	// Node is the balancer to which the last packet was sent. Opened lists the balancers to which
 	// the opening and its copies were sent, in order.
-	Node   netip.AddrPort
-	Opened []netip.AddrPort
-	// Accepting lists the hosts that answered the opening, in order.
-	Accepting []netip.AddrPort
+	Node         netip.AddrPort
+	OpeningNodes []netip.AddrPort
+	// AcceptingHosts lists the hosts that answered the opening, in order.
+	AcceptingHosts []netip.AddrPort
 }
 
 // Open opens a flow to a front end. It returns the flow with its record of the attempts even if
 // the flow did not open.
-func (client *Caller) Open(frontend netip.AddrPort) (*Flow, error) {
+func (client *Client) Open(frontend netip.AddrPort) (*Flow, error) {
 	client.mutex.Lock()
 	client.nextPort++
 	flow := &Flow{client: client, port: client.nextPort, frontend: frontend, received: make(chan wirePacket, 64), sequence: 1000}
@@ -153,7 +153,7 @@
 	for copies, timeout := range openingTimeouts {
 		flow.Copies = copies
 		flow.send(flagSYN, uint32(copies), nil)
-		flow.Opened = append(flow.Opened, flow.Node)
+		flow.OpeningNodes = append(flow.OpeningNodes, flow.Node)
 		answer, err := flow.waitFor(timeout, func(packet *wirePacket) bool { return packet.has(flagSYN | flagACK) })
 		if errors.Is(err, ErrReset) {
 			flow.release()
@@ -195,7 +195,7 @@
 		flow.send(flagACK, flow.ack, nil) // immediately, as clients do: balancers detect the answer by it
 		name, body, _ := strings.Cut(string(answer.Data), " ")
 		if body != string(data) {
-			return name, errors.Wrapf(ErrMixed, "request %d", id)
+			return name, errors.Wrapf(ErrWrongAnswer, "request %d", id)
 		}
 		return name, nil
 	}
@@ -282,8 +282,8 @@
 		return errors.Wrapf(ErrReset, "by the host at %s", packet.from)
 	}
 	flow.echo = packet.Echo
-	if packet.has(flagSYN|flagACK) && !slices.Contains(flow.Accepting, packet.from) {
-		flow.Accepting = append(flow.Accepting, packet.from)
+	if packet.has(flagSYN|flagACK) && !slices.Contains(flow.AcceptingHosts, packet.from) {
+		flow.AcceptingHosts = append(flow.AcceptingHosts, packet.from)
 	}
 	return nil
 }
--- a/internal/lab/platformsim/host.go
+++ b/internal/lab/platformsim/host.go
@@ -16,13 +16,13 @@
 
 // HostCounts holds the counters of a host.
 type HostCounts struct {
-	Opened   uint64 // flows
-	Ran      uint64 // requests, without their copies
-	Unknown  uint64 // packets of flows that the host does not have, other than openings
-	NotMeant uint64 // packets for another host at the same address
-	Forged   uint64 // packets that are malformed or have a wrong checksum
-	NoToken  uint64 // openings without a token
-	Openings uint64 // openings received, copies included
+	Opened      uint64 // flows
+	Requests    uint64 // requests, without their copies
+	UnknownFlow uint64 // packets of flows that the host does not have, other than openings
+	OtherHost   uint64 // packets for another host at the same address
+	Forged      uint64 // packets that are malformed or have a wrong checksum
+	NoToken     uint64 // openings without a token
+	Openings    uint64 // openings received, copies included
 }
 
 // HostEvent is an event at a host that is reported to its observer.
@@ -31,8 +31,8 @@
 	Kind HostEventKind
 	// Node is the address that the packet was sent from.
 	Node netip.AddrPort
-	// Front is the flow's front end, and Caller its client's address.
-	Front, Caller netip.AddrPort
+	// Frontend is the flow's front end, and Caller its client's address.
+	Frontend, Client netip.AddrPort
 	// Request is the id of the request, for HostRan.
 	Request uint64
 }
@@ -42,8 +42,8 @@
 
 // The kinds of host events.
 const (
-	HostOpening HostEventKind = "opening" // an opening or a copy of it arrived
-	HostRan     HostEventKind = "ran"     // a request ran
+	HostOpening    HostEventKind = "opening" // an opening or a copy of it arrived
+	HostRequestRan HostEventKind = "ran"     // a request ran
 )
 
 // hostFlow is the state of one flow at its host.
@@ -139,8 +139,8 @@
 	})
 }
 
-// Silence makes the host ignore all packets, or handle them again.
-func (host *Host) Silence(silent bool) { host.responsive.Store(!silent) }
+// SetUnresponsive makes the host ignore all packets, or handle them again.
+func (host *Host) SetUnresponsive(silent bool) { host.responsive.Store(!silent) }
 
 // Observe sets the function that is called for each event at the host from now on. The function
 // must not block and must not call methods of the host.
@@ -156,7 +156,7 @@
 		return
 	}
 	flow := packet.flow()
-	host.observe(HostEvent{Host: host, Kind: kind, Node: packet.from, Front: flow.frontend, Caller: flow.client, Request: request})
+	host.observe(HostEvent{Host: host, Kind: kind, Node: packet.from, Frontend: flow.frontend, Client: flow.client, Request: request})
 }
 
 // Counts returns the host's counters.
@@ -207,7 +207,7 @@
 	case !ok || forged:
 		host.counts.Forged++
 	case identity != 0 && identity != host.identity:
-		host.counts.NotMeant++
+		host.counts.OtherHost++
 	case packet.has(flagSYN):
 		host.open(&packet)
 	default:
@@ -235,7 +235,7 @@
 func (host *Host) receiveMiddle(packet *wirePacket) {
 	flow := host.flows[packet.flow()]
 	if flow == nil || !flow.open && packet.Acknowledgment != flow.initial+1 {
-		host.counts.Unknown++
+		host.counts.UnknownFlow++
 		answer := packet.reply(flagRST)
 		answer.Sequence = packet.Acknowledgment
 		host.send(packet, &answer)
@@ -261,9 +261,9 @@
 func (host *Host) answer(flow *hostFlow, packet *wirePacket) {
 	data, known := flow.answers[packet.Sequence]
 	if !known {
-		host.counts.Ran++
+		host.counts.Requests++
 		if len(packet.Data) == requestBytes {
-			host.notify(HostRan, packet, binary.BigEndian.Uint64(packet.Data))
+			host.notify(HostRequestRan, packet, binary.BigEndian.Uint64(packet.Data))
 		}
 		data = append([]byte(host.ID+" "), packet.Data...)
 		flow.answers[packet.Sequence] = data
--- a/internal/lab/platformsim/router.go
+++ b/internal/lab/platformsim/router.go
@@ -77,8 +77,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// In returns the number of ready nodes.
-func (router *Router) In() int {
+// ReadyCount returns the number of ready nodes.
+func (router *Router) ReadyCount() int {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	return len(router.readyNodes())
--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -167,8 +167,8 @@
 	store.fault = fault
 }
 
-// Calls returns the number of requests that the store has received.
-func (store *Store) Calls() int {
+// RequestCount returns the number of requests that the store has received.
+func (store *Store) RequestCount() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.calls
--- a/internal/lab/runs/allfaults.go
+++ b/internal/lab/runs/allfaults.go
@@ -72,7 +72,7 @@
 // plannedStops replaces the balancers one after the other: first the new balancer joins, then the
 // old one stops.
 func plannedStops(ctx context.Context, run *faultRun) error {
-	for i := range run.options.Stops {
+	for i := range run.options.PlannedStops {
 		old := run.Balancers[i]
 		joined, err := run.StartBalancer(ctx, fmt.Sprintf("%s-r%d", old.Zone, i+1), old.Zone)
 		if err != nil {
@@ -85,7 +85,7 @@
 			return err
 		}
 	}
-	run.addMeasurement("%d planned stops", run.options.Stops)
+	run.addMeasurement("%d planned stops", run.options.PlannedStops)
 	return nil
 }
 
--- a/internal/lab/runs/demo.go
+++ b/internal/lab/runs/demo.go
@@ -45,9 +45,9 @@
 	elapsed   time.Duration
 }
 
-// Demo runs the demo and prints its table. It returns ErrGuaranteeViolated if a planned change
+// RunDemo runs the demo and prints its table. It returns ErrGuaranteeViolated if a planned change
 // broke a flow or another guarantee did not hold.
-func Demo(ctx context.Context, options cluster.Options, output io.Writer) error {
+func RunDemo(ctx context.Context, options cluster.Options, output io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoLimit)
 	defer cancel()
 	env, err := startEnvironment(ctx, options, demoSize)
--- a/internal/lab/runs/fault.go
+++ b/internal/lab/runs/fault.go
@@ -61,8 +61,8 @@
 	// Timed enables the checks of time limits: a change that takes longer than 5 s to be in force
 	// is a violation. If Timed is false, a run waits as long as necessary.
 	Timed bool
-	// Stops is the number of planned stops in the run planned-stop.
-	Stops int
+	// PlannedStops is the number of planned stops in the run planned-stop.
+	PlannedStops int
 	// Changes is the number of changes in the run racing-operators.
 	Changes int
 }
@@ -260,9 +260,9 @@
 	return run.awaitInForce(ctx, revision, start)
 }
 
-// Faults performs the named fault runs, or all if no name is given, one after the other and prints
+// RunFaults performs the named fault runs, or all if no name is given, one after the other and prints
 // a table. It returns ErrGuaranteeViolated if any run did not pass.
-func Faults(ctx context.Context, names []string, options FaultOptions, output io.Writer) error {
+func RunFaults(ctx context.Context, names []string, options FaultOptions, output io.Writer) error {
 	chosen := slices.DeleteFunc(AllFaults(), func(fault Fault) bool {
 		return len(names) > 0 && !slices.Contains(names, fault.Name)
 	})
--- a/internal/lab/runs/fault_test.go
+++ b/internal/lab/runs/fault_test.go
@@ -27,9 +27,9 @@
 		t.Fatalf("%s\n%s", err, output)
 	}
 	options := FaultOptions{
-		Cluster: cluster.Options{Binaries: binaries, Directory: logDirectory(t), StallLimit: 20 * time.Second},
-		Stops:   2,
-		Changes: 100,
+		Cluster:      cluster.Options{Binaries: binaries, Directory: logDirectory(t), StallLimit: 20 * time.Second},
+		PlannedStops: 2,
+		Changes:      100,
 	}
 	slots := make(chan struct{}, maxConcurrentRuns)
 	for _, fault := range AllFaults() {
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -288,7 +288,7 @@
 		c.checkDrain(now, &event)
 		c.checkZone(now, &event)
 		c.checkCold(now, &event)
-	case platformsim.HostRan:
+	case platformsim.HostRequestRan:
 		c.checkRun(now, &event)
 	}
 }
@@ -306,7 +306,7 @@
 	since, draining := c.drainingSince[event.Host.ID]
 	if draining && now.Sub(since) > c.bounds.ChangeLimit {
 		c.addViolation(now, RuleDrain, "%s, draining for %s, received an opening of %s from %s",
-			event.Host.ID, now.Sub(since).Round(time.Millisecond), event.Caller, event.Node)
+			event.Host.ID, now.Sub(since).Round(time.Millisecond), event.Client, event.Node)
 	}
 }
 
@@ -321,7 +321,7 @@
 		c.checked.Evacuations++
 		if zone == event.Host.Zone {
 			c.addViolation(now, RuleZone, "%s in %s, evacuated for %s, received an opening of %s from %s",
-				event.Host.ID, zone, now.Sub(since).Round(time.Millisecond), event.Caller, event.Node)
+				event.Host.ID, zone, now.Sub(since).Round(time.Millisecond), event.Client, event.Node)
 		}
 	}
 }
@@ -345,16 +345,16 @@
 
 func (c *Checker) checkRun(now time.Time, event *platformsim.HostEvent) {
 	frontend, sent := c.sentRequests[event.Request]
-	if !sent || frontend != event.Front {
-		c.addViolation(now, RuleRunOnce, "%s ran request %d of %s, which nobody sent to %s", event.Host.ID, event.Request, event.Caller, event.Front)
+	if !sent || frontend != event.Frontend {
+		c.addViolation(now, RuleRunOnce, "%s ran request %d of %s, which nobody sent to %s", event.Host.ID, event.Request, event.Client, event.Frontend)
 	}
 	if previousHost, repeated := c.executedRequests[event.Request]; repeated {
 		c.addViolation(now, RuleRunOnce, "request %d ran at %s and again at %s", event.Request, previousHost, event.Host.ID)
 	}
 	c.executedRequests[event.Request] = event.Host.ID
-	routed := slices.ContainsFunc(c.versions, func(v Version) bool { return v.Routes[event.Front] == event.Host.Service })
+	routed := slices.ContainsFunc(c.versions, func(v Version) bool { return v.Routes[event.Frontend] == event.Host.Service })
 	if !routed {
-		c.addViolation(now, RuleRoute, "%s of %s ran request %d to %s", event.Host.ID, event.Host.Service, event.Request, event.Front)
+		c.addViolation(now, RuleRoute, "%s of %s ran request %d to %s", event.Host.ID, event.Host.Service, event.Request, event.Frontend)
 	}
 }
 
@@ -409,9 +409,9 @@
 
 // checkNotRun verifies that an opening at a host has not been refused recently.
 func (c *Checker) checkNotRun(now time.Time, event *platformsim.HostEvent) {
-	c.reachedHostAt[event.Caller] = now
-	if at, refused := c.refusedAt[event.Caller]; refused && now.Sub(at) < refusalCheckWindow {
-		c.addViolation(now, RuleNotRun, "an opening of %s, refused before, reached %s by %s", event.Caller, event.Host.ID, event.Node)
+	c.reachedHostAt[event.Client] = now
+	if at, refused := c.refusedAt[event.Client]; refused && now.Sub(at) < refusalCheckWindow {
+		c.addViolation(now, RuleNotRun, "an opening of %s, refused before, reached %s by %s", event.Client, event.Host.ID, event.Node)
 	}
 }
 
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -34,13 +34,13 @@
 }
 
 func requestRun(at *platformsim.Host, request uint64) platformsim.HostEvent {
-	return platformsim.HostEvent{Host: at, Kind: platformsim.HostRan, Node: node, Front: frontend, Caller: client, Request: request}
+	return platformsim.HostEvent{Host: at, Kind: platformsim.HostRequestRan, Node: node, Frontend: frontend, Client: client, Request: request}
 }
 
 // TestCheckerDetectsViolationOfEachRule covers, for each guarantee, events that satisfy it and
 // events that violate it.
 func TestCheckerDetectsViolationOfEachRule(t *testing.T) {
-	hostOpening := platformsim.HostEvent{Host: host("i-1", "web"), Kind: platformsim.HostOpening, Node: node, Front: frontend, Caller: client}
+	hostOpening := platformsim.HostEvent{Host: host("i-1", "web"), Kind: platformsim.HostOpening, Node: node, Frontend: frontend, Client: client}
 	cold := host("i-3", "web")
 	cold.StartCold(time.Hour)
 	coldOpening := hostOpening
@@ -271,12 +271,12 @@
 
 func TestReportListsUncheckedRules(t *testing.T) {
 	is := is.New(t)
-	is.Equal((&soak.Report{}).Unchecked(), []soak.Rule{soak.RuleChange, soak.RuleDrain})
-	is.Equal((&soak.Report{Checked: soak.Checked{Routes: 1, Drains: 1}}).Unchecked(), []soak.Rule(nil))
+	is.Equal((&soak.Report{}).UnverifiedRules(), []soak.Rule{soak.RuleChange, soak.RuleDrain})
+	is.Equal((&soak.Report{Checked: soak.Checked{Routes: 1, Drains: 1}}).UnverifiedRules(), []soak.Rule(nil))
 	surgeReport := soak.Report{Checked: soak.Checked{Routes: 1, Drains: 1}, Steps: []soak.Step{{Fault: "evacuate"}, {Fault: "crowd"}, {Fault: "cold_most"}}}
-	is.Equal(surgeReport.Unchecked(), []soak.Rule{soak.RuleSurge})
-	is.Equal(surgeReport.Unreached(), []soak.Rule{soak.RuleZone, soak.RuleCold})
+	is.Equal(surgeReport.UnverifiedRules(), []soak.Rule{soak.RuleSurge})
+	is.Equal(surgeReport.UnexercisedRules(), []soak.Rule{soak.RuleZone, soak.RuleCold})
 	surgeReport.Checked = soak.Checked{Routes: 1, Drains: 1, AfterSurge: 1, Evacuations: 1, ColdOpenings: 1}
-	is.Equal(surgeReport.Unchecked(), []soak.Rule(nil))
-	is.Equal(surgeReport.Unreached(), []soak.Rule(nil))
+	is.Equal(surgeReport.UnverifiedRules(), []soak.Rule(nil))
+	is.Equal(surgeReport.UnexercisedRules(), []soak.Rule(nil))
 }
--- a/internal/lab/soak/faults/faults_test.go
+++ b/internal/lab/soak/faults/faults_test.go
@@ -40,14 +40,14 @@
 	if output, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%s\n%s", err, output)
 	}
-	size := soak.Size{Nodes: 4, Hosts: 3, Zones: 2, Flows: 10, PersistentFlows: 4}
+	size := soak.Size{Nodes: 4, Hosts: 3, Zones: 2, ShortFlows: 10, PersistentFlows: 4}
 	var steps []soak.Step
 	for index, kind := range faults.All() {
 		steps = append(steps, soak.Step{
-			At:     time.Duration(index) * 50 * time.Millisecond,
-			Lasts:  100 * time.Millisecond,
-			Fault:  kind.Name(),
-			Target: index % kind.Targets(size),
+			At:       time.Duration(index) * 50 * time.Millisecond,
+			Duration: 100 * time.Millisecond,
+			Fault:    kind.Name(),
+			Target:   index % kind.Targets(size),
 		})
 	}
 	report, err := soak.Run(t.Context(), soak.Settings{
--- a/internal/lab/soak/faults/host.go
+++ b/internal/lab/soak/faults/host.go
@@ -93,9 +93,9 @@
 	if !locked {
 		return nil, soak.ErrTargetLocked
 	}
-	host.Silence(true)
+	host.SetUnresponsive(true)
 	return func() error {
-		host.Silence(false)
+		host.SetUnresponsive(false)
 		unlock(host)
 		return nil
 	}, nil
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -7,10 +7,10 @@
 
 // Step is the injection of one fault in a plan.
 type Step struct {
-	At     time.Duration // since the start of the first injection
-	Lasts  time.Duration
-	Fault  string
-	Target int
+	At       time.Duration // since the start of the first injection
+	Duration time.Duration
+	Fault    string
+	Target   int
 }
 
 // Bounds of the random times in a plan: the pause between two injections and the duration of a
@@ -34,10 +34,10 @@
 	for at := between(minPause, maxPause); at < duration; at += between(minPause, maxPause) {
 		kind := kinds[random.IntN(len(kinds))]
 		steps = append(steps, Step{
-			At:     at.Round(time.Millisecond),
-			Lasts:  between(minFaultTime, maxFaultTime).Round(time.Millisecond),
-			Fault:  kind.Name(),
-			Target: random.IntN(kind.Targets(size)),
+			At:       at.Round(time.Millisecond),
+			Duration: between(minFaultTime, maxFaultTime).Round(time.Millisecond),
+			Fault:    kind.Name(),
+			Target:   random.IntN(kind.Targets(size)),
 		})
 	}
 	return steps
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -44,18 +44,18 @@
 	Skipped    int // steps whose target was reserved by another fault
 	Counts     *Counts
 	StoreCalls int
-	// Unknown counts packets after the opening that reached a host that does not hold their flow,
+	// UnknownFlowPackets counts packets after the opening that reached a host that does not hold their flow,
 	// for example because they were late and the flow had ended.
-	Unknown uint64
+	UnknownFlowPackets uint64
 	// Checked counts how often each guarantee with a time limit was verified.
 	Checked    Checked
 	Unanswered map[Cause]int // openings that remained unanswered
 	Violations []Violation
 }
 
-// Unchecked returns the guarantees with a time limit that the run never verified. The run is no
+// UnverifiedRules returns the guarantees with a time limit that the run never verified. The run is no
 // evidence for them.
-func (report *Report) Unchecked() []Rule {
+func (report *Report) UnverifiedRules() []Rule {
 	var rules []Rule
 	if report.Checked.Routes == 0 {
 		rules = append(rules, RuleChange)
@@ -69,10 +69,10 @@
 	return rules
 }
 
-// Unreached returns the guarantees that a fault of the run was meant to exercise, but to which no
+// UnexercisedRules returns the guarantees that a fault of the run was meant to exercise, but to which no
 // opening applied, for example because most nodes were disturbed or had just started during the
 // fault.
-func (report *Report) Unreached() []Rule {
+func (report *Report) UnexercisedRules() []Rule {
 	var rules []Rule
 	if report.includesFault("evacuate") && report.Checked.Evacuations == 0 {
 		rules = append(rules, RuleZone)
@@ -111,7 +111,7 @@
 	}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	var load sync.WaitGroup
-	for index := range settings.Size.Flows {
+	for index := range settings.Size.ShortFlows {
 		client := site.clients[index%len(site.clients)]
 		load.Go(func() {
 			r.generateFlows(loadCtx, client, uint64(index), flowPattern{maxFlowRequests, flowRequestPause})
@@ -127,10 +127,10 @@
 	}
 	stopLoad()
 	load.Wait()
-	report.Unknown = site.checkPackets()
+	report.UnknownFlowPackets = site.checkPackets()
 	site.classifyRefusals()
 	report.Skipped = int(r.skipped.Load())
-	report.StoreCalls = site.Store.Calls()
+	report.StoreCalls = site.Store.RequestCount()
 	report.Checked = site.Checker.Checked()
 	report.Unanswered = site.Checker.Unanswered()
 	report.Violations = site.Checker.Violations()
@@ -150,7 +150,7 @@
 		if err := sleep(ctx, step.At-time.Since(start)); err != nil {
 			return err
 		}
-		fmt.Fprintf(output, "%8s  %-16s target %d for %s\n", step.At, step.Fault, step.Target, step.Lasts)
+		fmt.Fprintf(output, "%8s  %-16s target %d for %s\n", step.At, step.Fault, step.Target, step.Duration)
 		injections.Go(func() { results <- r.inject(ctx, kindByName[step.Fault], step) })
 	}
 	injections.Wait()
@@ -176,7 +176,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "%s at %s", step.Fault, step.At)
 	}
-	_ = sleep(ctx, step.Lasts) // the fault must be ended even if ctx is done
+	_ = sleep(ctx, step.Duration) // the fault must be ended even if ctx is done
 	return errors.Wrapf(end(), "end of %s at %s", step.Fault, step.At)
 }
 
@@ -231,7 +231,7 @@
 // runSurge adds flows from a zone's clients until ctx ends.
 func (r *soakRun) runSurge(ctx context.Context, zone int) {
 	var load sync.WaitGroup
-	count := (surgeFactor - 1) * r.Settings.Size.Flows / len(r.clients)
+	count := (surgeFactor - 1) * r.Settings.Size.ShortFlows / len(r.clients)
 	for index := range count {
 		load.Go(func() {
 			r.generateFlows(ctx, r.clients[zone], uint64(1<<20+index), flowPattern{maxSurgeFlowRequests, surgeRequestPause})
@@ -248,7 +248,7 @@
 }
 
 // generateFlows opens flows one after the other and sends a random number of requests on each.
-func (r *soakRun) generateFlows(ctx context.Context, client *platformsim.Caller, stream uint64, pattern flowPattern) {
+func (r *soakRun) generateFlows(ctx context.Context, client *platformsim.Client, stream uint64, pattern flowPattern) {
 	random := rand.New(rand.NewPCG(r.Settings.Seed, 2+stream))
 	for ctx.Err() == nil {
 		frontend := StableFrontends[random.IntN(len(StableFrontends))]
@@ -277,7 +277,7 @@
 }
 
 // generatePersistentFlows opens a flow and uses it until its host stops, and then opens the next.
-func (r *soakRun) generatePersistentFlows(ctx context.Context, client *platformsim.Caller, index int) {
+func (r *soakRun) generatePersistentFlows(ctx context.Context, client *platformsim.Client, index int) {
 	frontend := StableFrontends[index%len(StableFrontends)]
 	for ctx.Err() == nil {
 		opening := Opening{Frontend: frontend, SentAt: time.Now()}
@@ -303,13 +303,13 @@
 		host, err := flow.Request(id)
 		now := time.Now()
 		switch {
-		case errors.Is(err, platformsim.ErrMixed):
+		case errors.Is(err, platformsim.ErrWrongAnswer):
 			r.Checker.AddViolation(now, RuleMixedAnswers, "%v, at %s", err, host)
 			return
 		case err != nil:
 			if flowHost != "" { // otherwise the host is unknown
 				err = errors.Wrapf(err, "opened %s ago at %v, accepted by %v",
-					now.Sub(opening.SentAt).Round(time.Millisecond), flow.Opened, r.hostsAt(flow.Accepting))
+					now.Sub(opening.SentAt).Round(time.Millisecond), flow.OpeningNodes, r.hostsAt(flow.AcceptingHosts))
 				r.Checker.RecordFlowFailure(now, flowHost, flow.Node, err)
 			}
 			return
@@ -347,7 +347,7 @@
 		{"of them, " + string(CauseOther), report.Unanswered[CauseOther]},
 		{"of them, " + string(CauseHost), report.Unanswered[CauseHost]},
 		{"of them, " + string(CauseNone), report.Unanswered[CauseNone]},
-		{"packets at a host that does not hold their flow", report.Unknown},
+		{"packets at a host that does not hold their flow", report.UnknownFlowPackets},
 		{"calls to the store", report.StoreCalls},
 		{"openings checked against the routes in force", report.Checked.Routes},
 		{"openings checked while hosts had drained for long", report.Checked.Drains},
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -70,7 +70,7 @@
 	Nodes    []*Node
 	Replicas []*Replica
 
-	clients  []*platformsim.Caller // by zone
+	clients  []*platformsim.Client // by zone
 	dataPort uint16                // the port of all data addresses
 	// generateSurge adds load from the clients of a zone until ctx ends.
 	generateSurge func(ctx context.Context, zone int)
@@ -145,7 +145,7 @@
 	s.onClose(cancel)
 	s.Router = platformsim.NewRouter(routerCtx, routerNodes)
 	for zone := range s.Settings.Size.Zones {
-		client, err := platformsim.NewCaller(clientAddress(zone), s.dataPort, s.Router)
+		client, err := platformsim.NewClient(clientAddress(zone), s.dataPort, s.Router)
 		if err != nil {
 			return err
 		}
@@ -153,7 +153,7 @@
 		s.clients = append(s.clients, client)
 		s.onClose(client.Close)
 	}
-	return cluster.WaitUntil(ctx, "the router has admitted all balancers", func() (bool, error) { return s.Router.In() == len(s.Nodes), nil })
+	return cluster.WaitUntil(ctx, "the router has admitted all balancers", func() (bool, error) { return s.Router.ReadyCount() == len(s.Nodes), nil })
 }
 
 // onClose registers a function to be called when the site is closed, in reverse order of
@@ -347,7 +347,7 @@
 	for _, h := range s.hosts {
 		counts := h.Counts()
 		forged += counts.Forged + counts.NoToken
-		unknown += counts.Unknown
+		unknown += counts.UnknownFlow
 	}
 	if forged > 0 {
 		s.Checker.AddViolation(time.Now(), RuleForged, "%d packets were modified in transit or opened a flow without a token", forged)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -27,7 +27,7 @@
 	Nodes           int
 	Hosts           int // per service
 	Zones           int
-	Flows           int // concurrent short flows
+	ShortFlows      int // concurrent short flows
 	PersistentFlows int // concurrent flows that stay open until their hosts stop
 }
 
@@ -62,7 +62,9 @@
 }
 
 // DefaultSize returns a size with at most a dozen processes.
-func DefaultSize() Size { return Size{Nodes: 6, Hosts: 4, Zones: 3, Flows: 40, PersistentFlows: 12} }
+func DefaultSize() Size {
+	return Size{Nodes: 6, Hosts: 4, Zones: 3, ShortFlows: 40, PersistentFlows: 12}
+}
 
 // DefaultBounds returns the limits that apply to the users' deployments.
 func DefaultBounds() Bounds {
--- a/internal/lab/storesim/machines.go
+++ b/internal/lab/storesim/machines.go
@@ -16,8 +16,8 @@
 	Control string    `json:"control"` // control address, UDP and TCP
 	Data    string    `json:"data"`    // Geneve address, UDP
 	Leaving bool      `json:"leaving"`
-	// Gone is set in a posted entry to remove the machine from the list.
-	Gone bool `json:"gone,omitempty"`
+	// Deleted is set in a posted entry to remove the machine from the list.
+	Deleted bool `json:"gone,omitempty"`
 }
 
 // machineChange is one posted entry with the time at which it was posted.
@@ -47,7 +47,7 @@
 		if change.at.After(at) {
 			continue
 		}
-		if change.machine.Gone {
+		if change.machine.Deleted {
 			delete(byNode, change.machine.Node)
 			continue
 		}
--- a/internal/lab/storesim/store_test.go
+++ b/internal/lab/storesim/store_test.go
@@ -157,7 +157,7 @@
 		var list machineList
 		list.post(Machine{Node: "b1", Zone: "z1"})
 		time.Sleep(time.Second)
-		list.post(Machine{Node: "b1", Gone: true})
+		list.post(Machine{Node: "b1", Deleted: true})
 		is.Equal(len(list.asOf(time.Now().Add(-500*time.Millisecond))), 1)
 		is.Equal(len(list.asOf(time.Now())), 0)
 	})
--- a/internal/lab/surge/admissionqueue_test.go
+++ b/internal/lab/surge/admissionqueue_test.go
@@ -30,8 +30,8 @@
 		is.True(with.HeldOpenings.Held > 1000 && 4*with.HeldOpenings.Forwarded > with.HeldOpenings.Held)
 		is.True(with.HeldOpenings.ToFreedBackends > with.HeldOpenings.Forwarded)
 		is.True(with.HeldOpenings.HeldTime <= time.Duration(with.HeldOpenings.Held)*90*time.Millisecond)
-		important := with.Class(Important, 0, 8).Share()
-		is.True(important > without.Class(Important, 0, 8).Share()-0.01)
+		important := with.ClassCount(Important, 0, 8).InTimeShare()
+		is.True(important > without.ClassCount(Important, 0, 8).InTimeShare()-0.01)
 	}
 }
 
--- a/internal/lab/surge/fleet_test.go
+++ b/internal/lab/surge/fleet_test.go
@@ -26,7 +26,7 @@
 // answered in time.
 func inTimeShare(result *Result, zone int, class string) float64 {
 	count := result.Zones[zone][class]
-	return count.Share()
+	return count.InTimeShare()
 }
 
 // TestZonesAreServedEquallyWithFleetLoad verifies that the shares of requests answered in time
@@ -45,7 +45,7 @@
 		scenario := fleetScenario(seed)
 		withFleetLoad := Run(scenario)
 		is.True(spread(withFleetLoad) < 0.1)
-		is.True(withFleetLoad.Class(Important, 3, 20).Share() > 0.95)
+		is.True(withFleetLoad.ClassCount(Important, 3, 20).InTimeShare() > 0.95)
 		scenario.FleetLoadDelay = 0
 		is.True(spread(Run(scenario)) > 0.3)
 	}
--- a/internal/lab/surge/request.go
+++ b/internal/lab/surge/request.go
@@ -191,7 +191,7 @@
 	if r.startedAt < zoneCountsFrom {
 		return
 	}
-	outcome.Asked = 1
+	outcome.Requests = 1
 	counts := r.simulation.result.Zones[r.client.zone]
 	sum := counts[r.classSettings().Name]
 	sum.add(outcome)
--- a/internal/lab/surge/run.go
+++ b/internal/lab/surge/run.go
@@ -302,7 +302,7 @@
 	s.after(wait, func() {
 		clients := int(math.Ceil(float64(s.scenario.Clients) * max(load, 1)))
 		r := &request{simulation: s, class: class, client: s.pickClient(min(clients, len(s.clients))), startedAt: s.now}
-		r.count().Asked++
+		r.count().Requests++
 		r.try()
 		s.scheduleRequest(class)
 	})
--- a/internal/lab/surge/scenario.go
+++ b/internal/lab/surge/scenario.go
@@ -105,23 +105,23 @@
 
 // Count holds the number of requests of a class by outcome.
 type Count struct {
-	Asked, InTime, Late, Failed int
+	Requests, InTime, Late, Failed int
 }
 
 // add adds the other count to c.
 func (c *Count) add(o Count) {
-	c.Asked += o.Asked
+	c.Requests += o.Requests
 	c.InTime += o.InTime
 	c.Late += o.Late
 	c.Failed += o.Failed
 }
 
-// Share returns the share of the requests that were answered in time, 1 if there were none.
-func (c Count) Share() float64 {
-	if c.Asked == 0 {
+// InTimeShare returns the share of the requests that were answered in time, 1 if there were none.
+func (c Count) InTimeShare() float64 {
+	if c.Requests == 0 {
 		return 1
 	}
-	return float64(c.InTime) / float64(c.Asked)
+	return float64(c.InTime) / float64(c.Requests)
 }
 
 // Result holds the results of one run.
@@ -157,9 +157,9 @@
 	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Class returns the sum of a class's counts from the second from up to, and without, the second
+// ClassCount returns the sum of a class's counts from the second from up to, and without, the second
 // before.
-func (r *Result) Class(name string, from, before int) Count {
+func (r *Result) ClassCount(name string, from, before int) Count {
 	sum := Count{}
 	counts := r.Classes[name]
 	for _, count := range counts[min(from, len(counts)):min(before, len(counts))] {
@@ -168,11 +168,11 @@
 	return sum
 }
 
-// All returns the sum of the counts of all classes over the whole run.
-func (r *Result) All() Count {
+// TotalCount returns the sum of the counts of all classes over the whole run.
+func (r *Result) TotalCount() Count {
 	sum := Count{}
 	for name, counts := range r.Classes {
-		sum.add(r.Class(name, 0, len(counts)))
+		sum.add(r.ClassCount(name, 0, len(counts)))
 	}
 	return sum
 }
--- a/internal/lab/surge/surge_test.go
+++ b/internal/lab/surge/surge_test.go
@@ -15,8 +15,8 @@
 // goodput returns the share of all requests that are answered in time. Important requests count
 // twice.
 func goodput(result *Result) float64 {
-	feed, tap := result.Class(Ordinary, 0, 1000), result.Class(Important, 0, 1000)
-	return float64(feed.InTime+2*tap.InTime) / float64(feed.Asked+2*tap.Asked)
+	feed, tap := result.ClassCount(Ordinary, 0, 1000), result.ClassCount(Important, 0, 1000)
+	return float64(feed.InTime+2*tap.InTime) / float64(feed.Requests+2*tap.Requests)
 }
 
 func sum(counts []int) int {
@@ -48,10 +48,10 @@
 			is := is.New(t)
 			with, without := Run(Default(seed, Adaptive, load)), Run(Default(seed, None, load))
 			is.True(goodput(with) > goodput(without)+gain)
-			is.True(with.Class(Important, 0, 20).Share() > 0.7)
+			is.True(with.ClassCount(Important, 0, 20).InTimeShare() > 0.7)
 			is.True(with.Shed < without.Shed/2)
 			limited := Run(Default(seed, QueueLimit, load))
-			is.True(with.Class(Important, 0, 20).Share() > limited.Class(Important, 0, 20).Share()+0.1)
+			is.True(with.ClassCount(Important, 0, 20).InTimeShare() > limited.ClassCount(Important, 0, 20).InTimeShare()+0.1)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 			scenario.Adjust = func(settings *core.Settings) { settings.Overload.CommittedLoad.MinOpenFlowShare = 2 } // never reached
 			without := Run(scenario)
 			is.True(goodput(with) > goodput(without))
-			is.True(with.Class(Important, 0, 20).Share() > without.Class(Important, 0, 20).Share())
+			is.True(with.ClassCount(Important, 0, 20).InTimeShare() > without.ClassCount(Important, 0, 20).InTimeShare())
 		}
 	}
 }
@@ -139,9 +139,9 @@
 		result, unloaded := Run(scenario), Run(Default(seed, Adaptive, 1))
 		requests := 0
 		for _, class := range scenario.Classes {
-			count := result.Class(class.Name, 13, 20)
-			is.True(count.Share() > unloaded.Class(class.Name, 13, 20).Share()-0.02)
-			requests += count.Asked
+			count := result.ClassCount(class.Name, 13, 20)
+			is.True(count.InTimeShare() > unloaded.ClassCount(class.Name, 13, 20).InTimeShare()-0.02)
+			requests += count.Requests
 		}
 		is.True(100*sum(result.Refused[13:]) < requests)
 	}
--- a/internal/labcommand/overload.go
+++ b/internal/labcommand/overload.go
@@ -65,11 +65,11 @@
 	for seed := range c.Seeds {
 		scenario := surge.Default(uint64(seed+1), policy, load)
 		result := surge.Run(scenario)
-		all := result.All()
+		all := result.TotalCount()
 		seconds := scenario.Duration.Seconds()
-		p.offered += float64(all.Asked) / seconds / runs
+		p.offered += float64(all.Requests) / seconds / runs
 		p.answeredInTime += float64(all.InTime) / seconds / runs
-		p.importantInTime += result.Class(surge.Important, 0, int(seconds)).Share() / runs
+		p.importantInTime += result.ClassCount(surge.Important, 0, int(seconds)).InTimeShare() / runs
 		p.shedByHosts += float64(result.Shed) / runs
 		for _, refused := range result.Refused {
 			p.refused += float64(refused) / runs
--- a/internal/node/engine_test.go
+++ b/internal/node/engine_test.go
@@ -31,7 +31,7 @@
 	node := &Node{settings: settings, logger: zerolog.Nop()}
 	is.NoErr(node.buildEngine())
 	node.engine.transmit = func(netip.AddrPort, message.Message) {}
-	document, err := placement.New("wallet", placement.Stamp{WriteID: "w1"},
+	document, err := placement.New("wallet", placement.WriteStamp{WriteID: "w1"},
 		placement.SetFrontends([]lb.Frontend{{Address: frontend, Protocol: lb.TCP}}),
 		placement.Prepare([]placement.Target{{Name: "h1", Host: netip.MustParseAddrPort("127.0.0.1:5"), Weight: 100}}),
 		placement.Commit())
--- a/internal/outlier/core.go
+++ b/internal/outlier/core.go
@@ -123,17 +123,17 @@
 	Ejected   bool
 	Bad, Good float64 // the outcomes on which the evaluation was based
 	Reporters float64 // nodes that reported bad outcomes
-	Others    float64 // mean of the bad outcomes of the service's other back ends
+	Baseline  float64 // mean of the bad outcomes of the service's other back ends
 }
 
 // Effects is the output of one Step. The caller reuses it; Step resets it first.
 type Effects struct {
 	Messages []Outgoing
-	// Changed is set when the set of ejected back ends differs from the previous one; Ejected then
+	// EjectedChanged is set when the set of ejected back ends differs from the previous one; Ejected then
 	// holds the whole new set.
-	Changed bool
-	Ejected []Identity
-	Changes []Change
+	EjectedChanged bool
+	Ejected        []Identity
+	Changes        []Change
 }
 
 // Core is the outlier detection of one node. It is not safe for concurrent use.
@@ -258,7 +258,7 @@
 		return
 	}
 	clear(c.ejected)
-	effects.Changed = true
+	effects.EjectedChanged = true
 	effects.Ejected = make([]Identity, 0, len(verdict.Ejected))
 	for _, identity := range verdict.Ejected {
 		c.ejected[Identity(identity)] = true
--- a/internal/outlier/core_test.go
+++ b/internal/outlier/core_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	node.changes = append(node.changes, effects.Changes...)
-	if effects.Changed {
+	if effects.EjectedChanged {
 		clear(node.ejected)
 		for _, identity := range effects.Ejected {
 			node.ejected[identity] = true
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -181,7 +181,7 @@
 	addChange := func(identity Identity, rec *record) {
 		changes = append(changes, Change{
 			Identity: identity, Service: service, Ejected: rec.ejectedUntil > 0,
-			Bad: rec.bad, Good: rec.good, Reporters: rec.reporters, Others: baseline,
+			Bad: rec.bad, Good: rec.good, Reporters: rec.reporters, Baseline: baseline,
 		})
 	}
 	ejected := 0
--- a/internal/passivehealth/observer.go
+++ b/internal/passivehealth/observer.go
@@ -86,15 +86,15 @@
 	typical   map[lb.ServiceName]float64 // seconds; response time of fast answers of a service
 	nextSweep time.Duration
 	changes   []Change
-	signs     []Sign
+	signs     []Observation
 }
 
 // Change records that a back end has become unresponsive, or has answered again.
 type Change struct {
 	Identity     Identity
 	Unresponsive bool
-	// Missing is the number of consecutive openings without an answer.
-	Missing int
+	// MissingAnswers is the number of consecutive openings without an answer.
+	MissingAnswers int
 }
 
 // Changes returns the changes since the last call. The slice is valid until the next call of any
@@ -105,16 +105,16 @@
 	return changes
 }
 
-// Sign records an answer of a back end, or a missing answer to an opening sent at Sent.
-type Sign struct {
+// Observation records an answer of a back end, or a missing answer to an opening sent at Sent.
+type Observation struct {
 	Identity Identity
 	Missing  bool
-	Sent     time.Duration
+	SentAt   time.Duration
 }
 
-// Signs returns the observations since the last call. The slice is valid until the next call of any
+// Observations returns the observations since the last call. The slice is valid until the next call of any
 // method.
-func (o *Observer) Signs() []Sign {
+func (o *Observer) Observations() []Observation {
 	signs := o.signs
 	o.signs = o.signs[:0]
 	return signs
@@ -166,7 +166,7 @@
 		return 0, false
 	}
 	o.checkOverdue(now, flow, earlier)
-	if now-earlier.at >= o.settings.AnswerTimeout && (o.noAnswerSince(earlier.identity, earlier.at) || o.Suspect(earlier.identity)) {
+	if now-earlier.at >= o.settings.AnswerTimeout && (o.noAnswerSince(earlier.identity, earlier.at) || o.IsSuspect(earlier.identity)) {
 		return 0, false
 	}
 	return earlier.identity, true
@@ -179,9 +179,9 @@
 	return pending.identity, found
 }
 
-// Suspect reports whether a back end has left an opening unanswered and no answer of it was
+// IsSuspect reports whether a back end has left an opening unanswered and no answer of it was
 // observed since.
-func (o *Observer) Suspect(identity Identity) bool {
+func (o *Observer) IsSuspect(identity Identity) bool {
 	state := o.backends[identity]
 	return state != nil && state.missingAnswers > 0
 }
@@ -239,7 +239,7 @@
 }
 
 func (o *Observer) recordAnswer(now time.Duration, identity Identity) {
-	o.signs = append(o.signs, Sign{Identity: identity})
+	o.signs = append(o.signs, Observation{Identity: identity})
 	state := o.stateOf(identity)
 	if state.missingAnswers > 0 {
 		o.changes = append(o.changes, Change{Identity: identity})
@@ -267,11 +267,11 @@
 		return // the back end has answered other flows: this packet, or its answer, was lost
 	}
 	o.recordOutcome(pending.identity, true)
-	o.signs = append(o.signs, Sign{Identity: pending.identity, Missing: true, Sent: pending.at})
+	o.signs = append(o.signs, Observation{Identity: pending.identity, Missing: true, SentAt: pending.at})
 	state := o.stateOf(pending.identity)
 	state.missingAnswers++
 	if now >= state.unresponsiveUntil {
-		change := Change{Identity: pending.identity, Unresponsive: true, Missing: state.missingAnswers}
+		change := Change{Identity: pending.identity, Unresponsive: true, MissingAnswers: state.missingAnswers}
 		o.changes = append(o.changes, change)
 	}
 	const maxDoublings = 8
--- a/internal/passivehealth/observer_test.go
+++ b/internal/passivehealth/observer_test.go
@@ -24,7 +24,7 @@
 	observer.RecordOpening(0, 7, first)
 	is.Equal(observer.Factor(50*ms, web, first), 1.0)
 	observer.Tick(120 * ms)
-	is.Equal(observer.Changes(), []Change{{Identity: first, Unresponsive: true, Missing: 1}})
+	is.Equal(observer.Changes(), []Change{{Identity: first, Unresponsive: true, MissingAnswers: 1}})
 	is.Equal(len(observer.Changes()), 0)
 	is.Equal(observer.Factor(120*ms, web, first), 0.0)
 	is.Equal(observer.Factor(120*ms, web, second), 1.0)
@@ -147,12 +147,12 @@
 	observer.RecordOpening(10*ms, 7, first)
 	observer.RecordOpening(20*ms, 8, second)
 	observer.RecordLaterPacket(30*ms, 8, web, second, 1, false)
-	is.Equal(observer.Signs(), []Sign{{Identity: second}})
+	is.Equal(observer.Observations(), []Observation{{Identity: second}})
 	for now := 40 * ms; now < 400*ms; now += 20 * ms {
 		observer.Tick(now)
 	}
-	is.Equal(observer.Signs(), []Sign{{Identity: first, Missing: true, Sent: 10 * ms}})
-	is.Equal(len(observer.Signs()), 0)
+	is.Equal(observer.Observations(), []Observation{{Identity: first, Missing: true, SentAt: 10 * ms}})
+	is.Equal(len(observer.Observations()), 0)
 }
 
 // TestInFlightOpeningsAndRequestsAreCounted checks that openings and requests count as in flight
@@ -211,12 +211,12 @@
 func TestSuspect(t *testing.T) {
 	is := is.New(t)
 	observer := New(DefaultSettings())
-	is.True(!observer.Suspect(first))
+	is.True(!observer.IsSuspect(first))
 	observer.RecordOpening(0, 1, first)
 	observer.Tick(150 * ms)
-	is.True(observer.Suspect(first))
+	is.True(observer.IsSuspect(first))
 	is.Equal(observer.Factor(time.Second, web, first), 1.0) // the back end is retried
-	is.True(observer.Suspect(first))
+	is.True(observer.IsSuspect(first))
 	observer.RecordLaterPacket(1100*ms, 1, web, first, 1, false)
-	is.True(!observer.Suspect(first))
+	is.True(!observer.IsSuspect(first))
 }
--- a/internal/placement/model_test.go
+++ b/internal/placement/model_test.go
@@ -176,7 +176,7 @@
 	for _, backend := range m.document.Backends {
 		// A failed back end is forgotten together with its flows; the model tracks only flows on
 		// back ends that have not failed.
-		if backend.State == lb.BackendDraining && placement.Forgettable(m.document, backend.ID) {
+		if backend.State == lb.BackendDraining && placement.CanForget(m.document, backend.ID) {
 			ids = append(ids, backend.ID)
 		}
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,8 +17,8 @@
 // TestMain fixes the seed of the property tests, so that every run has the same result.
 func TestMain(m *testing.M) { os.Exit(rapidseed.Run(m)) }
 
-func stamp(revision int64) placement.Stamp {
-	return placement.Stamp{WriteID: fmt.Sprintf("write-%d", revision), ConfigRevision: revision}
+func stamp(revision int64) placement.WriteStamp {
+	return placement.WriteStamp{WriteID: fmt.Sprintf("write-%d", revision), ConfigRevision: revision}
 }
 
 // target returns the target with the given number.
@@ -108,7 +108,7 @@
 		is.Equal(table.Base(bucket), before.Base(bucket))
 		is.True(table.Current(bucket) != 4)
 	}
-	is.True(!placement.Forgettable(committed, 4))
+	is.True(!placement.CanForget(committed, 4))
 
 	settled := next(t, committed, placement.Settle(prepared.Version))
 	moved := table
@@ -122,11 +122,11 @@
 			history = append(history, bucket)
 		}
 	}
-	is.True(!placement.Forgettable(settled, 4)) // the back end may still have flows
+	is.True(!placement.CanForget(settled, 4)) // the back end may still have flows
 
 	cleared := next(t, settled, placement.Clear(history))
 	is.Equal(len(cleared.History), 0)
-	is.True(placement.Forgettable(cleared, 4))
+	is.True(placement.CanForget(cleared, 4))
 	forgotten := next(t, cleared, placement.Forget(4))
 	is.Equal(len(forgotten.Backends), 3)
 
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -21,9 +21,9 @@
 	return targets
 }
 
-// MovedBetween returns the number of buckets on which the tables of two lists of back ends
+// CountMovedBuckets returns the number of buckets on which the tables of two lists of back ends
 // disagree. All back ends must be in the document.
-func MovedBetween(document *lb.Placement, first, second []lb.WeightedBackend) int {
+func CountMovedBuckets(document *lb.Placement, first, second []lb.WeightedBackend) int {
 	marks := differingBuckets([]*maglev.Table{generationTable(document, first), generationTable(document, second)})
 	return marks.Count()
 }
--- a/internal/placement/transition.go
+++ b/internal/placement/transition.go
@@ -19,8 +19,8 @@
 	Weight uint16 // 1..MaxWeight
 }
 
-// Stamp identifies one write of a document.
-type Stamp struct {
+// WriteStamp identifies one write of a document.
+type WriteStamp struct {
 	WriteID        string // unique to the write, to find out whether a write without a response succeeded
 	ConfigRevision int64  // store revision of the configuration that the document reflects
 }
@@ -30,7 +30,7 @@
 type Change func(document *lb.Placement) error
 
 // New returns the first document of a service.
-func New(service lb.ServiceName, stamp Stamp, changes ...Change) (*lb.Placement, error) {
+func New(service lb.ServiceName, stamp WriteStamp, changes ...Change) (*lb.Placement, error) {
 	empty := &lb.Placement{
 		Service:       service,
 		Generations:   []lb.Generation{{Version: 1}},
@@ -41,7 +41,7 @@
 
 // Next returns the successor of previous: a copy with the next version, to which the changes are
 // applied in order. It does not modify previous.
-func Next(previous *lb.Placement, stamp Stamp, changes ...Change) (*lb.Placement, error) {
+func Next(previous *lb.Placement, stamp WriteStamp, changes ...Change) (*lb.Placement, error) {
 	document := clone(previous)
 	document.Version++
 	document.WriteID = stamp.WriteID
@@ -325,7 +325,7 @@
 func Forget(ids ...lb.BackendID) Change {
 	return func(document *lb.Placement) error {
 		for _, id := range ids {
-			if !Forgettable(document, id) {
+			if !CanForget(document, id) {
 				return errors.Newf("forget: back end %d may still have flows", id)
 			}
 		}
@@ -336,9 +336,9 @@
 	}
 }
 
-// Forgettable reports whether the back end can have no flows: it is in no generation, and it has
+// CanForget reports whether the back end can have no flows: it is in no generation, and it has
 // failed or no bucket has history.
-func Forgettable(document *lb.Placement, id lb.BackendID) bool {
+func CanForget(document *lb.Placement, id lb.BackendID) bool {
 	for _, generation := range document.Generations {
 		if containsBackend(generation.Backends, id) {
 			return false
--- a/internal/placement/validate.go
+++ b/internal/placement/validate.go
@@ -12,8 +12,8 @@
 	MaxGenerations = 8
 	// MaxWeight is the maximum weight of a back end.
 	MaxWeight = 1000
-	// MaxActive is the maximum number of back ends in a generation: one for each bucket.
-	MaxActive = lb.BucketCount
+	// MaxGenerationBackends is the maximum number of back ends in a generation: one for each bucket.
+	MaxGenerationBackends = lb.BucketCount
 	// MaxNameLength is the maximum length of the names of services and back ends, in bytes.
 	MaxNameLength = 253
 )
@@ -136,8 +136,8 @@
 // generation checks the back ends of one generation.
 func (check *checker) generation(document *lb.Placement, index int) {
 	backends := document.Generations[index].Backends
-	if len(backends) > MaxActive {
-		check.failf("generations[%d].b: there are %d back ends, at most %d fit", index, len(backends), MaxActive)
+	if len(backends) > MaxGenerationBackends {
+		check.failf("generations[%d].b: there are %d back ends, at most %d fit", index, len(backends), MaxGenerationBackends)
 	}
 	previous := lb.NoBackend
 	for position, weighted := range backends {
--- a/internal/tokennode/enginelog.go
+++ b/internal/tokennode/enginelog.go
@@ -70,7 +70,7 @@
 		engine.logger.Info().
 			Str(logging.FieldEvent, string(event)).
 			Str(logging.FieldBackend, engine.backendText(uint64(change.Identity))).
-			Int(logging.FieldMissing, change.Missing).
+			Int(logging.FieldMissing, change.MissingAnswers).
 			Send()
 	}
 }
--- a/internal/tokennode/outliers.go
+++ b/internal/tokennode/outliers.go
@@ -16,7 +16,7 @@
 		engine.outbox = append(engine.outbox, follower.Outgoing{To: outgoing.To, Message: outgoing.Message})
 	}
 	engine.logEjections()
-	if !engine.outlierEffects.Changed {
+	if !engine.outlierEffects.EjectedChanged {
 		return
 	}
 	ejected := make([]passivehealth.Identity, 0, len(engine.outlierEffects.Ejected))
@@ -68,7 +68,7 @@
 			Float64(logging.FieldBad, change.Bad).
 			Float64(logging.FieldGood, change.Good).
 			Float64(logging.FieldReporters, change.Reporters).
-			Float64(logging.FieldOthers, change.Others).
+			Float64(logging.FieldOthers, change.Baseline).
 			Send()
 	}
 }
--- a/internal/tokennode/platform_test.go
+++ b/internal/tokennode/platform_test.go
@@ -121,8 +121,8 @@
 	testbed.store.Delete("servers/" + victim.ID)
 	testbed.synchronize()
 	flow.Close() // the packet's token names the victim, which no longer exists
-	testbed.waitUntil("the packet for the old host has arrived", func() bool { return successor.Counts().NotMeant > 0 })
-	is.Equal(successor.Counts().Unknown, uint64(0)) // a flow of another service gets no reset
+	testbed.waitUntil("the packet for the old host has arrived", func() bool { return successor.Counts().OtherHost > 0 })
+	is.Equal(successor.Counts().UnknownFlow, uint64(0)) // a flow of another service gets no reset
 }
 
 // TestLateOpeningAnswerDoesNotMoveFlow guards against resets of open flows by a host that was
@@ -214,6 +214,6 @@
 // that the test covers a late answer.
 func (testbed *testbed) checkAcceptedTwice(flows []openFlow) {
 	testbed.t.Helper()
-	acceptedTwice := slices.ContainsFunc(flows, func(flow openFlow) bool { return len(flow.Accepting) > 1 })
+	acceptedTwice := slices.ContainsFunc(flows, func(flow openFlow) bool { return len(flow.AcceptingHosts) > 1 })
 	is.New(testbed.t).True(acceptedTwice)
 }
--- a/internal/tokennode/testbed_test.go
+++ b/internal/tokennode/testbed_test.go
@@ -47,7 +47,7 @@
 	hosts     []*platformsim.Host
 	nodes     []*testNode
 	router    *platformsim.Router
-	client    *platformsim.Caller
+	client    *platformsim.Client
 	version   int
 	requestID uint64
 	logger    zerolog.Logger // logger of nodes that are started from now on
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	testbed.router = platformsim.NewRouter(ctx, routed)
-	testbed.client, err = platformsim.NewCaller(netip.MustParseAddr("127.0.2.1"), testbed.dataPort, testbed.router)
+	testbed.client, err = platformsim.NewClient(netip.MustParseAddr("127.0.2.1"), testbed.dataPort, testbed.router)
 	is.NoErr(err)
 	t.Cleanup(testbed.client.Close)
 	testbed.waitUntil("all nodes are ready", func() bool {
@@ -307,9 +307,9 @@
 	for _, host := range testbed.hosts {
 		counts := host.Counts()
 		is.Equal(counts.Forged, uint64(0))
-		is.Equal(counts.Unknown, uint64(0))
+		is.Equal(counts.UnknownFlow, uint64(0))
 		is.Equal(counts.NoToken, uint64(0))
-		ran += counts.Ran
+		ran += counts.Requests
 	}
 	is.Equal(testbed.client.Forged(), uint64(0))
 	is.Equal(ran, testbed.requestID) // each request ran once
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -64,10 +64,10 @@
 	return lines, skipped, errors.Wrap(scanner.Err(), "read the log")
 }
 
-// Of returns, sorted by time, the lines of one flow, named as in the field "flow", and the lines
+// LinesOfFlow returns, sorted by time, the lines of one flow, named as in the field "flow", and the lines
 // about nodes that were written within the duration around, before or after one of them. The clocks
 // of nodes may differ, and the order follows these clocks.
-func Of(lines []Line, flow string, around time.Duration) []Line {
+func LinesOfFlow(lines []Line, flow string, around time.Duration) []Line {
 	var times []time.Time
 	for _, line := range lines {
 		if line.Flow == flow {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -39,16 +39,16 @@
 	}
 	for _, test := range cases {
 		var events []string
-		for _, line := range trace.Of(lines, flow, test.around) {
+		for _, line := range trace.LinesOfFlow(lines, flow, test.around) {
 			events = append(events, line.Node+" "+line.Event)
 		}
 		is.Equal(events, test.events)
 	}
-	refused := trace.Of(lines, flow, 0)[1]
+	refused := trace.LinesOfFlow(lines, flow, 0)[1]
 	is.Equal(refused.Reason, "unknown-service")
 	is.Equal(refused.AgeMillis, int64(197))
 	is.Equal(refused.Version, uint64(26))
-	is.Equal(len(trace.Of(lines, "unknown", time.Hour)), 0)
+	is.Equal(len(trace.LinesOfFlow(lines, "unknown", time.Hour)), 0)
 }
 
 func TestTooLongLineIsAnError(t *testing.T) {
--- a/internal/transport/pack_test.go
+++ b/internal/transport/pack_test.go
@@ -30,12 +30,12 @@
 		return list
 	}
 	frontend := lb.Frontend{Address: netip.MustParseAddrPort("192.0.2.7:443"), Protocol: lb.TCP}
-	made, err := placement.New("wallet-core", placement.Stamp{WriteID: "node-0007/3f9a/12", ConfigRevision: 7},
+	made, err := placement.New("wallet-core", placement.WriteStamp{WriteID: "node-0007/3f9a/12", ConfigRevision: 7},
 		placement.SetFrontends([]lb.Frontend{frontend}), placement.Prepare(targets(1)), placement.Commit())
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := placement.Next(made, placement.Stamp{WriteID: "node-0007/3f9a/13", ConfigRevision: 9}, placement.Prepare(targets(2)))
+	next, err := placement.Next(made, placement.WriteStamp{WriteID: "node-0007/3f9a/13", ConfigRevision: 9}, placement.Prepare(targets(2)))
 	if err != nil {
 		t.Fatal(err)
 	}
