--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -29,9 +29,11 @@
 
 // serviceEntry is the last valid document of a service and the back ends that its selector matches.
 type serviceEntry struct {
-	service        Service
-	selector       Selector
-	requiredLabels []label // every matching back end has at least one of these; nil if the selector has no such term
+	service  Service
+	selector Selector
+	// requiredLabels contains labels of which every matching back end has at least one. It is nil
+	// if the selector has no such term.
+	requiredLabels []label
 	backends       map[lb.BackendName]struct{}
 }
 
--- a/internal/catalog/index_test.go
+++ b/internal/catalog/index_test.go
@@ -80,7 +80,8 @@
 			desired := index.Desired(name)
 			is.Equal(desired, evaluateDirectly(name, services, backends, evacuated))
 			if !slices.Contains(affected, name) {
-				is.Equal(desired, desiredOrAbsent(previous, name)) // a changed service must be among the affected ones
+				// A changed service must be among the affected ones.
+				is.Equal(desired, desiredOrAbsent(previous, name))
 			}
 			previous[name] = desired
 		}
@@ -143,10 +144,12 @@
 	affected, err := index.PutDocument(BackendKey("b2"), []byte(`{}`))
 	is.True(err != nil)
 	is.Equal(affected, []lb.ServiceName{"s1"})
-	is.Equal(index.Desired("s1").UnknownBackends, []lb.BackendName{"b2"}) // never valid, so its placement must not change
+	// No version of b2 was ever valid, so its placement must not change.
+	is.Equal(index.Desired("s1").UnknownBackends, []lb.BackendName{"b2"})
 	_, err = index.PutDocument(ServiceKey("s2"), []byte(`{}`))
 	is.True(err != nil)
-	is.Equal(index.Desired("s2").Presence, Unknown) // not Absent, because the service must not be deleted
+	// The result must not be Absent, because the service must not be deleted.
+	is.Equal(index.Desired("s2").Presence, Unknown)
 
 	affected, err = index.PutBackend(testBackend(2, nil))
 	is.NoErr(err)
--- a/internal/catalog/selector.go
+++ b/internal/catalog/selector.go
@@ -8,8 +8,8 @@
 // Operator is the operator of one requirement of a selector.
 type Operator string
 
-// Operators with their Kubernetes names. As in Kubernetes, NotEquals and NotIn also match if the
-// label is absent.
+// Operators with their Kubernetes names. As in Kubernetes, OperatorNotEquals and OperatorNotIn
+// also match if the label is absent.
 const (
 	OperatorEquals    Operator = "="
 	OperatorNotEquals Operator = "!="
@@ -23,7 +23,9 @@
 type Requirement struct {
 	Key      string
 	Operator Operator
-	Values   []string // sorted and distinct; exactly one for Equals and NotEquals, none for Exists and NotExists
+	// Values are sorted and distinct. OperatorEquals and OperatorNotEquals have exactly one value,
+	// OperatorExists and OperatorNotExists none.
+	Values []string
 }
 
 // Matches reports whether the labels meet the requirement.
--- a/internal/catalog/selector_test.go
+++ b/internal/catalog/selector_test.go
@@ -80,6 +80,7 @@
 	}
 }
 
+// FuzzSelector checks that parsing the printed form of a selector returns the same selector.
 func FuzzSelector(f *testing.F) {
 	for _, seed := range []string{"app=wallet, tier in (a, b), !canary", "a notin (,b)", "a!=", "in in (in)", "a=b,", "é=1"} {
 		f.Add(seed)
@@ -99,6 +100,8 @@
 	})
 }
 
+// FuzzDocuments checks that every document that is decoded without an error can be encoded, and
+// that the index does not panic on any document.
 func FuzzDocuments(f *testing.F) {
 	f.Add([]byte(`{"name":"a","frontends":[{"address":"10.0.0.1:443","protocol":"tcp"}],"selector":"app=a","write_id":"x"}`))
 	f.Add([]byte(`{"name":"a","host":"127.0.0.1:6081","zone":"a","labels":{"app":"a"},"weight":7,"write_id":""}`))
@@ -106,12 +109,12 @@
 	f.Fuzz(func(t *testing.T, value []byte) {
 		if service, err := DecodeService(ServicePrefix+"a", value); err == nil {
 			if _, err := EncodeService(&service); err != nil {
-				t.Fatalf("accepted %q and then not: %v", value, err)
+				t.Fatalf("decoded %q, but cannot encode it: %v", value, err)
 			}
 		}
 		if backend, err := DecodeBackend(BackendPrefix+"a", value); err == nil {
 			if _, err := EncodeBackend(&backend); err != nil {
-				t.Fatalf("accepted %q and then not: %v", value, err)
+				t.Fatalf("decoded %q, but cannot encode it: %v", value, err)
 			}
 		}
 		_, _ = NewIndex().PutDocument(ServicePrefix+"a", value)
--- a/internal/catalog/types.go
+++ b/internal/catalog/types.go
@@ -40,8 +40,8 @@
 	// Probe is the URL of the host's health and load endpoint, an http URL with an IP address and
 	// port. If it is empty, the back end is not probed.
 	Probe string `json:"probe,omitempty"`
-	// Weight is the back end's relative share of new flows, from 1 to 1000. 0 means the default of
-	// 100. Health and load can only reduce the effective weight.
+	// Weight is the back end's weight in the distribution of new flows, from 1 to 1000. 0 means the
+	// default of 100. Health and load can only reduce the effective weight.
 	Weight uint16 `json:"weight,omitempty"`
 	// Drain stops new flows to the back end while it is set, regardless of the selectors.
 	Drain   bool   `json:"drain,omitempty"`
@@ -56,7 +56,9 @@
 	// ConfigRevision is the highest store revision such that every configuration change up to it is
 	// in force at every live node of the zone.
 	ConfigRevision int64 `json:"config_revision"`
-	Nodes          int   `json:"nodes"`
-	NodesBehind    int   `json:"behind"`
-	UnixMillis     int64 `json:"unix_ms"`
+	// Nodes is the number of nodes that the report covers. NodesBehind is the number of these nodes
+	// that are not known to have all placements.
+	Nodes       int   `json:"nodes"`
+	NodesBehind int   `json:"behind"`
+	UnixMillis  int64 `json:"unix_ms"` // time of the report
 }
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -232,7 +232,8 @@
 	}
 	testbed.plane.StopReceiving(0)
 	is.NoErr(<-testbed.stopped)
-	is.True(testbed.plane.Counters().WriteErrors >= sent/2-1) // the last one may not have been read yet
+	// The last packet may not have been read yet.
+	is.True(testbed.plane.Counters().WriteErrors >= sent/2-1)
 }
 
 func TestUnreachableHostDoesNotStopThePlane(t *testing.T) {
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -94,7 +94,7 @@
 	core.announcements = rest
 	core.unannounced = max(0, core.unannounced-count)
 	for _, target := range core.targets() {
-		core.send(effects, target, message.Want{Versions: versions})
+		core.send(effects, target, message.VersionList{Versions: versions})
 	}
 }
 
@@ -118,13 +118,13 @@
 	return targets
 }
 
-// handleWant handles an announcement or a request.
-func (core *Core) handleWant(from lb.NodeID, want *message.Want, effects *Effects) {
-	if len(want.Groups) == 0 && !want.Reply {
-		core.handleAnnouncement(from, want.Versions, effects)
+// handleVersionList handles a VersionList, which is an announcement or a request.
+func (core *Core) handleVersionList(from lb.NodeID, list *message.VersionList, effects *Effects) {
+	if len(list.Groups) == 0 && !list.Reply {
+		core.handleAnnouncement(from, list.Versions, effects)
 		return
 	}
-	core.answerWant(from, want, effects)
+	core.answerVersionList(from, list, effects)
 }
 
 // handleAnnouncement requests the documents that are newer at the peer, and announces the versions
@@ -145,10 +145,10 @@
 		}
 	}
 	if len(requested) > 0 {
-		core.send(effects, from, message.Want{Versions: requested, Reply: true})
+		core.send(effects, from, message.VersionList{Versions: requested, Reply: true})
 	}
 	if len(newer) > 0 {
-		core.send(effects, from, message.Want{Versions: newer})
+		core.send(effects, from, message.VersionList{Versions: newer})
 	}
 }
 
@@ -180,7 +180,7 @@
 		if _, alive := core.members[pending.announcer]; !alive || core.version(service) >= pending.version {
 			continue
 		}
-		core.send(effects, pending.announcer, message.Want{
+		core.send(effects, pending.announcer, message.VersionList{
 			Versions: []message.ServiceVersion{{Service: service, Version: core.version(service)}},
 			Reply:    true,
 		})
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if len(differing) > 0 {
-		core.send(effects, from, message.Want{Groups: differing, Versions: core.versionsIn(differing)})
+		core.send(effects, from, message.VersionList{Groups: differing, Versions: core.versionsIn(differing)})
 	}
 }
 
@@ -102,24 +102,24 @@
 	return versions[:min(len(versions), message.MaxVersions)]
 }
 
-// answerWant sends the documents that are newer at this node, and requests the ones that are newer
-// at the peer.
-func (core *Core) answerWant(from lb.NodeID, want *message.Want, effects *Effects) {
-	listed := make(map[lb.ServiceName]bool, len(want.Versions))
+// answerVersionList sends the documents that are newer at this node, and requests the ones that are
+// newer at the peer.
+func (core *Core) answerVersionList(from lb.NodeID, list *message.VersionList, effects *Effects) {
+	listed := make(map[lb.ServiceName]bool, len(list.Versions))
 	var newer []*lb.Placement
 	var requested []message.ServiceVersion
-	for _, peerVersion := range want.Versions {
+	for _, peerVersion := range list.Versions {
 		listed[peerVersion.Service] = true
 		known := core.documents[peerVersion.Service]
 		switch {
 		case known != nil && known.Version > peerVersion.Version:
 			newer = append(newer, known)
-		case !want.Reply && peerVersion.Version > core.version(peerVersion.Service):
+		case !list.Reply && peerVersion.Version > core.version(peerVersion.Service):
 			requested = append(requested, message.ServiceVersion{Service: peerVersion.Service, Version: core.version(peerVersion.Service)})
 		}
 	}
-	if len(want.Groups) > 0 {
-		for _, own := range core.versionsIn(want.Groups) {
+	if len(list.Groups) > 0 {
+		for _, own := range core.versionsIn(list.Groups) {
 			if !listed[own.Service] {
 				newer = append(newer, core.documents[own.Service])
 			}
@@ -127,7 +127,7 @@
 	}
 	core.sendDocuments(from, newer, effects)
 	if len(requested) > 0 {
-		core.send(effects, from, message.Want{Versions: requested, Reply: true})
+		core.send(effects, from, message.VersionList{Versions: requested, Reply: true})
 	}
 }
 
@@ -206,11 +206,11 @@
 		for group := index * groupsPerPeer; group < min((index+1)*groupsPerPeer, Groups); group++ {
 			groups = append(groups, uint16(group))
 		}
-		core.send(effects, peer, message.Want{Groups: groups, Versions: core.versionsIn(groups), Reply: true})
+		core.send(effects, peer, message.VersionList{Groups: groups, Versions: core.versionsIn(groups), Reply: true})
 	}
 }
 
-// snapshotPeers returns distinct random peers, those of the local zone first.
+// snapshotPeers returns distinct random peers, the peers of the local zone first.
 func (core *Core) snapshotPeers() []lb.NodeID {
 	local, remote := slices.Clone(core.localPeers), slices.Clone(core.remotePeers)
 	core.random.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -25,7 +25,7 @@
 				var sum, longest time.Duration
 				for change := range changes {
 					fleet.publish(fleet.nodes[(change*5)%size], document)
-					took, ok := fleet.runUntil(30*time.Second, func() bool { return fleet.everywhere(document) })
+					took, ok := fleet.runUntil(30*time.Second, func() bool { return fleet.allNodesHave(document) })
 					if !ok {
 						b.Fatalf("change %d has not reached all nodes after 30 s", change)
 					}
@@ -61,7 +61,7 @@
 					}
 					fleet.resetBytes()
 					fleet.publish(fleet.nodes[0], documents...)
-					took, ok := fleet.runUntil(300*time.Second, func() bool { return fleet.everywhere(documents...) })
+					took, ok := fleet.runUntil(300*time.Second, func() bool { return fleet.allNodesHave(documents...) })
 					if !ok {
 						b.Fatal("the burst has not reached all nodes after 300 s")
 					}
--- a/internal/gossip/core.go
+++ b/internal/gossip/core.go
@@ -29,7 +29,7 @@
 	lastAdopted time.Duration
 
 	members                 map[lb.NodeID]lb.Zone
-	localPeers, remotePeers []lb.NodeID // members of the local zone and of other zones, without this node
+	localPeers, remotePeers []lb.NodeID // members of the local and of other zones, without this node
 	reporters               []lb.NodeID // reporters of all zones, including this node if it is one
 	zoneReporters           []lb.NodeID // reporters of the local zone
 
@@ -143,8 +143,8 @@
 		core.compareDigest(event.From, received.Digest, effects)
 	case message.Digest:
 		core.compareGroups(event.From, &received, effects)
-	case message.Want:
-		core.handleWant(event.From, &received, effects)
+	case message.VersionList:
+		core.handleVersionList(event.From, &received, effects)
 	case message.Placements:
 		core.handlePlacements(&received, effects)
 	case message.InForce:
@@ -176,14 +176,14 @@
 		_, present := core.members[id]
 		return !present
 	})
-	var reporters, nearby []lb.NodeID
+	var reporters, zoneReporters []lb.NodeID
 	for _, watcher := range rendezvous.Watchers(candidates) {
 		reporters = append(reporters, watcher.ID)
 		if watcher.Zone == core.settings.Zone {
-			nearby = append(nearby, watcher.ID)
+			zoneReporters = append(zoneReporters, watcher.ID)
 		}
 	}
-	core.setReporters(reporters, nearby)
+	core.setReporters(reporters, zoneReporters)
 }
 
 // version returns the known version of a service, or zero if there is none.
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -18,14 +18,16 @@
 // fleet simulates the gossip of many nodes in virtual time, each node with the byte budget of
 // package transport. Simulated probes with digests replace the membership protocol.
 type fleet struct {
-	t          testing.TB
-	queue      sim.Queue[event]
-	network    sim.Network
-	random     *rand.Rand
-	nodes      []*node
-	byID       map[lb.NodeID]*node
-	delays     []time.Duration
-	sentByLine map[*byte]message.Message // messages in transit by their packed lines, which saves decoding
+	t       testing.TB
+	queue   sim.Queue[event]
+	network sim.Network
+	random  *rand.Rand
+	nodes   []*node
+	byID    map[lb.NodeID]*node
+	delays  []time.Duration
+	// sentByLine holds the messages in transit by their packed lines, so that the simulation need
+	// not decode them.
+	sentByLine map[*byte]message.Message
 	change     func(*gossip.Settings)
 }
 
@@ -260,8 +262,8 @@
 	fleet.step(at, &gossip.Event{Placements: documents})
 }
 
-// everywhere reports whether all running nodes have at least these versions.
-func (fleet *fleet) everywhere(documents ...*lb.Placement) bool {
+// allNodesHave reports whether all running nodes have at least these versions.
+func (fleet *fleet) allNodesHave(documents ...*lb.Placement) bool {
 	for _, node := range fleet.nodes {
 		if node.down {
 			continue
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -123,8 +123,8 @@
 	// Placements are documents from the store, or published by this node. They must not be changed
 	// afterwards.
 	Placements []*lb.Placement
-	// Peer is a message from another node: a Ping, PingAck, Digest, Want, Placements or InForce.
-	// Any other message only counts as contact.
+	// Peer is a message from another node: a Ping, PingAck, Digest, VersionList, Placements or
+	// InForce. Any other message only counts as contact.
 	Peer *PeerEvent
 	// Members lists all nodes that are considered alive, including this node.
 	Members []Member
@@ -171,7 +171,7 @@
 
 // Counters counts rejected input.
 type Counters struct {
-	Stale   uint64 // placements whose version was not higher
-	Invalid uint64 // inconsistent placements
-	Unknown uint64 // reports from nodes that are not members of the reported zone
+	Stale            uint64 // placements whose version was not higher
+	Invalid          uint64 // inconsistent placements
+	NonMemberReports uint64 // reports from nodes that are not members of the reported zone
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -24,7 +24,7 @@
 				return false
 			}
 		}
-		return fleet.everywhere(documents...)
+		return fleet.allNodesHave(documents...)
 	})
 	if !ok {
 		t.Fatal("the documents have not reached all nodes")
@@ -67,8 +67,8 @@
 }
 
 // countEarlyAcknowledgements publishes changes and waits until all nodes have each of them and all
-// publishers have learned so. It returns the number of changes that were acknowledged before all
-// nodes had them.
+// publishers have received the acknowledgement. It returns the number of changes that were
+// acknowledged before all nodes had them.
 func countEarlyAcknowledgements(t *testing.T, change func(*gossip.Core)) int {
 	is := is.New(t)
 	document := newDocument(t, 1)
@@ -82,8 +82,8 @@
 		fleet.publish(fleet.nodes[7], document)
 		before := false
 		took, ok := fleet.runUntil(5*time.Second, func() bool {
-			before = before || (fleet.acknowledged(document, 3) && !fleet.everywhere(document))
-			return fleet.everywhere(document)
+			before = before || (fleet.acknowledged(document, 3) && !fleet.allNodesHave(document))
+			return fleet.allNodesHave(document)
 		})
 		is.True(ok)
 		more, ok := fleet.runUntil(5*time.Second, func() bool { return fleet.acknowledged(document, 3) })
@@ -163,7 +163,7 @@
 		is.True(ok)
 		document = next
 	}
-	fleet.runFor(3 * time.Second) // until Behind is zero everywhere
+	fleet.runFor(3 * time.Second) // until Behind is zero in all statements
 	for _, reporter := range fleet.reporters() {
 		for _, statement := range reporter.inForce {
 			is.Equal(statement.Behind, 0)
@@ -209,12 +209,12 @@
 	second = nextDocument(t, second)
 	fleet.publish(fleet.nodes[1], second) // zone-1
 	fleet.runFor(30 * time.Second)
-	is.True(!fleet.everywhere(first))
-	is.True(!fleet.everywhere(second))
+	is.True(!fleet.allNodesHave(first))
+	is.True(!fleet.allNodesHave(second))
 	for _, other := range []lb.Zone{"zone-0", "zone-2"} {
 		fleet.network.Cut(isolated, other, false)
 	}
-	took, ok := fleet.runUntil(20*time.Second, func() bool { return fleet.everywhere(first, second) })
+	took, ok := fleet.runUntil(20*time.Second, func() bool { return fleet.allNodesHave(first, second) })
 	is.True(ok)
 	t.Logf("both sides have both documents after %s", took)
 }
@@ -227,7 +227,7 @@
 	}
 	fleet := convergedFleet(t, 12, 3, newDocument(t, 1000))
 	fleet.publish(fleet.nodes[3], documents...)
-	took, ok := fleet.runUntil(120*time.Second, func() bool { return fleet.everywhere(documents...) })
+	took, ok := fleet.runUntil(120*time.Second, func() bool { return fleet.allNodesHave(documents...) })
 	is.True(ok)
 	t.Logf("%d simultaneous changes are on all nodes after %s", len(documents), took)
 }
@@ -274,7 +274,7 @@
 		fleet.runFor(50 * time.Millisecond)
 	}
 	last := versions[len(versions)-1]
-	_, ok := fleet.runUntil(10*time.Second, func() bool { return fleet.everywhere(last) })
+	_, ok := fleet.runUntil(10*time.Second, func() bool { return fleet.allNodesHave(last) })
 	is.True(ok)
 	for _, node := range fleet.nodes {
 		is.Equal(node.downgrades, 0)
@@ -339,9 +339,10 @@
 	node := fleet.nodes[0]
 	report := message.InForce{Zone: "zone-2", Aggregated: true, Nodes: 1, ConfigRevision: 99}
 	fleet.step(node, &gossip.Event{Peer: &gossip.PeerEvent{From: "node-9999", Message: report}})
-	fleet.step(node, &gossip.Event{Peer: &gossip.PeerEvent{From: fleet.nodes[1].id, Message: report}}) // a node of zone-1
+	// The sender is a node of zone-1.
+	fleet.step(node, &gossip.Event{Peer: &gossip.PeerEvent{From: fleet.nodes[1].id, Message: report}})
 	is.Equal(len(node.effects.InForce), 0)
-	is.Equal(node.core.Counters().Unknown, uint64(2))
+	is.Equal(node.core.Counters().NonMemberReports, uint64(2))
 	is.True(fmt.Sprint(node.inForce["zone-2"].ConfigRevision) != "99")
 }
 
@@ -385,8 +386,9 @@
 }
 
 // TestAgreementWithOnePeerDoesNotHideAnother checks that a node compares placements with peers that
-// differ even while another peer agrees. Otherwise two neighbours of a fleet that lack the same
-// placements agree with each other and never receive them.
+// differ even while another peer agrees. Otherwise two neighbours that lack the same placements
+// agree with each other and never receive them: two nodes of a fleet of 48 lacked 12 placements
+// permanently.
 func TestAgreementWithOnePeerDoesNotHideAnother(t *testing.T) {
 	is := is.New(t)
 	core, err := gossip.New(gossip.DefaultSettings("self", "zone", 1))
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -108,8 +108,8 @@
 	return versions
 }
 
-// setReporters sets the reporters of all zones and those of the local zone. The reporters are the
-// nodes that watch the store.
+// setReporters sets the reporters of all zones and the reporters of the local zone. The reporters
+// are the nodes that watch the store.
 func (core *Core) setReporters(reporters []lb.NodeID, zoneReporters []lb.NodeID) {
 	core.reporters, core.zoneReporters = reporters, zoneReporters
 	if !slices.Contains(zoneReporters, core.settings.Self) {
@@ -143,7 +143,7 @@
 // handleInForce applies the report of a node of the local zone, or the statement of a reporter.
 func (core *Core) handleInForce(from lb.NodeID, report *message.InForce, effects *Effects) {
 	if zone, member := core.members[from]; !member || zone != report.Zone {
-		core.counters.Unknown++
+		core.counters.NonMemberReports++
 		return
 	}
 	if !report.Aggregated {
@@ -173,7 +173,9 @@
 	}
 	effects.InForce = append(effects.InForce, statement)
 	if core.zoneReporters[0] != core.settings.Self {
-		return // only the first reporter of the zone sends statements; this node takes over if that reporter fails
+		// Only the first reporter of the zone sends statements. This node takes over if that
+		// reporter fails.
+		return
 	}
 	for _, to := range core.reporters {
 		if to != core.settings.Self {
--- a/internal/health/scheduler_test.go
+++ b/internal/health/scheduler_test.go
@@ -80,7 +80,8 @@
 		total += len(times)
 		is.True(len(times) >= 5) // 600 probes over 100 targets
 	}
-	maxProbes := settings.ProbesPerSecond * (int(duration/time.Second) + 1) // including the burst of one second
+	// The limit includes the burst of one second.
+	maxProbes := settings.ProbesPerSecond * (int(duration/time.Second) + 1)
 	is.True(total <= maxProbes)
 	is.True(total >= maxProbes-2*settings.ProbesPerSecond)
 	is.Equal(len(probes), 100)
@@ -192,12 +193,12 @@
 	completeProbe(t, scheduler, settings.Interval, Answer{Healthy: true}, nil)
 	loads := scheduler.Report(settings.Interval, []OpeningCounts{
 		{Backend: "host-0", Openings: 20, Unanswered: 19},
-		{Backend: "elsewhere", Openings: 10, Unanswered: 4}, // probed by other nodes
-		{Backend: "well", Openings: 10},
+		{Backend: "not-probed-here", Openings: 10, Unanswered: 4}, // probed by other nodes
+		{Backend: "answering", Openings: 10},
 	})
 	is.Equal(loads, []message.BackendLoad{
 		{Backend: "host-0", Healthy: true, Openings: 20, UnansweredOpenings: 19},
-		{Backend: "elsewhere", AgeMillis: math.MaxUint32, Openings: 10, UnansweredOpenings: 4},
+		{Backend: "not-probed-here", AgeMillis: math.MaxUint32, Openings: 10, UnansweredOpenings: 4},
 	})
 }
 
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -40,7 +40,7 @@
 	random          *rand.Rand
 	now             time.Duration
 	incarnation     uint64
-	deadIncarnation uint64 // highest incarnation of this node that others are known to have declared dead
+	deadIncarnation uint64 // highest incarnation of this node that others have declared dead
 	leaving         bool
 	stopped         bool
 	digest          uint64
@@ -53,7 +53,7 @@
 	suspects     []*entry
 	listRequests []netip.AddrPort                 // nodes waiting for the full member list
 	listSentAt   map[netip.AddrPort]time.Duration // time of the last answer per node
-	nextFullList time.Duration                    // earliest time of the next encoding of the full list
+	nextFullList time.Duration                    // earliest next encoding of the full list
 	rumours      []*rumour                        // next to send first
 
 	probes    []probe
@@ -103,7 +103,8 @@
 		differsSince: make(map[lb.NodeID]time.Duration),
 	}
 	core.ownZone = core.zoneOf(settings.Self.Zone)
-	core.sequence = uint64(core.random.Uint32()) // random, so that answers to an earlier instance match no probe
+	// The start is random, so that answers to an earlier instance match no probe.
+	core.sequence = uint64(core.random.Uint32())
 	core.viewHash = viewHashOf(settings.Self.ID, false)
 	core.changed = true
 	return core, nil
--- a/internal/member/memberlist_test.go
+++ b/internal/member/memberlist_test.go
@@ -96,7 +96,8 @@
 	_, answered := fleet.runUntil(time.Second, func() bool { return len(seed.effects.Batches) > 0 })
 	is.True(answered)
 	count()
-	is.Equal(encoded, 3) // one immediate list, one full list and one partial list for the queued requests
+	// One list was sent immediately, and one full and one partial list to the queued requesters.
+	is.Equal(encoded, 3)
 	is.Equal(full, 9)
 	is.Equal(partial, 51)
 }
--- a/internal/member/rules_test.go
+++ b/internal/member/rules_test.go
@@ -156,8 +156,8 @@
 }
 
 // TestAgreementWithOnePeerDoesNotHideAnother checks that a node requests the view of a peer that
-// differs even while another peer agrees. Otherwise, when many nodes start at once, a few nodes
-// that lack the same members agree with each other and do not learn of these members for over a
+// differs even while another peer agrees. Otherwise, when 192 nodes start at once, a few nodes that
+// lack the same eight members agree with each other and do not learn of these members for over a
 // minute.
 func TestAgreementWithOnePeerDoesNotHideAnother(t *testing.T) {
 	is := is.New(t)
@@ -227,7 +227,7 @@
 	fromHelper(message.Members{Updates: []message.MemberUpdate{
 		update(target, message.MemberAlive), update(helper, message.MemberAlive),
 	}})
-	sequence := uint64(0) // sequence number of the indirect probe of the target that the helper received
+	sequence := uint64(0) // of the indirect probe of the target that the helper received
 	for sequence == 0 && now < time.Minute {
 		now += 50 * time.Millisecond
 		core.Step(now, &member.Event{}, &effects)
--- a/internal/member/rumour.go
+++ b/internal/member/rumour.go
@@ -108,7 +108,7 @@
 	core.rumours = rest
 }
 
-// refillRumourTokens adds the bytes for the elapsed time, up to those of two seconds.
+// refillRumourTokens adds the bytes for the elapsed time, up to the bytes of two seconds.
 func (core *Core) refillRumourTokens(elapsed time.Duration) {
 	rate := float64(core.settings.RumourBytesPerSecond)
 	core.rumourTokens = min(core.rumourTokens+rate*elapsed.Seconds(), 2*rate)
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -107,7 +107,7 @@
 	TypePingReq:        decodeAs[PingReq],
 	TypeMembers:        decodeAs[Members],
 	TypeDigest:         decodeAs[Digest],
-	TypeWant:           decodeAs[Want],
+	TypeVersionList:    decodeAs[VersionList],
 	TypePlacements:     decodeAs[Placements],
 	TypeInForce:        decodeAs[InForce],
 	TypeLoad:           decodeAs[Load],
--- a/internal/message/codec_test.go
+++ b/internal/message/codec_test.go
@@ -37,7 +37,7 @@
 		message.Members{Updates: updates},
 		message.PingReq{Sequence: 1, Target: "b-1", Updates: updates},
 		message.Digest{Groups: message.GroupHashes{0, 1<<64 - 1}, All: 1},
-		message.Want{Groups: []uint16{3}, Versions: versions, Reply: true},
+		message.VersionList{Groups: []uint16{3}, Versions: versions, Reply: true},
 		message.Placements{Placements: []lb.Placement{placement}},
 		message.InForce{Zone: "a", Digest: 1, Nodes: 4, Behind: 1, ConfigRevision: 6, Versions: versions},
 		message.OpenFlows{Request: true},
--- a/internal/message/load.go
+++ b/internal/message/load.go
@@ -44,8 +44,8 @@
 	Solicited bool `json:"e,omitempty"`
 }
 
-// LoadReport is sent up the distribution tree of a zone, whose root is the first node of the zone.
-// It carries the observations since the previous report.
+// LoadReport is sent up the distribution tree of a zone, to its root node. It carries the
+// observations since the previous report.
 type LoadReport struct {
 	Services []ServiceWork `json:"v"`
 }
@@ -53,15 +53,15 @@
 // ZoneWork is the work that the nodes of one zone observe per second.
 type ZoneWork struct {
 	Zone lb.Zone `json:"z"`
-	// AgeMillis is the time since the first node of the zone computed the sums.
+	// AgeMillis is the time since the root node of the zone computed the sums.
 	AgeMillis int           `json:"t,omitempty"`
 	Services  []ServiceWork `json:"v"`
 }
 
-// LoadState is sent between the first nodes of zones, each with its own zone only, and down the
+// LoadState is sent between the root nodes of the zones, each with its own zone only, and down the
 // distribution tree of a zone, with all zones.
 type LoadState struct {
-	// Sender is the first node of a zone, and Sequence is the sequence number of the state among
+	// Sender is the root node of a zone, and Sequence is the sequence number of the state among
 	// its states.
 	Sender   lb.NodeID  `json:"sender"`
 	Sequence uint64     `json:"number"`
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -13,19 +13,19 @@
 
 // These are the types of messages about flows, members, placements and back ends.
 const (
-	TypePins       Type = "pins"
-	TypeRecords    Type = "records"
-	TypeRecordsAck Type = "records_ack"
-	TypeClean      Type = "clean"
-	TypePing       Type = "ping"
-	TypePingReq    Type = "ping_req"
-	TypePingAck    Type = "ping_ack"
-	TypeMembers    Type = "members"
-	TypeDigest     Type = "digest"
-	TypeWant       Type = "want"
-	TypePlacements Type = "placements"
-	TypeInForce    Type = "in_force"
-	TypeLoad       Type = "load"
+	TypePins        Type = "pins"
+	TypeRecords     Type = "records"
+	TypeRecordsAck  Type = "records_ack"
+	TypeClean       Type = "clean"
+	TypePing        Type = "ping"
+	TypePingReq     Type = "ping_req"
+	TypePingAck     Type = "ping_ack"
+	TypeMembers     Type = "members"
+	TypeDigest      Type = "digest"
+	TypeVersionList Type = "want"
+	TypePlacements  Type = "placements"
+	TypeInForce     Type = "in_force"
+	TypeLoad        Type = "load"
 )
 
 // Message is implemented by all messages between nodes.
@@ -70,8 +70,8 @@
 	Sequence uint64 `json:"sequence"`
 }
 
-// Clean reports to the publisher of the service that the sender, as the head of the chain, knows of
-// no flow in these buckets outside the base back end.
+// Clean reports to the publisher of the service that the sender, as the head of the chain, has no
+// record of a flow in these buckets on another back end than the base.
 type Clean struct {
 	Service lb.ServiceName `json:"service"`
 	Version lb.Version     `json:"version"`
@@ -140,7 +140,8 @@
 	Updates  []MemberUpdate `json:"u,omitempty"`
 }
 
-// Digest carries one hash per group of services. A receiver with other hashes answers with a Want.
+// Digest carries one hash per group of services. A receiver with other hashes answers with a
+// VersionList.
 type Digest struct {
 	Groups GroupHashes `json:"groups"`
 	// All is the hash over all groups.
@@ -153,18 +154,20 @@
 	Version lb.Version     `json:"v"`
 }
 
-// Want lists versions of the sender: those of every service in Groups, and those of single
-// services. The receiver answers with its placements that are newer, and with a Want of its own if
-// some of its placements are older. If a service in one of Groups is not listed, the sender has
-// no placement of it. A Want without Groups announces new placements.
-type Want struct {
+// VersionList announces or requests placements. It lists the sender's versions of all services in
+// Groups, and of single other services. The receiver answers with its placements that are newer,
+// and with a VersionList of its own if some of its placements are older. If a service in one of
+// Groups is not listed, the sender has no placement of it. A VersionList without Groups announces
+// new placements.
+type VersionList struct {
 	Groups   []uint16         `json:"groups,omitempty"`
 	Versions []ServiceVersion `json:"versions,omitempty"`
-	// Reply is set in a Want that answers a Want. It is not answered by another Want.
+	// Reply is set in a VersionList that answers another one. The receiver answers it only with
+	// placements.
 	Reply bool `json:"reply,omitempty"`
 }
 
-// Placements carries placement documents, either new ones or the answer to a Want.
+// Placements carries placement documents, either new ones or the answer to a VersionList.
 type Placements struct {
 	Placements []lb.Placement `json:"placements"`
 }
@@ -236,7 +239,7 @@
 func (Digest) MessageType() Type { return TypeDigest }
 
 // MessageType returns the type of the message.
-func (Want) MessageType() Type { return TypeWant }
+func (VersionList) MessageType() Type { return TypeVersionList }
 
 // MessageType returns the type of the message.
 func (Placements) MessageType() Type { return TypePlacements }
--- a/internal/message/openflow.go
+++ b/internal/message/openflow.go
@@ -16,7 +16,7 @@
 	Acknowledged uint32    `json:"a"`
 }
 
-// OpenFlows announces flows along the distribution trees of the zones and between the first nodes
+// OpenFlows announces flows along the distribution trees of the zones and between the root nodes
 // of the zones, until all nodes have received them.
 type OpenFlows struct {
 	Flows []OpenFlow `json:"flows,omitempty"`
--- a/internal/message/outcome.go
+++ b/internal/message/outcome.go
@@ -21,17 +21,17 @@
 	NewReporters int `json:"n,omitempty"`
 }
 
-// OutcomeReport is sent up the distribution tree of a zone, whose root is the first node of the
-// zone, and between the first nodes of zones.
+// OutcomeReport is sent up the distribution tree of a zone, to its root node, and between the root
+// nodes of the zones.
 type OutcomeReport struct {
-	// WholeZone is set if the report is the sum of a whole zone, sent by its first node.
+	// WholeZone is set if the report is the sum of a whole zone, sent by its root node.
 	WholeZone bool              `json:"zone,omitempty"`
 	Backends  []BackendOutcomes `json:"backends"`
 }
 
 // OutcomeVerdict is sent down the distribution tree of a zone.
 type OutcomeVerdict struct {
-	// Sender is the first node of the zone, and Sequence is the sequence number of the verdict
+	// Sender is the root node of the zone, and Sequence is the sequence number of the verdict
 	// among its verdicts.
 	Sender   lb.NodeID `json:"sender"`
 	Sequence uint64    `json:"number"`
--- a/internal/message/validate.go
+++ b/internal/message/validate.go
@@ -43,8 +43,8 @@
 		return TypePingReq, validatePingReq(message)
 	case Digest:
 		return TypeDigest, checkCount(TypeDigest, "groups", len(message.Groups), MaxGroups)
-	case Want:
-		return TypeWant, validateWant(message)
+	case VersionList:
+		return TypeVersionList, validateVersionList(message)
 	case Placements:
 		return TypePlacements, validatePlacements(message)
 	case InForce:
@@ -147,16 +147,16 @@
 	return checkAddress(kind, field("d"), update.Data)
 }
 
-func validateWant(message Want) error {
-	if err := checkCount(TypeWant, "groups", len(message.Groups), MaxGroups); err != nil {
+func validateVersionList(message VersionList) error {
+	if err := checkCount(TypeVersionList, "groups", len(message.Groups), MaxGroups); err != nil {
 		return err
 	}
 	for index, group := range message.Groups {
 		if group >= MaxGroups {
-			return fieldError(TypeWant, fmt.Sprintf("groups[%d]", index), group, "not a group")
+			return fieldError(TypeVersionList, fmt.Sprintf("groups[%d]", index), group, "not a group")
 		}
 	}
-	return validateVersions(TypeWant, message.Versions)
+	return validateVersions(TypeVersionList, message.Versions)
 }
 
 func validateVersions(kind Type, versions []ServiceVersion) error {
--- a/internal/message/view.go
+++ b/internal/message/view.go
@@ -13,7 +13,7 @@
 )
 
 // ViewDigest announces how current the sender's view is. The designated watcher of the store sends
-// it, and receivers pass it on.
+// it, and receivers forward it.
 type ViewDigest struct {
 	Revision int64 `json:"revision"`
 	// MinCurrentRevision is the lowest revision at which another view is as current as the sender's
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -176,9 +176,9 @@
 	is.NoErr(err)
 	_, err = ana.DeleteService(ctx, "wallet")
 	is.NoErr(err)
-	left, err := ana.client.Get(ctx, claim.Key)
+	released, err := ana.client.Get(ctx, claim.Key)
 	is.NoErr(err)
-	is.True(!left.Exists())
+	is.True(!released.Exists())
 }
 
 func TestEditsAndBadInput(t *testing.T) {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -17,12 +17,16 @@
 
 // Values of Phase.
 const (
-	PhaseUnplaced  Phase = "unplaced"  // no placement has been published yet
-	PhaseSteady    Phase = "steady"    // no bucket is being moved, and none has a history
-	PhasePreparing Phase = "preparing" // a change is published and must reach every zone before it takes effect
-	PhaseMoving    Phase = "moving"    // flows of earlier generations may still exist
-	PhaseClearing  Phase = "clearing"  // some buckets may still have flows at back ends other than their base back end
-	PhaseDeleted   Phase = "deleted"
+	PhaseUnplaced Phase = "unplaced" // no placement has been published yet
+	PhaseSteady   Phase = "steady"   // no bucket is being moved, and none has a history
+	// PhasePreparing means that a change is published and must reach every zone before it takes
+	// effect.
+	PhasePreparing Phase = "preparing"
+	PhaseMoving    Phase = "moving" // flows of earlier generations may still exist
+	// PhaseClearing means that some buckets may still have flows at back ends other than their base
+	// back end.
+	PhaseClearing Phase = "clearing"
+	PhaseDeleted  Phase = "deleted"
 )
 
 // ZoneReport is the last status report of one zone with its age.
--- a/internal/outlier/core.go
+++ b/internal/outlier/core.go
@@ -129,8 +129,8 @@
 // Effects is the output of one Step. The caller reuses it; Step resets it first.
 type Effects struct {
 	Messages []Outgoing
-	// EjectedChanged is set when the set of ejected back ends differs from the previous one; Ejected then
-	// holds the whole new set.
+	// EjectedChanged is set when the set of ejected back ends differs from the previous one;
+	// Ejected then holds the whole new set.
 	EjectedChanged bool
 	Ejected        []Identity
 	Changes        []Change
--- a/internal/outlier/core_test.go
+++ b/internal/outlier/core_test.go
@@ -32,7 +32,7 @@
 	// requestRate is the number of requests a second at all nodes together.
 	requestRate                float64
 	messages, maxReportEntries int // messages sent; largest number of entries in a report
-	maxSuspects                int // largest number of watched back ends in a verdict that are not ejected
+	maxSuspects                int // largest number of suspects in a verdict
 	badRequests                int // requests with a bad outcome
 }
 
@@ -86,9 +86,9 @@
 			for child := rank*width + 1; child <= (rank+1)*width && child < len(nodes); child++ {
 				place.Children = append(place.Children, nodes[child].address)
 			}
-			for other, head := range byZone {
-				if rank == 0 && other != zone && len(head) > 0 {
-					place.OtherRoots = append(place.OtherRoots, head[0].address)
+			for other, others := range byZone {
+				if rank == 0 && other != zone && len(others) > 0 {
+					place.OtherRoots = append(place.OtherRoots, others[0].address)
 				}
 			}
 			f.step(node, &Event{Place: place})
--- a/internal/packet/inner.go
+++ b/internal/packet/inner.go
@@ -235,7 +235,8 @@
 		return err
 	}
 	if udp.Length == 0 {
-		return CauseTransportHeader // a length of zero denotes a jumbogram, which does not fit into a datagram
+		// A length of zero denotes a jumbogram, which does not fit into a datagram.
+		return CauseTransportHeader
 	}
 	packet.Segment = Segment{Payload: udp.Payload}
 	packet.Key.Protocol = lb.UDP
--- a/internal/passivehealth/observer.go
+++ b/internal/passivehealth/observer.go
@@ -48,7 +48,7 @@
 type opening struct {
 	identity Identity
 	at       time.Duration
-	overdue  bool // counted as missing
+	overdue  bool // the answer was recorded as missing
 }
 
 // request is a request whose answer was not observed yet.
@@ -57,7 +57,7 @@
 	service      lb.ServiceName
 	at           time.Duration
 	acknowledged uint32
-	overdue      bool // recorded as missing
+	overdue      bool // the answer was recorded as missing
 }
 
 // backendState holds the observations of one back end.
@@ -81,12 +81,12 @@
 	sizes     map[lb.FrontendKey]*answerSizes
 	outcomes  []Outcome
 	// ejected holds the back ends that outlier detection has ejected.
-	ejected   map[Identity]bool
-	backends  map[Identity]*backendState
-	typical   map[lb.ServiceName]float64 // seconds; response time of fast answers of a service
-	nextSweep time.Duration
-	changes   []Change
-	signs     []Observation
+	ejected      map[Identity]bool
+	backends     map[Identity]*backendState
+	typical      map[lb.ServiceName]float64 // seconds; response time of fast answers of a service
+	nextSweep    time.Duration
+	changes      []Change
+	observations []Observation
 }
 
 // Change records that a back end has become unresponsive, or has answered again.
@@ -105,19 +105,19 @@
 	return changes
 }
 
-// Observation records an answer of a back end, or a missing answer to an opening sent at Sent.
+// Observation records an answer of a back end, or a missing answer to an opening sent at SentAt.
 type Observation struct {
 	Identity Identity
 	Missing  bool
 	SentAt   time.Duration
 }
 
-// Observations returns the observations since the last call. The slice is valid until the next call of any
-// method.
+// Observations returns the observations since the last call. The slice is valid until the next call
+// of any method.
 func (o *Observer) Observations() []Observation {
-	signs := o.signs
-	o.signs = o.signs[:0]
-	return signs
+	observations := o.observations
+	o.observations = o.observations[:0]
+	return observations
 }
 
 // New returns an observer without any observations.
@@ -239,7 +239,7 @@
 }
 
 func (o *Observer) recordAnswer(now time.Duration, identity Identity) {
-	o.signs = append(o.signs, Observation{Identity: identity})
+	o.observations = append(o.observations, Observation{Identity: identity})
 	state := o.stateOf(identity)
 	if state.missingAnswers > 0 {
 		o.changes = append(o.changes, Change{Identity: identity})
@@ -267,7 +267,7 @@
 		return // the back end has answered other flows: this packet, or its answer, was lost
 	}
 	o.recordOutcome(pending.identity, true)
-	o.signs = append(o.signs, Observation{Identity: pending.identity, Missing: true, SentAt: pending.at})
+	o.observations = append(o.observations, Observation{Identity: pending.identity, Missing: true, SentAt: pending.at})
 	state := o.stateOf(pending.identity)
 	state.missingAnswers++
 	if now >= state.unresponsiveUntil {
--- a/internal/passivehealth/observer_test.go
+++ b/internal/passivehealth/observer_test.go
@@ -59,7 +59,8 @@
 	observer.RecordLaterPacket(13*ms, 2, web, first, 1, false)
 	observer.Tick(300 * ms)
 	is.Equal(observer.Factor(300*ms, web, first), 1.0)
-	identity, placed := observer.PlacedBackend(300*ms, 1) // the retransmission goes to the same back end
+	// The retransmission goes to the same back end.
+	identity, placed := observer.PlacedBackend(300*ms, 1)
 	is.True(placed)
 	is.Equal(identity, first)
 }
--- a/internal/placement/transition.go
+++ b/internal/placement/transition.go
@@ -21,8 +21,9 @@
 
 // WriteStamp identifies one write of a document.
 type WriteStamp struct {
-	WriteID        string // unique to the write, to find out whether a write without a response succeeded
-	ConfigRevision int64  // store revision of the configuration that the document reflects
+	// WriteID is unique to the write. It shows whether a write without a response succeeded.
+	WriteID        string
+	ConfigRevision int64 // store revision of the configuration that the document reflects
 }
 
 // Change is one transition. It modifies a private copy of the document, whose version is already
@@ -321,7 +322,7 @@
 	}
 }
 
-// Forget removes back ends that can have no flows; see Forgettable.
+// Forget removes back ends that can have no flows; see CanForget.
 func Forget(ids ...lb.BackendID) Change {
 	return func(document *lb.Placement) error {
 		for _, id := range ids {
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -117,7 +117,8 @@
 		is := is.New(t)
 		client, transport := newTestClient(t, newSimulatedStore(), 1)
 		failNext := true
-		transport.setFault(func(string) fault { // every second request fails, which is too few for the circuit to open
+		// Every second request fails, which is too few for the circuit to open.
+		transport.setFault(func(string) fault {
 			failNext = !failNext
 			if failNext {
 				return faultNotSent
--- a/internal/store/request_policy.go
+++ b/internal/store/request_policy.go
@@ -19,7 +19,7 @@
 const (
 	CircuitClosed   CircuitState = iota // requests are sent
 	CircuitOpen                         // the store is unavailable: requests fail immediately
-	CircuitHalfOpen                     // the store is unavailable: one request has been sent as a probe
+	CircuitHalfOpen                     // the store is unavailable: one request is the probe
 )
 
 // String returns the name of the state for logs and metrics.
@@ -140,7 +140,7 @@
 // The request rate adapts to the store's limit by additive increase and multiplicative decrease
 // (Chiu and Jain, 1989).
 const (
-	rateIncreaseSteps   = 100 // successful responses that raise the rate from zero to the configured rate
+	rateIncreaseSteps   = 100 // successful responses that raise the rate from zero to its maximum
 	rateDecreaseDivisor = 2   // a rejection by the store's rate limit divides the rate by this
 )
 
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -174,10 +174,12 @@
 
 // pendingCommit is the state of one call of Commit.
 type pendingCommit struct {
-	client      *Client
-	txn         *Transaction
-	callNumber  uint64 // number of this call of Commit; it keeps fence keys apart if a later call uses the same WriteID
-	fenceNumber int    // number of the fence key whose absence newly sent copies require
+	client *Client
+	txn    *Transaction
+	// callNumber is the number of this call of Commit. It distinguishes the fence keys of calls
+	// with the same WriteID.
+	callNumber  uint64
+	fenceNumber int // number of the fence key whose absence newly sent copies require
 	// outcomeUnknown is set while the outcome of an earlier copy is unknown because its response
 	// was lost.
 	outcomeUnknown bool
@@ -213,7 +215,8 @@
 	if revision, err := commit.resolve(ctx); revision != 0 || err != nil {
 		return revision, err
 	}
-	return commit.attempt(ctx) // no earlier copy can run any more, so this is equivalent to a first attempt
+	// No earlier copy can run any more, so this is equivalent to a first attempt.
+	return commit.attempt(ctx)
 }
 
 // recordLostResponse records that the response to a copy was lost.
--- a/internal/store/transaction_test.go
+++ b/internal/store/transaction_test.go
@@ -11,7 +11,7 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// writeWith writes the key by a client that has no faults, and returns the new state.
+// writeWith writes the key with a client whose transport has no faults, and returns the new state.
 func writeWith(t *testing.T, client *Client, key, id string) KeyValue {
 	t.Helper()
 	ctx := testContext(t, time.Minute)
--- a/internal/store/watch_test.go
+++ b/internal/store/watch_test.go
@@ -123,7 +123,8 @@
 		transport.setFault(nil)
 		state.consume(t, batches, last.ModRevision)
 		is.Equal(state.resets, 2)
-		is.Equal(state.values, map[string]string{"/k/a": "4"}) // the deletion of /k/b happened during the interruption
+		// The deletion of /k/b happened during the interruption.
+		is.Equal(state.values, map[string]string{"/k/a": "4"})
 	})
 }
 
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -64,9 +64,9 @@
 	return lines, skipped, errors.Wrap(scanner.Err(), "read the log")
 }
 
-// LinesOfFlow returns, sorted by time, the lines of one flow, named as in the field "flow", and the lines
-// about nodes that were written within the duration around, before or after one of them. The clocks
-// of nodes may differ, and the order follows these clocks.
+// LinesOfFlow returns the lines of one flow, whose name is the value of the field "flow", and the
+// lines about nodes that were written at most the duration around before or after one of them. The
+// lines are sorted by time. The clocks of nodes may differ, and the order follows these clocks.
 func LinesOfFlow(lines []Line, flow string, around time.Duration) []Line {
 	var times []time.Time
 	for _, line := range lines {
--- a/internal/transport/counters.go
+++ b/internal/transport/counters.go
@@ -25,10 +25,10 @@
 	FaultEncode        Fault = "encode"         // the codec rejected an outgoing message
 	FaultDecode        Fault = "decode"         // the codec rejected a received line
 	FaultQueueFull     Fault = "queue_full"     // the queue of the class was full
-	FaultBudget        Fault = "budget"         // dropped from the queue because the byte budget was spent
+	FaultBudget        Fault = "budget"         // dropped because the byte budget was spent
 	FaultBlocked       Fault = "blocked"        // blocked by a fault test
 	FaultUnknownSender Fault = "unknown_sender" // above the rate limit for unknown senders
-	FaultNetwork       Fault = "network"        // the operating system returned an error for a send, dial or read
+	FaultNetwork       Fault = "network"        // a send, dial or read failed in the operating system
 	FaultConnections   Fault = "connections"    // all connection slots were in use
 )
 
--- a/internal/transport/pack.go
+++ b/internal/transport/pack.go
@@ -66,7 +66,7 @@
 func packable(kind message.Type) bool {
 	switch kind {
 	case message.TypePing, message.TypePingAck, message.TypePingReq, message.TypeMembers,
-		message.TypePlacements, message.TypeWant, message.TypeInForce, message.TypeLoad,
+		message.TypePlacements, message.TypeVersionList, message.TypeInForce, message.TypeLoad,
 		message.TypeViewDelta, message.TypeLoadReport, message.TypeLoadState:
 		return true
 	}
--- a/internal/transport/queue_test.go
+++ b/internal/transport/queue_test.go
@@ -108,7 +108,8 @@
 func TestByteLimit(t *testing.T) {
 	is := is.New(t)
 	budget := transport.DefaultBudget()
-	bound := budget.BurstBytes + 60*budget.BytesPerSecond + budget.BytesPerSecond // the burst, a minute at the sustained rate, and MaxMembershipDebt
+	// The bound is the burst, a minute at the sustained rate, and MaxMembershipDebt.
+	bound := budget.BurstBytes + 60*budget.BytesPerSecond + budget.BytesPerSecond
 	is.True(bytesSentInMinute(budget) <= bound)
 	mutant := budget
 	mutant.BytesPerSecond, mutant.BurstBytes = math.MaxInt32, math.MaxInt32
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -99,7 +99,8 @@
 	_, err = connection.Write(lines)
 	is.NoErr(err)
 	is.Equal((<-receiver.received).Message, message.Ping{Sequence: 1})
-	is.Equal((<-receiver.received).Message, message.Ping{Sequence: 2}) // the invalid line does not affect the next one
+	// The invalid line does not affect the next one.
+	is.Equal((<-receiver.received).Message, message.Ping{Sequence: 2})
 	receiver.waitFault(transport.FaultDecode, 1)
 }
 
--- a/internal/tree/tree.go
+++ b/internal/tree/tree.go
@@ -1,7 +1,7 @@
 // Package tree arranges the nodes of each zone in a tree, over which they aggregate observations
 // upwards and distribute decisions downwards. The nodes do not agree on the tree: each computes it
-// from its own membership list. While two lists differ, which is brief, messages may be lost
-// or counted twice.
+// from its own membership list. While two lists differ, which is brief, messages may be lost or
+// counted twice.
 package tree
 
 import (
--- a/internal/tree/tree_test.go
+++ b/internal/tree/tree_test.go
@@ -14,7 +14,7 @@
 // and that only its root is connected to the other zones.
 func TestPlacesFormOneTree(t *testing.T) {
 	is := is.New(t)
-	otherRoots := []Node{{ID: "head", Control: netip.MustParseAddrPort("10.9.0.1:7946")}}
+	otherRoots := []Node{{ID: "other-root", Control: netip.MustParseAddrPort("10.9.0.1:7946")}}
 	for _, count := range []int{1, 2, 9, 10, 300} {
 		var zone []Node
 		for index := range count {
@@ -48,7 +48,7 @@
 // the root nodes of the other zones exactly once.
 func TestForwardingToNeighboursReachesEveryNodeOnce(t *testing.T) {
 	is := is.New(t)
-	head := Node{ID: "head", Control: netip.MustParseAddrPort("10.9.0.1:7946")}
+	otherRoot := Node{ID: "other-root", Control: netip.MustParseAddrPort("10.9.0.1:7946")}
 	var zone []Node
 	byAddress := make(map[netip.AddrPort]lb.NodeID)
 	for index := range 100 {
@@ -60,10 +60,10 @@
 		received := make(map[netip.AddrPort]int)
 		var forward func(self Node, except netip.AddrPort)
 		forward = func(self Node, except netip.AddrPort) {
-			place := PlaceOf(self.ID, zone, []Node{head}, 101)
+			place := PlaceOf(self.ID, zone, []Node{otherRoot}, 101)
 			for _, to := range place.Neighbours(except) {
 				received[to]++
-				if to != head.Control {
+				if to != otherRoot.Control {
 					forward(Node{ID: byAddress[to], Control: to}, self.Control)
 				}
 			}
