--- a/internal/operator/apply.go
+++ b/internal/operator/apply.go
@@ -69,12 +69,12 @@
 		service := &objects.Services[index]
 		all = errors.Join(all, service.Validate())
 		if services[service.Name] {
-			all = errors.Join(all, errors.Newf("service %q is given twice", service.Name))
+			all = errors.Join(all, errors.Newf("service %q is listed twice", service.Name))
 		}
 		services[service.Name] = true
 		for _, frontend := range service.Frontends {
 			if owner, taken := frontends[frontend]; taken && owner != service.Name {
-				all = errors.Join(all, errors.Newf("front end %s is given to services %q and %q", frontend, owner, service.Name))
+				all = errors.Join(all, errors.Newf("front end %s is listed for services %q and %q", frontend, owner, service.Name))
 			}
 			frontends[frontend] = service.Name
 		}
@@ -83,7 +83,7 @@
 		backend := &objects.Backends[index]
 		all = errors.Join(all, backend.Validate())
 		if backends[backend.Name] {
-			all = errors.Join(all, errors.Newf("back end %q is given twice", backend.Name))
+			all = errors.Join(all, errors.Newf("back end %q is listed twice", backend.Name))
 		}
 		backends[backend.Name] = true
 	}
