--- a/cmd/robinctl/load.go
+++ b/cmd/robinctl/load.go
@@ -48,7 +48,7 @@
 
 // formatFleetValue formats a value that balancers exchange only while the service is near its limit.
 func formatFleetValue(row *loadreport.Row, format string, value any) string {
-	if !row.Known {
+	if !row.LoadKnown {
 		return unknown
 	}
 	return fmt.Sprintf(format, value)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -51,8 +51,8 @@
 
 const step = 50 * ms
 
-// pass advances the time, and calls each after each step.
-func (p *simulation) pass(length time.Duration, each func()) {
+// advance advances the time, and calls each after each step.
+func (p *simulation) advance(length time.Duration, each func()) {
 	for end := p.now + length; p.now < end; p.now += step {
 		p.startRequests()
 		p.queue()
@@ -93,8 +93,8 @@
 	p.backlog += ((p.begun[0]+p.begun[1])/capacity - 1) * step.Seconds()
 	p.backlog = max(0, min(p.backlog, maxWait))
 	random := min(0.5*used*used/(1-used*used)*work, maxWait) // mean random queue of two slots
-	took := work + max(p.backlog, random)
-	p.smooth(&p.load, took/(3.3*work))
+	latency := work + max(p.backlog, random)
+	p.smooth(&p.load, latency/(3.3*work))
 }
 
 // publish appends the present sums; update reads them after the delay.
@@ -129,7 +129,7 @@
 // mean returns the mean of a value over some time.
 func (p *simulation) mean(length time.Duration, value func() float64) float64 {
 	sum, count := 0.0, 0.0
-	p.pass(length, func() { sum += value(); count++ })
+	p.advance(length, func() { sum += value(); count++ })
 	return sum / count
 }
 
@@ -149,11 +149,11 @@
 					is := is.New(t)
 					p := newSimulation(1)
 					p.tries, p.delay = tries, delay
-					p.pass(3*time.Second, func() { is.Equal(p.service.Refuses(), false) })
+					p.advance(3*time.Second, func() { is.Equal(p.service.Refuses(), false) })
 					p.demand = [2]float64{100, 60 * times}
-					p.pass(2*time.Second, func() {})
+					p.advance(2*time.Second, func() {})
 					after, highest := p.mean(500*ms, p.used), 0.0
-					p.pass(6*time.Second, func() { highest = max(highest, p.smoothedUse) })
+					p.advance(6*time.Second, func() { highest = max(highest, p.smoothedUse) })
 					final := p.mean(4*time.Second, p.used)
 					is.True(final > minFinalUse && final < maxFinalUse)
 					is.True(after > 0.94*final && after < max(1.06*final, maxFinalUse))
@@ -164,15 +164,15 @@
 	}
 }
 
-// TestCallersWhoDoNotRetry: the rate may oscillate for some seconds, and must then converge.
+// TestClientsThatDoNotRetry: the rate may oscillate for some seconds, and must then converge.
 func TestClientsThatDoNotRetry(t *testing.T) {
 	for _, times := range []float64{2.6, 4, 6} {
 		is := is.New(t)
 		p := newSimulation(1)
 		p.tries, p.delay = 1, 300*ms
-		p.pass(3*time.Second, func() {})
+		p.advance(3*time.Second, func() {})
 		p.demand = [2]float64{100, 60 * times}
-		p.pass(6*time.Second, func() {})
+		p.advance(6*time.Second, func() {})
 		final := p.mean(4*time.Second, p.used)
 		is.True(final > minFinalUse && final < maxFinalUse)
 	}
@@ -186,7 +186,7 @@
 		p := newSimulation(1)
 		p.speed = speed
 		p.demand = [2]float64{100, 240}
-		p.pass(15*time.Second, func() {})
+		p.advance(15*time.Second, func() {})
 		final := p.mean(5*time.Second, p.used)
 		is.True(final > 0.8 && final < 1.02)
 	}
@@ -198,7 +198,7 @@
 	is := is.New(t)
 	p := newSimulation(1)
 	p.demand = [2]float64{150, 400}
-	p.pass(10*time.Second, func() { is.Equal(p.service.RateOf(1), 1.0) })
+	p.advance(10*time.Second, func() { is.Equal(p.service.RateOf(1), 1.0) })
 	is.True(p.service.RateOf(2) < 0.4)
 	is.Equal(p.service.RateOf(9), p.service.RateOf(2)) // unknown priority
 }
@@ -229,10 +229,10 @@
 	is := is.New(t)
 	p := newSimulation(1)
 	p.demand = [2]float64{100, 240}
-	p.pass(8*time.Second, func() {})
+	p.advance(8*time.Second, func() {})
 	settings := DefaultSettings()
 	for range 10 {
-		p.pass(200*ms, func() {})
+		p.advance(200*ms, func() {})
 		report := p.states[len(p.states)-1-int(p.delay/step)]
 		var restarted Service
 		restarted.Update(p.now, &report, slots, noOpenFlows, &settings)
@@ -275,7 +275,7 @@
 	is := is.New(t)
 	p := newSimulation(1)
 	p.demand = [2]float64{100, 240}
-	p.pass(5*time.Second, func() {})
+	p.advance(5*time.Second, func() {})
 	p.alter = func(state *fleetload.Service) {
 		if p.random.IntN(10) > 0 {
 			return
@@ -293,7 +293,7 @@
 	}
 	is.True(p.mean(20*time.Second, p.used) > 0.7)
 	p.alter = func(*fleetload.Service) {}
-	p.pass(3*time.Second, func() {})
+	p.advance(3*time.Second, func() {})
 	final := p.mean(2*time.Second, p.used)
 	is.True(final > minFinalUse-0.05 && final < maxFinalUse)
 }
--- a/internal/admissionqueue/freeslots.go
+++ b/internal/admissionqueue/freeslots.go
@@ -90,7 +90,7 @@
 // Claim returns the back end of a service that became free most recently. Each free slot is
 // returned once.
 func (f *FreeSlots) Claim(now time.Duration, service lb.ServiceName, objective lb.Objective) (identity uint64, found bool) {
-	if f.settings.Off || !f.bringsOneRequest(service, objective) {
+	if f.settings.Off || !f.areShort(service, objective) {
 		return 0, false
 	}
 	for step := range f.slots {
@@ -103,8 +103,8 @@
 	return 0, false
 }
 
-// bringsOneRequest returns true if flows of a kind are known to carry one request each.
-func (f *FreeSlots) bringsOneRequest(service lb.ServiceName, objective lb.Objective) bool {
+// areShort returns true if the flows of a kind are known to carry one request each.
+func (f *FreeSlots) areShort(service lb.ServiceName, objective lb.Objective) bool {
 	k := f.kinds[kindKey{service, objective}]
 	return k != nil && k.flows >= minFlows && k.requests <= maxShortFlowRequests*k.flows
 }
--- a/internal/admissionqueue/levels_test.go
+++ b/internal/admissionqueue/levels_test.go
@@ -9,6 +9,7 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
+// TestQueuedOpeningsAreCountedByPriority checks the counts as openings are queued and removed.
 func TestQueuedOpeningsAreCountedByPriority(t *testing.T) {
 	is := is.New(t)
 	q := New[int](DefaultSettings())
--- a/internal/admissionqueue/queue.go
+++ b/internal/admissionqueue/queue.go
@@ -34,8 +34,8 @@
 	Capacity int
 	// Interval is the interval between retries of the queued openings.
 	Interval time.Duration
-	// WaitShare is the maximum waiting time as a fraction of the opening's target, and MaxWait is the
-	// maximum whatever the target is.
+	// WaitShare is the maximum waiting time as a fraction of the opening's target, and MaxWait is
+	// the maximum whatever the target is.
 	WaitShare float64
 	MaxWait   time.Duration
 	// Grace is how long after its deadline an opening may still be refused. Later it must be
@@ -63,12 +63,12 @@
 		// With two slots per back end and requests of 50 ms, a slot becomes free every 25 ms on
 		// average. A retry of the queue takes a few microseconds.
 		Interval: 10 * time.Millisecond,
-		// Clients try three times, and a try that is admitted takes up to two fifths of the target.
-		// Three waits of a fifth each fit in the rest.
+		// Clients try three times, and an admitted try needs up to two fifths of the target. Three
+		// waits of a fifth each fit in the rest.
 		WaitShare: 0.2,
 		MaxWait:   120 * time.Millisecond,
-		// MaxWait + Grace is 40 ms less than firstCopyDelay; these are left for the way to the
-		// node.
+		// MaxWait + Grace is 40 ms less than firstCopyDelay; the difference allows for the transit
+		// time from the client to the node.
 		Grace:           40 * time.Millisecond,
 		RateWindow:      500 * time.Millisecond,
 		FreeSlotTimeout: 20 * time.Millisecond,
@@ -136,11 +136,11 @@
 
 // serviceState holds the statistics of one service.
 type serviceState struct {
-	waiting int // number of queued openings
-	// waitingSince is the start of the period in which openings have been queued without a long
+	queued int // number of queued openings
+	// queuedSince is the start of the period in which openings have been queued without a long
 	// gap. released counts the openings released from the queue, and decays over RateWindow.
-	waitingSince, at time.Duration
-	released         float64
+	queuedSince, at time.Duration
+	released        float64
 }
 
 // New returns an empty queue.
@@ -177,7 +177,7 @@
 		return nil
 	}
 	q.nextSequence++
-	s.waiting++
+	s.queued++
 	index := slices.IndexFunc(q.entries, func(queued QueuedOpening[K]) bool { return !queued.used })
 	q.entries[index] = added
 	at, _ := slices.BinarySearchFunc(q.order, index, func(a, b int) int { return q.compare(&q.entries[a], &q.entries[b]) })
@@ -202,7 +202,7 @@
 }
 
 func (q *Queue[K]) clear(queued *QueuedOpening[K]) {
-	q.services[queued.Service].waiting--
+	q.services[queued.Service].queued--
 	*queued = QueuedOpening[K]{}
 }
 
@@ -275,7 +275,7 @@
 	if q.settings.keepsUnservable {
 		return false
 	}
-	elapsed := min(now-s.waitingSince, q.settings.RateWindow)
+	elapsed := min(now-s.queuedSince, q.settings.RateWindow)
 	if elapsed < q.settings.RateWindow/2 {
 		return false // the rate is not known yet
 	}
@@ -287,12 +287,12 @@
 func (q *Queue[K]) serviceState(now time.Duration, name lb.ServiceName) *serviceState {
 	s := q.services[name]
 	if s == nil {
-		s = &serviceState{waitingSince: now, at: now}
+		s = &serviceState{queuedSince: now, at: now}
 		q.services[name] = s
 	}
 	elapsed := now - s.at
-	if s.waiting == 0 && elapsed > q.settings.RateWindow {
-		*s = serviceState{waitingSince: now, at: now}
+	if s.queued == 0 && elapsed > q.settings.RateWindow {
+		*s = serviceState{queuedSince: now, at: now}
 	}
 	s.released *= max(0, 1-float64(elapsed)/float64(q.settings.RateWindow))
 	s.at = now
@@ -302,7 +302,7 @@
 // Forget deletes the statistics of services without queued openings for which keep returns false.
 func (q *Queue[K]) Forget(keep func(lb.ServiceName) bool) {
 	for name, s := range q.services {
-		if s.waiting == 0 && !keep(name) {
+		if s.queued == 0 && !keep(name) {
 			delete(q.services, name)
 		}
 	}
--- a/internal/admissionqueue/queue_test.go
+++ b/internal/admissionqueue/queue_test.go
@@ -21,9 +21,9 @@
 // retryAll retries the queued openings with decide, and returns their flows in the order of the
 // retries.
 func retryAll(q *Queue[int], now time.Duration, decide func(*QueuedOpening[int], Phase) Outcome) (retried []lb.FlowID) {
-	q.Retry(now, false, func(w *QueuedOpening[int], phase Phase) Outcome {
-		retried = append(retried, w.Flow)
-		return decide(w, phase)
+	q.Retry(now, false, func(entry *QueuedOpening[int], phase Phase) Outcome {
+		retried = append(retried, entry.Flow)
+		return decide(entry, phase)
 	})
 	return retried
 }
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestBounds checks that a full queue, a disabled one, and one whose openings have an unknown
-// target reject openings.
-func TestBounds(t *testing.T) {
+// TestFullAndDisabledQueuesRejectOpenings checks that a full queue, a disabled one, and one whose
+// openings have an unknown target reject openings.
+func TestFullAndDisabledQueuesRejectOpenings(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	settings.Capacity = 3
@@ -68,10 +68,10 @@
 	is.True(New[int](Settings{Off: true}).Enqueue(0, opening(1, 1)) == nil)
 }
 
-// TestDecidedBeforeTheFirstCopy checks that a queued opening is refused before its client can have
-// sent a copy, even after 40 ms on the way to the node, and that three tries of a client fit in its
-// target together with the time that a try takes.
-func TestDecidedBeforeTheFirstCopy(t *testing.T) {
+// TestQueuedOpeningIsDecidedBeforeFirstCopy checks that a queued opening is refused before its
+// client can have sent a copy, even after a transit time of 40 ms, and that three tries of a client
+// fit in its target together with the duration of an admitted try.
+func TestQueuedOpeningIsDecidedBeforeFirstCopy(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	is.True(settings.MaxWait+settings.Grace+40*ms <= firstCopyDelay)
@@ -80,8 +80,8 @@
 	for _, target := range []uint32{400, 800, 10_000} {
 		o := opening(lb.FlowID(target), 1)
 		o.Objective.TargetMillis = target
-		w := q.Enqueue(0, o)
-		is.True(w.Due <= settings.MaxWait && w.Due <= time.Duration(target)*ms/5)
+		entry := q.Enqueue(0, o)
+		is.True(entry.Due <= settings.MaxWait && entry.Due <= time.Duration(target)*ms/5)
 	}
 }
 
@@ -189,8 +189,8 @@
 				queued[flow] = now
 			}
 		} else {
-			retryAll(q, now, func(w *QueuedOpening[int], phase Phase) Outcome {
-				arrived, found := queued[w.Flow]
+			retryAll(q, now, func(entry *QueuedOpening[int], phase Phase) Outcome {
+				arrived, found := queued[entry.Flow]
 				switch {
 				case !found:
 					broken = "decided twice"
@@ -204,10 +204,10 @@
 				case phase == PhaseWaiting && !capacity:
 					return OutcomeQueued
 				case capacity && phase != PhaseExpired:
-					delete(queued, w.Flow)
+					delete(queued, entry.Flow)
 					return OutcomeReleased
 				}
-				delete(queued, w.Flow)
+				delete(queued, entry.Flow)
 				return OutcomeRemoved
 			})
 		}
--- a/internal/coldstart/coldstart.go
+++ b/internal/coldstart/coldstart.go
@@ -20,11 +20,11 @@
 type Settings struct {
 	Self lb.NodeID
 	Zone lb.Zone
-	// RateFactor and Burst define the limit of new flows for a cold back end in any second, over all
-	// nodes: its rate times RateFactor, plus Burst.
+	// RateFactor and Burst define the limit of new flows for a cold back end in any second, over
+	// all nodes: its rate times RateFactor, plus Burst.
 	RateFactor, Burst float64
-	// MaxOwners is the number of nodes that may consider themselves the owner of the same back end at
-	// one time.
+	// MaxOwners is the number of nodes that may consider themselves the owner of the same back end
+	// at one time.
 	MaxOwners int
 	// StartupDelay is how long a node that has started sends no flows to cold back ends, until it
 	// has discovered the other nodes.
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -33,7 +33,7 @@
 	limiter       *Limiter
 	startedAt     time.Duration // of its present instance
 	down          bool
-	isolatedUntil time.Duration // until then isolated from the other nodes, but not from clients and back ends
+	isolatedUntil time.Duration // until then it reaches clients and back ends, but no other nodes
 	partition     int           // index of its partition of the zone
 	nextRefresh   time.Duration // when it next updates its membership
 }
@@ -191,7 +191,8 @@
 func TestLimitHoldsWithDifferingViews(t *testing.T) {
 	starts := 0
 	for _, rate := range []float64{1, 10, 75} {
-		for _, zone := range []struct{ nodes, starts int }{{3, 2600}, {30, 640}, {100, 160}} { // one of three zones
+		// The nodes are those of one of three zones.
+		for _, zone := range []struct{ nodes, starts int }{{3, 2600}, {30, 640}, {100, 160}} {
 			nodes := zone.nodes
 			got := simulate(uint64(nodes), nodes, zone.starts, rate, defaults)
 			starts += got.starts
@@ -224,6 +225,8 @@
 	}
 }
 
+// TestOnlyNodesOfSameZoneSendFlows checks that a node sends no flows to a cold back end of another
+// zone, nor to any cold back end within its startup delay or while it is leaving.
 func TestOnlyNodesOfSameZoneSendFlows(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultSettings("n-1", zone))
@@ -279,6 +282,8 @@
 	is.Equal(l.mayBePartitioned(shrankAt+l.settings.HistoryTime+ms), false)
 }
 
+// TestLimitIsRestoredAfterWindow checks that a node may use its part of the limit again once the
+// window has passed.
 func TestLimitIsRestoredAfterWindow(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultSettings("n-1", zone))
--- a/internal/committedload/committedload.go
+++ b/internal/committedload/committedload.go
@@ -22,8 +22,8 @@
 	GrowingLimit, SteadyLimit, GrowthThreshold float64
 	// MaxGrowth bounds the factor by which work is forecast to grow.
 	MaxGrowth float64
-	// MinOpenFlowShare is the minimum fraction of work on flows opened earlier from which a priority's
-	// clients are treated as keeping their flows.
+	// MinOpenFlowShare is the minimum fraction of work on flows opened earlier from which a
+	// priority's clients are treated as keeping their flows.
 	MinOpenFlowShare float64
 	// MinFlows is the minimum number of flows for a forecast.
 	MinFlows int
--- a/internal/conntrack/conntrack_test.go
+++ b/internal/conntrack/conntrack_test.go
@@ -16,7 +16,9 @@
 
 const opening = uint32(7)
 
-func TestLateAnswerDoesNotMoveAFlow(t *testing.T) {
+// TestLateAnswerDoesNotMoveFlow guards against resets of open flows: a late answer to an earlier
+// copy makes the client send the token of a back end at which the flow is not open.
+func TestLateAnswerDoesNotMoveFlow(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
 	table.TrackAmbiguous(0, 1, opening)
@@ -41,6 +43,8 @@
 	is.Equal(table.Stats(), Stats{})
 }
 
+// TestNewOpeningUsesItsOwnToken checks that a new opening with the same addresses and ports ends
+// the tracking of the earlier flow, and that a delayed copy of the earlier opening does not.
 func TestNewOpeningUsesItsOwnToken(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
@@ -61,6 +65,8 @@
 	is.Equal(table.Resolve(1, 1, late, 1000), accepted)
 }
 
+// TestAcknowledgementsWrapAround checks that a flow stays tracked while its acknowledgement numbers
+// wrap around.
 func TestAcknowledgementsWrapAround(t *testing.T) {
 	is := is.New(t)
 	table := New(DefaultSettings())
@@ -70,6 +76,8 @@
 	is.Equal(table.Resolve(3, 1, late, ^uint32(0)-5), accepted)
 }
 
+// TestTableIsBounded checks that the table has at most MaxFlows flows and that idle ones are
+// removed.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
@@ -124,6 +132,7 @@
 	is.Equal(table.Resolve(3, 1, accepted, 1000), accepted)
 }
 
+// TestAnnouncementsAreBounded checks the limits of one announcement and of the schedule.
 func TestAnnouncementsAreBounded(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -36,7 +36,7 @@
 	PacketUnmarked
 )
 
-// Packet holds the properties of a packet that the core decides by.
+// Packet holds the properties of a packet on which the core bases its decision.
 type Packet struct {
 	Key  lb.FlowKey
 	Kind PacketKind
@@ -84,21 +84,21 @@
 const (
 	ReasonUnknownService Reason = "unknown-service" // no service has this front end
 	ReasonNoBackend      Reason = "no-backend"      // the service has no active back end
-	ReasonEvacuated      Reason = "evacuated"       // every zone with active back ends of the service is evacuated
-	ReasonUnreachable    Reason = "unreachable"     // this node can reach none of the zones with back ends of the service
-	ReasonCold           Reason = "cold"            // the service's back ends have just started and accept no more new flows for now
-	ReasonBackendFailed  Reason = "backend-failed"  // the flow's back end has failed or been removed
-	ReasonAdmission      Reason = "admission"       // the rate of new flows exceeds the service's limit
-	ReasonTupleReuse     Reason = "tuple-reuse"     // the client reused the 5-tuple too soon after a move
+	ReasonEvacuated      Reason = "evacuated"       // all zones with active back ends are evacuated
+	ReasonUnreachable    Reason = "unreachable"     // this node can reach no zone with back ends
+	ReasonCold           Reason = "cold"            // all back ends are cold and at their limit
+	ReasonBackendFailed  Reason = "backend-failed"  // the flow's back end has failed or was removed
+	ReasonAdmission      Reason = "admission"       // new flows exceed the service's rate limit
+	ReasonTupleReuse     Reason = "tuple-reuse"     // a 5-tuple was reused too soon after a move
 	ReasonUnknownPeer    Reason = "unknown-peer"    // relayed by or to an unknown node
-	ReasonDraining       Reason = "draining"        // proposed to a back end that now drains, and possibly forwarded already
+	ReasonDraining       Reason = "draining"        // the back end that may have it now drains
 	ReasonPaused         Reason = "paused"          // queued while this process was paused
-	ReasonWrongService   Reason = "wrong-service"   // the front end or back end does not belong to the service
-	ReasonViewsDiffer    Reason = "views-differ"    // two nodes each consider the other one the head
-	ReasonStray          Reason = "stray"           // a later packet of a flow whose opening was refused
+	ReasonWrongService   Reason = "wrong-service"   // front end or back end is not of the service
+	ReasonViewsDiffer    Reason = "views-differ"    // two nodes each consider the other the head
+	ReasonStray          Reason = "stray"           // later packet of a flow that was refused
 	ReasonNoView         Reason = "no-view"         // this node has received no configuration yet
-	ReasonOverload       Reason = "overload"        // the service cannot process its load within its latency objective
-	ReasonUnknownToken   Reason = "unknown-token"   // the token identifies no back end of the front end known to this node
+	ReasonOverload       Reason = "overload"        // the service cannot meet its latency objective
+	ReasonUnknownToken   Reason = "unknown-token"   // no known back end has this token
 	ReasonDuplicate      Reason = "copied"          // replaced by another datagram of the same flow
 )
 
@@ -163,8 +163,8 @@
 	LoadSamples []fleetload.Sample
 	// OpenFlows are the flows to announce to other balancers, for AffinityToken.
 	OpenFlows []conntrack.Flow
-	// Reachability lists the zones that have become unreachable or reachable again. The slice is valid
-	// until the next step.
+	// Reachability lists the zones that have become unreachable or reachable again. The slice is
+	// valid until the next step.
 	Reachability []reachability.Change
 	// Released are the held openings that have been decided in this step. The slice is valid until
 	// the next step.
--- a/internal/core/clientflow_test.go
+++ b/internal/core/clientflow_test.go
@@ -34,7 +34,7 @@
 	return flow.network.plan.MayMove || flow.udp() && flow.network.interrupted
 }
 
-// open sends the opening and, until there is a reply, its copies.
+// open sends the opening and, until it is answered or refused, its copies.
 func (flow *clientFlow) open(copies int) {
 	if flow.established || flow.refused {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// establish marks the flow as open, unless the reply is lost.
+// establish marks the flow as open, unless the back end's answer is lost.
 func (flow *clientFlow) establish(host string) {
 	if !flow.udp() && flow.network.chance(flow.network.plan.UnansweredPercent) {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -162,7 +162,7 @@
 func (core *Core) HeldOpenings() int { return core.affinity.queuedOpenings() }
 
 // TrackedFlowStats returns counters of the flows that must not move to another back end when a late
-// reply to their opening arrives, for AffinityToken.
+// answer to their opening arrives, for AffinityToken.
 func (core *Core) TrackedFlowStats() conntrack.Stats { return core.affinity.trackedStats() }
 
 // RecentFlows returns the flows counted by TrackedFlowStats that were opened recently.
--- a/internal/core/fault_test.go
+++ b/internal/core/fault_test.go
@@ -47,6 +47,8 @@
 	core.Step(now, &Event{Peer: &PeerEvent{From: from, Message: content}}, &effects)
 }
 
+// TestGuessFromLaterPacketDoesNotRefuseOpening covers a head that has guessed the back end of a
+// flow from a later packet. The guess must not cause the refusal of a new opening of the 5-tuple.
 func TestGuessFromLaterPacketDoesNotRefuseOpening(t *testing.T) {
 	is := is.New(t)
 	core, key := movingFlowCore(t)
@@ -56,6 +58,8 @@
 	is.Equal(opening.Action, ActionRelay) // the tail may have a different record
 }
 
+// TestRecordOfLaterFlowReplacesEarlierOne checks that of two handed-over records for openings of
+// one 5-tuple, the one seen later is kept, in whatever order the records arrive.
 func TestRecordOfLaterFlowReplacesEarlierOne(t *testing.T) {
 	earlier := message.Records{
 		Service: testService, Sequence: 1, IdleSeconds: []uint32{9},
@@ -78,18 +82,22 @@
 	}
 }
 
+// TestHandedOverRecordIsNotTailConfirmation checks that a head with a record from another node
+// still relays packets to the tail until the tail itself confirms the record.
 func TestHandedOverRecordIsNotTailConfirmation(t *testing.T) {
 	is := is.New(t)
 	core, key := movingFlowCore(t)
-	member := core.groupOf(core.services[testService], key.ID().Bucket())
+	group := core.groupOf(core.services[testService], key.ID().Bucket())
 	records := message.Records{Service: testService, Flows: []message.FlowRecord{{Flow: key.ID(), Backend: 1, OpeningID: 7}}}
 	deliver(core, 20*time.Second, "d", records)
 	is.Equal(decideAt(core, 20*time.Second, Packet{Key: key, Kind: PacketMiddle}).Action, ActionRelay)
 	answer := message.Pins{Service: testService, Confirm: true, Flows: records.Flows}
-	deliver(core, 20*time.Second, member.chain.tail.ID, answer)
+	deliver(core, 20*time.Second, group.chain.tail.ID, answer)
 	is.Equal(decideAt(core, 20*time.Second, Packet{Key: key, Kind: PacketMiddle}).Action, ActionForward)
 }
 
+// TestLeavingNodeHandsOverKnownUDPFlowsAndRecentOpenings checks that a leaving node hands over its
+// known UDP flows and the openings that may be retransmitted, and that its handover then ends.
 func TestLeavingNodeHandsOverKnownUDPFlowsAndRecentOpenings(t *testing.T) {
 	is := is.New(t)
 	calm, _, _, _ := testPlacements(t, "ABC", "AB")
@@ -106,13 +114,13 @@
 	core.Step(5*time.Second, &Event{Leave: true}, &effects)
 	is.True(!effects.HandoverDone)
 	core.Step(5*time.Second, &Event{Tick: true}, &effects)
-	handed := make(map[lb.FlowID]bool)
+	handedOver := make(map[lb.FlowID]bool)
 	for _, outgoing := range effects.Messages {
 		records := outgoing.Message.(message.Records)
-		handed[records.Flows[0].Flow] = records.Established
+		handedOver[records.Flows[0].Flow] = records.Established
 		deliver(core, 5*time.Second, outgoing.To, message.RecordsAck{Sequence: records.Sequence})
 	}
-	is.Equal(handed, map[lb.FlowID]bool{udp.ID(): true, opening.Key.ID(): false})
+	is.Equal(handedOver, map[lb.FlowID]bool{udp.ID(): true, opening.Key.ID(): false})
 	core.Step(5*time.Second, &Event{Tick: true}, &effects)
 	is.True(effects.HandoverDone)
 }
--- a/internal/core/head.go
+++ b/internal/core/head.go
@@ -76,7 +76,8 @@
 		}
 	}
 	if core.unverifiedSincePause && !core.disabled.noDropAfterPause {
-		handler.drop(ReasonPaused) // placements may be stale; a head with a verified view will get the retransmission
+		// Placements may be stale. A head with a verified view will receive the retransmission.
+		handler.drop(ReasonPaused)
 		return
 	}
 	chosen := handler.chooseBackend()
@@ -91,7 +92,7 @@
 
 // drainGraceExpired reports whether the opening's back end has been draining for longer than
 // drainGrace and may not have received any copy. The opening cannot go to another back end instead,
-// because a tail that does not reply may have forwarded a copy.
+// because a tail that does not respond may have forwarded a copy.
 func (handler *packetHandler) drainGraceExpired(entry *record) bool {
 	core := handler.core
 	if core.disabled.noLateOpeningRefused || entry.refused() || core.isConfirmed(handler.group, entry) {
--- a/internal/core/hints.go
+++ b/internal/core/hints.go
@@ -41,8 +41,8 @@
 	queue.queued = append(queue.queued, added)
 }
 
-// cost returns the number of bytes that a hint adds. The first hint of a message also pays for the
-// message.
+// cost returns the number of bytes that a hint adds. For the first hint of a message, this includes
+// the size of a message without flows.
 func (queue *hintQueue) cost(added *hint) int64 {
 	queuedInMessage := 0
 	for index := range queue.queued {
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -124,23 +124,23 @@
 		core, key := movingFlowCore(t)
 		core.disabled = disabled
 		service := core.services[testService]
-		member := core.groupOf(service, key.ID().Bucket())
+		group := core.groupOf(service, key.ID().Bucket())
 		hold := core.settings.OpeningHold
 		tickUntil(core, 0, hold)
-		is.True(core.vouches(service, member))
+		is.True(core.vouches(service, group))
 		var remaining []Member
 		for _, known := range testMembers {
-			if known.ID == core.self.ID || member.chain.tail.ID == known.ID {
+			if known.ID == core.self.ID || group.chain.tail.ID == known.ID {
 				remaining = append(remaining, known)
 			}
 		}
 		var effects Effects
 		core.Step(hold, &Event{Members: remaining}, &effects)
-		is.Equal(core.vouches(service, member), disabled.noVouchOnlyComplete)
+		is.Equal(core.vouches(service, group), disabled.noVouchOnlyComplete)
 		core.Step(hold, &Event{Members: testMembers}, &effects) // the partition has healed
-		is.Equal(core.vouches(service, member), disabled.noVouchOnlyComplete)
+		is.Equal(core.vouches(service, group), disabled.noVouchOnlyComplete)
 		tickUntil(core, hold, 2*hold+TickInterval)
-		is.True(core.vouches(service, member))
+		is.True(core.vouches(service, group))
 	}
 }
 
--- a/internal/core/network_test.go
+++ b/internal/core/network_test.go
@@ -125,6 +125,7 @@
 	return time.Duration(low+network.random.IntN(high-low+1)) * time.Millisecond
 }
 
+// chance returns true with the given probability.
 func (network *network) chance(percent int) bool { return network.random.IntN(100) < percent }
 
 func (network *network) violate(violated property, format string, arguments ...any) {
@@ -202,11 +203,11 @@
 			network.violate(ownService, "%s forwarded to %s", node.core.self.ID, host)
 		}
 		if isOpening {
-			network.forwarded(flow, host)
+			network.recordForwarding(flow, host)
 		}
 	case ActionRefuse:
 		if isOpening && decision.Refusal.Verdict == lb.NotRun {
-			network.refused(flow)
+			network.recordRefusal(flow)
 		}
 	}
 	if flow := network.clients[packet.Key]; flow != nil {
@@ -221,7 +222,9 @@
 	return network.openings[flow]
 }
 
-func (network *network) forwarded(flow openingKey, host string) {
+// recordForwarding records that a back end received an opening, and checks notRunTrue and
+// oneBackend.
+func (network *network) recordForwarding(flow openingKey, host string) {
 	seen := network.opening(flow)
 	if seen.refused {
 		network.violate(notRunTrue, "bucket %d: forwarded after refusal", flow.key.ID().Bucket())
@@ -234,7 +237,8 @@
 	}
 }
 
-func (network *network) refused(flow openingKey) {
+// recordRefusal records that an opening was refused as not run, and checks notRunTrue.
+func (network *network) recordRefusal(flow openingKey) {
 	network.refusals++
 	seen := network.opening(flow)
 	seen.refused = true
--- a/internal/core/overload_test.go
+++ b/internal/core/overload_test.go
@@ -24,8 +24,8 @@
 	for i := range routes {
 		routes[i].Objective = lb.Objective{Priority: 1, TargetMillis: 200}
 	}
-	core.list(0, listing)
-	answer := func(flows int, took time.Duration) {
+	core.applyListing(0, listing)
+	serveFlows := func(flows int, latency time.Duration) {
 		for range flows {
 			now += 5 * time.Millisecond
 			opening := tokenOpening(uint16(now/time.Millisecond), 443)
@@ -37,19 +37,19 @@
 			open.Kind, open.Token, open.HasData, open.Acknowledged = PacketMiddle, decision.Token, true, 1
 			core.send(now, open)
 			open.HasData, open.Acknowledged = false, 2
-			core.send(now+took, open)
-			core.Step(now+took, &Event{Tick: true}, &core.effects)
-			now += took
+			core.send(now+latency, open)
+			core.Step(now+latency, &Event{Tick: true}, &core.effects)
+			now += latency
 		}
 	}
-	answer(200, 20*time.Millisecond)
-	answer(10*backends, 300*time.Millisecond)
+	serveFlows(200, 20*time.Millisecond)
+	serveFlows(10*backends, 300*time.Millisecond)
 	is.True(core.OverloadStatus()[0].Pressure > 1)
 	return core, now, open
 }
 
-// refusals sends openings at one moment and counts the refused ones.
-func refusals(core *tokenCore, now time.Duration, openings int, copies uint32) (refused int, last Decision) {
+// countRefusals sends openings at one moment and counts the refused ones.
+func countRefusals(core *tokenCore, now time.Duration, openings int, copies uint32) (refused int, last Decision) {
 	for i := range openings {
 		packet := tokenOpening(uint16(40000+i), 443)
 		packet.Copies = copies
@@ -67,13 +67,13 @@
 func TestOverloadRefusesFirstCopiesOnly(t *testing.T) {
 	is := is.New(t)
 	core, now, _ := overloadedCore(t, 4)
-	refused, decision := refusals(core, now, 200, 0)
+	refused, decision := countRefusals(core, now, 200, 0)
 	is.True(refused > 150)
 	is.Equal(decision.Reason, ReasonOverload)
 	is.Equal(decision.Pressure, core.OverloadStatus()[0].Pressure)
 	is.Equal(decision.Refusal.Verdict, lb.NotRun)
 	is.True(decision.Refusal.RetryAfter > 0)
-	refused, _ = refusals(core, now, 200, 1)
+	refused, _ = countRefusals(core, now, 200, 1)
 	is.Equal(refused, 0)
 }
 
@@ -97,7 +97,7 @@
 		name := lb.BackendName(fmt.Sprintf("i-%d", i))
 		listing.Backends = append(listing.Backends, tokenBackend(name, "web", uint64(i+1), lb.BackendActive))
 	}
-	core.list(now, listing)
+	core.applyListing(now, listing)
 	for i := range 100 {
 		is.Equal(core.send(now, tokenOpening(uint16(50000+i), 8443)).Action, ActionForward)
 	}
@@ -121,7 +121,7 @@
 		for i := range 18 {
 			listing.Backends = append(listing.Backends, tokenBackend(lb.BackendName(fmt.Sprintf("i-%d", i)), "web", uint64(i+1), lb.BackendActive))
 		}
-		core.list(0, listing)
+		core.applyListing(0, listing)
 		bench(b, core, 0)
 	})
 	b.Run("overloaded", func(b *testing.B) {
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -61,8 +61,8 @@
 	entry.learnedAt = core.timestamp
 }
 
-// applyRecords stores records that a node hands over and reports whether it could. Records of a
-// service that is still unknown here are not acknowledged, so the sender repeats them.
+// applyRecords stores records that a node hands over and reports whether it stored them. Records of
+// a service that is still unknown here are not acknowledged, so the sender sends them again.
 func (core *Core) applyRecords(from *node, content *message.Records) bool {
 	service := core.services[content.Service]
 	if service == nil {
--- a/internal/core/property_test.go
+++ b/internal/core/property_test.go
@@ -73,7 +73,7 @@
 	latePlacements    bool
 	mayMove           bool
 	idlePercent       int // percentage of packets after which a flow sends nothing for a while
-	unansweredPercent int // percentage of openings whose reply is lost
+	unansweredPercent int // percentage of openings whose answer is lost
 	viewDelay         int // maximum delay until a node sees a membership change, in ms
 	properties        []property
 }
@@ -173,8 +173,8 @@
 	flow.ends = starts + network.randomMillis(1000, 40000)
 	network.after(starts, func() { flow.open(0) })
 	if number%4 == 1 {
-		again := flow.ends + network.randomMillis(4000, 12000)
-		network.after(again, func() { flow.reopen(again + network.randomMillis(1000, 30000)) })
+		reopenAt := flow.ends + network.randomMillis(4000, 12000)
+		network.after(reopenAt, func() { flow.reopen(reopenAt + network.randomMillis(1000, 30000)) })
 	}
 }
 
@@ -226,6 +226,8 @@
 	run()
 }
 
+// TestProperties runs random plans of each kind and checks that none of them violates the
+// properties that must hold for the kind.
 func TestProperties(t *testing.T) {
 	for _, kind := range planKinds {
 		t.Run(kind.name, func(t *testing.T) {
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -213,8 +213,8 @@
 
 // HeldStats counts held openings.
 type HeldStats struct {
-	// Held counts the openings that were held, and Forwarded the held ones that were then forwarded.
-	// The others were refused or dropped.
+	// Held counts the openings that were held, and Forwarded the held ones that were then
+	// forwarded. The others were refused or dropped.
 	Held, Forwarded uint64
 	// ToFreedBackends counts the openings, held or not, that went to a back end which had just
 	// freed a slot.
--- a/internal/core/queue_test.go
+++ b/internal/core/queue_test.go
@@ -107,7 +107,7 @@
 	for reason, listing := range cases {
 		is := is.New(t)
 		core, now := coreWithHeldOpenings(t, 3)
-		core.list(now+time.Millisecond, listing)
+		core.applyListing(now+time.Millisecond, listing)
 		is.Equal(core.HeldOpenings(), 3)
 		released := core.retryQueued(now + 10*time.Millisecond)
 		is.Equal(len(released), 3)
@@ -167,7 +167,7 @@
 }
 
 // TestHeldOpeningGoesToFreedBackend checks that a held opening goes to a back end that has just
-// freed a slot, as shown by a quick reply.
+// freed a slot, as shown by a quick answer.
 func TestHeldOpeningGoesToFreedBackend(t *testing.T) {
 	is := is.New(t)
 	core, now := coreWithHeldOpenings(t, 2)
--- a/internal/core/reachability_test.go
+++ b/internal/core/reachability_test.go
@@ -17,7 +17,7 @@
 	*tokenCore
 	now    time.Duration
 	number uint16
-	// unreachable zones send no replies. If ownZoneUnreachable is set, no message arrives from the
+	// unreachable zones send no answers. If ownZoneUnreachable is set, no message arrives from the
 	// node's own zone either.
 	unreachable        map[lb.Zone]bool
 	ownZoneUnreachable bool
@@ -37,7 +37,7 @@
 	own.Backend.Zone = "za"
 	listing.Backends = append(listing.Backends, own)
 	listing.Evacuations = []view.StoredEvacuation{{Revision: 9, Zone: "za"}}
-	core.list(0, listing)
+	core.applyListing(0, listing)
 	return core
 }
 
@@ -45,7 +45,7 @@
 	return []lb.Zone{"zb", "zc"}[(decision.Identity-1)%2]
 }
 
-// open sends an opening and, if its back end replies, the next packet of the flow.
+// open sends an opening and, if its back end answers, the next packet of the flow.
 func (core *zonedCore) open(copies uint32) Decision {
 	core.number++
 	opening := tokenOpening(core.number, 443)
@@ -60,9 +60,9 @@
 }
 
 // run sends an opening every 20 ms for the given time and counts the decisions by zone or reason.
-func (core *zonedCore) run(lasting time.Duration) map[Reason]int {
+func (core *zonedCore) run(duration time.Duration) map[Reason]int {
 	counts := make(map[Reason]int)
-	for end := core.now + lasting; core.now < end; core.now += 20 * time.Millisecond {
+	for end := core.now + duration; core.now < end; core.now += 20 * time.Millisecond {
 		if core.now%(100*time.Millisecond) == 0 {
 			core.Step(core.now, &Event{Tick: true, ZoneContacts: core.zoneContacts()}, &core.effects)
 		}
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestFlowsGoToReachableZones checks that no opening is refused while one zone replies, although
+// TestFlowsGoToReachableZones checks that no opening is refused while one zone answers, although
 // half of the back ends are unresponsive, and that the unreachable zone receives only probes.
 func TestFlowsGoToReachableZones(t *testing.T) {
 	is := is.New(t)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -31,7 +31,7 @@
 
 func (entry *record) refused() bool { return entry.flags&recordRefused != 0 }
 
-// sameAs reports whether two records hold the same decision. It ignores when the flow was seen.
+// sameAs reports whether two records contain the same decision. It ignores when the flow was seen.
 func (entry *record) sameAs(other *record) bool {
 	return entry.backend == other.backend && entry.openingID == other.openingID && entry.flags == other.flags
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -20,7 +20,7 @@
 	Rerouted          uint64 // packets passed on by a node that is not the head
 	Returned          uint64 // packets sent back to the head by the tail
 	HintsSent         uint64 // pins and confirmations sent
-	HintsSuppressed   uint64 // pins and confirmations not sent: no byte budget, or the recipient has left
+	HintsSuppressed   uint64 // pins and confirmations not sent: no budget, or the recipient left
 	HandoverSent      uint64 // records handed over
 	HandoverResent    uint64 // messages with records sent again
 	PlacementsAdopted uint64
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -29,9 +29,9 @@
 	position subset.Position
 }
 
-// retain deletes the pickers of services for which service returns false.
-func (p *subsetPickers) retain(service func(lb.ServiceName) bool) {
-	maps.DeleteFunc(p.byService, func(name lb.ServiceName, _ *servicePicker) bool { return !service(name) })
+// retain deletes the pickers of services for which exists returns false.
+func (p *subsetPickers) retain(exists func(lb.ServiceName) bool) {
+	maps.DeleteFunc(p.byService, func(name lb.ServiceName, _ *servicePicker) bool { return !exists(name) })
 }
 
 // setMembers computes this node's position among the staying nodes of the zone. The nodes are
@@ -88,7 +88,7 @@
 	backends := make([]subset.Backend, len(ring))
 	for index, host := range ring {
 		backends[index] = subset.Backend{
-			Identity: subset.Identity(host.InstanceID), Zone: host.Zone, Size: host.RelativeCapacity(),
+			Identity: subset.Identity(host.InstanceID), Zone: host.Zone, RelativeCapacity: host.RelativeCapacity(),
 		}
 	}
 	return subset.NewRing(backends)
@@ -118,7 +118,8 @@
 	if a.core.settings.Picking == PickSubset {
 		ring := service.Ring()
 		index := a.subsets.pickerFor(a.core, service).Pick(a.zoneWeights(service),
-			func(index int) float64 { return max(0, a.weightFactor(service, ring[index])) }, // hosts in unreachable zones get no flows
+			// Hosts in unreachable zones get no flows.
+			func(index int) float64 { return max(0, a.weightFactor(service, ring[index])) },
 			func(index int) int { return a.observer.InFlight(passivehealth.Identity(ring[index].InstanceID)) },
 		)
 		if index >= 0 {
--- a/internal/core/subset_test.go
+++ b/internal/core/subset_test.go
@@ -95,7 +95,7 @@
 func TestPickersOfDeletedServicesAreRemoved(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
-	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "docs", 2, lb.BackendActive)))
+	core.applyListing(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "docs", 2, lb.BackendActive)))
 	core.send(0, tokenOpening(1, 443))
 	core.send(0, tokenOpening(1, 8443))
 	pickers := func() int { return len(core.affinity.(*tokenAffinity).subsets.byService) }
--- a/internal/core/token.go
+++ b/internal/core/token.go
@@ -23,7 +23,7 @@
 	core     *Core
 	table    *steering.Table // nil until the first configuration arrives
 	observer *passivehealth.Observer
-	// trackedFlows are the flows that must not move to another back end when a late reply to their
+	// trackedFlows are the flows that must not move to another back end when a late answer to their
 	// opening arrives.
 	trackedFlows *conntrack.Table
 	overload     *overload.Controller
@@ -298,7 +298,9 @@
 	decision.Token = token
 	decision.Corrected = token != packet.Token
 	if host.Token(&frontend) != token {
-		return // the flow belongs to a previous instance; its reset says nothing about the health of the present one
+		// The flow belongs to a previous instance. The reset that follows does not indicate that
+		// the present instance is unhealthy.
+		return
 	}
 	if pending, found := a.observer.PendingBackend(flow); found && pending != passivehealth.Identity(host.InstanceID) {
 		a.trackedFlows.RecordOpenFlow(a.core.now, conntrack.Flow{ID: flow, Token: conntrack.Token(token), Acknowledged: packet.Acknowledged})
@@ -326,8 +328,8 @@
 }
 
 // trackOpenFlow keeps a flow at the back end of its last request if a packet arrives with another
-// token. In that case another balancer has placed a copy of the opening, and the reply to that copy
-// arrived after the flow was opened.
+// token. In that case another balancer has placed a copy of the opening, and the answer to that
+// copy arrived after the flow was opened.
 func (a *tokenAffinity) trackOpenFlow(flow lb.FlowID, frontend *lb.FrontendKey, token steering.Token) {
 	identity, acknowledged, found := a.observer.LastRequest(flow)
 	if !found || a.trackedFlows.IsOpen(flow) {
--- a/internal/core/token_test.go
+++ b/internal/core/token_test.go
@@ -16,8 +16,8 @@
 	"robinpulley.example/robinpulley/internal/view"
 )
 
-// tokenRoutes are the ports of the front ends in these tests.
-var tokenRoutes = []uint16{443, 8443}
+// tokenPorts are the ports of the front ends in these tests.
+var tokenPorts = []uint16{443, 8443}
 
 func tokenBackend(name lb.BackendName, service lb.ServiceName, identity uint64, state lb.BackendState) view.StoredBackend {
 	return view.StoredBackend{Revision: int64(identity), Backend: view.Backend{
@@ -31,7 +31,7 @@
 	configuration := view.Configuration{Version: 1}
 	for index, service := range []lb.ServiceName{"web", "docs"} {
 		configuration.Routes = append(configuration.Routes, view.Route{
-			Frontend: lb.Frontend{Address: tokenFrontend(tokenRoutes[index]), Protocol: lb.TCP},
+			Frontend: lb.Frontend{Address: tokenFrontend(tokenPorts[index]), Protocol: lb.TCP},
 			Targets:  []view.Target{{Service: service, Weight: 1}},
 		})
 	}
@@ -58,7 +58,7 @@
 	return &tokenCore{Core: New(settings), replica: view.NewReplica()}
 }
 
-func (core *tokenCore) list(now time.Duration, listing *view.Listing) {
+func (core *tokenCore) applyListing(now time.Duration, listing *view.Listing) {
 	core.replica.ApplyListing(now, listing)
 	core.Step(now, &Event{Table: steering.Compile(core.replica, "za", now)}, &core.effects)
 }
@@ -77,6 +77,8 @@
 	return Packet{Key: tokenFlow(number, port), Kind: PacketOpening, OpeningID: 7}
 }
 
+// TestPacketsBeforeAnyViewAreDropped checks that a node without a configuration refuses nothing,
+// since other nodes may know the service.
 func TestPacketsBeforeAnyViewAreDropped(t *testing.T) {
 	is := is.New(t)
 	core := newTokenCore()
@@ -87,9 +89,11 @@
 	}
 }
 
+// TestTokenRefusals checks the action, reason and verdict for packets that no back end can receive,
+// and that retry times are spread over twice the base time.
 func TestTokenRefusals(t *testing.T) {
 	core := newTokenCore()
-	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive)))
+	core.applyListing(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive)))
 	cases := []struct {
 		name    string
 		packet  Packet
@@ -128,18 +132,18 @@
 	core := newTokenCore()
 	stored := tokenBackend("i-1", "web", 1, lb.BackendActive)
 	stored.Backend.Zone = "za"
-	core.list(0, tokenListing(9, stored))
+	core.applyListing(0, tokenListing(9, stored))
 	opened := core.send(0, tokenOpening(1, 443))
 	is.Equal(opened.Action, ActionForward)
 
 	listing := tokenListing(10, stored)
 	listing.Evacuations = []view.StoredEvacuation{{Revision: 10, Zone: "za"}}
-	core.list(time.Second, listing)
+	core.applyListing(time.Second, listing)
 	refused := core.send(time.Second, tokenOpening(2, 443))
 	is.Equal(refused.Action, ActionRefuse)
 	is.Equal(refused.Reason, ReasonEvacuated)
 	is.Equal(refused.Refusal.Verdict, lb.NotRun)
-	copied := core.send(time.Second, tokenOpening(1, 443)) // forwarding a copy would open a flow, too
+	copied := core.send(time.Second, tokenOpening(1, 443)) // a copy would open a flow, too
 	is.Equal(copied.Action, ActionRefuse)
 	laterDecision := core.send(time.Second, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
 	is.Equal(laterDecision.Action, ActionForward)
@@ -170,14 +174,14 @@
 		Zone: "za", RateFactor: 1, Burst: 5, MaxOwners: 3, Window: time.Second, SingleNode: true,
 	})
 	core.Step(0, &Event{Members: []Member{{Zone: "za"}}}, &core.effects)
-	core.list(0, coldListing(9, time.Hour, 0))
+	core.applyListing(0, coldListing(9, time.Hour, 0))
 	for number := range uint16(100) {
 		is.Equal(core.send(0, tokenOpening(number+1, 443)).Identity, uint64(2))
 	}
 	now := 1800 * time.Millisecond
-	core.list(0, coldListing(10, time.Hour))
-	core.list(now/2, coldListing(10, time.Hour))
-	core.list(now, coldListing(11, time.Hour)) // the other back end no longer serves as a last resort
+	core.applyListing(0, coldListing(10, time.Hour))
+	core.applyListing(now/2, coldListing(10, time.Hour))
+	core.applyListing(now, coldListing(11, time.Hour)) // the other one is no longer a last resort
 	forwarded := 0
 	for number := range uint16(100) {
 		decision := core.send(now, tokenOpening(number+200, 443))
@@ -213,8 +217,8 @@
 				present[name] = tokenBackend(name, service, identity, state)
 			}
 			if len(present) > 4 && rapid.Bool().Draw(t, "remove") {
-				for _, victim := range history[len(history)-1].Backends {
-					delete(present, victim.Backend.Name)
+				for _, removed := range history[len(history)-1].Backends {
+					delete(present, removed.Backend.Name)
 					break
 				}
 			}
@@ -241,9 +245,9 @@
 				change()
 			case 1:
 				seen[index] = rapid.IntRange(seen[index], len(history)-1).Draw(t, "view")
-				node.list(now, history[seen[index]])
+				node.applyListing(now, history[seen[index]])
 			case 2:
-				packet := tokenOpening(uint16(step+1), rapid.SampledFrom(tokenRoutes).Draw(t, "port"))
+				packet := tokenOpening(uint16(step+1), rapid.SampledFrom(tokenPorts).Draw(t, "port"))
 				decision := node.send(now, packet)
 				if decision.Action != ActionForward {
 					continue
@@ -276,7 +280,7 @@
 // BenchmarkTokenFollow measures the decision on a later packet.
 func BenchmarkTokenFollow(b *testing.B) {
 	core := newTokenCore()
-	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive)))
+	core.applyListing(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive)))
 	opened := core.send(0, tokenOpening(1, 443))
 	packet := Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token}
 	event := Event{Packet: &packet}
@@ -300,7 +304,7 @@
 	observer := core.affinity.(*tokenAffinity).observer
 	old := tokenBackend("i-1", "web", 1, lb.BackendActive)
 	old.Backend.StartUnixMillis = 1000
-	core.list(0, tokenListing(9, old))
+	core.applyListing(0, tokenListing(9, old))
 	oldInstance := passivehealth.Identity(old.Backend.InstanceID())
 	opened := core.send(0, tokenOpening(1, 443))
 	is.Equal(opened.Action, ActionForward)
@@ -312,8 +316,9 @@
 	restarted := old
 	restarted.Revision = 10
 	restarted.Backend.StartUnixMillis = 2000
-	core.list(200*time.Millisecond, tokenListing(10, restarted))
-	core.Step(200*time.Millisecond, &Event{Ejected: []passivehealth.Identity{oldInstance}}, &core.effects) // a late ejection
+	core.applyListing(200*time.Millisecond, tokenListing(10, restarted))
+	// A late ejection of the previous instance.
+	core.Step(200*time.Millisecond, &Event{Ejected: []passivehealth.Identity{oldInstance}}, &core.effects)
 	newInstance := passivehealth.Identity(restarted.Backend.InstanceID())
 	is.Equal(observer.Factor(200*time.Millisecond, "web", newInstance), 1.0)
 	is.Equal(observer.InFlight(newInstance), 0)
@@ -325,7 +330,7 @@
 	is.Equal(laterDecision.Action, ActionForward)
 	is.Equal(laterDecision.Identity, uint64(1))
 	is.Equal(laterDecision.Token, opened.Token)
-	is.Equal(observer.InFlight(newInstance), busy) // the back end resets the flow, so no reply is outstanding
+	is.Equal(observer.InFlight(newInstance), busy) // the back end resets the flow, so no answer is outstanding
 	is.Equal(len(core.effects.Outcomes), 0)
 
 	core.replica.Prune(time.Second + view.TombstoneRetention) // clients have given up by then
@@ -341,22 +346,23 @@
 	core := newTokenCore()
 	old := tokenBackend("i-1", "web", 1, lb.BackendActive)
 	old.Backend.StartUnixMillis = 1000
-	core.list(0, tokenListing(9, old))
+	core.applyListing(0, tokenListing(9, old))
 	opened := core.send(0, tokenOpening(1, 443))
 	restarted := old
 	restarted.Revision = 10
 	restarted.Backend.StartUnixMillis, restarted.Backend.Service = 2000, "docs"
-	core.list(time.Second, tokenListing(10, restarted))
+	core.applyListing(time.Second, tokenListing(10, restarted))
 	laterDecision := core.send(time.Second, Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: opened.Token})
 	is.Equal(laterDecision.Action, ActionDrop)
 	is.Equal(laterDecision.Reason, ReasonUnknownToken)
 }
 
-// lateReplyCore returns a core with three back ends and a flow whose first copy was left unanswered
-// until a second copy was placed at another back end. It also returns the decisions on both copies.
-func lateReplyCore(is *is.I) (core *tokenCore, first, second Decision) {
+// lateAnswerCore returns a core with three back ends and a flow whose first copy was left
+// unanswered until a second copy was placed at another back end. It also returns the decisions on
+// both copies.
+func lateAnswerCore(is *is.I) (core *tokenCore, first, second Decision) {
 	core = newTokenCore()
-	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive),
+	core.applyListing(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive),
 		tokenBackend("i-2", "web", 2, lb.BackendActive), tokenBackend("i-3", "web", 3, lb.BackendActive)))
 	opening := tokenOpening(1, 443)
 	first = core.send(time.Millisecond, opening)
@@ -371,11 +377,11 @@
 	return Packet{Key: tokenFlow(1, 443), Kind: PacketMiddle, Token: token, Acknowledged: acknowledged, HasData: true}
 }
 
-// TestLateReplyDoesNotMoveFlow guards against resets of open flows: a back end replies late to an
+// TestLateAnswerDoesNotMoveFlow guards against resets of open flows: a back end answers late to an
 // earlier copy, and the client then repeats that back end's token.
-func TestLateReplyDoesNotMoveFlow(t *testing.T) {
+func TestLateAnswerDoesNotMoveFlow(t *testing.T) {
 	is := is.New(t)
-	core, first, second := lateReplyCore(is)
+	core, first, second := lateAnswerCore(is)
 	decision := core.send(202*time.Millisecond, laterPacket(second.Token, 5001))
 	is.Equal(decision.Corrected, false)
 	decision = core.send(300*time.Millisecond, laterPacket(first.Token, 5001))
@@ -385,11 +391,11 @@
 	is.Equal(core.TrackedFlowStats().Corrected, uint64(1))
 }
 
-// TestSlowReplyToFirstCopyOpensFlow covers a client that accepts the reply to the first copy
+// TestSlowAnswerToFirstCopyOpensFlow covers a client that accepts the answer to the first copy
 // although a second copy was placed.
-func TestSlowReplyToFirstCopyOpensFlow(t *testing.T) {
+func TestSlowAnswerToFirstCopyOpensFlow(t *testing.T) {
 	is := is.New(t)
-	core, first, second := lateReplyCore(is)
+	core, first, second := lateAnswerCore(is)
 	is.Equal(core.send(202*time.Millisecond, laterPacket(first.Token, 5001)).Identity, first.Identity)
 	is.Equal(core.send(203*time.Millisecond, laterPacket(second.Token, 5001)).Identity, first.Identity)
 }
@@ -399,7 +405,7 @@
 // another balancer would place a copy at the other back end.
 func secondBalancerCore() (core *tokenCore, first, other Decision) {
 	core = newTokenCore()
-	core.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive)))
+	core.applyListing(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive)))
 	first = core.send(time.Millisecond, tokenOpening(1, 443))
 	host := core.affinity.(*tokenAffinity).table.HostOfInstance(3 - first.Identity)
 	key := tokenFlow(1, 443)
@@ -407,25 +413,26 @@
 	return core, first, Decision{Identity: host.Identity, Token: host.Token(&frontend)}
 }
 
-// TestLateReplyDoesNotMoveFlowOpenedByOtherBalancer covers a flow whose opening copy was placed by
+// TestLateAnswerDoesNotMoveFlowOpenedByOtherBalancer covers a flow whose opening copy was placed by
 // another balancer and whose later packets arrive here.
-func TestLateReplyDoesNotMoveFlowOpenedByOtherBalancer(t *testing.T) {
+func TestLateAnswerDoesNotMoveFlowOpenedByOtherBalancer(t *testing.T) {
 	is := is.New(t)
 	core, first, other := secondBalancerCore()
 	is.Equal(core.send(300*time.Millisecond, laterPacket(other.Token, 5001)).Identity, other.Identity)
 	is.Equal(core.send(400*time.Millisecond, laterPacket(first.Token, 5001)).Identity, other.Identity)
 }
 
-// TestLateReplyToCopyOfOtherBalancerDoesNotMoveFlow covers a flow that the first copy opened here
+// TestLateAnswerToCopyOfOtherBalancerDoesNotMoveFlow covers a flow that the first copy opened here
 // while another balancer placed a second copy at another back end.
-func TestLateReplyToCopyOfOtherBalancerDoesNotMoveFlow(t *testing.T) {
+func TestLateAnswerToCopyOfOtherBalancerDoesNotMoveFlow(t *testing.T) {
 	is := is.New(t)
 	core, first, other := secondBalancerCore()
 	is.Equal(core.send(220*time.Millisecond, laterPacket(first.Token, 5001)).Identity, first.Identity)
 	moved := core.send(300*time.Millisecond, laterPacket(other.Token, 5400))
 	is.Equal(moved.Identity, first.Identity)
 	is.True(moved.Corrected)
-	// A new flow with the same ports has distant acknowledgement numbers, or its opening arrives here.
+	// A new flow with the same ports has distant acknowledgement numbers, or its opening arrives
+	// here.
 	is.Equal(core.send(400*time.Millisecond, laterPacket(other.Token, 1<<31)).Identity, other.Identity)
 }
 
@@ -447,7 +454,7 @@
 // TestNewFlowWithSamePortsUsesItsToken also covers a new flow that another balancer has placed.
 func TestNewFlowWithSamePortsUsesItsToken(t *testing.T) {
 	is := is.New(t)
-	core, first, second := lateReplyCore(is)
+	core, first, second := lateAnswerCore(is)
 	core.send(202*time.Millisecond, laterPacket(second.Token, 5001))
 	is.Equal(core.send(time.Second, laterPacket(first.Token, 1<<31)).Identity, first.Identity)
 	core.send(2*time.Second, laterPacket(second.Token, 5001))
@@ -458,13 +465,13 @@
 }
 
 // TestCopiesDoNotProbeUnresponsiveBackends guards against openings that remain unanswered although
-// other back ends reply. New openings probe a back end that has left openings unanswered and has
-// not replied since, but copies must not.
+// other back ends answer. New openings probe a back end that has left openings unanswered and has
+// not answered since, but copies must not.
 func TestCopiesDoNotProbeUnresponsiveBackends(t *testing.T) {
 	is := is.New(t)
 	for steps := range 60 {
 		s := &coreWithUnresponsiveBackends{tokenCore: newTokenCore()}
-		s.list(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive),
+		s.applyListing(0, tokenListing(9, tokenBackend("i-1", "web", 1, lb.BackendActive), tokenBackend("i-2", "web", 2, lb.BackendActive),
 			tokenBackend("i-3", "web", 3, lb.BackendActive), tokenBackend("i-4", "web", 4, lb.BackendActive)))
 		now := time.Duration(0)
 		for range 20 + steps {
@@ -483,16 +490,16 @@
 	}
 }
 
-// lastUnresponsiveIdentity is the highest identity of the back ends that never reply.
+// lastUnresponsiveIdentity is the highest identity of the back ends that never answer.
 const lastUnresponsiveIdentity = 2
 
-// coreWithUnresponsiveBackends is a core with four back ends, two of which never reply.
+// coreWithUnresponsiveBackends is a core with four back ends, two of which never answer.
 type coreWithUnresponsiveBackends struct {
 	*tokenCore
 	number uint16 // of the last flow
 }
 
-// open opens a flow and, if its back end replies, sends the next packet.
+// open opens a flow and, if its back end answers, sends the next packet.
 func (s *coreWithUnresponsiveBackends) open(now time.Duration) Decision {
 	s.number++
 	decision := s.send(now, tokenOpening(s.number, 443))
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -1,7 +1,7 @@
-// Package disruption decides whether a zone can spare one more of its nodes. Routers that find
-// fewer than half of a zone's nodes ready use all of them, including stopped ones. A node that is
-// requested to stop therefore waits until the nodes of its zone that stopped before it are back.
-// The package has no I/O and no clock.
+// Package disruption decides whether one more node of a zone may stop. Routers that find fewer than
+// half of a zone's nodes ready use all of them, including stopped ones. A node that is requested to
+// stop therefore waits until the nodes of its zone that stopped before it are back. The package has
+// no I/O and no clock.
 package disruption
 
 import (
@@ -44,8 +44,8 @@
 	settings Settings
 	others   map[lb.NodeID]*node
 	stopping bool
-	// stoppedBefore holds the nodes that were unavailable when this node was requested to stop. Nodes
-	// that stop later wait for this node.
+	// stoppedBefore holds the nodes that were unavailable when this node was requested to stop.
+	// Nodes that stop later wait for this node.
 	stoppedBefore map[lb.NodeID]bool
 }
 
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -33,6 +33,7 @@
 	return members
 }
 
+// TestSingleStopNeedsNoWait checks that a node stops at once if all other nodes serve.
 func TestSingleStopNeedsNoWait(t *testing.T) {
 	for _, others := range [][]lb.NodeID{nil, {"b"}, {"b", "c"}, {"b", "c", "d", "e"}} {
 		is := is.New(t)
@@ -66,8 +67,8 @@
 	is.True(zone.MayStop(1200 * time.Millisecond))
 }
 
-// TestLargeZoneSparesSeveral checks that half of the nodes may be unavailable.
-func TestLargeZoneSparesSeveral(t *testing.T) {
+// TestSeveralNodesOfLargeZoneMayStop checks that half of the nodes may be unavailable.
+func TestSeveralNodesOfLargeZoneMayStop(t *testing.T) {
 	is := is.New(t)
 	zone := newZone("a", "b", "c", "d", "e", "f")
 	zone.SetMembers(time.Second, append(serving("d", "e", "f"), leaving("b", "c")...))
--- a/internal/fleetload/core.go
+++ b/internal/fleetload/core.go
@@ -20,10 +20,10 @@
 	Window time.Duration
 	// Smoothing is the time constant of the smoothed rates of a zone, at its root node.
 	Smoothing time.Duration
-	// ReportThreshold is the part of a capacity above which a node reports a service without
-	// solicitation, as estimated from its own demand. ReleaseThreshold is the part of the capacity
-	// of the fleet and of each zone below which the root node stops tracking the service, after
-	// ReleaseDelay.
+	// ReportThreshold is the fraction of the capacity of its zone or of the fleet above which a
+	// node reports a service without solicitation, as estimated from its own demand.
+	// ReleaseThreshold is the fraction of the capacity of the fleet and of each zone below which
+	// the root node stops tracking the service, after ReleaseDelay.
 	ReportThreshold, ReleaseThreshold float64
 	ReleaseDelay                      time.Duration
 	// ZoneTTL is how long the last received state of a zone is used.
@@ -76,8 +76,8 @@
 // Effects is the output of one Step. The caller reuses it; Step resets it first.
 type Effects struct {
 	Messages []Outgoing
-	// Changed states that Services is set to the fleet's present knowledge. A service that is
-	// absent is far from its limit, or has no recent reports.
+	// Changed is set if Services contains the loads newly derived from the states of the zones. A
+	// service that is absent is far from its limit, or has no recent reports.
 	Changed  bool
 	Services map[lb.ServiceName]Service
 }
@@ -119,7 +119,8 @@
 	}
 }
 
-// Services returns the fleet's present knowledge; see Effects. The caller must not modify it.
+// Services returns the present loads of the services; see Effects. The caller must not modify the
+// map.
 func (c *Core) Services() map[lb.ServiceName]Service { return c.services }
 
 // Step processes one event and fills effects. Times must not decrease.
@@ -155,14 +156,14 @@
 func (c *Core) recordSamples(samples []Sample) {
 	elapsed := c.now - c.ownUpdatedAt
 	c.ownUpdatedAt = c.now
-	seen := make(map[lb.ServiceName]*sums, len(samples))
+	observed := make(map[lb.ServiceName]*sums, len(samples))
 	for index := range samples {
 		added := newSums()
 		added.addSample(&samples[index])
-		seen[samples[index].Service] = added
+		observed[samples[index].Service] = added
 		c.pendingSums(samples[index].Service).add(added)
 	}
-	updateRates(c.ownRates, seen, elapsed, nodeSmoothing)
+	updateRates(c.ownRates, observed, elapsed, nodeSmoothing)
 }
 
 // nodeSmoothing is longer than the smoothing of a zone, because a single node observes few
@@ -272,11 +273,11 @@
 // nearLimit reports whether a service is near its limit, extrapolating from this node's demand: the
 // routers distribute the clients of a zone evenly over its nodes.
 func (c *Core) nearLimit(service lb.ServiceName) bool {
-	seen := c.ownRates[service]
-	if seen == nil {
+	observed := c.ownRates[service]
+	if observed == nil {
 		return false
 	}
-	begun, refused := seen.totalWork()
+	begun, refused := observed.totalWork()
 	if refused > 0 {
 		return true
 	}
@@ -286,9 +287,9 @@
 	return exceeds(inZone, c.settings.ReportThreshold, capacity[c.settings.Zone]) || exceeds(inFleet, c.settings.ReportThreshold, lb.TotalSlots(capacity))
 }
 
-// exceeds reports whether work is more than a part of a capacity. Where there is no capacity, the
-// back ends of other zones do the work, and their capacity counts.
-func exceeds(work, part, capacity float64) bool { return capacity > 0 && work > part*capacity }
+// exceeds reports whether work is more than a fraction of a capacity. Where there is no capacity,
+// the back ends of other zones do the work, and their capacity counts.
+func exceeds(work, fraction, capacity float64) bool { return capacity > 0 && work > fraction*capacity }
 
 func (c *Core) send(to []netip.AddrPort, sent message.Message, effects *Effects) {
 	if len(to) > 0 {
--- a/internal/fleetload/fleet_test.go
+++ b/internal/fleetload/fleet_test.go
@@ -27,18 +27,18 @@
 
 // fleet simulates communicating nodes in virtual time. Demand is in slots, by zone.
 type fleet struct {
-	random  *rand.Rand
-	now     time.Duration
-	nodes   []*fakeNode
-	byAddr  map[netip.AddrPort]*fakeNode
-	inbox   []delivery
-	demand  [zoneCount]float64
-	refused [zoneCount]float64
-	loss    float64                     // probability of losing a message
-	cut     func(from, to lb.Zone) bool // whether messages between two zones are dropped; nil: none
-	tamper  func(*fakeNode, message.Message) message.Message
-	sent    int
-	bytes   int
+	random      *rand.Rand
+	now         time.Duration
+	nodes       []*fakeNode
+	byAddr      map[netip.AddrPort]*fakeNode
+	inbox       []delivery
+	demand      [zoneCount]float64
+	refused     [zoneCount]float64
+	loss        float64                     // probability of losing a message
+	partitioned func(from, to lb.Zone) bool // whether messages are dropped; nil: none
+	tamper      func(*fakeNode, message.Message) message.Message
+	sent        int
+	bytes       int
 }
 
 type fakeNode struct {
@@ -73,7 +73,7 @@
 		f.byAddr[n.address] = n
 		f.start(n)
 	}
-	f.placeAll()
+	f.assignPlaces()
 	return f
 }
 
@@ -87,8 +87,8 @@
 	f.step(n, &Event{Capacity: map[lb.ServiceName]map[lb.Zone]float64{"web": capacity, "idle": capacity}})
 }
 
-// placeAll sends all living nodes their places in the tree.
-func (f *fleet) placeAll() {
+// assignPlaces sends all living nodes their places in the tree.
+func (f *fleet) assignPlaces() {
 	living := make([][]tree.Node, zoneCount)
 	count := 0
 	for index, n := range f.nodes {
@@ -134,7 +134,7 @@
 	}
 	f.sent++
 	f.bytes += len(line)
-	if f.random.Float64() < f.loss || f.cut != nil && f.cut(from.zone, to.zone) {
+	if f.random.Float64() < f.loss || f.partitioned != nil && f.partitioned(from.zone, to.zone) {
 		return
 	}
 	_, read, err := message.Decode(line)
@@ -256,7 +256,8 @@
 	}
 	for zone, demand := range f.demand {
 		known, unknown := 0.0, 0
-		for range 10 { // the known demand is averaged, since one value rests on some 450 requests only
+		// The known demand is averaged, since one value rests on some 450 requests only.
+		for range 10 {
 			mean, missing := f.meanDemand(zone)
 			known += mean / 10
 			unknown += missing
@@ -312,7 +313,7 @@
 	f.run(1500 * ms)
 	_, unknown := f.meanDemand(0)
 	is.Equal(unknown, zoneCount*zoneNodes-1) // no node uses expired sums
-	f.placeAll()
+	f.assignPlaces()
 	f.run(2 * time.Second)
 	known, unknown := f.meanDemand(0)
 	is.Equal(unknown, 0)
@@ -326,14 +327,14 @@
 	f := newFleet(6)
 	f.demand = [zoneCount]float64{90, 60, 60}
 	f.run(4 * time.Second)
-	f.cut = func(from, to lb.Zone) bool { return from != to && (from == zoneName(0) || to == zoneName(0)) }
+	f.partitioned = func(from, to lb.Zone) bool { return from != to && (from == zoneName(0) || to == zoneName(0)) }
 	f.run(1500 * ms)
 	for index, n := range f.nodes {
 		inside := index < zoneNodes
 		is.Equal(knownDemand(n, 0) >= 0, inside)
 		is.Equal(knownDemand(n, 1) >= 0, !inside)
 	}
-	f.cut = nil
+	f.partitioned = nil
 	f.run(1500 * ms)
 	for zone := range zoneCount {
 		_, unknown := f.meanDemand(zone)
@@ -368,7 +369,7 @@
 	for index := 1; index < len(f.nodes); index += 2 {
 		f.start(f.nodes[index])
 	}
-	f.placeAll()
+	f.assignPlaces()
 	f.run(time.Second)
 	for zone := range zoneCount {
 		_, unknown := f.meanDemand(zone)
--- a/internal/fleetload/root.go
+++ b/internal/fleetload/root.go
@@ -12,7 +12,7 @@
 // root is the additional state of a zone's root node.
 type root struct {
 	rates          map[lb.ServiceName]*rates
-	nearLimitAt    map[lb.ServiceName]time.Duration // when a service was last near its limit in some zone
+	nearLimitAt    map[lb.ServiceName]time.Duration // when last near the limit in some zone
 	ratesUpdatedAt time.Duration                    // when rates were last updated
 	sequence       uint64                           // sequence number of the last state sent
 	publishing     bool                             // whether the last state contained services
@@ -132,13 +132,13 @@
 func (c *Core) combinedAnswers(service lb.ServiceName, zone lb.Zone) []message.ZoneAnswers {
 	known := c.services[service]
 	for index := range known.Zones {
-		of := &known.Zones[index]
-		if of.Zone != zone || of.Answers+of.Rejected == 0 {
+		aggregated := &known.Zones[index]
+		if aggregated.Zone != zone || aggregated.Answers+aggregated.Rejected == 0 {
 			continue
 		}
-		answers := message.ZoneAnswers{Zone: zone, Count: toThousandths(of.Answers), Rejected: toThousandths(of.Rejected)}
-		if of.Answers > 0 {
-			answers.LogLoadSum = toThousandths(of.Answers * math.Log(of.Load))
+		answers := message.ZoneAnswers{Zone: zone, Count: toThousandths(aggregated.Answers), Rejected: toThousandths(aggregated.Rejected)}
+		if aggregated.Answers > 0 {
+			answers.LogLoadSum = toThousandths(aggregated.Answers * math.Log(aggregated.Load))
 		}
 		return []message.ZoneAnswers{answers}
 	}
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -23,13 +23,13 @@
 // Service is the state of one service at one balancer.
 type Service struct {
 	Service lb.ServiceName `json:"service"`
-	// Known is set if the fleet's load data for the service is present; it is AgeMillis old. The
-	// data is absent while the service is far from its limit, or if no recent reports were
+	// LoadKnown is set if the fleet's load data for the service is present; it is AgeMillis old.
+	// The data is absent while the service is far from its limit, or if no recent reports were
 	// received.
-	Known     bool  `json:"known"`
+	LoadKnown bool  `json:"known"`
 	AgeMillis int64 `json:"age_ms,omitempty"`
-	// Pressure is the duration of requests relative to their permitted duration, as observed by this
-	// balancer.
+	// Pressure is the duration of requests relative to their permitted duration, as observed by
+	// this balancer.
 	Pressure float64 `json:"pressure"`
 	// Refused counts the openings that this balancer has refused because of load since its start.
 	Refused uint64      `json:"refused_total"`
@@ -44,8 +44,8 @@
 	Capacity float64 `json:"capacity"`
 	// Weight is the fraction of this balancer's new flows that goes to the zone's back ends.
 	Weight float64 `json:"part"`
-	// Demand is the work that clients in the zone request, by priority. It is empty unless Known is
-	// set.
+	// Demand is the work that clients in the zone request, by priority. It is empty unless
+	// LoadKnown is set.
 	Demand []Demand `json:"demand,omitempty"`
 	// Load is the duration of requests at the zone's back ends relative to idle back ends, and
 	// Answers the number of answers a second that it is computed from. Rejected is the number of
@@ -112,8 +112,8 @@
 	Service  lb.ServiceName `json:"service"`
 	Zone     lb.Zone        `json:"zone"`
 	Priority uint16         `json:"priority"`
-	// Known and AgeMillis describe the newest load data of any balancer.
-	Known     bool  `json:"known"`
+	// LoadKnown and AgeMillis describe the newest load data of any balancer.
+	LoadKnown bool  `json:"known"`
 	AgeMillis int64 `json:"age_ms"`
 	// Capacity, SpareCapacity and Load belong to the zone and are the same for all its priorities.
 	// SpareCapacity is the spare capacity after the demand of the zone's own clients; it is
@@ -176,7 +176,7 @@
 // any report.
 func (t *tableBuilder) recordNewest(service *Service) {
 	known := t.newest[service.Service]
-	newer := known == nil || service.Known && (!known.Known || service.AgeMillis < known.AgeMillis)
+	newer := known == nil || service.LoadKnown && (!known.LoadKnown || service.AgeMillis < known.AgeMillis)
 	if newer {
 		t.newest[service.Service] = service
 	}
@@ -220,7 +220,7 @@
 			spare -= demand.Begun + demand.Refused
 		}
 		for _, row := range t.zoneRows(service.Service, zone.Zone) {
-			row.Known, row.AgeMillis = service.Known, service.AgeMillis
+			row.LoadKnown, row.AgeMillis = service.LoadKnown, service.AgeMillis
 			row.Capacity, row.SpareCapacity, row.Load = zone.Capacity, spare, zone.Load
 			for _, demand := range zone.Demand {
 				if demand.Priority == row.Priority {
--- a/internal/overload/estimate.go
+++ b/internal/overload/estimate.go
@@ -39,20 +39,20 @@
 	// logs is the sum of the logarithms of the loads of answered requests, and count is their
 	// number.
 	logs, count float64
-	at          time.Duration
+	decayedAt   time.Duration
 }
 
 func (b *backend) decay(now time.Duration) {
-	if now <= b.at {
+	if now <= b.decayedAt {
 		return
 	}
-	factor := math.Exp(-float64(now-b.at) / float64(b.service.averagingTime))
-	b.at = now
+	factor := math.Exp(-float64(now-b.decayedAt) / float64(b.service.averagingTime))
+	b.decayedAt = now
 	b.logs *= factor
 	b.count *= factor
 }
 
-func (b *backend) answered(now time.Duration, load float64) {
+func (b *backend) addAnswer(now time.Duration, load float64) {
 	b.decay(now)
 	b.logs += math.Log(load)
 	b.count++
@@ -128,19 +128,19 @@
 
 // load returns a response time divided by the allowed response time, which is a multiple of the
 // idle time or a fraction of the target, whichever is less.
-func (c *class) load(took time.Duration, settings *Settings) float64 {
-	return c.relativeTime(took, settings.TargetShare, settings.IdleRatio+settings.SpreadRatio*math.Sqrt(c.idle.variance))
+func (c *class) load(latency time.Duration, settings *Settings) float64 {
+	return c.relativeTime(latency, settings.TargetShare, settings.IdleRatio+settings.SpreadRatio*math.Sqrt(c.idle.variance))
 }
 
 // fleetLoad returns the load as it is reported to other balancers, relative to the longer response
 // time that the fleet's settings allow.
-func (c *class) fleetLoad(took time.Duration, settings *Settings) float64 {
-	return c.relativeTime(took, settings.FleetTargetShare, settings.FleetIdleRatio+settings.SpreadRatio*math.Sqrt(c.idle.variance))
+func (c *class) fleetLoad(latency time.Duration, settings *Settings) float64 {
+	return c.relativeTime(latency, settings.FleetTargetShare, settings.FleetIdleRatio+settings.SpreadRatio*math.Sqrt(c.idle.variance))
 }
 
 // relativeTime returns a response time divided by the given fraction of the target or by the given
 // multiple of the idle time, whichever is less.
-func (c *class) relativeTime(took time.Duration, fraction, ratio float64) float64 {
+func (c *class) relativeTime(latency time.Duration, fraction, ratio float64) float64 {
 	allowed := ratio * c.idle.value
 	if c.target > 0 && (allowed == 0 || fraction*c.target < allowed) {
 		allowed = fraction * c.target
@@ -148,7 +148,7 @@
 	if allowed == 0 {
 		return neutralLoad
 	}
-	return max(minLoad, min(took.Seconds()/allowed, maxLoad))
+	return max(minLoad, min(latency.Seconds()/allowed, maxLoad))
 }
 
 // Parameters of the estimate of the idle time.
@@ -174,7 +174,7 @@
 // means, which rises slowly. It starts from the mean of the first answers, weighted by their times,
 // which is hardly lowered by rejections of full back ends among them.
 type idleTime struct {
-	initialSquares, initialTotal float64 // sums over the first answers, of squared seconds and of seconds
+	initialSquares, initialTotal float64 // sums over the first answers, in s² and s
 	initialSamples               int     // number of the first answers
 	meanLog                      float64 // moving mean of the logarithms of seconds
 	logVariance                  float64 // moving mean of the squared distances from meanLog
@@ -182,15 +182,15 @@
 	value                        float64 // estimate in seconds; 0 means unknown
 	variance                     float64 // logVariance as of value, bounded
 	rejections                   int     // consecutive answers that were not counted
-	at                           time.Duration
+	updatedAt                    time.Duration
 }
 
 // add records the response time of a request. It returns false if the answer is not counted, as a
 // rejection.
 func (i *idleTime) add(now time.Duration, seconds float64, settings *Settings) bool {
 	seconds = max(seconds, minSeconds)
-	elapsed := min((now - i.at).Seconds(), 1)
-	i.at = now
+	elapsed := min((now - i.updatedAt).Seconds(), 1)
+	i.updatedAt = now
 	switch {
 	case i.initialSamples < idleSamples:
 		i.addInitial(seconds)
@@ -242,7 +242,7 @@
 	}
 	i.rejections++
 	if i.rejections > maxRejections {
-		*i = idleTime{at: i.at}
+		*i = idleTime{updatedAt: i.updatedAt}
 		i.addInitial(seconds)
 		return false
 	}
--- a/internal/overload/noanswers_test.go
+++ b/internal/overload/noanswers_test.go
@@ -12,7 +12,7 @@
 // spareState returns the fleet's state of a service whose clients request a third of its capacity.
 func spareState(at time.Duration) *fleetload.Service {
 	return &fleetload.Service{SummedAt: at, Zones: []fleetload.Zone{{Zone: "za", Load: 0.4, Answers: 500, Levels: []fleetload.Level{
-		{Priority: tap.Priority, Begun: 10}, {Priority: feed.Priority, Begun: 20, Refused: 1},
+		{Priority: important.Priority, Begun: 10}, {Priority: ordinary.Priority, Begun: 20, Refused: 1},
 	}}}}
 }
 
@@ -22,19 +22,19 @@
 func TestNodeWithoutAnswersFollowsTheFleet(t *testing.T) {
 	is := is.New(t)
 	h := newHistory(1, DefaultSettings())
-	h.pass(web, 2*time.Second, h.calm)
-	h.pass(web, 3*time.Second, h.overloaded)
-	is.True(h.admissionRate(web, feed) < 0.02)
+	h.advance(web, 2*time.Second, h.calm)
+	h.advance(web, 3*time.Second, h.overloaded)
+	is.True(h.admissionRate(web, ordinary) < 0.02)
 	for range 5 { // no answers arrive
 		h.ApplyFleetLoad(h.now, web, spareState(h.now), slots)
 		h.now += 100 * ms
 		h.Tick(h.now)
 	}
-	is.Equal(h.admissionRate(web, feed), 1.0)
-	is.Equal(h.admissionRate(web, tap), 1.0)
+	is.Equal(h.admissionRate(web, ordinary), 1.0)
+	is.Equal(h.admissionRate(web, important), 1.0)
 	h.ApplyFleetLoad(h.now, web, spareState(h.now), slots)
-	h.pass(web, time.Second, h.overloaded) // its own measurements count again
-	is.True(h.admissionRate(web, feed) < 0.2)
+	h.advance(web, time.Second, h.overloaded) // its own measurements count again
+	is.True(h.admissionRate(web, ordinary) < 0.2)
 }
 
 // TestNodeWithoutAnswersAndReportsKeepsRefusing: without any data the service may be as overloaded
@@ -42,11 +42,11 @@
 func TestNodeWithoutAnswersAndReportsKeepsRefusing(t *testing.T) {
 	is := is.New(t)
 	h := newHistory(1, DefaultSettings())
-	h.pass(web, 2*time.Second, h.calm)
-	h.pass(web, 3*time.Second, h.overloaded)
+	h.advance(web, 2*time.Second, h.calm)
+	h.advance(web, 3*time.Second, h.overloaded)
 	for range 5 {
 		h.now += 100 * ms
 		h.Tick(h.now)
 	}
-	is.True(h.admissionRate(web, feed) < 0.1)
+	is.True(h.admissionRate(web, ordinary) < 0.1)
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -44,9 +44,9 @@
 	// MaxAnswerTime is the maximum response time that is evaluated. A longer one has no meaning:
 	// the request was retransmitted, or some of its packets went through another balancer.
 	MaxAnswerTime time.Duration
-	// FallRate is the decrease per second of the admission rate, on a natural logarithmic scale, while
-	// the pressure is one above its limit. RiseRate is the increase per second while it is one
-	// below.
+	// FallRate is the decrease per second of the admission rate, on a natural logarithmic scale,
+	// while the pressure is one above its limit. RiseRate is the increase per second while it is
+	// one below.
 	FallRate, RiseRate float64
 	// Damping is the immediate reduction of the admission rate, on the same scale, at a pressure of
 	// one above its limit.
@@ -56,8 +56,8 @@
 	// PriorityStep is the increase of a priority's limit for each less important priority in use,
 	// so that the more important priority is refused later.
 	PriorityStep float64
-	// MinAdmissionRate is the fraction of openings that is admitted at any pressure. Without it there
-	// would be no answers that show the end of an overload.
+	// MinAdmissionRate is the fraction of openings that is admitted at any pressure. Without it
+	// there would be no answers that show the end of an overload.
 	MinAdmissionRate float64
 	// FreeLoad is the load below which a back end receives openings regardless of the load of the
 	// others.
@@ -185,9 +185,9 @@
 	return !c.settings.Off && !s.fleetRatesFresh(now, &c.settings) && c.committed.ExceedsSlots(now, name, objective.Priority, s.slots)
 }
 
-// RecordAnswer records that a back end in the given zone answered a request after the time took.
-func (c *Controller) RecordAnswer(now time.Duration, name lb.ServiceName, objective lb.Objective, zone lb.Zone, identity Identity, took time.Duration) {
-	if c.settings.Off || took > c.settings.MaxAnswerTime {
+// RecordAnswer records that a back end in the given zone answered a request with the given latency.
+func (c *Controller) RecordAnswer(now time.Duration, name lb.ServiceName, objective lb.Objective, zone lb.Zone, identity Identity, latency time.Duration) {
+	if c.settings.Off || latency > c.settings.MaxAnswerTime {
 		return
 	}
 	s := c.service(now, name)
@@ -199,14 +199,14 @@
 		c.backends[identity] = b
 		s.backends[identity] = b
 	}
-	times := s.class(objective)
-	if !times.idle.add(now, took.Seconds(), &c.settings) {
+	class := s.class(objective)
+	if !class.idle.add(now, latency.Seconds(), &c.settings) {
 		c.meter.RecordRejection(name, zone)
 		return
 	}
-	load := times.load(took, &c.settings)
-	b.answered(now, load)
-	c.meter.RecordAnswer(name, zone, math.Log(times.fleetLoad(took, &c.settings)))
+	load := class.load(latency, &c.settings)
+	b.addAnswer(now, load)
+	c.meter.RecordAnswer(name, zone, math.Log(class.fleetLoad(latency, &c.settings)))
 }
 
 // Load returns the load of a back end, estimated from the response times of its requests: at 1 it
@@ -278,23 +278,23 @@
 	}
 	// The load of a single back end is averaged with the pressure: it may be high by chance, or
 	// because of work for other services.
-	rate := s.admitted(now, l, (load+s.pressure)/2, &c.settings)
+	rate := s.admissionRate(now, l, (load+s.pressure)/2, &c.settings)
 	return rate >= 1 || float64(draw>>11)/(1<<53) < rate
 }
 
 // HadSpareCapacity returns true if the response time of a request shows that its back end has spare
 // capacity, so that the slot that the request leaves can be reused. A response time far below the
 // idle response time does not: it is a rejection by a full back end.
-func (c *Controller) HadSpareCapacity(name lb.ServiceName, objective lb.Objective, took time.Duration) bool {
+func (c *Controller) HadSpareCapacity(name lb.ServiceName, objective lb.Objective, latency time.Duration) bool {
 	s := c.services[name]
 	if c.settings.Off || s == nil {
 		return false
 	}
-	times := s.classes[objective]
-	if times == nil || times.idle.value == 0 || took.Seconds() < rejectionRatio*times.idle.value {
+	class := s.classes[objective]
+	if class == nil || class.idle.value == 0 || latency.Seconds() < rejectionRatio*class.idle.value {
 		return false
 	}
-	return times.load(took, &c.settings) < maxUnqueuedLoad
+	return class.load(latency, &c.settings) < maxUnqueuedLoad
 }
 
 // maxUnqueuedLoad is the maximum load computed from a request that hardly queued at its back end.
@@ -349,7 +349,7 @@
 		}
 		c.scan(now, s)
 		s.adapt(now, &c.settings)
-		if change, changed := s.change(now, &c.settings); changed {
+		if change, changed := s.detectChange(now, &c.settings); changed {
 			change.Service = name
 			c.changes = append(c.changes, change)
 		}
@@ -364,7 +364,7 @@
 	s.scanned = now
 	s.loads = s.loads[:0]
 	for identity, b := range s.backends {
-		if remembered := b.collect(now); !remembered {
+		if keep := b.collect(now); !keep {
 			delete(s.backends, identity)
 			delete(c.backends, identity)
 		}
@@ -427,7 +427,7 @@
 	for name, s := range c.services {
 		status := Status{Service: name, Pressure: s.pressure, Refused: s.refusedTotal}
 		for _, l := range s.levels {
-			status.Levels = append(status.Levels, Level{Priority: l.priority, AdmissionRate: s.admitted(now, l, s.pressure, &c.settings)})
+			status.Levels = append(status.Levels, Level{Priority: l.priority, AdmissionRate: s.admissionRate(now, l, s.pressure, &c.settings)})
 		}
 		statuses = append(statuses, status)
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -12,6 +12,8 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
+// TestMedianOfLoads checks that a few back ends, or a few measurements, do not determine the load
+// of a service.
 func TestMedianOfLoads(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -68,13 +70,14 @@
 	is.True(math.Abs(idle.value-0.002) < 0.0001)
 }
 
+// TestDisabledControllerAdmitsEverything checks that overload control can be switched off.
 func TestDisabledControllerAdmitsEverything(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
 	settings.Off = true
 	h := newHistory(1, settings)
-	h.pass(web, 5*time.Second, h.overloaded)
-	is.Equal(h.admissionRate(web, feed), 1.0)
+	h.advance(web, 5*time.Second, h.overloaded)
+	is.Equal(h.admissionRate(web, ordinary), 1.0)
 	is.True(!h.BackendOverloaded(h.now, 1))
 }
 
@@ -83,25 +86,27 @@
 func TestChangesReportBeginningAndEnd(t *testing.T) {
 	is := is.New(t)
 	h := newHistory(1, DefaultSettings())
-	h.pass(web, 2*time.Second, h.calm)
+	h.advance(web, 2*time.Second, h.calm)
 	is.Equal(len(h.Changes()), 0)
-	h.pass(web, 5*time.Second, h.overloaded)
+	h.advance(web, 5*time.Second, h.overloaded)
 	began := append([]Change(nil), h.Changes()...)
 	is.Equal(len(began), 1)
-	is.True(began[0].Overloaded && began[0].Service == web && began[0].Priority == feed.Priority)
+	is.True(began[0].Overloaded && began[0].Service == web && began[0].Priority == ordinary.Priority)
 	is.True(began[0].Pressure > 0.85 && began[0].AdmissionRate < overloadedRate)
-	h.pass(web, 8*time.Second, h.calm)
+	h.advance(web, 8*time.Second, h.calm)
 	ended := h.Changes()
 	is.Equal(len(ended), 1)
 	is.True(!ended[0].Overloaded && ended[0].Refused > 0)
 	is.Equal(h.Status(h.now)[0].Levels, []Level{{1, 1}, {2, 1}})
 }
 
+// TestForgetDeletesUnusedState checks that the state of removed back ends and services, and of
+// priorities and objectives no longer in use, does not accumulate.
 func TestForgetDeletesUnusedState(t *testing.T) {
 	is := is.New(t)
 	h := newHistory(1, DefaultSettings())
-	h.pass(web, time.Second, h.calm)
-	h.pass(docs, time.Second, h.calm)
+	h.advance(web, time.Second, h.calm)
+	h.advance(docs, time.Second, h.calm)
 	keep := func(identity Identity) bool { return identity == 1 }
 	serves := func(name lb.ServiceName) bool { return name == web }
 	h.Forget(h.now, keep, serves)
@@ -121,7 +126,7 @@
 	for i := range 4800 {
 		name := lb.ServiceName(fmt.Sprintf("service-%d", i%275))
 		for range 8 {
-			c.RecordAnswer(0, name, feed, "za", Identity(i), idleWork)
+			c.RecordAnswer(0, name, ordinary, "za", Identity(i), idleWork)
 		}
 	}
 	now := time.Duration(0)
@@ -155,16 +160,16 @@
 			minRate := settings.MinAdmissionRate
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				took := rapid.SampledFrom([]time.Duration{0, 1, ms, 40 * ms, time.Second, time.Hour}).Draw(t, "took")
-				c.RecordAnswer(now, web, objective, "za", identity, took)
+				latency := rapid.SampledFrom([]time.Duration{0, 1, ms, 40 * ms, time.Second, time.Hour}).Draw(t, "latency")
+				c.RecordAnswer(now, web, objective, "za", identity, latency)
 			case 1:
 				c.Admit(now, web, objective, identity, rapid.Uint64().Draw(t, "draw"))
 			case 2:
 				c.Tick(now)
 			case 3:
-				known := overloadedState(now)
-				known.Zones[0].Levels[0].Begun = rapid.Float64Range(0, 300).Draw(t, "begun")
-				c.ApplyFleetLoad(now, web, known, rapid.Float64Range(0, 200).Draw(t, "slots"))
+				report := overloadedState(now)
+				report.Zones[0].Levels[0].Begun = rapid.Float64Range(0, 300).Draw(t, "begun")
+				c.ApplyFleetLoad(now, web, report, rapid.Float64Range(0, 200).Draw(t, "slots"))
 			}
 			if s := c.services[web]; s != nil && s.fleetRatesFresh(now, &settings) {
 				minRate = 0 // MinAdmissionRate does not apply while the fleet reports answers
@@ -209,9 +214,9 @@
 // BenchmarkAdmit decides on single openings while a service is overloaded.
 func BenchmarkAdmit(b *testing.B) {
 	h := newHistory(1, DefaultSettings())
-	h.pass(web, 5*time.Second, h.overloaded)
+	h.advance(web, 5*time.Second, h.overloaded)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		h.Admit(h.now+time.Duration(i)*time.Microsecond, web, feed, Identity(1+i%backends), uint64(i)<<40)
+		h.Admit(h.now+time.Duration(i)*time.Microsecond, web, ordinary, Identity(1+i%backends), uint64(i)<<40)
 	}
 }
--- a/internal/overload/property_test.go
+++ b/internal/overload/property_test.go
@@ -26,8 +26,8 @@
 const idleWork = 40 * ms
 
 var (
-	tap  = lb.Objective{Priority: 1, TargetMillis: 250}
-	feed = lb.Objective{Priority: 2, TargetMillis: 200}
+	important = lb.Objective{Priority: 1, TargetMillis: 250}
+	ordinary  = lb.Objective{Priority: 2, TargetMillis: 200}
 )
 
 // history drives a controller through virtual time.
@@ -44,16 +44,16 @@
 // backends is the number of back ends of a service in these tests.
 const backends = 6
 
-// pass advances the time by length. Meanwhile requests of a service are answered after the times
-// that took returns, and openings arrive.
-func (h *history) pass(service lb.ServiceName, length time.Duration, took func() time.Duration) {
+// advance advances the time by length. Meanwhile requests of a service are answered after the times
+// that latency returns, and openings arrive.
+func (h *history) advance(service lb.ServiceName, length time.Duration, latency func() time.Duration) {
 	const step = 5 * ms
 	for end := h.now + length; h.now < end; h.now += step {
-		objective := feed
+		objective := ordinary
 		if h.random.IntN(4) == 0 {
-			objective = tap
+			objective = important
 		}
-		h.RecordAnswer(h.now, service, objective, "za", Identity(1+h.random.IntN(backends)), took())
+		h.RecordAnswer(h.now, service, objective, "za", Identity(1+h.random.IntN(backends)), latency())
 		h.admits(service, objective)
 		if h.now%(100*ms) == 0 {
 			h.Tick(h.now)
@@ -98,16 +98,16 @@
 	return float64(admitted) / openings
 }
 
-// expectAll returns an error unless all openings were admitted.
-func expectAll(rate float64) error {
+// expectAllAdmitted returns an error unless all openings were admitted.
+func expectAllAdmitted(rate float64) error {
 	if rate < 1 {
 		return fmt.Errorf("%.2f of the openings were admitted", rate)
 	}
 	return nil
 }
 
-// expectFew returns an error if more than a fifth of the openings were admitted.
-func expectFew(rate float64) error {
+// expectFewAdmitted returns an error if more than a fifth of the openings were admitted.
+func expectFewAdmitted(rate float64) error {
 	if rate > 0.2 {
 		return fmt.Errorf("%.2f of the openings were admitted", rate)
 	}
@@ -126,67 +126,67 @@
 	{
 		name: "openings of a service below its limit are not refused",
 		check: func(h *history) error {
-			h.pass(web, 5*time.Second, h.calm)
-			return expectAll(h.admissionRate(web, feed))
+			h.advance(web, 5*time.Second, h.calm)
+			return expectAllAdmitted(h.admissionRate(web, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.IdleRatio, settings.FreeLoad = 0.5, 0 },
 	},
 	{
 		name: "an overload is detected within a second",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, time.Second, h.overloaded)
-			return expectFew(h.admissionRate(web, feed))
+			h.advance(web, 2*time.Second, h.calm)
+			h.advance(web, time.Second, h.overloaded)
+			return expectFewAdmitted(h.admissionRate(web, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.FallRate, settings.Damping = 0, 0 },
 	},
 	{
 		name: "a controller that starts during an overload detects it",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.overloaded)
-			return expectFew(h.admissionRate(web, feed))
+			h.advance(web, 2*time.Second, h.overloaded)
+			return expectFewAdmitted(h.admissionRate(web, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.TargetShare = 100 },
 	},
 	{
 		name: "the idle time estimate does not grow during a long overload",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 60*time.Second, h.overloaded)
-			return expectFew(h.admissionRate(web, feed))
+			h.advance(web, 2*time.Second, h.calm)
+			h.advance(web, 60*time.Second, h.overloaded)
+			return expectFewAdmitted(h.admissionRate(web, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.RiseRate, settings.Limit = 20, 3 },
 	},
 	{
 		name: "all openings are admitted three seconds after an overload",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 10*time.Second, h.overloaded)
-			h.pass(web, 3*time.Second, h.calm)
-			return expectAll(h.admissionRate(web, feed))
+			h.advance(web, 2*time.Second, h.calm)
+			h.advance(web, 10*time.Second, h.overloaded)
+			h.advance(web, 3*time.Second, h.calm)
+			return expectAllAdmitted(h.admissionRate(web, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.RiseRate, settings.FreeLoad = 0, 0 },
 	},
 	{
 		name: "all openings are admitted within six seconds without any answer",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 10*time.Second, h.overloaded)
+			h.advance(web, 2*time.Second, h.calm)
+			h.advance(web, 10*time.Second, h.overloaded)
 			for range 60 {
 				h.now += 100 * ms
 				h.Tick(h.now)
 			}
-			return expectAll(h.admissionRate(web, feed))
+			return expectAllAdmitted(h.admissionRate(web, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.AveragingTime = time.Hour },
 	},
 	{
 		name: "more important openings are refused later",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 3*time.Second, func() time.Duration { return 3 * h.calm() })
-			if tapRate, feedRate := h.admissionRate(web, tap), h.admissionRate(web, feed); tapRate < 0.9 || feedRate > 0.5 {
-				return fmt.Errorf("%.2f of the important openings and %.2f of the others were admitted", tapRate, feedRate)
+			h.advance(web, 2*time.Second, h.calm)
+			h.advance(web, 3*time.Second, func() time.Duration { return 3 * h.calm() })
+			if importantRate, ordinaryRate := h.admissionRate(web, important), h.admissionRate(web, ordinary); importantRate < 0.9 || ordinaryRate > 0.5 {
+				return fmt.Errorf("%.2f of the important openings and %.2f of the others were admitted", importantRate, ordinaryRate)
 			}
 			return nil
 		},
@@ -196,9 +196,9 @@
 		name: "a priority first used during an overload is not admitted at a higher rate than a more important one",
 		check: func(h *history) error {
 			newest := lb.Objective{Priority: 9}
-			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 5*time.Second, h.overloaded)
-			first, second := h.admissionRate(web, feed), h.admissionRate(web, newest)
+			h.advance(web, 2*time.Second, h.calm)
+			h.advance(web, 5*time.Second, h.overloaded)
+			first, second := h.admissionRate(web, ordinary), h.admissionRate(web, newest)
 			if second > first+0.1 {
 				return fmt.Errorf("%.2f of the openings of a new priority and %.2f of those above it were admitted", second, first)
 			}
@@ -209,9 +209,9 @@
 	{
 		name: "a few openings are admitted at any pressure",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 20*time.Second, func() time.Duration { return 2 * h.overloaded() })
-			if rate := h.admissionRateAtNew(web, feed); rate == 0 {
+			h.advance(web, 2*time.Second, h.calm)
+			h.advance(web, 20*time.Second, func() time.Duration { return 2 * h.overloaded() })
+			if rate := h.admissionRateAtNew(web, ordinary); rate == 0 {
 				return fmt.Errorf("no opening was admitted")
 			}
 			return nil
@@ -221,14 +221,15 @@
 	{
 		name: "all openings for a back end with spare capacity are admitted",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
+			h.advance(web, 2*time.Second, h.calm)
 			const free = Identity(99)
 			for range 400 {
-				h.pass(web, 5*ms, h.overloaded)
-				h.RecordAnswer(h.now, web, feed, "za", free, idleWork*9/10) // geometric mean of calm times
+				h.advance(web, 5*ms, h.overloaded)
+				// 0.9 × idleWork is the geometric mean of the response times of calm.
+				h.RecordAnswer(h.now, web, ordinary, "za", free, idleWork*9/10)
 			}
 			for range 100 {
-				if !h.Admit(h.now, web, feed, free, h.random.Uint64()) {
+				if !h.Admit(h.now, web, ordinary, free, h.random.Uint64()) {
 					return fmt.Errorf("an opening was refused")
 				}
 			}
@@ -239,14 +240,14 @@
 	{
 		name: "a few slow back ends do not count as an overload",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
+			h.advance(web, 2*time.Second, h.calm)
 			for range 600 {
-				h.pass(web, 5*ms, h.calm)
+				h.advance(web, 5*ms, h.calm)
 				if h.random.IntN(2) == 0 {
-					h.RecordAnswer(h.now, web, feed, "za", Identity(90+h.random.IntN(2)), 10*idleWork)
+					h.RecordAnswer(h.now, web, ordinary, "za", Identity(90+h.random.IntN(2)), 10*idleWork)
 				}
 			}
-			return expectAll(h.admissionRateAtNew(web, feed))
+			return expectAllAdmitted(h.admissionRateAtNew(web, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.useMean = true },
 	},
@@ -259,8 +260,8 @@
 			const seconds = 20
 			rate := 0.0
 			for range seconds {
-				h.pass(web, time.Second, spread)
-				rate += h.admissionRateAtNew(web, feed) / seconds
+				h.advance(web, time.Second, spread)
+				rate += h.admissionRateAtNew(web, ordinary) / seconds
 			}
 			if rate < 0.95 {
 				return fmt.Errorf("%.2f of the openings were admitted", rate)
@@ -272,14 +273,14 @@
 	{
 		name: "rejections by full back ends do not hide the overload",
 		check: func(h *history) error {
-			h.pass(web, 2*time.Second, h.calm)
-			h.pass(web, 10*time.Second, func() time.Duration {
+			h.advance(web, 2*time.Second, h.calm)
+			h.advance(web, 10*time.Second, func() time.Duration {
 				if h.random.IntN(3) > 0 {
 					return 2 * ms
 				}
 				return h.overloaded()
 			})
-			return expectFew(h.admissionRate(web, feed))
+			return expectFewAdmitted(h.admissionRate(web, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.countRejections = true },
 	},
@@ -287,12 +288,12 @@
 		name: "an overload of one service does not affect another",
 		check: func(h *history) error {
 			for range 400 {
-				h.pass(web, 5*ms, h.overloaded)
+				h.advance(web, 5*ms, h.overloaded)
 				if h.random.IntN(4) == 0 {
-					h.RecordAnswer(h.now, docs, feed, "za", Identity(50+h.random.IntN(backends)), h.calm())
+					h.RecordAnswer(h.now, docs, ordinary, "za", Identity(50+h.random.IntN(backends)), h.calm())
 				}
 			}
-			return expectAll(h.admissionRateAtNew(docs, feed))
+			return expectAllAdmitted(h.admissionRateAtNew(docs, ordinary))
 		},
 		mutate: func(settings *Settings) { settings.mergeServices = true },
 	},
@@ -311,6 +312,8 @@
 	return nil
 }
 
+// TestProperties checks that each property holds with the default settings, and that it fails with
+// the rule switched off on which it depends.
 func TestProperties(t *testing.T) {
 	for _, claim := range properties {
 		t.Run(claim.name, func(t *testing.T) {
--- a/internal/overload/queueing_test.go
+++ b/internal/overload/queueing_test.go
@@ -38,11 +38,11 @@
 	now := time.Duration(0)
 	for i := range 2000 {
 		now += 5 * time.Millisecond
-		took := 50 * time.Millisecond
+		latency := 50 * time.Millisecond
 		if i > 500 {
-			took = 350 * time.Millisecond
+			latency = 350 * time.Millisecond
 		}
-		c.RecordAnswer(now, "web", objective, "za", Identity(i%10), took)
+		c.RecordAnswer(now, "web", objective, "za", Identity(i%10), latency)
 		c.Tick(now)
 	}
 	is.True(c.NearLimit("web"))
--- a/internal/overload/service.go
+++ b/internal/overload/service.go
@@ -26,8 +26,8 @@
 	lastAnswerAt  time.Duration // time of the most recent answer
 	levels        []*level      // in order of priority, the most important first
 	adapted       time.Duration
-	// fleet holds the admission rates computed from the fleet's load reports; fleetAt is the time of
-	// these reports.
+	// fleet holds the admission rates computed from the fleet's load reports; fleetAt is the time
+	// of these reports.
 	fleet   admission.Service
 	fleetAt time.Duration
 	// slots is this balancer's share of the slots of the ready back ends; 0 means unknown.
@@ -85,7 +85,7 @@
 
 // forget deletes objectives and levels that were not used for stateTimeout.
 func (s *service) forget(now time.Duration) {
-	maps.DeleteFunc(s.classes, func(_ lb.Objective, c *class) bool { return now-c.idle.at > stateTimeout })
+	maps.DeleteFunc(s.classes, func(_ lb.Objective, c *class) bool { return now-c.idle.updatedAt > stateTimeout })
 	s.levels = slices.DeleteFunc(s.levels, func(l *level) bool { return now-l.lastOpening > stateTimeout })
 }
 
@@ -149,8 +149,8 @@
 // maxLimit is less than maxLoad, so that the pressure can exceed it.
 const maxLimit = 3
 
-// admitted returns the admission rate of a level at the given pressure.
-func (s *service) admitted(now time.Duration, l *level, pressure float64, settings *Settings) float64 {
+// admissionRate returns the admission rate of a level at the given pressure.
+func (s *service) admissionRate(now time.Duration, l *level, pressure float64, settings *Settings) float64 {
 	if s.lacksAnswers(now, settings) {
 		return s.fleet.RateOf(l.priority)
 	}
@@ -160,8 +160,9 @@
 	case s.hasSpareCapacity(settings):
 		return 1
 	case s.fleetRefuses(now, settings):
-		// MinAdmissionRate does not apply here. The fleet as a whole always receives answers, whatever
-		// this balancer admits, and clients that keep their flows would accumulate through it.
+		// MinAdmissionRate does not apply here. The fleet as a whole always receives answers,
+		// whatever this balancer admits, and clients that keep their flows would accumulate
+		// through it.
 		return min(s.fleet.RateOf(l.priority), math.Exp(min(log, 0)))
 	}
 	return max(settings.MinAdmissionRate, math.Exp(min(log, 0)))
@@ -240,11 +241,11 @@
 	calmTime       = 2 * time.Second
 )
 
-// change returns a change if the service has become overloaded or is no longer overloaded.
-func (s *service) change(now time.Duration, settings *Settings) (Change, bool) {
+// detectChange returns a change if the service has become overloaded or is no longer overloaded.
+func (s *service) detectChange(now time.Duration, settings *Settings) (Change, bool) {
 	change := Change{Pressure: s.pressure, AdmissionRate: 1}
 	for _, l := range s.levels {
-		if admitted := s.admitted(now, l, s.pressure, settings); admitted < change.AdmissionRate {
+		if admitted := s.admissionRate(now, l, s.pressure, settings); admitted < change.AdmissionRate {
 			change.AdmissionRate, change.Priority = admitted, l.priority
 		}
 	}
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -20,8 +20,8 @@
 	openingInterval = 20 * time.Millisecond  // between openings, as in an overloaded zone
 )
 
-// world drives a tracker like a balancer that sends openings to its zones alternately.
-type world struct {
+// simulation drives a tracker like a balancer that sends openings to its zones alternately.
+type simulation struct {
 	*Tracker
 	now           time.Duration
 	opened        int
@@ -40,12 +40,12 @@
 	sent     time.Duration
 }
 
-func newWorld() *world {
-	return &world{Tracker: New(DefaultSettings("zone-own")), backEndsDown: map[lb.Zone]bool{}, balancersDown: map[lb.Zone]bool{}}
+func newSimulation() *simulation {
+	return &simulation{Tracker: New(DefaultSettings("zone-own")), backEndsDown: map[lb.Zone]bool{}, balancersDown: map[lb.Zone]bool{}}
 }
 
 // run simulates a span of time with openings, ticks and messages from members.
-func (w *world) run(span time.Duration) {
+func (w *simulation) run(span time.Duration) {
 	for end := w.now + span; w.now < end; w.now += openingInterval {
 		w.reportUnanswered()
 		if w.now%tick == 0 {
@@ -59,14 +59,14 @@
 	}
 }
 
-func (w *world) reportUnanswered() {
+func (w *simulation) reportUnanswered() {
 	for len(w.pending) > 0 && w.now-w.pending[0].sent >= answerTimeout {
 		w.RecordUnanswered(w.now, w.pending[0].zone, w.pending[0].identity, w.pending[0].sent)
 		w.pending = w.pending[1:]
 	}
 }
 
-func (w *world) reportMembers() {
+func (w *simulation) reportMembers() {
 	for _, zone := range []lb.Zone{zoneA, zoneB} {
 		if !w.balancersDown[zone] {
 			w.RecordMemberSeen(w.now, zone, w.now, false)
@@ -75,7 +75,7 @@
 }
 
 // open sends one opening to a reachable zone, or as a probe.
-func (w *world) open() {
+func (w *simulation) open() {
 	w.opened++
 	zones := []lb.Zone{zoneA, zoneB}
 	if w.opened%2 == 0 {
@@ -96,20 +96,20 @@
 	w.refused++
 }
 
-func (w *world) partition(zones ...lb.Zone) {
+func (w *simulation) partition(zones ...lb.Zone) {
 	for _, zone := range zones {
 		w.backEndsDown[zone], w.balancersDown[zone] = true, true
 	}
 }
 
-func (w *world) heal() { clear(w.backEndsDown); clear(w.balancersDown) }
+func (w *simulation) heal() { clear(w.backEndsDown); clear(w.balancersDown) }
 
 // TestPartitionedZoneWithoutLocalBackEnds covers a zone that is partitioned from the only zones
 // with back ends. All its openings except probes must be refused within half a second, a usual
 // objective, and served again within about the same time after the partition heals.
 func TestPartitionedZoneWithoutLocalBackEnds(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.SetNodes(24)
 	w.run(2 * time.Second)
 	is.True(w.AllReachable())
@@ -137,7 +137,7 @@
 // unreachable, the other zone gets all flows and none is refused.
 func TestPartitionDuringOverflow(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.run(2 * time.Second)
 	w.partition(zoneB)
 	w.run(5 * time.Second)
@@ -153,12 +153,12 @@
 // immediately retry at other nodes, while a node that still receives messages continues.
 func TestSingleNodeIsPartitioned(t *testing.T) {
 	is := is.New(t)
-	partitioned, other := newWorld(), newWorld()
-	for _, w := range []*world{partitioned, other} {
+	partitioned, other := newSimulation(), newSimulation()
+	for _, w := range []*simulation{partitioned, other} {
 		w.run(2 * time.Second)
 	}
 	partitioned.partition(zoneA, zoneB)
-	for _, w := range []*world{partitioned, other} {
+	for _, w := range []*simulation{partitioned, other} {
 		w.run(3 * time.Second)
 	}
 	is.True(partitioned.refused > 0)
@@ -170,7 +170,7 @@
 // while its back ends answer.
 func TestZoneWithoutBalancersIsReachable(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.run(2 * time.Second)
 	w.balancersDown[zoneB] = true
 	for range 50 {
@@ -188,7 +188,7 @@
 // individually instead.
 func TestBackEndsOfAllZonesFail(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.run(2 * time.Second)
 	w.backEndsDown[zoneB] = true
 	w.backEndsDown[zoneA] = true
@@ -209,7 +209,7 @@
 // has ever answered.
 func TestZonesWithoutAnyAnswerStayReachable(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.partition(zoneA, zoneB)
 	w.run(10 * time.Second)
 	is.Equal(w.refused, 0)
@@ -220,7 +220,7 @@
 // answers may have waited in the socket, or been dropped.
 func TestOpeningsBeforePauseAreIgnored(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimulation()
 	w.run(2 * time.Second)
 	for number := range 20 {
 		w.pending = append(w.pending, unansweredOpening{zoneA, Identity(number), w.now})
--- a/internal/steering/compiler.go
+++ b/internal/steering/compiler.go
@@ -140,7 +140,7 @@
 }
 
 // appendHost adds a host that was created after all hosts already added. A host whose hash is taken
-// by an earlier host gets no flows, because the tokens of the two could not be told apart.
+// by an earlier host gets no flows, because the tokens of the two could not be distinguished.
 func (c *Compiler) appendHost(table *Table, host *Host) {
 	c.zones[host.Zone]++
 	c.recordCollision(host, table.byInstance.get(host.InstanceID))
@@ -309,8 +309,8 @@
 			service.evacuated++
 		case roleLapsed:
 			service.Lapsed = append(service.Lapsed, host)
-			if host.goneInOutage {
-				service.goneInOutage++
+			if host.deletedInOutage {
+				service.deletedInOutage++
 			}
 		case roleCold:
 			service.Cold = append(service.Cold, host)
@@ -339,7 +339,7 @@
 	backend := &known.Backend
 	host := &Host{
 		Backend: *backend, InstanceID: backend.InstanceID(), tokenHash: tokenHash(backend.Name, backend.StartUnixMillis),
-		rendezvousKey: xxhash.Sum64String(string(backend.Name)), goneInOutage: known.DeletedDuringOutage,
+		rendezvousKey: xxhash.Sum64String(string(backend.Name)), deletedInOutage: known.DeletedDuringOutage,
 	}
 	host.ringKey = rendezvous.Mix(host.InstanceID)
 	if known.Previous != nil {
@@ -359,7 +359,8 @@
 	case c.evacuated[host.Zone]:
 		host.role = roleEvacuated
 	case known.Deleted && lapsed <= now:
-	case known.Deleted && cold: // not a last resort: a cold host accepts few flows, if it is alive at all
+	case known.Deleted && cold:
+		// Not a last resort: a cold host accepts few flows, if it is alive at all.
 		host.roleUntil = min(known.ColdUntil, lapsed)
 	case known.Deleted:
 		host.role, host.roleUntil = roleLapsed, lapsed
--- a/internal/steering/compiler_test.go
+++ b/internal/steering/compiler_test.go
@@ -20,9 +20,9 @@
 	text := fmt.Sprintf("version %d, revision %d, expires %s", table.Version(), table.Revision(), table.Expires())
 	var services []string
 	for name, service := range table.Services() {
-		services = append(services, fmt.Sprintf("\n%s: ready %s, ring %s, lapsed %s, cold %s at %g, needed %t, evacuated %d, gone in outage %d, zones %v, even %v, sums %v %v",
+		services = append(services, fmt.Sprintf("\n%s: ready %s, ring %s, lapsed %s, cold %s at %g, needed %t, evacuated %d, deleted in outage %d, zones %v, even %v, sums %v %v",
 			name, describeHosts(service.Ready), describeHosts(service.Ring()), describeHosts(service.Lapsed), describeHosts(service.Cold), service.ColdRate,
-			service.ColdNeeded, service.evacuated, service.goneInOutage, service.zoneCapacity, service.even, service.evenWeights(), service.runningCapacities()))
+			service.ColdNeeded, service.evacuated, service.deletedInOutage, service.zoneCapacity, service.even, service.evenWeights(), service.runningCapacities()))
 	}
 	for key, built := range table.frontends {
 		services = append(services, fmt.Sprintf("\nfront end %v: %v %v", key, built.services, built.sums))
@@ -66,7 +66,7 @@
 		Created:         rapid.Int64Range(1, revision).Draw(t, "created"),
 		Slots:           rapid.IntRange(0, 4).Draw(t, "slots"),
 		ColdMillis:      rapid.SampledFrom([]int64{0, 0, 500, 2000}).Draw(t, "cold"),
-		StartUnixMillis: rapid.Int64Range(0, 2).Draw(t, "born"),
+		StartUnixMillis: rapid.Int64Range(0, 2).Draw(t, "start"),
 	}
 }
 
@@ -77,7 +77,7 @@
 		frontend := lb.Frontend{Address: netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), 443+port), Protocol: lb.TCP}
 		configuration.Routes = append(configuration.Routes, view.Route{Frontend: frontend, Targets: []view.Target{target}})
 	}
-	if rapid.Bool().Draw(t, "bounded") {
+	if rapid.Bool().Draw(t, "cold rates") {
 		configuration.ColdRates = []view.ColdRate{{Service: "web", PerSecond: 5}}
 	}
 	return configuration
@@ -153,8 +153,8 @@
 	return text
 }
 
-// namesWithOneHash returns two names that have the same hash.
-func namesWithOneHash(t *testing.T) (first, second lb.BackendName) {
+// namesWithSameHash returns two names that have the same hash.
+func namesWithSameHash(t *testing.T) (first, second lb.BackendName) {
 	t.Helper()
 	seen := map[uint32]lb.BackendName{}
 	for number := range 1 << 20 {
@@ -165,7 +165,7 @@
 		}
 		seen[hash] = name
 	}
-	t.Fatal("no two names have one hash")
+	t.Fatal("no two names have the same hash")
 	return "", ""
 }
 
@@ -173,12 +173,12 @@
 // other back end with the same hash gets flows.
 func TestHashPassesToRemainingHost(t *testing.T) {
 	is := is.New(t)
-	first, second := namesWithOneHash(t)
-	world := newWorld()
-	world.host("i-1", "web", zoneA, lb.BackendActive)
-	world.host(first, "web", zoneA, lb.BackendActive)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	replica, compiler := world.replica(), NewCompiler(zoneA)
+	first, second := namesWithSameHash(t)
+	builder := newViewBuilder()
+	builder.addHost("i-1", "web", zoneA, lb.BackendActive)
+	builder.addHost(first, "web", zoneA, lb.BackendActive)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	replica, compiler := builder.replica(), NewCompiler(zoneA)
 	is.Equal(describeHosts(compiler.Compile(replica, 0).services["web"].Ready), describeHosts(Compile(replica, zoneA, 0).services["web"].Ready))
 	other := view.Backend{
 		Name: second, Identity: 99, Service: "web", Zone: zoneA, State: lb.BackendActive, Created: 20,
@@ -197,18 +197,18 @@
 // sizedReplica returns a view of two services in which four fifths of the back ends belong to one
 // service, as in a fleet that serves mainly one purpose.
 func sizedReplica(hosts int) *view.Replica {
-	world := newWorld()
+	builder := newViewBuilder()
 	for index := range hosts {
 		service := lb.ServiceName("web")
 		if index%5 == 0 {
 			service = "docs"
 		}
-		world.host(lb.BackendName(fmt.Sprintf("i-%08x", uint32(index)*2654435761)), service, lb.Zone(fmt.Sprintf("zone-%d", index%5)), lb.BackendActive)
+		builder.addHost(lb.BackendName(fmt.Sprintf("i-%08x", uint32(index)*2654435761)), service, lb.Zone(fmt.Sprintf("zone-%d", index%5)), lb.BackendActive)
 	}
 	for index := range 250 {
-		world.route(uint16(1000+index), view.Target{Service: "web", Weight: 1})
+		builder.addRoute(uint16(1000+index), view.Target{Service: "web", Weight: 1})
 	}
-	return world.replica()
+	return builder.replica()
 }
 
 // BenchmarkChangeOfOneHost measures the compilation of a table after a change of one back end.
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -37,8 +37,9 @@
 	role    role
 	// roleUntil is when role, Cold and Warming stop being valid; 0 means when the view changes.
 	roleUntil time.Duration
-	// goneInOutage is set if the entry of the back end was deleted while the store was unreachable.
-	goneInOutage bool
+	// deletedInOutage is set if the entry of the back end was deleted while the store was
+	// unreachable.
+	deletedInOutage bool
 	// tokenHash is the part of tokens that names this host. previousHash is that part for the
 	// host's previous instance, if it restarted a short time ago.
 	tokenHash, previousHash uint32
@@ -77,9 +78,9 @@
 	ColdNeeded bool
 	// evacuated counts the hosts that would accept new flows if their zone were not evacuated.
 	evacuated int
-	// goneInOutage counts the lapsed hosts whose entries were deleted while the store was
+	// deletedInOutage counts the lapsed hosts whose entries were deleted while the store was
 	// unreachable.
-	goneInOutage int
+	deletedInOutage int
 	// lapsedInUse is set if the lapsed hosts get new flows as the ready ones do.
 	lapsedInUse bool
 	ring        []*Host
@@ -167,7 +168,7 @@
 // the remaining ones would be overloaded. An entry that is deleted while the store is reachable
 // belongs to a back end that leaves, which must get no new flows.
 func (s *Service) useLapsed() {
-	if s.goneInOutage == 0 || s.goneInOutage < len(s.Ready) {
+	if s.deletedInOutage == 0 || s.deletedInOutage < len(s.Ready) {
 		return
 	}
 	s.Ready = append(s.Ready, s.Lapsed...)
@@ -238,10 +239,10 @@
 func (t *Table) ServiceNamed(name lb.ServiceName) *Service { return t.services[name] }
 
 // Pick returns the host for a new flow: the ready host that ranks highest in weighted rendezvous
-// hashing, a lapsed host if no host is ready, or nil if there is neither. The weights are
-// one per ready host, as HostWeights returns them; nil selects the weights that follow from
-// EvenZoneWeights. The factors, from 0 to 1, are those by which this balancer multiplies the weight
-// of each ready host; nil changes no weight, which makes the choice the same at all balancers of
+// hashing, a lapsed host if no host is ready, or nil if there is neither. weights holds one weight
+// per ready host, as returned by HostWeights; nil selects the weights that follow from
+// EvenZoneWeights. factors holds one factor per ready host, from 0 to 1, by which this balancer
+// multiplies its weight; nil changes no weight, which makes the choice the same at all balancers of
 // the zone. Hosts with FactorUnreachable get no flows.
 func (s *Service) Pick(flow lb.FlowID, weights, factors []float64) *Host {
 	if weights == nil {
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -17,62 +17,64 @@
 	zoneB = lb.Zone("zone-b")
 )
 
-// world builds replicas to compile tables from.
-type world struct {
+// viewBuilder builds replicas of a view, from which tests compile tables.
+type viewBuilder struct {
 	listing view.Listing
 }
 
-func newWorld() *world { return &world{listing: view.Listing{Revision: 10}} }
+func newViewBuilder() *viewBuilder { return &viewBuilder{listing: view.Listing{Revision: 10}} }
 
-func (world *world) host(name lb.BackendName, service lb.ServiceName, zone lb.Zone, state lb.BackendState) {
-	world.listing.Backends = append(world.listing.Backends, view.StoredBackend{Revision: 5, Backend: view.Backend{
-		Name: name, Identity: uint64(len(world.listing.Backends) + 1), Service: service, Zone: zone, State: state,
-		Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+len(world.listing.Backends))),
-		Created: int64(len(world.listing.Backends) + 1),
+func (builder *viewBuilder) addHost(name lb.BackendName, service lb.ServiceName, zone lb.Zone, state lb.BackendState) {
+	builder.listing.Backends = append(builder.listing.Backends, view.StoredBackend{Revision: 5, Backend: view.Backend{
+		Name: name, Identity: uint64(len(builder.listing.Backends) + 1), Service: service, Zone: zone, State: state,
+		Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1000+len(builder.listing.Backends))),
+		Created: int64(len(builder.listing.Backends) + 1),
 	}})
 }
 
-func (world *world) route(port uint16, targets ...view.Target) {
-	if world.listing.Configuration == nil {
-		world.listing.Configuration = &view.StoredConfiguration{
+func (builder *viewBuilder) addRoute(port uint16, targets ...view.Target) {
+	if builder.listing.Configuration == nil {
+		builder.listing.Configuration = &view.StoredConfiguration{
 			Revision: 3, Configuration: view.Configuration{Version: 1},
 		}
 	}
 	frontend := lb.Frontend{Address: netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), port), Protocol: lb.TCP}
-	routes := &world.listing.Configuration.Configuration.Routes
+	routes := &builder.listing.Configuration.Configuration.Routes
 	*routes = append(*routes, view.Route{Frontend: frontend, Targets: targets})
 }
 
-func (world *world) replica() *view.Replica {
+func (builder *viewBuilder) replica() *view.Replica {
 	replica := view.NewReplica()
-	replica.ApplyListing(0, &world.listing)
+	replica.ApplyListing(0, &builder.listing)
 	return replica
 }
 
-func (world *world) table(zone lb.Zone) *Table { return Compile(world.replica(), zone, 0) }
+func (builder *viewBuilder) table(zone lb.Zone) *Table { return Compile(builder.replica(), zone, 0) }
 
 func flowTo(port uint16, number int) lb.FlowKey {
 	source := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(number >> 8), byte(number)}), uint16(1024+number%50000))
 	return lb.NewFlowKey(source, netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), port), lb.TCP)
 }
 
-func fill(world *world, count int) {
+func addHosts(builder *viewBuilder, count int) {
 	for index := range count {
 		zone := zoneA
 		if index%2 == 1 {
 			zone = zoneB
 		}
-		world.host(lb.BackendName(fmt.Sprintf("i-%d", index)), "web", zone, lb.BackendActive)
+		builder.addHost(lb.BackendName(fmt.Sprintf("i-%d", index)), "web", zone, lb.BackendActive)
 	}
 }
 
+// TestTablesOfOneViewAgree checks that two tables of one view choose the same back end for each
+// flow.
 func TestTablesOfOneViewAgree(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 9)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	first := world.table(zoneA)
-	second := world.table(zoneA)
+	builder := newViewBuilder()
+	addHosts(builder, 9)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	first := builder.table(zoneA)
+	second := builder.table(zoneA)
 	for number := range 2000 {
 		flow := flowTo(443, number)
 		left := first.Service(&flow).Pick(flow.ID(), nil, nil)
@@ -81,13 +83,14 @@
 	}
 }
 
+// TestTokenResolvesToItsHost checks that a token resolves to its host at its own front end only.
 func TestTokenResolvesToItsHost(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 20)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	world.route(8443, view.Target{Service: "web", Weight: 1})
-	table := world.table(zoneA)
+	builder := newViewBuilder()
+	addHosts(builder, 20)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	builder.addRoute(8443, view.Target{Service: "web", Weight: 1})
+	table := builder.table(zoneA)
 	for number := range 500 {
 		flow := flowTo(443, number)
 		frontend := flow.Frontend()
@@ -102,13 +105,14 @@
 	}
 }
 
+// TestTrafficSplitMatchesWeights checks the split of new flows over the services of a route.
 func TestTrafficSplitMatchesWeights(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	world.host("i-1", "blue", zoneA, lb.BackendActive)
-	world.host("i-2", "green", zoneA, lb.BackendActive)
-	world.route(443, view.Target{Service: "blue", Weight: 70}, view.Target{Service: "green", Weight: 30}, view.Target{Service: "none", Weight: 0})
-	table := world.table(zoneA)
+	builder := newViewBuilder()
+	builder.addHost("i-1", "blue", zoneA, lb.BackendActive)
+	builder.addHost("i-2", "green", zoneA, lb.BackendActive)
+	builder.addRoute(443, view.Target{Service: "blue", Weight: 70}, view.Target{Service: "green", Weight: 30}, view.Target{Service: "none", Weight: 0})
+	table := builder.table(zoneA)
 	const requests = 200
 	for batch := range 20 {
 		blue := 0
@@ -123,13 +127,15 @@
 	}
 }
 
+// TestDrainingHostKeepsOnlyOldFlows checks that a draining host gets no new flows while the tokens
+// of its open flows still resolve.
 func TestDrainingHostKeepsOnlyOldFlows(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	world.host("i-1", "web", zoneA, lb.BackendDraining)
-	world.host("i-2", "web", zoneB, lb.BackendActive)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	table := world.table(zoneA)
+	builder := newViewBuilder()
+	builder.addHost("i-1", "web", zoneA, lb.BackendDraining)
+	builder.addHost("i-2", "web", zoneB, lb.BackendActive)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	table := builder.table(zoneA)
 	for number := range 200 {
 		flow := flowTo(443, number)
 		frontend := flow.Frontend()
@@ -143,12 +149,12 @@
 // last resort, and that the evacuation is listed before the hosts of the zone.
 func TestEvacuatedZoneKeepsOnlyOldFlows(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	world.host("i-1", "web", zoneA, lb.BackendActive)
-	world.host("i-2", "web", zoneB, lb.BackendActive)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	world.listing.Evacuations = []view.StoredEvacuation{{Revision: 9, Zone: zoneA}}
-	replica := world.replica()
+	builder := newViewBuilder()
+	builder.addHost("i-1", "web", zoneA, lb.BackendActive)
+	builder.addHost("i-2", "web", zoneB, lb.BackendActive)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	builder.listing.Evacuations = []view.StoredEvacuation{{Revision: 9, Zone: zoneA}}
+	replica := builder.replica()
 	table := Compile(replica, zoneA, 0)
 	for number := range 200 {
 		flow := flowTo(443, number)
@@ -180,17 +186,17 @@
 // service has a configured cold rate.
 func TestColdHostsGetNoNewFlows(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	world.host("i-1", "web", zoneA, lb.BackendActive)
-	world.host("i-2", "web", zoneA, lb.BackendActive)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	world.listing.Backends[1].Backend.ColdMillis = 2000
+	builder := newViewBuilder()
+	builder.addHost("i-1", "web", zoneA, lb.BackendActive)
+	builder.addHost("i-2", "web", zoneA, lb.BackendActive)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	builder.listing.Backends[1].Backend.ColdMillis = 2000
 	flow := flowTo(443, 1)
-	unlimited := world.table(zoneA)
+	unlimited := builder.table(zoneA)
 	is.Equal(len(unlimited.Service(&flow).Ready), 2) // no cold rate is configured
 
-	world.listing.Configuration.Configuration.ColdRates = []view.ColdRate{{Service: "web", PerSecond: 10}}
-	replica := world.replica()
+	builder.listing.Configuration.Configuration.ColdRates = []view.ColdRate{{Service: "web", PerSecond: 10}}
+	replica := builder.replica()
 	table := Compile(replica, zoneA, time.Second)
 	service := table.Service(&flow)
 	is.Equal(len(service.Ready), 1)
@@ -212,31 +218,36 @@
 	is.Equal(deleted.Lapsed[0].Name, lb.BackendName("i-1"))
 }
 
+// TestColdHostsAreNeededAsMajority checks that cold hosts get new flows if they have more capacity
+// than the ready hosts.
 func TestColdHostsAreNeededAsMajority(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
+	builder := newViewBuilder()
 	for index, slots := range []int{4, 3, 2} {
-		world.host(lb.BackendName(fmt.Sprintf("i-%d", index)), "web", zoneA, lb.BackendActive)
-		world.listing.Backends[index].Backend.Slots = slots
+		builder.addHost(lb.BackendName(fmt.Sprintf("i-%d", index)), "web", zoneA, lb.BackendActive)
+		builder.listing.Backends[index].Backend.Slots = slots
 		if index > 0 {
-			world.listing.Backends[index].Backend.ColdMillis = 2000
+			builder.listing.Backends[index].Backend.ColdMillis = 2000
 		}
 	}
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	world.listing.Configuration.Configuration.ColdRates = []view.ColdRate{{Service: "web", PerSecond: 10}}
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	builder.listing.Configuration.Configuration.ColdRates = []view.ColdRate{{Service: "web", PerSecond: 10}}
 	flow := flowTo(443, 1)
-	service := world.table(zoneA).Service(&flow)
+	service := builder.table(zoneA).Service(&flow)
 	is.True(service.ColdNeeded) // 4 slots ready, 5 cold
 	is.Equal(service.PickCold(flow.ID(), func(*Host) bool { return false }), nil)
 	is.Equal(service.PickCold(flow.ID(), func(host *Host) bool { return host.Name == "i-2" }).Name, lb.BackendName("i-2"))
 }
 
+// TestDeletedHostKeepsFlowsAsLastResort checks that a host that was deleted without a drain gets
+// new flows until lapsedTimeout if no other host is left, and that its open flows continue after
+// that.
 func TestDeletedHostKeepsFlowsAsLastResort(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	world.host("i-1", "web", zoneA, lb.BackendActive)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	replica := world.replica()
+	builder := newViewBuilder()
+	builder.addHost("i-1", "web", zoneA, lb.BackendActive)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	replica := builder.replica()
 	replica.ApplyChanges(time.Second, &view.Changes{Revision: 11, Changes: []view.Change{{Revision: 11, Deleted: "i-1"}}})
 
 	soon := Compile(replica, zoneA, time.Second)
@@ -251,13 +262,14 @@
 	is.Equal(later.Expires(), time.Duration(0))
 }
 
+// TestUnknownFrontendHasNoService checks that a flow to a front end without a route has no service.
 func TestUnknownFrontendHasNoService(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 2)
-	world.route(443, view.Target{Service: "web", Weight: 1})
+	builder := newViewBuilder()
+	addHosts(builder, 2)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
 	flow := flowTo(80, 1)
-	is.Equal(world.table(zoneA).Service(&flow), nil)
+	is.Equal(builder.table(zoneA).Service(&flow), nil)
 }
 
 // TestOlderHostOwnsCollidingHash checks that the host created first owns a hash that two hosts
@@ -265,9 +277,9 @@
 // two.
 func TestOlderHostOwnsCollidingHash(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	world.host("i-1", "web", zoneA, lb.BackendActive)
-	known := world.replica().Backends()
+	builder := newViewBuilder()
+	builder.addHost("i-1", "web", zoneA, lb.BackendActive)
+	known := builder.replica().Backends()
 	duplicate := known[0]
 	duplicate.Backend.Identity = 99
 	duplicate.Backend.Created = known[0].Backend.Created + 1
@@ -283,10 +295,10 @@
 }
 
 func BenchmarkPick(b *testing.B) {
-	world := newWorld()
-	fill(world, 18)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	table := world.table(zoneA)
+	builder := newViewBuilder()
+	addHosts(builder, 18)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	table := builder.table(zoneA)
 	flow := flowTo(443, 1)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -298,16 +310,16 @@
 // behind 3,300 front ends.
 func BenchmarkCompile(b *testing.B) {
 	const hosts, services, frontends = 4800, 275, 3300
-	world := newWorld()
+	builder := newViewBuilder()
 	for index := range hosts {
 		service := lb.ServiceName(fmt.Sprintf("service-%d", index%services))
-		world.host(lb.BackendName(fmt.Sprintf("i-%d", index)), service, lb.Zone(fmt.Sprintf("zone-%d", index%12)), lb.BackendActive)
+		builder.addHost(lb.BackendName(fmt.Sprintf("i-%d", index)), service, lb.Zone(fmt.Sprintf("zone-%d", index%12)), lb.BackendActive)
 	}
 	for index := range frontends {
 		service := lb.ServiceName(fmt.Sprintf("service-%d", index%services))
-		world.route(uint16(1000+index), view.Target{Service: service, Weight: 1})
+		builder.addRoute(uint16(1000+index), view.Target{Service: service, Weight: 1})
 	}
-	replica := world.replica()
+	replica := builder.replica()
 	b.ReportAllocs()
 	for b.Loop() {
 		Compile(replica, "zone-1", 0)
--- a/internal/steering/weights_test.go
+++ b/internal/steering/weights_test.go
@@ -31,21 +31,21 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			world := newWorld()
+			builder := newViewBuilder()
 			zones := make([]lb.Zone, len(test.hosts))
 			total := 0
 			for zone, count := range test.hosts {
 				zones[zone] = lb.Zone(fmt.Sprintf("zone-%d", zone))
 				for index := range count {
-					world.host(lb.BackendName(fmt.Sprintf("i-%d-%d", zone, index)), "web", zones[zone], lb.BackendActive)
+					builder.addHost(lb.BackendName(fmt.Sprintf("i-%d-%d", zone, index)), "web", zones[zone], lb.BackendActive)
 				}
 				// A host of another service makes every zone known.
-				world.host(lb.BackendName(fmt.Sprintf("i-other-%d", zone)), "other", zones[zone], lb.BackendActive)
+				builder.addHost(lb.BackendName(fmt.Sprintf("i-other-%d", zone)), "other", zones[zone], lb.BackendActive)
 				total += count
 			}
 			load := map[lb.BackendName]float64{}
 			for _, zone := range zones {
-				service := world.table(zone).services["web"]
+				service := builder.table(zone).services["web"]
 				sum := 0.0
 				for _, weight := range service.evenWeights() {
 					sum += weight
@@ -64,10 +64,10 @@
 // TestZoneKeepsItsFlows checks that no more flows cross zones than an even load requires.
 func TestZoneKeepsItsFlows(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 10) // five in each of two zones
+	builder := newViewBuilder()
+	addHosts(builder, 10) // five in each of two zones
 	local := 0.0
-	service := world.table(zoneA).services["web"]
+	service := builder.table(zoneA).services["web"]
 	for index, host := range service.Ready {
 		if host.Zone == zoneA {
 			local += service.evenWeights()[index]
@@ -79,10 +79,10 @@
 // TestFlowsFollowWeights checks that each host gets flows in proportion to its weight.
 func TestFlowsFollowWeights(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 10)
-	world.route(443, view.Target{Service: "web", Weight: 1})
-	service := world.table(zoneA).services["web"]
+	builder := newViewBuilder()
+	addHosts(builder, 10)
+	builder.addRoute(443, view.Target{Service: "web", Weight: 1})
+	service := builder.table(zoneA).services["web"]
 	const flows = 20000
 	counts := map[lb.BackendName]int{}
 	halved := service.Ready[0]
@@ -108,11 +108,12 @@
 	}
 }
 
+// TestFactorZeroHostGetsNoFlows checks both choices of a host.
 func TestFactorZeroHostGetsNoFlows(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 4)
-	service := world.table(zoneA).services["web"]
+	builder := newViewBuilder()
+	addHosts(builder, 4)
+	service := builder.table(zoneA).services["web"]
 	excluded := service.Ready[1]
 	factors := []float64{1, 0, 1, 1}
 	for number := range 200 {
@@ -125,9 +126,9 @@
 // unresponsive: it is at fault itself, and must place flows as if it had no factors.
 func TestFactorsAreIgnoredWhenMostAreZero(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 5)
-	service := world.table(zoneA).services["web"]
+	builder := newViewBuilder()
+	addHosts(builder, 5)
+	service := builder.table(zoneA).services["web"]
 	factors := []float64{1, 1, 0, 0, 0}
 	for number := range 200 {
 		flow := lb.FlowID(number)
@@ -138,12 +139,12 @@
 // TestPickAlternativeFollowsCapacities checks that PickAlternative ignores zones.
 func TestPickAlternativeFollowsCapacities(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 6)
-	for index := range world.listing.Backends {
-		world.listing.Backends[index].Backend.Slots = index // a stated capacity of 0 counts as 1
+	builder := newViewBuilder()
+	addHosts(builder, 6)
+	for index := range builder.listing.Backends {
+		builder.listing.Backends[index].Backend.Slots = index // a stated capacity of 0 counts as 1
 	}
-	service := world.table(zoneA).services["web"]
+	service := builder.table(zoneA).services["web"]
 	const flows = 20000
 	counts := map[lb.BackendName]int{}
 	for number := range flows {
@@ -185,13 +186,13 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			world := newWorld()
-			fill(world, 6)
-			replica := world.replica()
+			builder := newViewBuilder()
+			addHosts(builder, 6)
+			replica := builder.replica()
 			changes := &view.Changes{Revision: 20}
 			for index := range test.lapsed {
 				changes.Changes = append(changes.Changes, view.Change{
-					Revision: int64(11 + index), Deleted: world.listing.Backends[index].Backend.Name,
+					Revision: int64(11 + index), Deleted: builder.listing.Backends[index].Backend.Name,
 				})
 			}
 			replica.SetAge(test.age)
@@ -211,15 +212,16 @@
 // ones did not exist.
 func TestUnreachableHostsGetNoFlows(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 6)
-	service := world.table(zoneA).services["web"]
+	builder := newViewBuilder()
+	addHosts(builder, 6)
+	service := builder.table(zoneA).services["web"]
 	unreachable := FactorUnreachable
 	for number := range 200 {
 		flow := lb.FlowID(number)
 		is.Equal(service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}), nil)
 		is.Equal(service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, 0, 1, 0.5}) == service.Ready[3], false)
-		chosen := service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, 0, 0, 1}) // most reachable hosts are unresponsive
+		// Most reachable hosts are unresponsive, so that their factors are ignored.
+		chosen := service.Pick(flow, nil, []float64{unreachable, unreachable, unreachable, 0, 0, 1})
 		is.True(chosen == service.Ready[3] || chosen == service.Ready[4] || chosen == service.Ready[5])
 		is.Equal(service.PickAlternative(flow, []float64{unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}), nil)
 	}
@@ -229,13 +231,13 @@
 // capacity it states.
 func TestWarmingHostsHaveLowerCapacity(t *testing.T) {
 	is := is.New(t)
-	world := newWorld()
-	fill(world, 2)
-	for index := range world.listing.Backends {
-		world.listing.Backends[index].Backend.Slots = 4
+	builder := newViewBuilder()
+	addHosts(builder, 2)
+	for index := range builder.listing.Backends {
+		builder.listing.Backends[index].Backend.Slots = 4
 	}
-	world.listing.Backends[0].Backend.ColdMillis = 2000
-	replica := world.replica()
+	builder.listing.Backends[0].Backend.ColdMillis = 2000
+	replica := builder.replica()
 	table := Compile(replica, zoneA, time.Second)
 	ready := table.services["web"].Ready
 	is.Equal(len(ready), 2) // no limit on its new flows is configured
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,7 +1,7 @@
 // Package subset distributes one node's new flows over a deterministic subset of a service's back
 // ends by smooth weighted round-robin. A node receives some twenty openings a second. Distributed
-// randomly over all back ends of a zone they would give the node almost no measurements of any of
-// them, and some back ends would receive three at once while others were idle. A node therefore
+// randomly over all back ends of a zone, they would yield almost no measurements of any of them,
+// and some back ends would receive three at once while others were idle. A node therefore
 // uses a subset of neighbouring back ends on a ring, which it shares with a few other nodes, so
 // that it observes a large part of their work. The subsets of the nodes of a zone cover the ring
 // evenly. The nodes need no agreement: each computes its subset from its own list of members and
@@ -26,8 +26,8 @@
 type Backend struct {
 	Identity Identity
 	Zone     lb.Zone
-	// Size is the relative capacity: slots times speed.
-	Size float64
+	// RelativeCapacity is the relative capacity: slots times speed.
+	RelativeCapacity float64
 }
 
 // Position is the rank of a node among the nodes of its zone that are not leaving, in an order that
@@ -88,9 +88,9 @@
 
 // zoneRing is the order of the back ends of one zone.
 type zoneRing struct {
-	zone    lb.Zone
-	members []member
-	size    float64 // sum of the sizes of all members
+	zone     lb.Zone
+	members  []member
+	capacity float64 // sum of the sizes of all members
 }
 
 // NewRing orders the back ends. Pick returns indexes into the given list.
@@ -103,7 +103,7 @@
 			inZone = &zoneRing{zone: backend.Zone}
 			byZone[backend.Zone] = inZone
 		}
-		inZone.members = append(inZone.members, member{index: index, identity: backend.Identity, weight: backend.Size})
+		inZone.members = append(inZone.members, member{index: index, identity: backend.Identity, weight: backend.RelativeCapacity})
 	}
 	ring := &Ring{}
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
@@ -112,7 +112,7 @@
 			slices.SortFunc(inZone.members, compareMembers)
 		}
 		for index := range inZone.members {
-			inZone.size += inZone.members[index].weight
+			inZone.capacity += inZone.members[index].weight
 		}
 		ring.zones = append(ring.zones, *inZone)
 	}
@@ -160,7 +160,7 @@
 	var members []member
 	at := 0.0
 	for _, m := range zone.members {
-		length := m.weight / zone.size
+		length := m.weight / zone.capacity
 		covered := overlap(at, at+length, from, from+arc) + overlap(at, at+length, from-1, from+arc-1)
 		at += length
 		if covered > 0 {
@@ -182,8 +182,8 @@
 // Pick returns the index, in the list passed to NewRing, of the back end for the next flow. It
 // returns -1 if there is none, or if more than maxUnavailable of the subset in the selected zone is
 // unavailable. zoneWeights are the fractions of this node's flows per zone. factor returns the
-// factor, from 0 to 1, by which a back end's weight is multiplied, and inFlight returns the
-// number of this node's requests in flight there.
+// factor, from 0 to 1, by which a back end's weight is multiplied, and inFlight returns the number
+// of this node's requests in flight there.
 func (p *Picker) Pick(zoneWeights map[lb.Zone]float64, factor func(index int) float64, inFlight func(index int) int) int {
 	best := p.pickZone(zoneWeights, factor)
 	if best == nil || best.unavailable > maxUnavailable {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -10,21 +10,21 @@
 	"robinpulley.example/robinpulley/internal/lb"
 )
 
-// fleetOf returns back ends in zones, with sizes from one to three.
-func fleetOf(perZone ...int) []Backend {
+// makeBackends returns back ends in zones, with sizes from one to three.
+func makeBackends(perZone ...int) []Backend {
 	var backends []Backend
 	for zone, count := range perZone {
 		for range count {
 			backends = append(backends, Backend{
 				Identity: Identity(len(backends) + 1), Zone: lb.Zone(fmt.Sprintf("zone-%d", zone)),
-				Size: float64(1 + len(backends)%3),
+				RelativeCapacity: float64(1 + len(backends)%3),
 			})
 		}
 	}
 	return backends
 }
 
-// zoneWeights returns the weights of the zones of fleetOf.
+// zoneWeights returns the weights of the zones of makeBackends.
 func zoneWeights(fractions ...float64) map[lb.Zone]float64 {
 	weights := map[lb.Zone]float64{}
 	for zone, fraction := range fractions {
@@ -53,10 +53,10 @@
 	for _, nodes := range []int{1, 2, 3, 7, 24, 100} {
 		for _, hosts := range []int{1, 3, 10, 40, 400} {
 			is := is.New(t)
-			backends := fleetOf(hosts)
+			backends := makeBackends(hosts)
 			total := 0.0
 			for _, backend := range backends {
-				total += backend.Size
+				total += backend.RelativeCapacity
 			}
 			weights := make([]float64, hosts)
 			for rank := range nodes {
@@ -67,7 +67,7 @@
 				}
 			}
 			for index, weight := range weights {
-				is.True(math.Abs(weight-backends[index].Size/total) < 1e-9)
+				is.True(math.Abs(weight-backends[index].RelativeCapacity/total) < 1e-9)
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 func TestSubsetIsSmall(t *testing.T) {
 	is := is.New(t)
 	for _, nodes := range []int{4, 24, 100} {
-		backends := fleetOf(120)
+		backends := makeBackends(120)
 		nodesPerBackend := make([]int, len(backends))
 		for rank := range nodes {
 			p := New(DefaultSettings())
@@ -95,11 +95,11 @@
 	}
 }
 
-// TestPicksFollowWeights checks that the number of picks of each back end differs from the
-// number that follows from its weight by at most three.
+// TestPicksFollowWeights checks that the number of picks of each back end differs from the number
+// that follows from its weight by at most three.
 func TestPicksFollowWeights(t *testing.T) {
 	is := is.New(t)
-	backends := fleetOf(40)
+	backends := makeBackends(40)
 	p := New(DefaultSettings())
 	p.SetSubset(NewRing(backends), Position{Rank: 5, Nodes: 24}, 7)
 	const picks = 1000
@@ -112,7 +112,7 @@
 // TestZonesGetTheirWeights checks the zone weights with subsets of different sizes.
 func TestZonesGetTheirWeights(t *testing.T) {
 	is := is.New(t)
-	backends := fleetOf(10, 40, 3)
+	backends := makeBackends(10, 40, 3)
 	p := New(DefaultSettings())
 	p.SetSubset(NewRing(backends), Position{Rank: 2, Nodes: 9}, 7)
 	picked := countPicks(p, zoneWeights(0.9, 0.08, 0.02), len(backends), 1000, fullWeight, noRequests)
@@ -128,9 +128,9 @@
 // TestFactorsReduceWeights: factor 0 excludes a back end, and factor 0.5 halves its flows.
 func TestFactorsReduceWeights(t *testing.T) {
 	is := is.New(t)
-	backends := fleetOf(8)
+	backends := makeBackends(8)
 	for index := range backends {
-		backends[index].Size = 1
+		backends[index].RelativeCapacity = 1
 	}
 	p := New(DefaultSettings())
 	p.SetSubset(NewRing(backends), Position{Nodes: 1}, 7)
@@ -149,7 +149,7 @@
 // others have none, and that it does not receive all the missed flows at once afterwards.
 func TestBusyBackendsArePassedOver(t *testing.T) {
 	is := is.New(t)
-	backends := fleetOf(8)
+	backends := makeBackends(8)
 	p := New(DefaultSettings())
 	p.SetSubset(NewRing(backends), Position{Nodes: 1}, 7)
 	busy := func(index int) int {
@@ -168,17 +168,17 @@
 func TestNodesStartAtDifferentBackends(t *testing.T) {
 	is := is.New(t)
 	const nodes = 120
-	backends := fleetOf(8)
+	backends := makeBackends(8)
 	for index := range backends {
-		backends[index].Size = 1
+		backends[index].RelativeCapacity = 1
 	}
-	first := make([]int, len(backends))
+	firstPicks := make([]int, len(backends))
 	for seed := range uint64(nodes) {
 		p := New(DefaultSettings())
 		p.SetSubset(NewRing(backends), Position{Nodes: 1}, seed*0x9e3779b97f4a7c15)
-		first[p.Pick(oneZone, fullWeight, noRequests)]++
+		firstPicks[p.Pick(oneZone, fullWeight, noRequests)]++
 	}
-	for _, count := range first {
+	for _, count := range firstPicks {
 		is.True(count > 4 && count < 30) // 15 on average
 	}
 }
@@ -187,9 +187,9 @@
 // round-robin.
 func TestCreditSurvivesANewSubset(t *testing.T) {
 	is := is.New(t)
-	backends := fleetOf(8)
+	backends := makeBackends(8)
 	for index := range backends {
-		backends[index].Size = 1
+		backends[index].RelativeCapacity = 1
 	}
 	p := New(DefaultSettings())
 	picked := make([]int, len(backends))
@@ -206,7 +206,7 @@
 func TestPickAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	p := New(DefaultSettings())
-	p.SetSubset(NewRing(fleetOf(40, 40, 40)), Position{Rank: 3, Nodes: 24}, 7)
+	p.SetSubset(NewRing(makeBackends(40, 40, 40)), Position{Rank: 3, Nodes: 24}, 7)
 	zones := zoneWeights(0.98, 0.01, 0.01)
 	is.Equal(testing.AllocsPerRun(100, func() { p.Pick(zones, fullWeight, noRequests) }), 0.0)
 }
@@ -214,7 +214,7 @@
 // BenchmarkSetSubset computes a new subset of 3,000 back ends, as after each change of the zone's
 // nodes.
 func BenchmarkSetSubset(b *testing.B) {
-	ring := NewRing(fleetOf(1000, 1000, 1000))
+	ring := NewRing(makeBackends(1000, 1000, 1000))
 	p := New(DefaultSettings())
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
--- a/internal/tokennode/load_test.go
+++ b/internal/tokennode/load_test.go
@@ -34,7 +34,7 @@
 	is.Equal(len(report.Services), 2)
 	web := report.Services[1]
 	is.Equal(string(web.Service), "web")
-	is.Equal(web.Known, false)
+	is.Equal(web.LoadKnown, false)
 	is.Equal(len(web.Zones), 1)
 	is.Equal(web.Zones[0].Capacity, 8.0) // four hosts of two slots
 	is.True(web.Zones[0].Weight > 0.9)
@@ -54,7 +54,7 @@
 	})
 	testbed.waitUntil("a node reports a demand above zero", func() bool {
 		return slices.ContainsFunc(loadreport.Rows([]loadreport.Report{testbed.loadReport(0), testbed.loadReport(1)}), func(row loadreport.Row) bool {
-			return row.Service == "web" && row.Known && row.Demand > 0
+			return row.Service == "web" && row.LoadKnown && row.Demand > 0
 		})
 	})
 	close(stop)
--- a/internal/tokennode/loadreport.go
+++ b/internal/tokennode/loadreport.go
@@ -42,7 +42,7 @@
 	for name, service := range engine.table.Services() {
 		reported := loadreport.Service{Service: name, Zones: zonesOf(service, zoneWeights[name])}
 		if load, found := engine.load.Services()[name]; found {
-			reported.Known = true
+			reported.LoadKnown = true
 			reported.AgeMillis = max(0, engine.now()-load.SummedAt).Milliseconds()
 			addFleetLoad(&reported, &load)
 		}
--- a/internal/tokennode/metrics.go
+++ b/internal/tokennode/metrics.go
@@ -254,11 +254,11 @@
 			if zone.Zone == report.Zone {
 				output.Add(metricLocalWeight, zone.Weight, name)
 			}
-			if service.Known {
+			if service.LoadKnown {
 				output.zoneLoad(name, zone)
 			}
 		}
-		if service.Known {
+		if service.LoadKnown {
 			output.Add(metricLoadAge, float64(service.AgeMillis)/1000, name)
 		}
 	}
--- a/internal/weight/backend.go
+++ b/internal/weight/backend.go
@@ -24,7 +24,7 @@
 	OpeningsHalfLife time.Duration
 	// MinOpenings is the minimum number of counted openings for a decision.
 	MinOpenings uint32
-	// UnansweredPerMille is the part of unanswered openings that marks a back end as failed.
+	// UnansweredPerMille is the fraction of unanswered openings that marks a back end as failed.
 	UnansweredPerMille uint32
 	// MaxStep is the maximum change of a factor in one step, in thousandths.
 	MaxStep uint16
@@ -38,8 +38,8 @@
 	LoadFloor uint16
 	// Deadband is the deviation from the mean load that is ignored, in thousandths.
 	Deadband uint32
-	// PanicThresholdPerMille is the part of a service's back ends above which unhealthy reports are
-	// ignored, so that all back ends stay in use.
+	// PanicThresholdPerMille is the fraction of a service's back ends above which unhealthy reports
+	// are ignored, so that all back ends stay in use.
 	PanicThresholdPerMille int
 }
 
--- a/internal/weight/weight_test.go
+++ b/internal/weight/weight_test.go
@@ -17,7 +17,8 @@
 
 func unhealthy() weight.View { return weight.View{Freshness: fresh, Unhealthy: true, Load: 100} }
 
-func repeat(states []weight.BackendState, times int, settings *weight.Settings) []weight.BackendState {
+// applySteps applies Step to the states a number of times.
+func applySteps(states []weight.BackendState, times int, settings *weight.Settings) []weight.BackendState {
 	for range times {
 		for index, factor := range weight.Step(states, settings) {
 			states[index].Factor = factor
@@ -26,51 +27,62 @@
 	return states
 }
 
+// TestUnhealthyFactorFallsToFloorInBoundedSteps checks that unhealthy reports reduce the factor
+// slowly and never remove a back end.
 func TestUnhealthyFactorFallsToFloorInBoundedSteps(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	states := []weight.BackendState{{1000, healthy(100)}, {1000, healthy(100)}, {1000, unhealthy()}}
 	is.Equal(weight.Step(states, &settings), []uint16{1000, 1000, 900})
-	states = repeat(states, 50, &settings)
+	states = applySteps(states, 50, &settings)
 	is.Equal(states[2].Factor, settings.UnhealthyFloor)
 }
 
+// TestPanicModeKeepsAllFactors checks that unhealthy reports about most back ends are ignored.
 func TestPanicModeKeepsAllFactors(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	states := []weight.BackendState{{1000, healthy(100)}, {1000, unhealthy()}, {1000, unhealthy()}}
-	states = repeat(states, 50, &settings)
+	states = applySteps(states, 50, &settings)
 	for _, state := range states {
 		is.Equal(state.Factor, uint16(1000))
 	}
 }
 
+// TestSlowStartReachesFullFactor checks that a back end that starts rises step by step, with and
+// without reports.
 func TestSlowStartReachesFullFactor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	states := []weight.BackendState{{1000, healthy(500)}, {settings.SlowStart, healthy(50)}}
 	is.Equal(weight.Step(states, &settings)[1], settings.SlowStart+settings.MaxStep)
-	unreported := repeat([]weight.BackendState{{1000, weight.View{}}, {settings.SlowStart, weight.View{}}}, 9, &settings)
+	unreported := applySteps([]weight.BackendState{{1000, weight.View{}}, {settings.SlowStart, weight.View{}}}, 9, &settings)
 	is.Equal(unreported[1].Factor, uint16(1000))
 }
 
+// TestOverloadedBackEndFallsToLoadFloor checks that load reports reduce a factor no further than to
+// LoadFloor.
 func TestOverloadedBackEndFallsToLoadFloor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
 	states := []weight.BackendState{{1000, healthy(100)}, {1000, healthy(105)}, {1000, healthy(900)}}
 	next := weight.Step(states, &settings)
 	is.Equal(next[2], uint16(900))
-	states = repeat(states, 50, &settings)
+	states = applySteps(states, 50, &settings)
 	is.Equal(states[2].Factor, settings.LoadFloor)
 }
 
+// TestSlowStartRisesToLoadFloor guards against a starting back end that stays at its initial factor
+// because its load equals the mean.
 func TestSlowStartRisesToLoadFloor(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
-	states := repeat([]weight.BackendState{{1000, healthy(300)}, {settings.SlowStart, healthy(300)}}, 9, &settings)
+	states := applySteps([]weight.BackendState{{1000, healthy(300)}, {settings.SlowStart, healthy(300)}}, 9, &settings)
 	is.Equal(states[1].Factor, settings.LoadFloor)
 }
 
+// TestOldReportsCountLessAndExpire checks that newer reports outweigh older ones, and that a report
+// older than the last one of its zone is ignored.
 func TestOldReportsCountLessAndExpire(t *testing.T) {
 	is := is.New(t)
 	settings := weight.DefaultSettings()
@@ -103,6 +115,8 @@
 	is.True(!unresponsive.Unanswered(5*time.Second, &settings))
 }
 
+// TestStepsAreBounded checks with random states that factors stay in range, change by at most
+// MaxStep, and are not reduced below UnhealthyFloor.
 func TestStepsAreBounded(t *testing.T) {
 	settings := weight.DefaultSettings()
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/zoneweight/zoneweight.go
+++ b/internal/zoneweight/zoneweight.go
@@ -39,10 +39,10 @@
 	Zone lb.Zone
 	// Capacity is the number of requests that the ready back ends process concurrently, in slots.
 	Capacity float64
-	// Demand is the work that clients in the zone request, in slots, and Known states whether it is
+	// Demand is the work that clients in the zone request, in slots. DemandKnown is set if it is
 	// known. A zone with unknown demand is assumed to have no spare capacity.
-	Demand float64
-	Known  bool
+	Demand      float64
+	DemandKnown bool
 }
 
 // Weights maps the zone of the back ends to its fraction of one zone's new flows. The weights sum
@@ -54,10 +54,10 @@
 // demand.
 func EvenZones(capacity map[lb.Zone]float64, own lb.Zone, count int) []Zone {
 	demand := lb.TotalSlots(capacity) / float64(max(count, 1))
-	zones := []Zone{{Zone: own, Capacity: capacity[own], Demand: demand, Known: true}}
+	zones := []Zone{{Zone: own, Capacity: capacity[own], Demand: demand, DemandKnown: true}}
 	for zone, slots := range capacity {
 		if zone != own {
-			zones = append(zones, Zone{Zone: zone, Capacity: slots, Demand: demand, Known: true})
+			zones = append(zones, Zone{Zone: zone, Capacity: slots, Demand: demand, DemandKnown: true})
 		}
 	}
 	return sortByName(zones)
@@ -70,7 +70,7 @@
 	for index := range service.Zones {
 		zone := &service.Zones[index]
 		demand[zone.Zone] = zone.Demand()
-		zones = append(zones, Zone{Zone: zone.Zone, Capacity: capacity[zone.Zone], Demand: zone.Demand(), Known: true})
+		zones = append(zones, Zone{Zone: zone.Zone, Capacity: capacity[zone.Zone], Demand: zone.Demand(), DemandKnown: true})
 	}
 	for zone, slots := range capacity {
 		if _, known := demand[zone]; !known {
@@ -91,7 +91,7 @@
 func Split(own lb.Zone, zones []Zone, threshold float64) Weights {
 	level, total := fillLevel(zones, threshold)
 	self := slices.IndexFunc(zones, func(z Zone) bool { return z.Zone == own })
-	if self < 0 || !zones[self].Known || total == 0 {
+	if self < 0 || !zones[self].DemandKnown || total == 0 {
 		return nil
 	}
 	spare, totalSpare := spareCapacities(zones, self, level)
@@ -126,7 +126,7 @@
 	demand, capacity := 0.0, 0.0
 	for index := range zones {
 		total += zones[index].Capacity
-		if zones[index].Known {
+		if zones[index].DemandKnown {
 			demand += zones[index].Demand
 			capacity += zones[index].Capacity
 		}
@@ -153,7 +153,7 @@
 func spareCapacities(zones []Zone, self int, level float64) (spare []float64, total float64) {
 	spare = make([]float64, len(zones))
 	for index := range zones {
-		if zone := &zones[index]; index != self && zone.Known {
+		if zone := &zones[index]; index != self && zone.DemandKnown {
 			spare[index] = max(0, level*zone.Capacity-zone.Demand)
 			total += spare[index]
 		}
--- a/internal/zoneweight/zoneweight_test.go
+++ b/internal/zoneweight/zoneweight_test.go
@@ -17,7 +17,7 @@
 	for index := 0; index < len(demandAndCapacity); index += 2 {
 		made = append(made, Zone{
 			Zone: lb.Zone(fmt.Sprintf("z%d", index/2)), Demand: demandAndCapacity[index],
-			Capacity: demandAndCapacity[index+1], Known: true,
+			Capacity: demandAndCapacity[index+1], DemandKnown: true,
 		})
 	}
 	return made
@@ -48,8 +48,8 @@
 	for _, used := range utilization(overloaded, LocalThreshold) {
 		is.True(used <= 154.0/240+2*MinRemoteWeight) // total demand is above LocalThreshold, so all zones are filled equally
 	}
-	relieved := makeZones(60, 80, 20, 80, 25, 80)
-	for _, used := range utilization(relieved, LocalThreshold) {
+	belowThreshold := makeZones(60, 80, 20, 80, 25, 80)
+	for _, used := range utilization(belowThreshold, LocalThreshold) {
 		is.True(used <= LocalThreshold+2*MinRemoteWeight) // there is spare capacity below LocalThreshold, so no zone is above it
 	}
 	is.Equal(Split("z1", overloaded, LocalThreshold)["z1"], 1-MinRemoteWeight) // zones with spare capacity keep their flows
@@ -99,14 +99,14 @@
 func TestUnknownZoneGetsNoOverflow(t *testing.T) {
 	is := is.New(t)
 	all := makeZones(96, 80, 20, 80, 20, 80)
-	all[2].Known = false
+	all[2].DemandKnown = false
 	weights := Split("z0", all, LocalThreshold)
 	is.True(weights["z2"] <= MinRemoteWeight)
 	is.True(weights["z1"] > 0.2)
-	all[1].Known = false
+	all[1].DemandKnown = false
 	weights = Split("z0", all, LocalThreshold)
 	is.True(weights["z0"] >= 1-MinRemoteWeight) // no zone is known to have spare capacity
-	all[0].Known = false
+	all[0].DemandKnown = false
 	is.Equal(Split("z0", all, LocalThreshold), nil)
 }
 
@@ -117,11 +117,11 @@
 	for range 20_000 {
 		var all []Zone
 		for index := range 1 + random.IntN(12) {
-			zone := Zone{Zone: lb.Zone(fmt.Sprintf("z%02d", index)), Known: random.IntN(4) > 0}
+			zone := Zone{Zone: lb.Zone(fmt.Sprintf("z%02d", index)), DemandKnown: random.IntN(4) > 0}
 			if random.IntN(4) > 0 {
 				zone.Capacity = float64(random.IntN(100))
 			}
-			if zone.Known {
+			if zone.DemandKnown {
 				zone.Demand = math.Exp(random.Float64()*30 - 10)
 			}
 			all = append(all, zone)
@@ -167,6 +167,8 @@
 	is.Equal(moved, wanted)
 }
 
+// TestKnownZonesMergesCapacityAndDemand checks zones of which only the capacity or only the demand
+// is known.
 func TestKnownZonesMergesCapacityAndDemand(t *testing.T) {
 	is := is.New(t)
 	capacity := map[lb.Zone]float64{"za": 10, "zc": 20}
@@ -174,6 +176,6 @@
 		{Zone: "za", Levels: []fleetload.Level{{Begun: 2, Refused: 1}, {Priority: 2, Begun: 4}}}, {Zone: "zb"},
 	}}
 	is.Equal(KnownZones(capacity, &service), []Zone{
-		{Zone: "za", Capacity: 10, Demand: 7, Known: true}, {Zone: "zb", Known: true}, {Zone: "zc", Capacity: 20},
+		{Zone: "za", Capacity: 10, Demand: 7, DemandKnown: true}, {Zone: "zb", DemandKnown: true}, {Zone: "zc", Capacity: 20},
 	})
 }
