--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -31,8 +31,8 @@
 	ControlAddress netip.AddrPort
 	// AdminAddress is the endpoint for metrics, health and debugging over HTTP.
 	AdminAddress netip.AddrPort
-	// FabricReplyAddresses are the fabric's endpoints that receive refusals. It is not required
-	// with AffinityToken, where responses are sent to the client.
+	// FabricReplyAddresses are the fabric's endpoints that receive refusals. They are not required
+	// with AffinityToken, where refusals are sent to the client.
 	FabricReplyAddresses []netip.AddrPort
 
 	// StoreEndpoints are the base URLs of the store's JSON gateway, or, with AffinityToken, of the
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -122,7 +122,7 @@
 	Changes  []Document
 }
 
-// WriteOutcome says whether a write took effect.
+// WriteOutcome states whether a write took effect.
 type WriteOutcome uint8
 
 // The outcomes of a write.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Step applies one event at the time now and fills effects. A now that is earlier than that of a
-// previous call is raised to it.
+// Step applies one event at the time now and fills effects. If now is earlier than in a previous
+// call, the controller keeps the previous time.
 func (c *Controller) Step(now time.Duration, event *Event, effects *Effects) {
 	*effects = Effects{
 		Writes:     effects.Writes[:0],
--- a/internal/controller/service.go
+++ b/internal/controller/service.go
@@ -281,7 +281,7 @@
 }
 
 // updateUnreflected records whether the placement reflects the configuration. If it does not,
-// revision is the first one that the placement may lack.
+// revision is the first configuration revision that the placement may lack.
 func (c *Controller) updateUnreflected(s *service, revision int64) {
 	if c.reflectsConfiguration(s) {
 		delete(c.unreflected, s.name)
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -19,7 +19,7 @@
 }
 
 // applyMembers derives the view from the membership. Watchers are chosen among the nodes that are
-// not leaving, so that a leaving node hands publishing over while it stops.
+// not leaving, so that another node takes over publishing while a leaving node stops.
 func (c *Controller) applyMembers(members []core.Member) {
 	next := membershipView{}
 	var notLeaving []rendezvous.Candidate
--- a/internal/experiment/flow.go
+++ b/internal/experiment/flow.go
@@ -27,7 +27,7 @@
 // none is the index of a host or node that is not set.
 const none = int32(-1)
 
-// flow is the state of one flow at its client, and what the run records about the flow.
+// flow is the state of one flow at its client, with the records that the result is computed from.
 type flow struct {
 	key                lb.FlowKey
 	openingID          uint32
--- a/internal/follower/dissemination.go
+++ b/internal/follower/dissemination.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// applyDigest applies a digest. It forwards the digest only if it changes what this node knows:
-// after a pause, with another watcher, with unknown changes, or if it makes the view's age
-// noticeably lower.
+// applyDigest applies a digest. It forwards the digest only if it contains something new to this
+// node: if it is the first one after a pause, names another watcher, announces changes that this
+// node lacks, or makes the view's age noticeably lower.
 func (core *Core) applyDigest(from *PeerMessage, digest *message.ViewDigest, effects *Effects) {
 	relevant := core.now-core.lastUpdateAt >= core.settings.DigestInterval/2
 	core.lastUpdateAt = core.now
--- a/internal/follower/evacuation_test.go
+++ b/internal/follower/evacuation_test.go
@@ -42,7 +42,7 @@
 		fleet.announce()
 		fleet.run(5 * time.Second)
 		if outdated := fleet.withOtherEvacuations("zone-0"); outdated > 0 {
-			t.Errorf("seed %d: %d nodes do not have it after a restart", seed, outdated)
+			t.Errorf("seed %d: %d nodes do not have the evacuation after a restart", seed, outdated)
 		}
 		if unresponsive := fleet.randomAlive(random); fleet.countAlive() > 1 { // at least one node must reach the store
 			unresponsive.fault = faultUnresponsive
--- a/internal/follower/fleet_test.go
+++ b/internal/follower/fleet_test.go
@@ -38,7 +38,7 @@
 	core    *Core
 	dead    bool
 	fault   storeFault
-	stuck   bool // the connection of the pending read is stalled; the next read opens a new one
+	stalled bool // the connection of the pending read is stalled; the next read opens a new one
 	read    *Read
 	readAt  time.Duration         // when the pending read was started
 	calls   int                   // reads and writes, without reads that may be stale, which cost a tenth
@@ -133,7 +133,7 @@
 		return
 	}
 	if node.read != nil {
-		fleet.t.Fatalf("%s has two calls at once", node.id)
+		fleet.t.Fatalf("%s starts a read while another one is pending", node.id)
 	}
 	if effects.Read.Kind == ReadList {
 		node.listed++
@@ -215,11 +215,11 @@
 	switch {
 	case waited < storeDelay, node.read.Kind == ReadList && waited < storeDelay+fleet.listDelay:
 		return
-	case node.stuck:
+	case node.stalled:
 		if waited < node.read.Timeout {
 			return
 		}
-		node.stuck = false
+		node.stalled = false
 		result.Failure = FailureLost
 	case node.fault == faultRefused:
 		result.Failure = FailureUnavailable
--- a/internal/follower/stalled_connection_test.go
+++ b/internal/follower/stalled_connection_test.go
@@ -18,7 +18,7 @@
 			fleet := settledFleetWithin(t, 1+int(seed%3), 1+random.IntN(5), seed, limit)
 			fleet.run(time.Duration(random.IntN(250)) * simulationStep)
 			for _, node := range fleet.nodes {
-				node.stuck = node.read != nil
+				node.stalled = node.read != nil
 			}
 			fleet.store.Configure(2, 81)
 			fleet.store.Evacuate("zone-0")
--- a/internal/follower/watcher.go
+++ b/internal/follower/watcher.go
@@ -180,9 +180,8 @@
 	}
 }
 
-// updateWatcher applies what a message states about the designated watcher. An answer to a request,
-// which has no route, only states what its sender knows. The sender may have just started, so the
-// absence of a watcher in it means nothing.
+// updateWatcher applies a message's information on the designated watcher. An answer to a request,
+// which has no route, is ignored if it names no watcher, because its sender may have just started.
 func (core *Core) updateWatcher(received message.WatcherStatus, route message.Route) {
 	reported := received.Watcher
 	if reported != "" {
--- a/internal/lb/placement.go
+++ b/internal/lb/placement.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// BackendState says which flows a back end gets by a placement.
+// BackendState determines which flows a placement assigns to a back end.
 //
 // The transitions are: Active <-> Draining (labels, selectors, drain), Active or Draining -> Failed
 // (all probes and the data path agree), Failed -> Active (probes pass again, with a slow start). A
--- a/internal/lb/relay.go
+++ b/internal/lb/relay.go
@@ -53,7 +53,7 @@
 	Rerouted bool
 }
 
-// Refusal is the immediate response to the fabric and the client that a request was refused.
+// Refusal is the immediate answer to the fabric and the client that a request was refused.
 type Refusal struct {
 	Verdict    Verdict
 	RetryAfter time.Duration // the delay before the client retries; spread over clients
--- a/internal/lb/types.go
+++ b/internal/lb/types.go
@@ -133,7 +133,7 @@
 	return fmt.Sprintf("%s://%s", frontend.Protocol, frontend.Address)
 }
 
-// Verdict says whether a request may have run on a back end.
+// Verdict states whether a request may have run on a back end.
 type Verdict uint8
 
 // The verdicts, from certain refusal to certain delivery.
@@ -142,7 +142,7 @@
 	NotRun Verdict = iota + 1
 	// MayHaveRun: a copy of the opening packet may have been forwarded.
 	MayHaveRun
-	// Ran: a copy of the opening packet was forwarded and the back end responded.
+	// Ran: a copy of the opening packet was forwarded and the back end answered.
 	Ran
 )
 
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -113,7 +113,7 @@
 	FieldLoadAge          = "load_age_ms"
 	FieldBackendZone      = "backend_zone"
 	FieldUnresponsiveTime = "silence_ms"
-	FieldLastResponseAge  = "answered_age_ms"
+	FieldLastAnswerAge    = "answered_age_ms"
 	FieldLastContactAge   = "heard_age_ms"
 	FieldMembersLost      = "members_lost"
 	FieldProbes           = "probes"
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -51,7 +51,7 @@
 	return true, ""
 }
 
-// DebugState is the answer of /debug/state.
+// DebugState is the response body of /debug/state.
 type DebugState struct {
 	Node    lb.NodeID `json:"node"`
 	Zone    lb.Zone   `json:"zone"`
--- a/internal/node/storerequests.go
+++ b/internal/node/storerequests.go
@@ -89,7 +89,7 @@
 	maxStoreRequests    = 16              // concurrent requests, as many as the controller has outstanding
 	storeRequestTimeout = 8 * time.Second // below the controller's WriteTimeout
 	// statusTimeout limits one attempt to write a zone status. It is short because the result of a
-	// write whose answer was lost is not important: the next write replaces it.
+	// write whose response was lost is not important: the next write replaces it.
 	statusTimeout    = 3 * time.Second
 	statusRetryDelay = 300 * time.Millisecond // delay after a failed write of a zone status
 )
--- a/internal/report/table.go
+++ b/internal/report/table.go
@@ -123,7 +123,7 @@
 }
 
 // WriteTable writes the rows as a text table. If baseline is not empty, an additional column holds
-// the number of broken flows divided by that of the balancer named baseline in the same scenario.
+// the ratio of broken flows to those of the balancer named baseline in the same scenario.
 func WriteTable(writer io.Writer, rows []Row, baseline string) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	header := "scenario\tbalancer\truns\truns broken\tflows\tbroken\treset/refused/silent\ttwice\tfalse not-run\tlate new\timbalance (spread, worst)\tcontrol B/s max\trelayed\tin force p99 ms\ttap p99 ms"
--- a/internal/tokennode/decisionlog_test.go
+++ b/internal/tokennode/decisionlog_test.go
@@ -69,8 +69,8 @@
 	return len(line), nil
 }
 
-// TestOpeningFloodLogIsBounded checks that a flood of openings, half of which are refused, writes
-// no more log lines than the limits allow, and that omitted lines are counted.
+// TestOpeningFloodLogIsBounded checks that openings at ten times the usual rate, half of which are
+// refused, write no more log lines than the limits allow, and that omitted lines are counted.
 func TestOpeningFloodLogIsBounded(t *testing.T) {
 	is := is.New(t)
 	writer := &countingWriter{}
--- a/internal/tokennode/platform_test.go
+++ b/internal/tokennode/platform_test.go
@@ -109,18 +109,18 @@
 	for _, candidate := range testbed.openFlows(webFrontend, 10) {
 		flow = candidate
 	}
-	var victim *platformsim.Host
+	var oldHost *platformsim.Host
 	for _, host := range testbed.hosts {
 		if host.ID == flow.host {
-			victim = host
+			oldHost = host
 		}
 	}
-	address := victim.Address()
-	victim.Close()
+	address := oldHost.Address()
+	oldHost.Close()
 	successor := testbed.addHost("i-0999", "docs", address)
-	testbed.store.Delete("servers/" + victim.ID)
+	testbed.store.Delete("servers/" + oldHost.ID)
 	testbed.synchronize()
-	flow.Close() // the packet's token names the victim, which no longer exists
+	flow.Close() // the packet's token names the old host, which no longer exists
 	testbed.waitUntil("the packet for the old host has arrived", func() bool { return successor.Counts().OtherHost > 0 })
 	is.Equal(successor.Counts().UnknownFlow, uint64(0)) // a flow of another service gets no reset
 }
--- a/internal/tokennode/reachability.go
+++ b/internal/tokennode/reachability.go
@@ -32,7 +32,7 @@
 			Str(logging.FieldReason, string(change.LifeSign)).
 			Int(logging.FieldMissing, change.Unresponsive).
 			Int64(logging.FieldUnresponsiveTime, change.UnresponsiveFor.Milliseconds()).
-			Int64(logging.FieldLastResponseAge, ageMillis(change.SinceAnswer)).
+			Int64(logging.FieldLastAnswerAge, ageMillis(change.SinceAnswer)).
 			Int64(logging.FieldLastContactAge, ageMillis(change.SinceMemberSeen)).
 			Bool(logging.FieldMembersLost, change.MembershipLost).
 			Int(logging.FieldProbes, change.Probes).
--- a/internal/view/replica.go
+++ b/internal/view/replica.go
@@ -146,7 +146,7 @@
 // take over earlier.
 const outageAge = 2500 * time.Millisecond
 
-// SetAge sets the age of the view. Callers call it before they apply an update.
+// SetAge sets the age of the view. It must be called before an update is applied.
 func (r *Replica) SetAge(age time.Duration) { r.afterOutage = age >= outageAge }
 
 // Advance records that nothing has changed up to a revision.
