--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -88,7 +88,7 @@
 	FieldBackend       = "backend"
 	FieldHost          = "host"
 	FieldRevision      = "revision"
-	FieldAge           = "view_age_ms"
+	FieldViewAge       = "view_age_ms"
 	FieldSource        = "source"
 	FieldFailure       = "failure"
 	FieldOmitted       = "omitted"
@@ -100,7 +100,7 @@
 	FieldBad           = "bad"
 	FieldGood          = "good"
 	FieldReporters     = "reporters"
-	FieldOthers        = "others"
+	FieldBaseline      = "others"
 	FieldEvacuated     = "evacuated_zones"
 
 	FieldLocalWeight      = "home"
--- a/internal/tokennode/decisionlog.go
+++ b/internal/tokennode/decisionlog.go
@@ -122,7 +122,7 @@
 		Str(logging.FieldService, string(decision.Service)).
 		Int64(logging.FieldRevision, line.revision).
 		Uint64(logging.FieldVersion, line.version).
-		Int64(logging.FieldAge, line.age.Milliseconds())
+		Int64(logging.FieldViewAge, line.age.Milliseconds())
 	if packet.Kind == core.PacketOpening {
 		event = event.Uint32(logging.FieldOpening, packet.OpeningID).Uint32(logging.FieldCopies, packet.Copies)
 	}
--- a/internal/tokennode/enginelog.go
+++ b/internal/tokennode/enginelog.go
@@ -135,7 +135,7 @@
 		Str(logging.FieldFailure, string(key.failure)).
 		Bool("news", key.changed).
 		Int("requests", requests).
-		Int64(logging.FieldAge, age.Milliseconds()).
+		Int64(logging.FieldViewAge, age.Milliseconds()).
 		Int64(logging.FieldDuration, duration.Milliseconds()).
 		Send()
 }
--- a/internal/tokennode/outliers.go
+++ b/internal/tokennode/outliers.go
@@ -68,7 +68,7 @@
 			Float64(logging.FieldBad, change.Bad).
 			Float64(logging.FieldGood, change.Good).
 			Float64(logging.FieldReporters, change.Reporters).
-			Float64(logging.FieldOthers, change.Baseline).
+			Float64(logging.FieldBaseline, change.Baseline).
 			Send()
 	}
 }
