--- a/cmd/robinctl/cli.go
+++ b/cmd/robinctl/cli.go
@@ -92,7 +92,7 @@
 	return report(stderr, line.Output, err)
 }
 
-// withoutStore returns whether a command needs no store.
+// withoutStore reports whether a command needs no store.
 func withoutStore(command string) bool {
 	return strings.HasPrefix(command, "trace ") || strings.HasPrefix(command, "load ")
 }
--- a/cmd/robinlab/simulators.go
+++ b/cmd/robinlab/simulators.go
@@ -236,15 +236,15 @@
 	if err != nil {
 		return err
 	}
-	caller := clientsim.New(clientsim.Settings{
+	client := clientsim.New(clientsim.Settings{
 		Name: command.Name, Service: command.Service, Frontend: frontend, Fabric: fabric,
 		Port:  uint16(socket.LocalAddr().(*net.UDPAddr).Port),
 		Feeds: command.Feeds, UDPFlows: command.UDPFlows,
 		TapRate: command.TapRate, UploadRate: command.UploadRate, UploadBytes: command.UploadBytes,
 		StallLimit: command.StallLimit, OpenLimit: command.OpenLimit, Seed: command.Seed,
 	}, wire.SocketSender(socket))
-	go wire.Serve(socket, func(datagram []byte) { caller.Receive(time.Now(), datagram) })
-	go runEvery(ctx, tickInterval, caller.Tick)
-	err = serveHTTP(ctx, logger, command.Admin, caller.Handler())
-	return errors.CombineErrors(err, json.NewEncoder(os.Stdout).Encode(caller.Report()))
+	go wire.Serve(socket, func(datagram []byte) { client.Receive(time.Now(), datagram) })
+	go runEvery(ctx, tickInterval, client.Tick)
+	err = serveHTTP(ctx, logger, command.Admin, client.Handler())
+	return errors.CombineErrors(err, json.NewEncoder(os.Stdout).Encode(client.Report()))
 }
--- a/cmd/robinpulley/process_test.go
+++ b/cmd/robinpulley/process_test.go
@@ -73,14 +73,14 @@
 }
 
 // launch starts a balancer process with unused addresses and additional settings.
-func launch(t *testing.T, drainGrace string, more ...string) *balancer {
+func launch(t *testing.T, drainGrace string, additional ...string) *balancer {
 	is := is.New(t)
 	addresses := freeAddresses(t, 3)
 	file := filepath.Join(t.TempDir(), "node.yaml")
 	settings := strings.Join([]string{
 		"node: b1", "zone: za", "data_address: " + addresses[0], "control_address: " + addresses[1],
 		"admin_address: " + addresses[2], "fabric_reply_addresses: [127.0.0.1:9]",
-		"store_endpoints: [http://127.0.0.1:9]", "timings: {drain_grace: " + drainGrace + "}", strings.Join(more, "\n"), "",
+		"store_endpoints: [http://127.0.0.1:9]", "timings: {drain_grace: " + drainGrace + "}", strings.Join(additional, "\n"), "",
 	}, "\n")
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	is.NoErr(err)
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -26,7 +26,7 @@
 	NeverOpened         []clientsim.Failure // requests whose flow was never established
 	DuplicateRuns       []string            // requests that ran more than once, over all attempts
 	DuplicateOpenings   []string            // openings that reached more than one host
-	FalseNotRun         []string            // attempts refused as not run that ran, and openings refused as not run that reached a host
+	FalseNotRun         []string            // refused as not run, but the attempt ran or the opening reached a host
 	WrongServiceAnswers []string            // answers from another service
 	MisdeliveredPackets int                 // packets that reached a host of another service
 	MixedAnswers        []string            // answers that belong to another request
@@ -56,7 +56,7 @@
 }
 
 // Clean reports whether the result has no violations except broken and never opened flows. The
-// caller must evaluate those itself, as some faults allow them.
+// caller must evaluate these itself, as some faults allow them.
 func (result *Result) Clean() bool {
 	return len(result.DuplicateRuns) == 0 && len(result.DuplicateOpenings) == 0 && len(result.FalseNotRun) == 0 &&
 		len(result.WrongServiceAnswers) == 0 && result.MisdeliveredPackets == 0 &&
--- a/internal/lab/clientsim/client.go
+++ b/internal/lab/clientsim/client.go
@@ -1,6 +1,7 @@
-// Package clientsim is a stand-in for the clients of one service. It generates feeds, taps, uploads
-// and UDP flows in an open loop: new requests don't wait for earlier ones. It retransmits openings
-// and data, retries only requests that were refused as not run, and records failures.
+// Package clientsim is a simulator of the clients of one service. It generates feeds (long-lived
+// flows with pushes), taps (short requests), uploads and UDP flows in an open loop: new requests
+// don't wait for earlier ones. It retransmits openings and data, retries only requests that were
+// refused as not run, and records failures.
 package clientsim
 
 import (
@@ -223,16 +224,16 @@
 }
 
 func (client *Client) openDueRetries(now time.Time) {
-	waiting := client.retries[:0]
+	remaining := client.retries[:0]
 	for _, r := range client.retries {
 		if now.Before(r.at) {
-			waiting = append(waiting, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		client.report.Retried++
 		client.open(now, r.attempt)
 	}
-	client.retries = waiting
+	client.retries = remaining
 }
 
 func (client *Client) tickAttempt(now time.Time, attempt *requestAttempt) {
--- a/internal/lab/clientsim/receive.go
+++ b/internal/lab/clientsim/receive.go
@@ -62,7 +62,8 @@
 func (client *Client) markOpened(now time.Time, attempt *requestAttempt) {
 	attempt.opened = true
 	client.report.Opened++
-	_ = client.openingLatencies.RecordValue(now.Sub(attempt.startedAt).Microseconds()) // a latency above one minute is out of range and not counted
+	// A latency above one minute is out of range and not counted.
+	_ = client.openingLatencies.RecordValue(now.Sub(attempt.startedAt).Microseconds())
 }
 
 func (client *Client) receiveAnswer(now time.Time, attempt *requestAttempt, answer *wire.Answer) {
--- a/internal/lab/clientsim/report.go
+++ b/internal/lab/clientsim/report.go
@@ -63,7 +63,7 @@
 	// FalseNotRun lists flows that a balancer refused as not run although they were open already.
 	FalseNotRun  []string `json:"false_not_run,omitempty"`
 	WrongService []string `json:"wrong_service,omitempty"` // requests answered by another service
-	Mixed        []string `json:"mixed,omitempty"`         // requests that got the answer to another request, or an undecodable one
+	Mixed        []string `json:"mixed,omitempty"`         // requests with a wrong or undecodable answer
 	Truncated    []string `json:"truncated,omitempty"`     // requests that the host did not receive completely
 
 	Opening Quantiles `json:"opening"`
--- a/internal/lab/cluster/port.go
+++ b/internal/lab/cluster/port.go
@@ -70,8 +70,8 @@
 
 func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// isFree reports whether no process uses an address for TCP or UDP. Programs that are no labs do
-// not observe the blocks.
+// isFree reports whether no process uses an address for TCP or UDP. Other
+// programs than labs do not observe the blocks.
 func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/lab/fabricsim/fabric.go
+++ b/internal/lab/fabricsim/fabric.go
@@ -1,4 +1,4 @@
-// Package fabricsim is a stand-in for the platform's fabric. It forwards each packet of a client to
+// Package fabricsim is a simulator of the platform's fabric. It forwards each packet of a client to
 // a random balancer of the machine list, with loss, duplication, reordering and delay, and forwards
 // the balancers' refusals to the clients.
 package fabricsim
--- a/internal/lab/hostsim/host.go
+++ b/internal/lab/hostsim/host.go
@@ -1,4 +1,4 @@
-// Package hostsim is a stand-in for a back-end host. It receives flows in Geneve and answers
+// Package hostsim is a simulator of a back-end host. It receives flows in Geneve and answers
 // clients directly. It has slots, a connection limit, a bounded queue, drain, a cold start, request
 // deadlines and cancellation, and it records which requests ran.
 package hostsim
@@ -29,7 +29,7 @@
 	Queue        int              // maximum number of waiting requests
 	Conns        int              // maximum number of flows
 	ServiceTime  time.Duration    // time of one request in a slot
-	ColdStart    time.Duration    // time after the start in which requests take coldFactor times as long
+	ColdStart    time.Duration    // time after the start with a service time of ServiceTime*coldFactor
 	PushInterval time.Duration    // between pushes on a feed
 	Seed         uint64
 }
@@ -60,15 +60,17 @@
 
 // Host is one back-end host. Its methods may be called from several goroutines.
 type Host struct {
-	mutex       sync.Mutex
-	settings    Settings
-	send        wire.Sender
-	random      *rand.Rand
-	started     time.Time
-	flows       map[lb.FlowKey]*hostFlow
-	jobs        []*job
-	report      Report
-	openedFlows map[string]bool // all flows ever opened, so that a late copy of an opening does not open a flow again
+	mutex    sync.Mutex
+	settings Settings
+	send     wire.Sender
+	random   *rand.Rand
+	started  time.Time
+	flows    map[lb.FlowKey]*hostFlow
+	jobs     []*job
+	report   Report
+	// openedFlows contains all flows ever opened, so that a late copy of an opening does not open a
+	// flow again.
+	openedFlows map[string]bool
 	health      healthState
 }
 
@@ -128,8 +130,8 @@
 	}
 }
 
-// resetUnknown answers a packet of an unknown flow with a reset. It ignores resets, and late packets
-// of flows that have ended on this host.
+// resetUnknown answers a packet of an unknown flow with a reset. It ignores resets, and late
+// packets of flows that have ended on this host.
 func (host *Host) resetUnknown(segment *wire.Segment) {
 	if segment.Flags.Has(packet.FlagRST) || host.openedFlows[flowName(segment.Source)] {
 		return
--- a/internal/lab/hostsim/report.go
+++ b/internal/lab/hostsim/report.go
@@ -12,9 +12,9 @@
 	Host         string           `json:"host"`
 	Service      string           `json:"service"`
 	Runs         map[string]int   `json:"runs"`     // number of runs, by request id
-	Openings     map[string]int64 `json:"openings"` // Unix time in ms at which each flow opened, by client address
+	Openings     map[string]int64 `json:"openings"` // Unix time in ms of each opening, by client address
 	WrongService int              `json:"wrong_service"`
-	Resets       int              `json:"resets"` // packets of unknown flows that were answered with a reset
+	Resets       int              `json:"resets"` // resets sent for packets of unknown flows
 	Shed         int              `json:"shed"`
 	Expired      int              `json:"expired"`
 	Cancelled    int              `json:"cancelled"`
@@ -29,7 +29,7 @@
 	AgeMillis int  `json:"age_ms"` // age of the values
 }
 
-// HealthFaults configures how the endpoint gives wrong, late or no responses.
+// HealthFaults configures how the endpoint returns wrong, late or no responses.
 type HealthFaults struct {
 	Drain       bool `json:"drain"`    // report unhealthy, but keep serving
 	Lie         bool `json:"lie"`      // always report healthy and idle
--- a/internal/lab/platformsim/client.go
+++ b/internal/lab/platformsim/client.go
@@ -134,8 +134,8 @@
 
 	// Copies is the number of copies of the opening that were sent after the first one.
 	Copies int
-	// Node is the balancer to which the last packet was sent. Opened lists the balancers to which
-	// the opening and its copies were sent, in order.
+	// Node is the balancer to which the last packet was sent. OpeningNodes lists the
+	// balancers to which the opening and its copies were sent, in order.
 	Node         netip.AddrPort
 	OpeningNodes []netip.AddrPort
 	// AcceptingHosts lists the hosts that answered the opening, in order.
@@ -233,7 +233,8 @@
 	to, lost := flow.client.router.pick(packet.flow(), zone)
 	flow.Node = to
 	if !lost {
-		_, _ = flow.client.socket.WriteToUDPAddrPort(packet.encode(nil), to) // a packet that is not sent counts as lost and is retransmitted
+		// A packet that is not sent counts as lost and is retransmitted.
+		_, _ = flow.client.socket.WriteToUDPAddrPort(packet.encode(nil), to)
 	}
 }
 
--- a/internal/lab/platformsim/host.go
+++ b/internal/lab/platformsim/host.go
@@ -31,9 +31,9 @@
 	Kind HostEventKind
 	// Node is the address that the packet was sent from.
 	Node netip.AddrPort
-	// Frontend is the flow's front end, and Caller its client's address.
+	// Frontend is the flow's front end, and Client its client's address.
 	Frontend, Client netip.AddrPort
-	// Request is the id of the request, for HostRan.
+	// Request is the id of the request, for HostRequestRan.
 	Request uint64
 }
 
@@ -54,7 +54,7 @@
 	readyAt map[uint32]time.Time // when each answer is ready
 }
 
-// Host is one host. It receives packets in the format that the platform calls echo.
+// Host is one back-end host. It receives packets in the format that the platform calls echo.
 type Host struct {
 	ID         string
 	Service    string
@@ -140,7 +140,7 @@
 }
 
 // SetUnresponsive makes the host ignore all packets, or handle them again.
-func (host *Host) SetUnresponsive(silent bool) { host.responsive.Store(!silent) }
+func (host *Host) SetUnresponsive(unresponsive bool) { host.responsive.Store(!unresponsive) }
 
 // Observe sets the function that is called for each event at the host from now on. The function
 // must not block and must not call methods of the host.
@@ -313,5 +313,6 @@
 
 func (host *Host) send(request, answer *wirePacket) {
 	client := netip.AddrPortFrom(netip.AddrFrom4(request.Source), host.replyPort)
-	_, _ = host.socket.WriteToUDPAddrPort(answer.encode(nil), client) // if the answer is lost, the client sends the request again
+	// If the answer is lost, the client sends the request again.
+	_, _ = host.socket.WriteToUDPAddrPort(answer.encode(nil), client)
 }
--- a/internal/lab/platformsim/packet.go
+++ b/internal/lab/platformsim/packet.go
@@ -1,4 +1,4 @@
-// Package platformsim is a stand-in for the users' platform in tests and in the demo: its store,
+// Package platformsim is a simulator of the users' platform for tests and for the demo: its store,
 // routers, hosts and clients, on loopback addresses. It implements the platform's published
 // specification and shares no code with the adapter in platform/, so that a bug in the adapter is
 // not hidden by the same bug here.
--- a/internal/lab/platformsim/platformsim_test.go
+++ b/internal/lab/platformsim/platformsim_test.go
@@ -26,8 +26,8 @@
 	is.Equal(host.claimSlot(later).Sub(later), 10*ms)
 }
 
-// TestRouterPrefersNodesInClientZone verifies that a router uses the nodes of the client's zone, and
-// all nodes if the zone has none or the client has no zone.
+// TestRouterPrefersNodesInClientZone verifies that a router uses the nodes of the client's zone,
+// and all nodes if the zone has none or the client has no zone.
 func TestRouterPrefersNodesInClientZone(t *testing.T) {
 	is := is.New(t)
 	nodes := []RouterNode{{Zone: "a"}, {Zone: "b"}, {Zone: "b"}}
--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -17,15 +17,15 @@
 
 // The faults.
 const (
-	FaultNone      Fault = ""
-	FaultBusy      Fault = "busy"      // every request is answered with status 503
-	FaultSilent    Fault = "silent"    // requests are not answered
-	FaultReset     Fault = "reset"     // the connection is closed without an answer
-	FaultThrottled Fault = "throttled" // every request is answered with status 429
-	FaultSlow      Fault = "slow"      // every answer is delayed by slowAnswerDelay
+	FaultNone         Fault = ""
+	FaultBusy         Fault = "busy"      // every request fails with status 503
+	FaultUnresponsive Fault = "silent"    // requests receive no response
+	FaultReset        Fault = "reset"     // the connection is closed without a response
+	FaultThrottled    Fault = "throttled" // every request fails with status 429
+	FaultSlow         Fault = "slow"      // every response is delayed by slowAnswerDelay
 )
 
-// Item is one entry of the store or, in the answer to a watch, the deletion of an entry.
+// Item is one entry of the store or, in the response to a watch, the deletion of an entry.
 type Item struct {
 	Key      string `json:"tls_key"`
 	Value    []byte `json:"value,omitempty"`
@@ -34,13 +34,13 @@
 	Deleted  bool   `json:"gone,omitempty"`
 }
 
-// slowAnswerDelay is the delay that FaultSlow adds to every answer.
-const slowAnswerDelay = 300 * time.Millisecond
+// slowResponseDelay is the delay that FaultSlow adds to every response.
+const slowResponseDelay = 300 * time.Millisecond
 
-// pageSize is the maximum number of items in one answer.
+// pageSize is the maximum number of items in one response.
 const pageSize = 4
 
-// staleAge is the age of the state that is returned to requests that accept a stale answer.
+// staleAge is the age of the state that is returned to requests that accept a stale response.
 const staleAge = 2 * time.Second
 
 // snapshot is the content of the store before a change.
@@ -55,15 +55,15 @@
 	listener net.Listener
 	server   *http.Server
 
-	mutex     sync.Mutex
-	revision  int64
-	items     map[string]Item
-	snapshots []snapshot // older states, oldest first; kept for staleAge
-	history   []Item
-	compacted int64
-	fault     Fault
-	calls     int
-	changed   chan struct{} // closed at each change
+	mutex        sync.Mutex
+	revision     int64
+	items        map[string]Item
+	snapshots    []snapshot // older states, oldest first; kept for staleAge
+	history      []Item
+	compacted    int64
+	fault        Fault
+	requestCount int
+	changed      chan struct{} // closed at each change
 }
 
 // NewStore starts an empty store on a free loopback port.
@@ -128,7 +128,7 @@
 }
 
 // keepSnapshot saves the present state before a change and discards snapshots that are too old for
-// any stale answer. The caller holds the mutex.
+// any stale response. The caller holds the mutex.
 func (store *Store) keepSnapshot() {
 	now := time.Now()
 	store.snapshots = append(store.snapshots, snapshot{now, store.revision, maps.Clone(store.items)})
@@ -171,14 +171,14 @@
 func (store *Store) RequestCount() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return store.calls
+	return store.requestCount
 }
 
 // withFault wraps a handler so that it fails in the way that SetFault has set.
-func (store *Store) withFault(answer http.HandlerFunc) http.HandlerFunc {
+func (store *Store) withFault(handler http.HandlerFunc) http.HandlerFunc {
 	return func(response http.ResponseWriter, request *http.Request) {
 		store.mutex.Lock()
-		store.calls++
+		store.requestCount++
 		fault := store.fault
 		store.mutex.Unlock()
 		switch fault {
@@ -188,13 +188,13 @@
 			response.WriteHeader(http.StatusTooManyRequests)
 		case FaultReset:
 			panic(http.ErrAbortHandler)
-		case FaultSilent:
+		case FaultUnresponsive:
 			<-request.Context().Done()
 		case FaultSlow:
-			time.Sleep(slowAnswerDelay)
-			answer(response, request)
+			time.Sleep(slowResponseDelay)
+			handler(response, request)
 		default:
-			answer(response, request)
+			handler(response, request)
 		}
 	}
 }
@@ -268,7 +268,8 @@
 	if failed {
 		response.Header().Set("Content-Type", "application/json")
 		response.WriteHeader(http.StatusPreconditionFailed)
-		_ = json.NewEncoder(response).Encode(map[string]any{"items": found}) // fails only if the client has disconnected
+		// This fails only if the client has disconnected.
+		_ = json.NewEncoder(response).Encode(map[string]any{"items": found})
 		return
 	}
 	for _, write := range requested.Put {
--- a/internal/lab/proxy/proxy_test.go
+++ b/internal/lab/proxy/proxy_test.go
@@ -64,14 +64,14 @@
 	p.SetMode(proxy.DropOpenConnections)
 	fresh, answers := dial(t, p.Address)
 	p.SetMode(proxy.Forward)
-	_, err = old.Write([]byte("unheard\n"))
+	_, err = old.Write([]byte("dropped\n"))
 	is.NoErr(err)
-	_, err = fresh.Write([]byte("heard\n"))
+	_, err = fresh.Write([]byte("forwarded\n"))
 	is.NoErr(err)
 	answer, err := answers.ReadString('\n')
 	is.NoErr(err)
-	is.Equal(answer, "heard\n")
-	is.Equal(<-lines, "heard")
+	is.Equal(answer, "forwarded\n")
+	is.Equal(<-lines, "forwarded")
 	is.NoErr(old.SetReadDeadline(time.Now().Add(100 * time.Millisecond)))
 	_, err = oldAnswers.ReadString('\n')
 	is.True(err != nil)
@@ -100,12 +100,12 @@
 	}
 
 	p.SetMode(proxy.DropFromServer)
-	_, err = c.Write([]byte("asked\n"))
+	_, err = c.Write([]byte("request\n"))
 	is.NoErr(err)
-	is.Equal(<-lines, "asked") // the server received the line; its answer is dropped
+	is.Equal(<-lines, "request") // the server received the line; its answer is dropped
 
 	p.SetMode(proxy.DropAll)
-	_, err = c.Write([]byte("unheard\n"))
+	_, err = c.Write([]byte("dropped\n"))
 	is.NoErr(err)
 	is.NoErr(c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)))
 	_, err = answers.ReadString('\n')
--- a/internal/lab/runs/allfaults.go
+++ b/internal/lab/runs/allfaults.go
@@ -29,7 +29,7 @@
 	"--delay-us=zone-a=500,zone-b=1000,zone-c=1500",
 }
 
-// AllFaults returns all fault runs in the order in which Faults performs them.
+// AllFaults returns all fault runs in the order in which RunFaults performs them.
 func AllFaults() []Fault {
 	return []Fault{
 		{Name: "drain", Guarantee: "a drained back end gets no new flow after 3 s; no flow breaks", run: drainHost},
--- a/internal/lab/runs/fault.go
+++ b/internal/lab/runs/fault.go
@@ -24,7 +24,7 @@
 const (
 	faultLimit     = 15 * time.Minute // for one run
 	inForceLimit   = 5 * time.Second  // for a change to be in force in every zone
-	maxTransitTime = 2 * time.Second  // until an opening that was forwarded before a change was in force has arrived
+	maxTransitTime = 2 * time.Second  // for openings that were forwarded before a change was in force
 )
 
 var faultSize = size{
@@ -260,8 +260,8 @@
 	return run.awaitInForce(ctx, revision, start)
 }
 
-// RunFaults performs the named fault runs, or all if no name is given, one after the other and prints
-// a table. It returns ErrGuaranteeViolated if any run did not pass.
+// RunFaults performs the named fault runs, or all if no name is given, one after the other, and
+// prints a table. It returns ErrGuaranteeViolated if any run did not pass.
 func RunFaults(ctx context.Context, names []string, options FaultOptions, output io.Writer) error {
 	chosen := slices.DeleteFunc(AllFaults(), func(fault Fault) bool {
 		return len(names) > 0 && !slices.Contains(names, fault.Name)
--- a/internal/lab/runs/fault_test.go
+++ b/internal/lab/runs/fault_test.go
@@ -43,7 +43,7 @@
 				defer func() { <-slots }()
 				is := is.New(t)
 				result := RunFault(t.Context(), fault, options)
-				t.Logf("figures: %q, opened %d, broken %d", result.Measurements, result.Check.Opened, len(result.Check.BrokenFlows))
+				t.Logf("measurements: %q, opened %d, broken %d", result.Measurements, result.Check.Opened, len(result.Check.BrokenFlows))
 				is.NoErr(result.Err)
 				is.Equal(result.Violations, nil)
 				is.True(result.Check.Opened > 0)
@@ -71,9 +71,9 @@
 func TestRegisterModelDetectsLostChange(t *testing.T) {
 	is := is.New(t)
 	at := func(second int64) int64 { return time.Unix(second, 0).UnixNano() }
-	operation := func(read, write string, outcome cluster.Outcome, called int64) porcupine.Operation {
+	operation := func(read, write string, outcome cluster.Outcome, startedAt int64) porcupine.Operation {
 		change := cluster.Change{PreviousWriteID: read, WriteID: write, Outcome: outcome}
-		return porcupine.Operation{Input: change, Output: outcome, Call: at(called), Return: at(called + 1)}
+		return porcupine.Operation{Input: change, Output: outcome, Call: at(startedAt), Return: at(startedAt + 1)}
 	}
 	linearizable := []porcupine.Operation{
 		operation("a", "b", cluster.OutcomeAccepted, 0),
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -18,19 +18,19 @@
 
 // The guarantees that are verified.
 const (
-	RuleFlow         Rule = "flow"    // an open flow is not reset, moved or left without an answer while its host runs
+	RuleFlow         Rule = "flow"    // an open flow is not reset, moved or unanswered while its host runs
 	RuleRunOnce      Rule = "once"    // a request runs at most once, and only if a client sent it
-	RuleRoute        Rule = "route"   // a request runs at a service to which its front end was routed at some time
+	RuleRoute        Rule = "route"   // a request runs only at services that its front end was routed to
 	RuleMixedAnswers Rule = "mixed"   // the answer that a client receives belongs to its request
-	RuleForged       Rule = "forged"  // packets arrive as they were sent, and no opening arrives without a token
-	RuleDrain        Rule = "drain"   // a draining host receives no opening later than Bounds.ChangeLimit
-	RuleZone         Rule = "zone"    // a host in an evacuated zone receives no opening later than Bounds.ChangeLimit
-	RuleCold         Rule = "cold"    // a host in its cold start receives at most Bounds.ColdOpeningsPerSecond in any second
-	RuleChange       Rule = "change"  // a route change is in force after Bounds.ChangeLimit and never reverts
-	RuleOpen         Rule = "open"    // an opening is answered, unless a recent fault explains the loss
+	RuleForged       Rule = "forged"  // packets arrive unmodified, and every opening has a token
+	RuleDrain        Rule = "drain"   // a draining host receives no opening after Bounds.ChangeLimit
+	RuleZone         Rule = "zone"    // an evacuated zone receives no opening after Bounds.ChangeLimit
+	RuleCold         Rule = "cold"    // a cold host gets at most ColdOpeningsPerSecond in any second
+	RuleChange       Rule = "change"  // a route change is in force after Bounds.ChangeLimit and stays
+	RuleOpen         Rule = "open"    // an opening is answered unless a recent fault explains the loss
 	RuleNotRun       Rule = "not-run" // an opening that a balancer refused reaches no host
-	RuleSurge        Rule = "crowd"   // almost no opening is refused for load later than Bounds.SurgeSettleTime after a surge
-	RuleRecover      Rule = "recover" // all openings are served within Bounds.RecoveryLimit after the last fault
+	RuleSurge        Rule = "crowd"   // few refusals for load later than SurgeSettleTime after a surge
+	RuleRecover      Rule = "recover" // all openings are served within RecoveryLimit of the last fault
 	RuleNodeExit     Rule = "exit"    // a balancer exits with code 0 when it is stopped as planned
 )
 
@@ -72,19 +72,19 @@
 	versions           []Version
 	sentRequests       map[uint64]netip.AddrPort    // front end by request
 	executedRequests   map[uint64]string            // host that ran it, by request
-	drainingSince      map[string]time.Time         // by host: when the store accepted the draining state
+	drainingSince      map[string]time.Time         // by host: when the store accepted draining
 	evacuatedSince     map[string]time.Time         // by zone: when the store accepted the evacuation
 	disturbanceEnds    map[netip.AddrPort]time.Time // by node: when the last fault ended
 	activeDisturbances map[netip.AddrPort]int       // active faults by node
-	coldOpenings       map[string][]time.Time       // by host in its cold start: openings in the last second
+	coldOpenings       map[string][]time.Time       // by host: openings in the last second, if cold
 	stoppedHosts       map[string]bool              // hosts that no longer serve their flows
 	lastHostFault      time.Time                    // when a host last stopped or stalled
 	activeSurges       int
 	lastSurgeEnd       time.Time
 	currentQuiet       *quietWindow                 // nil outside of quiet windows
 	quietWindows       []*quietWindow               // all, including the current one
-	reachedHostAt      map[netip.AddrPort]time.Time // by client address: when an opening last reached a host
-	refusedAt          map[netip.AddrPort]time.Time // by client address: when an opening was last refused
+	reachedHostAt      map[netip.AddrPort]time.Time // by client address: last opening at a host
+	refusedAt          map[netip.AddrPort]time.Time // by client address: last refusal
 	unanswered         map[Cause]int
 }
 
@@ -427,7 +427,7 @@
 	if opening.ExtraCopies > 0 || !c.undisturbed(time.Now(), opening.Node) {
 		return
 	}
-	allowed := c.allowed(opening.SentAt, opening.Frontend)
+	allowed := c.allowedServices(opening.SentAt, opening.Frontend)
 	if len(allowed) == 0 {
 		return
 	}
@@ -449,10 +449,10 @@
 	}
 }
 
-// allowed returns the services that may handle an opening sent at the given time: the service of
-// the latest version that must be in force by then, and the services of all later versions. An
-// empty service stands for a refusal.
-func (c *Checker) allowed(sentAt time.Time, frontend netip.AddrPort) []string {
+// allowedServices returns the services that may handle an opening sent at the given time: the
+// service of the latest version that must be in force by then, and the services of all later
+// versions. An empty service stands for a refusal.
+func (c *Checker) allowedServices(sentAt time.Time, frontend netip.AddrPort) []string {
 	var services []string
 	for _, version := range slices.Backward(c.versions) {
 		services = append(services, version.Routes[frontend])
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -269,7 +269,7 @@
 	}
 }
 
-func TestReportListsUncheckedRules(t *testing.T) {
+func TestReportListsUnverifiedAndUnexercisedRules(t *testing.T) {
 	is := is.New(t)
 	is.Equal((&soak.Report{}).UnverifiedRules(), []soak.Rule{soak.RuleChange, soak.RuleDrain})
 	is.Equal((&soak.Report{Checked: soak.Checked{Routes: 1, Drains: 1}}).UnverifiedRules(), []soak.Rule(nil))
--- a/internal/lab/soak/faults/faults.go
+++ b/internal/lab/soak/faults/faults.go
@@ -17,7 +17,7 @@
 		kinds = append(kinds, storeConnection{mode})
 	}
 	for _, fault := range []platformsim.Fault{
-		platformsim.FaultBusy, platformsim.FaultReset, platformsim.FaultSilent, platformsim.FaultSlow, platformsim.FaultThrottled,
+		platformsim.FaultBusy, platformsim.FaultReset, platformsim.FaultUnresponsive, platformsim.FaultSlow, platformsim.FaultThrottled,
 	} {
 		kinds = append(kinds, storeFailure{fault})
 	}
--- a/internal/lab/soak/faults/process.go
+++ b/internal/lab/soak/faults/process.go
@@ -15,8 +15,8 @@
 // of the log names.
 var lastProcessNumber atomic.Int64
 
-// startAgain starts a new process of a node and waits until the node is ready.
-func startAgain(ctx context.Context, s *soak.Site, n *soak.Node) error {
+// restartProcess starts a new process of a node and waits until the node is ready.
+func restartProcess(ctx context.Context, s *soak.Site, n *soak.Node) error {
 	if err := s.StartNode(n, int(lastProcessNumber.Add(1))); err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	}
 	return func() error {
 		defer release()
-		return startAgain(ctx, s, n)
+		return restartProcess(ctx, s, n)
 	}, nil
 }
 
--- a/internal/lab/soak/quiet.go
+++ b/internal/lab/soak/quiet.go
@@ -46,7 +46,7 @@
 	}
 	if refused {
 		c.currentQuiet.refused = append(c.currentQuiet.refused, refusal{
-			sentAt: opening.SentAt, node: opening.Node, allowedServices: c.allowed(opening.SentAt, opening.Frontend),
+			sentAt: opening.SentAt, node: opening.Node, allowedServices: c.allowedServices(opening.SentAt, opening.Frontend),
 			flow: fmt.Sprintf("%s>%s", opening.Client, opening.Frontend),
 		})
 	}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -39,13 +39,13 @@
 
 // Report is the result of a soak.
 type Report struct {
-	Seed       uint64
-	Steps      []Step
-	Skipped    int // steps whose target was reserved by another fault
-	Counts     *Counts
-	StoreCalls int
-	// UnknownFlowPackets counts packets after the opening that reached a host that does not hold their flow,
-	// for example because they were late and the flow had ended.
+	Seed          uint64
+	Steps         []Step
+	Skipped       int // steps whose target was reserved by another fault
+	Counts        *Counts
+	StoreRequests int
+	// UnknownFlowPackets counts packets after the opening that reached a host that does not hold
+	// their flow, for example because they were late and the flow had ended.
 	UnknownFlowPackets uint64
 	// Checked counts how often each guarantee with a time limit was verified.
 	Checked    Checked
@@ -53,8 +53,8 @@
 	Violations []Violation
 }
 
-// UnverifiedRules returns the guarantees with a time limit that the run never verified. The run is no
-// evidence for them.
+// UnverifiedRules returns the guarantees with a time limit that the run never verified. The run is
+// no evidence for them.
 func (report *Report) UnverifiedRules() []Rule {
 	var rules []Rule
 	if report.Checked.Routes == 0 {
@@ -69,9 +69,9 @@
 	return rules
 }
 
-// UnexercisedRules returns the guarantees that a fault of the run was meant to exercise, but to which no
-// opening applied, for example because most nodes were disturbed or had just started during the
-// fault.
+// UnexercisedRules returns the guarantees that a fault of the run was meant to exercise, but that
+// applied to no opening, for example because most nodes were disturbed or had just started during
+// the fault.
 func (report *Report) UnexercisedRules() []Rule {
 	var rules []Rule
 	if report.includesFault("evacuate") && report.Checked.Evacuations == 0 {
@@ -91,9 +91,9 @@
 // soakRun is the state of a running soak.
 type soakRun struct {
 	*Site
-	counts      Counts
-	nextRequest atomic.Uint64 // last request ID
-	skipped     atomic.Int64
+	counts        Counts
+	lastRequestID atomic.Uint64
+	skipped       atomic.Int64
 }
 
 // Run performs one soak. The report holds the violations by the balancers. The returned error is a
@@ -130,7 +130,7 @@
 	report.UnknownFlowPackets = site.checkPackets()
 	site.classifyRefusals()
 	report.Skipped = int(r.skipped.Load())
-	report.StoreCalls = site.Store.RequestCount()
+	report.StoreRequests = site.Store.RequestCount()
 	report.Checked = site.Checker.Checked()
 	report.Unanswered = site.Checker.Unanswered()
 	report.Violations = site.Checker.Violations()
@@ -162,7 +162,7 @@
 	return combined
 }
 
-// ErrTargetLocked is returned by Inject if another fault has reserved the target.
+// ErrTargetLocked is returned by Fault.Inject if another fault has reserved the target.
 var ErrTargetLocked = errors.New("another fault has reserved the target")
 
 // inject performs one step: it starts the fault, waits and ends the fault. A step whose target is
@@ -298,7 +298,7 @@
 func (r *soakRun) sendRequests(ctx context.Context, flow *platformsim.Flow, opening Opening, requests int, pause time.Duration) {
 	flowHost := ""
 	for range requests {
-		id := r.nextRequest.Add(1)
+		id := r.lastRequestID.Add(1)
 		r.Checker.RecordRequest(id, opening.Frontend)
 		host, err := flow.Request(id)
 		now := time.Now()
@@ -348,7 +348,7 @@
 		{"of them, " + string(CauseHost), report.Unanswered[CauseHost]},
 		{"of them, " + string(CauseNone), report.Unanswered[CauseNone]},
 		{"packets at a host that does not hold their flow", report.UnknownFlowPackets},
-		{"calls to the store", report.StoreCalls},
+		{"calls to the store", report.StoreRequests},
 		{"openings checked against the routes in force", report.Checked.Routes},
 		{"openings checked while hosts had drained for long", report.Checked.Drains},
 		{"openings checked while a zone was evacuated for long", report.Checked.Evacuations},
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -337,7 +337,7 @@
 // checkPackets adds a violation if packets were modified in transit or openings arrived without a
 // token. It returns the number of packets after the opening that reached a host that does not hold
 // their flow.
-func (s *Site) checkPackets() (unknown uint64) {
+func (s *Site) checkPackets() (unknownFlow uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	forged := uint64(0)
@@ -347,12 +347,12 @@
 	for _, h := range s.hosts {
 		counts := h.Counts()
 		forged += counts.Forged + counts.NoToken
-		unknown += counts.UnknownFlow
+		unknownFlow += counts.UnknownFlow
 	}
 	if forged > 0 {
 		s.Checker.AddViolation(time.Now(), RuleForged, "%d packets were modified in transit or opened a flow without a token", forged)
 	}
-	return unknown
+	return unknownFlow
 }
 
 // serviceOf returns the service of a host.
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -10,17 +10,17 @@
 
 // Faults configures how the store fails. The zero value is a healthy store.
 type Faults struct {
-	// Outage closes every connection without an answer and without effect, including running
+	// Outage closes every connection without a response and without effect, including running
 	// watches.
 	Outage bool `json:"outage"`
-	// DelayMillis delays each answer, in milliseconds.
+	// DelayMillis delays each response, in milliseconds.
 	DelayMillis int `json:"delay_ms"`
 	// LostAnswers is the share of writes, in thousandths, that take effect but whose connection is
-	// closed without an answer.
+	// closed without a response.
 	LostAnswers int `json:"lost_answers"`
 	// RatePerSecond is the rate above which requests are refused. Zero means no limit.
 	RatePerSecond int `json:"rate_per_second"`
-	// MachineLagMillis is the age of the machine list in answers, in milliseconds.
+	// MachineLagMillis is the age of the machine list in responses, in milliseconds.
 	MachineLagMillis int `json:"machine_lag_ms"`
 	// DropWatches closes the watches that are running when the faults are set. Later watches are not
 	// affected.
@@ -80,8 +80,8 @@
 	return state.limiter.Allow()
 }
 
-// loseAnswer decides at random whether the answer to a write is lost.
-func (state *faultState) loseAnswer() bool {
+// loseResponse decides at random whether the response to a write is lost.
+func (state *faultState) loseResponse() bool {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	return state.random.IntN(1000) < state.faults.LostAnswers
--- a/internal/lab/storesim/server.go
+++ b/internal/lab/storesim/server.go
@@ -29,7 +29,7 @@
 	routes   *http.ServeMux
 }
 
-// NewServer returns a server with an empty store. The seed determines which answers are lost.
+// NewServer returns a server with an empty store. The seed determines which responses are lost.
 func NewServer(faults Faults, seed uint64) *Server {
 	server := &Server{store: NewStore(), faults: newFaultState(faults, seed), routes: http.NewServeMux()}
 	store := server.store
@@ -57,7 +57,7 @@
 		response, err := server.runOperation(RequestOp{Range: request})
 		return response.Range, err
 	})
-	// The stream is answered with one renewal and then ends, as if the client had sent one message.
+	// The response stream contains one renewal and then ends, as if the client had sent one message.
 	handleRead(server, "/v3/lease/keepalive", func(request *LeaseRequest) (streamResult[LeaseResponse], error) {
 		return streamResult[LeaseResponse]{Result: store.KeepAlive(int64(request.ID))}, nil
 	})
@@ -80,18 +80,19 @@
 // SetFaults replaces the store's faults from now on.
 func (server *Server) SetFaults(faults Faults) { server.faults.replace(faults) }
 
-// handleRead registers a handler for a path whose answers are never lost by the simulation.
+// handleRead registers a handler for a path whose responses are never lost by the simulation.
 func handleRead[Request, Response any](server *Server, path string, handle func(*Request) (Response, error)) {
 	handleUnary(server, path, handle, func() bool { return false })
 }
 
-// handleWrite registers a handler for a path whose answers may be lost after the write took effect.
+// handleWrite registers a handler for a path whose responses may be lost after the write took
+// effect.
 func handleWrite[Request, Response any](server *Server, path string, handle func(*Request) (Response, error)) {
-	handleUnary(server, path, handle, server.faults.loseAnswer)
+	handleUnary(server, path, handle, server.faults.loseResponse)
 }
 
-// handleUnary registers a handler for a path with one JSON request and one JSON response. The answer
-// is lost if lose returns true.
+// handleUnary registers a handler for a path with one JSON request and one JSON response. The
+// response is lost if lose returns true.
 func handleUnary[Request, Response any](server *Server, path string, handle func(*Request) (Response, error), lose func() bool) {
 	server.routes.HandleFunc("POST "+path, func(response http.ResponseWriter, request *http.Request) {
 		if !server.admit(response) {
@@ -106,21 +107,21 @@
 			writeError(response, http.StatusBadRequest, codeInvalidArgument, err)
 			return
 		}
-		answer, err := handle(&decoded)
+		result, err := handle(&decoded)
 		if lose() {
-			panic(http.ErrAbortHandler) // closes the connection without an answer
+			panic(http.ErrAbortHandler) // closes the connection without a response
 		}
 		time.Sleep(server.faults.current().delay())
 		if err != nil {
 			writeStoreError(response, err)
 			return
 		}
-		writeJSON(response, answer)
+		writeJSON(response, result)
 	})
 }
 
-// admit applies the outage and the rate limit. It returns false if it has answered the request
-// itself.
+// admit applies the outage and the rate limit. It returns false if it has responded to the
+// request itself.
 func (server *Server) admit(response http.ResponseWriter) bool {
 	if server.faults.current().Outage {
 		panic(http.ErrAbortHandler)
@@ -133,9 +134,9 @@
 	return true
 }
 
-func writeJSON(response http.ResponseWriter, answer any) {
+func writeJSON(response http.ResponseWriter, body any) {
 	response.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(response).Encode(answer) // fails only if the client has disconnected
+	_ = json.NewEncoder(response).Encode(body) // fails only if the client has disconnected
 }
 
 func writeError(response http.ResponseWriter, status, code int, err error) {
@@ -164,8 +165,8 @@
 	return response.Responses[0], nil
 }
 
-// watch streams the events of one watch until the client disconnects, a fault ends the watch, or the
-// history that the watch needs is compacted.
+// watch streams the events of one watch until the client disconnects, a fault ends the watch, or
+// the history that the watch needs is compacted.
 func (server *Server) watch(response http.ResponseWriter, request *http.Request) {
 	if !server.admit(response) {
 		return
--- a/internal/lab/storesim/store.go
+++ b/internal/lab/storesim/store.go
@@ -1,4 +1,4 @@
-// Package storesim is a stand-in for the platform's key-value service. It implements the JSON
+// Package storesim is a simulator of the platform's key-value service. It implements the JSON
 // gateway of etcd v3 (range, put, deleterange, txn, compaction, leases, watches with revisions) in
 // memory and can simulate failures. It also serves the platform's machine list.
 package storesim
@@ -246,7 +246,7 @@
 	return LeaseResponse{Header: store.header(), ID: Int64(id), TTL: Int64(ttl / time.Second)}
 }
 
-// KeepAlive renews a lease. The TTL in the answer is zero if the lease has ended.
+// KeepAlive renews a lease. The TTL in the response is zero if the lease has ended.
 func (store *Store) KeepAlive(id int64) LeaseResponse {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
--- a/internal/lab/storesim/store_test.go
+++ b/internal/lab/storesim/store_test.go
@@ -14,30 +14,32 @@
 	"github.com/matryer/is"
 )
 
-func post(t *testing.T, url, body string, answer any) int {
+// post sends a request and returns the status of the response, or 0 if the connection was closed
+// without one. It decodes the response into result unless result is nil.
+func post(t *testing.T, url, body string, result any) int {
 	t.Helper()
 	response, err := http.Post(url, "application/json", strings.NewReader(body))
 	if err != nil {
 		return 0
 	}
 	defer response.Body.Close()
-	if answer != nil {
-		if err := json.NewDecoder(response.Body).Decode(answer); err != nil {
+	if result != nil {
+		if err := json.NewDecoder(response.Body).Decode(result); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return response.StatusCode
 }
 
-func start(t *testing.T, faults Faults) (*Server, string) {
+func startServer(t *testing.T, faults Faults) (*Server, string) {
 	server := NewServer(faults, 1)
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
 	return server, listener.URL
 }
 
-// content returns all keys of the store.
-func content(t *testing.T, store *Store) []KeyValue {
+// allKeys returns all keys of the store with their values.
+func allKeys(t *testing.T, store *Store) []KeyValue {
 	t.Helper()
 	all := RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}
 	response, err := store.Txn(&TxnRequest{Success: []RequestOp{{Range: &all}}})
@@ -51,7 +53,7 @@
 
 func TestCompareAndSwapHasOneWinner(t *testing.T) {
 	is := is.New(t)
-	_, url := start(t, Faults{})
+	_, url := startServer(t, Faults{})
 	create := `{"compare":[{"target":"CREATE","key":"YQ==","createRevision":"0"}],
 		"success":[{"requestPut":{"key":"YQ==","value":"eA=="}}],
 		"failure":[{"request_range":{"key":"YQ=="}}]}`
@@ -66,7 +68,7 @@
 
 func TestRangeReturnsSortedKeysUpToLimit(t *testing.T) {
 	is := is.New(t)
-	_, url := start(t, Faults{})
+	_, url := startServer(t, Faults{})
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"Yg==","value":"eQ=="}`, nil), 200)
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"YQ==","value":"eA=="}`, nil), 200)
 	var all RangeResponse
@@ -77,21 +79,21 @@
 	is.True(all.More)
 }
 
-func TestWriteWithLostAnswerTakesEffect(t *testing.T) {
+func TestWriteWithLostResponseTakesEffect(t *testing.T) {
 	is := is.New(t)
-	server, url := start(t, Faults{LostAnswers: 1000})
+	server, url := startServer(t, Faults{LostAnswers: 1000})
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"YQ==","value":"eA=="}`, nil), 0)
-	is.Equal(string(content(t, server.store)[0].Value), "x")
+	is.Equal(string(allKeys(t, server.store)[0].Value), "x")
 }
 
 func TestRequestsInOutageAndAboveRateLimitHaveNoEffect(t *testing.T) {
 	is := is.New(t)
-	server, url := start(t, Faults{Outage: true})
+	server, url := startServer(t, Faults{Outage: true})
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"YQ==","value":"eA=="}`, nil), 0)
 	server.SetFaults(Faults{RatePerSecond: 1})
 	is.Equal(post(t, url+"/v3/kv/range", `{"key":"YQ=="}`, nil), 200)
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"YQ==","value":"eA=="}`, nil), 429)
-	is.Equal(len(content(t, server.store)), 0)
+	is.Equal(len(allKeys(t, server.store)), 0)
 }
 
 func nextMessage(t *testing.T, stream *bufio.Reader) WatchResponse {
@@ -109,7 +111,7 @@
 
 func TestWatchResumesAndReportsCompaction(t *testing.T) {
 	is := is.New(t)
-	server, url := start(t, Faults{})
+	server, url := startServer(t, Faults{})
 	for range 3 {
 		is.Equal(post(t, url+"/v3/kv/put", `{"key":"YQ==","value":"eA=="}`, nil), 200)
 	}
@@ -143,10 +145,10 @@
 		time.Sleep(1500 * time.Millisecond)
 		is.Equal(store.KeepAlive(int64(id)).TTL, Int64(2))
 		time.Sleep(1500 * time.Millisecond)
-		is.Equal(len(content(t, store)), 1)
+		is.Equal(len(allKeys(t, store)), 1)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		is.Equal(len(content(t, store)), 0)
+		is.Equal(len(allKeys(t, store)), 0)
 		is.Equal(store.KeepAlive(int64(id)).TTL, Int64(0))
 	})
 }
--- a/internal/lab/storesim/wire.go
+++ b/internal/lab/storesim/wire.go
@@ -49,11 +49,11 @@
 	RangeEnd []byte `json:"range_end,omitempty"`
 	Limit    Int64  `json:"limit,omitempty"`
 	KeysOnly bool   `json:"keys_only,omitempty"`
-	// Revision is not supported: a value other than zero is answered with an error.
+	// Revision is not supported: a value other than zero results in an error.
 	Revision Int64 `json:"revision,omitempty"`
 }
 
-// RangeResponse answers a RangeRequest. The keys are in ascending order.
+// RangeResponse is the response to a RangeRequest. The keys are in ascending order.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
@@ -68,7 +68,7 @@
 	Lease Int64  `json:"lease,omitempty"`
 }
 
-// PutResponse answers a PutRequest.
+// PutResponse is the response to a PutRequest.
 type PutResponse struct {
 	Header Header `json:"header"`
 }
@@ -79,7 +79,7 @@
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// DeleteResponse answers a DeleteRequest.
+// DeleteResponse is the response to a DeleteRequest.
 type DeleteResponse struct {
 	Header  Header `json:"header"`
 	Deleted Int64  `json:"deleted,omitempty"`
@@ -104,7 +104,7 @@
 	Delete *DeleteRequest `json:"request_delete_range,omitempty"`
 }
 
-// ResponseOp answers one RequestOp.
+// ResponseOp is the response to one RequestOp.
 type ResponseOp struct {
 	Range  *RangeResponse  `json:"response_range,omitempty"`
 	Put    *PutResponse    `json:"response_put,omitempty"`
@@ -119,7 +119,7 @@
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// TxnResponse answers a TxnRequest.
+// TxnResponse is the response to a TxnRequest.
 type TxnResponse struct {
 	Header    Header       `json:"header"`
 	Succeeded bool         `json:"succeeded,omitempty"`
@@ -137,8 +137,8 @@
 	TTL Int64 `json:"TTL,omitempty"`
 }
 
-// LeaseResponse answers grant and keepalive. A TTL of zero in the answer to a keepalive means that
-// the lease has ended.
+// LeaseResponse is the response to grant and keepalive requests. A TTL of zero in the response to a
+// keepalive means that the lease has ended.
 type LeaseResponse struct {
 	Header Header `json:"header"`
 	ID     Int64  `json:"ID"`
--- a/internal/lab/stream/stream.go
+++ b/internal/lab/stream/stream.go
@@ -1,5 +1,5 @@
-// Package stream implements a small TCP endpoint for the stand-ins. It supports openings with data
-// (as in TCP Fast Open, RFC 7413), cumulative acknowledgements, retransmission with a fixed timer
+// Package stream implements a small TCP endpoint for the simulators. It supports openings with
+// data (as in TCP Fast Open, RFC 7413), cumulative acknowledgements, retransmission with a fixed timer
 // and in-order delivery. It has no congestion control.
 package stream
 
@@ -15,7 +15,7 @@
 // Limits of an endpoint.
 const (
 	MaxPayload               = 1000 // bytes in one segment
-	maxInFlightSegments      = 32   // segments
+	maxInFlightSegments      = 32
 	retransmitDelay          = 200 * time.Millisecond
 	maxRetransmittedSegments = 4 // per retransmission
 )
@@ -66,7 +66,7 @@
 	return endpoint
 }
 
-// Accept answers an opening and returns the data on it.
+// Accept answers an opening and returns the data that the opening carries.
 func Accept(now time.Time, opening *wire.Segment, initial uint32) (*Endpoint, []byte) {
 	endpoint := newEndpoint(now, opening.Destination, opening.Source, initial)
 	endpoint.State = Established
--- a/internal/lab/surge/admissionqueue_test.go
+++ b/internal/lab/surge/admissionqueue_test.go
@@ -36,8 +36,8 @@
 }
 
 // TestAdmissionQueueToleratesLateObservations verifies that, if nodes see answers late by a quarter
-// of the latency objective, the admission queue loses at most 0.01 of goodput against immediate
-// TestNoOpeningWaitsBelowCapacity verifies that no opening is queued while hosts have free slots.
+// of the latency objective, goodput with the admission queue is at most 0.01 below goodput with
+// immediate refusal.
 func TestAdmissionQueueToleratesLateObservations(t *testing.T) {
 	for _, seed := range testSeeds {
 		is := is.New(t)
--- a/internal/lab/surge/fleet.go
+++ b/internal/lab/surge/fleet.go
@@ -19,8 +19,8 @@
 	smoothingTime   = 300 * time.Millisecond
 )
 
-// fleetSums holds the load of all nodes together. It stands in for the fleet's aggregation by
-// plain summation.
+// fleetSums holds the sums of the load of all nodes. It simulates the aggregation that a real fleet
+// performs with messages between nodes.
 type fleetSums struct {
 	summedAt    time.Duration
 	newLevels   map[lb.Zone]map[uint16]fleetload.Level // since the last summary, by the zone of the clients
--- a/internal/lab/surge/request.go
+++ b/internal/lab/surge/request.go
@@ -56,18 +56,18 @@
 			Key: f.key, Kind: core.PacketOpening, OpeningID: uint32(s.eventCount), Datagram: placeholderDatagram,
 		}})
 		if decision.Action == core.ActionHold {
-			s.holdOpening(f.node, f.key, func(decision core.Decision) { r.placed(f, decision) })
+			s.holdOpening(f.node, f.key, func(decision core.Decision) { r.handleDecision(f, decision) })
 			return
 		}
-		r.placed(f, decision)
+		r.handleDecision(f, decision)
 	})
 }
 
 // placeholderDatagram is used as the datagram of every opening.
 var placeholderDatagram = make([]byte, 34)
 
-// placed continues the request after the node has decided on its opening.
-func (r *request) placed(f *flow, decision core.Decision) {
+// handleDecision continues the request after the node has decided on its opening.
+func (r *request) handleDecision(f *flow, decision core.Decision) {
 	s := r.simulation
 	forwarded := decision.Action == core.ActionForward && r.belowQueueLimit(f.node, int(decision.Identity)-1)
 	r.recordOpening(f.node, forwarded)
@@ -112,7 +112,7 @@
 		s.deliverMiddlePacket(f, true)
 		s.nodes[f.node].inFlight[f.host]++
 		s.after(linkDelay, func() {
-			s.serve(f.host, r.drawWork(), func(ran bool) { s.after(linkDelay, func() { r.answered(f, ran) }) })
+			s.serve(f.host, r.drawWork(), func(ran bool) { s.after(linkDelay, func() { r.handleAnswer(f, ran) }) })
 		})
 	})
 }
@@ -138,8 +138,8 @@
 	return time.Duration(float64(r.classSettings().Work) * factor)
 }
 
-// answered handles the arrival of the answer at the client, which acknowledges it.
-func (r *request) answered(f *flow, ran bool) {
+// handleAnswer handles the arrival of the answer at the client, which acknowledges it.
+func (r *request) handleAnswer(f *flow, ran bool) {
 	s := r.simulation
 	f.acked++
 	s.after(linkDelay, func() {
--- a/internal/lab/surge/run.go
+++ b/internal/lab/surge/run.go
@@ -247,18 +247,18 @@
 	decision := n.effects.Decision
 	for i := range n.effects.Released {
 		released := &n.effects.Released[i]
-		then := n.held[released.Packet.Key]
+		onDecision := n.held[released.Packet.Key]
 		delete(n.held, released.Packet.Key)
-		then(released.Decision)
+		onDecision(released.Decision)
 	}
 	return decision
 }
 
 // holdOpening records an opening that waits in a node's admission queue and schedules the retry of
-// the queue. It calls then with the decision once the node has made it.
-func (s *simulation) holdOpening(index int, key lb.FlowKey, then func(core.Decision)) {
+// the queue. It calls onDecision with the decision once the node has made it.
+func (s *simulation) holdOpening(index int, key lb.FlowKey, onDecision func(core.Decision)) {
 	n := &s.nodes[index]
-	n.held[key] = then
+	n.held[key] = onDecision
 	if !n.retryScheduled {
 		n.retryScheduled = true
 		s.after(s.scenario.AdmissionQueue.Interval, func() { s.retryQueued(index) })
@@ -275,7 +275,7 @@
 	}
 }
 
-// pickClient returns a random one of the first count clients. The zones are weighted by their
+// pickClient returns a random client among the first count clients. The zones are weighted by their
 // demand according to ZoneDemandRatio.
 func (s *simulation) pickClient(count int) *client {
 	if s.scenario.ZoneDemandRatio == 0 {
--- a/internal/lab/surge/scenario.go
+++ b/internal/lab/surge/scenario.go
@@ -108,12 +108,12 @@
 	Requests, InTime, Late, Failed int
 }
 
-// add adds the other count to c.
-func (c *Count) add(o Count) {
-	c.Requests += o.Requests
-	c.InTime += o.InTime
-	c.Late += o.Late
-	c.Failed += o.Failed
+// add adds the numbers of the other count.
+func (c *Count) add(other Count) {
+	c.Requests += other.Requests
+	c.InTime += other.InTime
+	c.Late += other.Late
+	c.Failed += other.Failed
 }
 
 // InTimeShare returns the share of the requests that were answered in time, 1 if there were none.
@@ -157,8 +157,7 @@
 	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
 }
 
-// ClassCount returns the sum of a class's counts from the second from up to, and without, the second
-// before.
+// ClassCount returns the sum of a class's counts over the seconds [from, before) of the run.
 func (r *Result) ClassCount(name string, from, before int) Count {
 	sum := Count{}
 	counts := r.Classes[name]
--- a/internal/lab/surge/surge_test.go
+++ b/internal/lab/surge/surge_test.go
@@ -15,8 +15,8 @@
 // goodput returns the share of all requests that are answered in time. Important requests count
 // twice.
 func goodput(result *Result) float64 {
-	feed, tap := result.ClassCount(Ordinary, 0, 1000), result.ClassCount(Important, 0, 1000)
-	return float64(feed.InTime+2*tap.InTime) / float64(feed.Requests+2*tap.Requests)
+	ordinary, important := result.ClassCount(Ordinary, 0, 1000), result.ClassCount(Important, 0, 1000)
+	return float64(ordinary.InTime+2*important.InTime) / float64(ordinary.Requests+2*important.Requests)
 }
 
 func sum(counts []int) int {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestOverloadPrefersImportantRequests verifies that, with demand a quarter and a half above the
-// back ends' capacity, more requests are answered in time than without overload control, and most
+// TestOverloadPrefersImportantRequests verifies that, with demand 25% and 50% above the back ends'
+// capacity, more requests are answered in time than without overload control, and most
 // requests of the more important class.
 func TestOverloadPrefersImportantRequests(t *testing.T) {
 	gains := map[float64]float64{2.5: 0.13, 3: 0.09} // by load
--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire encodes and sends the packets of the stand-ins: TCP segments and UDP datagrams in
+// Package wire encodes and sends the packets of the simulators: TCP segments and UDP datagrams in
 // inner IP packets, which are encapsulated in Geneve over UDP.
 //
 // Hosts answer clients directly, so they must derive the socket of a client from its inner address.
--- a/internal/tokennode/platform_test.go
+++ b/internal/tokennode/platform_test.go
@@ -81,7 +81,7 @@
 
 func TestStoreOutage(t *testing.T) {
 	for _, fault := range []platformsim.Fault{
-		platformsim.FaultBusy, platformsim.FaultSilent, platformsim.FaultReset, platformsim.FaultThrottled, platformsim.FaultSlow,
+		platformsim.FaultBusy, platformsim.FaultUnresponsive, platformsim.FaultReset, platformsim.FaultThrottled, platformsim.FaultSlow,
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			testbed := newTestbed(t, 3)
