--- a/cmd/robinctl/load_test.go
+++ b/cmd/robinctl/load_test.go
@@ -65,7 +65,7 @@
 		{[]string{valid, "--service", "wep"}, exitBadInput, `service "wep"`, ""},
 		{[]string{"127.0.0.1:1"}, exitUnavailable, "1 of 1 balancers; the first is 127.0.0.1:1", ""},
 		{[]string{valid, newFakeNode(t, http.StatusNotFound, "")}, exitUnavailable, "status 404", "web"},
-		{[]string{newFakeNode(t, http.StatusOK, "<html>")}, exitUnavailable, "answer", ""},
+		{[]string{newFakeNode(t, http.StatusOK, "<html>")}, exitUnavailable, "decode the response", ""},
 		{[]string{newFakeNode(t, http.StatusOK, `{"node":"","zone":"za"}`)}, exitUnavailable, `node ""`, ""},
 	} {
 		got := robinctl(t, "", append([]string{"load"}, test.arguments...)...)
