--- a/cmd/robinctl/robinctl_test.go
+++ b/cmd/robinctl/robinctl_test.go
@@ -122,7 +122,7 @@
 	}{
 		{"wait", storesim.Faults{}, "/v3/watch", 1, exitWaitTimeout, "no zone"},
 		{"drain web-1 --wait", storesim.Faults{}, "/v3/watch", 1, exitWaitTimeout, "backend web-1  changed"},
-		{"drain web-1", storesim.Faults{LostAnswers: 1000}, "/v3/kv/txn", 2, exitUnknown, "outcome of the write unknown"},
+		{"drain web-1", storesim.Faults{LostResponses: 1000}, "/v3/kv/txn", 2, exitUnknown, "outcome of the write unknown"},
 		{"drain web-1", storesim.Faults{Outage: true}, "/v3/kv/range", 2, exitUnavailable, "store unavailable"},
 	} {
 		is := is.New(t)
--- a/cmd/robinlab/simulators.go
+++ b/cmd/robinlab/simulators.go
@@ -55,7 +55,7 @@
 func (command *storeCommand) Run(ctx context.Context, logger *zerolog.Logger) error {
 	faults := storesim.Faults{
 		DelayMillis:      command.DelayMs,
-		LostAnswers:      command.LostAnswers,
+		LostResponses:    command.LostAnswers,
 		RatePerSecond:    command.RatePerSecond,
 		MachineLagMillis: command.MachineLagMs,
 	}
--- a/internal/lab/hostsim/report.go
+++ b/internal/lab/hostsim/report.go
@@ -31,11 +31,11 @@
 
 // HealthFaults configures how the endpoint returns wrong, late or no responses.
 type HealthFaults struct {
-	Drain       bool `json:"drain"`    // report unhealthy, but keep serving
-	Lie         bool `json:"lie"`      // always report healthy and idle
-	Down        bool `json:"down"`     // respond with an error
-	LagMillis   int  `json:"lag_ms"`   // maximum age of the reported values
-	DelayMillis int  `json:"delay_ms"` // delay of each response
+	Drain         bool `json:"drain"`    // report unhealthy, but keep serving
+	AlwaysHealthy bool `json:"lie"`      // always report healthy and idle
+	Down          bool `json:"down"`     // respond with an error
+	LagMillis     int  `json:"lag_ms"`   // maximum age of the reported values
+	DelayMillis   int  `json:"delay_ms"` // delay of each response
 }
 
 // healthState holds the present faults and the cached health.
@@ -61,7 +61,7 @@
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	faults := host.health.faults
-	if faults.Lie {
+	if faults.AlwaysHealthy {
 		return Health{Healthy: true}
 	}
 	lag := time.Duration(faults.LagMillis) * time.Millisecond
--- a/internal/lab/platformsim/host.go
+++ b/internal/lab/platformsim/host.go
@@ -56,16 +56,16 @@
 
 // Host is one back-end host. It receives packets in the format that the platform calls echo.
 type Host struct {
-	ID         string
-	Service    string
-	Zone       string
-	identity   uint64
-	socket     *net.UDPConn
-	replyPort  uint16
-	responsive atomic.Bool  // false: the host answers nothing
-	coldUntil  atomic.Int64 // Unix time in nanoseconds, until which each packet takes coldDelay
-	work       atomic.Int64 // time of a request in a slot, in nanoseconds
-	handling   sync.Mutex   // locked while the host handles a packet or is stalled
+	ID            string
+	Service       string
+	Zone          string
+	identity      uint64
+	socket        *net.UDPConn
+	replyPort     uint16
+	responsive    atomic.Bool  // false: the host answers nothing
+	coldUntil     atomic.Int64 // Unix time in nanoseconds, until which each packet takes coldDelay
+	work          atomic.Int64 // time of a request in a slot, in nanoseconds
+	handlingMutex sync.Mutex   // locked while the host handles a packet or is stalled
 
 	mutex       sync.Mutex
 	flows       map[flowKey]*hostFlow
@@ -125,8 +125,8 @@
 	host.coldUntil.Store(time.Now().Add(duration).UnixNano())
 }
 
-// Cold reports whether the host is slow at a time because of StartCold.
-func (host *Host) Cold(now time.Time) bool { return now.UnixNano() < host.coldUntil.Load() }
+// IsCold reports whether the host is slow at a time because of StartCold.
+func (host *Host) IsCold(now time.Time) bool { return now.UnixNano() < host.coldUntil.Load() }
 
 // Address returns the address at which the host receives packets.
 func (host *Host) Address() netip.AddrPort { return host.socket.LocalAddr().(*net.UDPAddr).AddrPort() }
@@ -180,13 +180,13 @@
 		if err != nil {
 			return
 		}
-		if host.Cold(time.Now()) {
+		if host.IsCold(time.Now()) {
 			time.Sleep(coldDelay)
 		}
 		if size >= identityBytes && host.responsive.Load() {
-			host.handling.Lock()
+			host.handlingMutex.Lock()
 			host.receive(from, binary.BigEndian.Uint64(buffer), buffer[identityBytes:size])
-			host.handling.Unlock()
+			host.handlingMutex.Unlock()
 		}
 	}
 }
@@ -194,8 +194,8 @@
 // Stall stops the host from handling packets until resume is called. Packets that arrive meanwhile
 // stay in the socket's buffer, as when a process is paused.
 func (host *Host) Stall() (resume func()) {
-	host.handling.Lock()
-	return host.handling.Unlock
+	host.handlingMutex.Lock()
+	return host.handlingMutex.Unlock
 }
 
 func (host *Host) receive(from netip.AddrPort, identity uint64, datagram []byte) {
@@ -226,7 +226,7 @@
 		flow = &hostFlow{initial: uint32(host.identity)<<8 | 1, answers: map[uint32][]byte{}, readyAt: map[uint32]time.Time{}}
 		host.flows[packet.flow()] = flow
 	}
-	answer := packet.reply(flagSYN | flagACK)
+	answer := packet.newAnswer(flagSYN | flagACK)
 	answer.Sequence = flow.initial
 	answer.Acknowledgment = packet.Sequence + 1
 	host.send(packet, &answer)
@@ -236,7 +236,7 @@
 	flow := host.flows[packet.flow()]
 	if flow == nil || !flow.open && packet.Acknowledgment != flow.initial+1 {
 		host.counts.UnknownFlow++
-		answer := packet.reply(flagRST)
+		answer := packet.newAnswer(flagRST)
 		answer.Sequence = packet.Acknowledgment
 		host.send(packet, &answer)
 		return
@@ -247,7 +247,7 @@
 	}
 	if packet.has(flagFIN) {
 		delete(host.flows, packet.flow())
-		answer := packet.reply(flagFIN | flagACK)
+		answer := packet.newAnswer(flagFIN | flagACK)
 		host.send(packet, &answer)
 		return
 	}
@@ -277,7 +277,7 @@
 	if ready.After(now) && known {
 		return // the request is still in its slot
 	}
-	answer := packet.reply(flagACK)
+	answer := packet.newAnswer(flagACK)
 	answer.Sequence = packet.Acknowledgment
 	answer.Acknowledgment = packet.Sequence + uint32(len(packet.Data))
 	answer.Data = data
@@ -287,8 +287,8 @@
 	}
 	request := *packet
 	time.AfterFunc(ready.Sub(now), func() {
-		host.handling.Lock()
-		defer host.handling.Unlock()
+		host.handlingMutex.Lock()
+		defer host.handlingMutex.Unlock()
 		host.send(&request, &answer)
 	})
 }
--- a/internal/lab/platformsim/packet.go
+++ b/internal/lab/platformsim/packet.go
@@ -94,8 +94,8 @@
 
 func (packet *wirePacket) has(flags uint8) bool { return packet.Flags&flags == flags }
 
-// reply returns a packet in the opposite direction, with the same echo.
-func (packet *wirePacket) reply(flags uint8) wirePacket {
+// newAnswer returns an empty packet in the opposite direction, with the same echo.
+func (packet *wirePacket) newAnswer(flags uint8) wirePacket {
 	return wirePacket{
 		Flags:           flags,
 		DestinationPort: packet.SourcePort, SourcePort: packet.DestinationPort,
--- a/internal/lab/platformsim/router.go
+++ b/internal/lab/platformsim/router.go
@@ -13,9 +13,9 @@
 
 // RouterNode is the configuration of one balancer at a router.
 type RouterNode struct {
-	Data  netip.AddrPort
-	Ready string // URL of its readiness probe
-	Zone  string
+	DataAddress netip.AddrPort
+	ReadyURL    string // URL of its readiness probe
+	Zone        string
 }
 
 // Timing of the readiness probes.
@@ -49,7 +49,7 @@
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		ready := router.isReady(ctx, router.nodes[index].Ready)
+		ready := router.isReady(ctx, router.nodes[index].ReadyURL)
 		router.mutex.Lock()
 		router.failedProbes[index]++
 		if ready {
@@ -117,7 +117,7 @@
 	defer router.mutex.Unlock()
 	nodes := nodesInZone(router.selectableNodes(), zone)
 	hash := xxhash.Sum64String(flow.client.String() + flow.frontend.String())
-	return nodes[hash%uint64(len(nodes))].Data, rand.Float64() < router.loss
+	return nodes[hash%uint64(len(nodes))].DataAddress, rand.Float64() < router.loss
 }
 
 // nodesInZone returns the nodes of a zone, or all nodes if the zone has none or is empty.
--- a/internal/lab/runs/allfaults.go
+++ b/internal/lab/runs/allfaults.go
@@ -18,7 +18,7 @@
 var (
 	storeOutage  = storesim.Faults{Outage: true}
 	storeSlow    = storesim.Faults{DelayMillis: 300}
-	storeLossy   = storesim.Faults{LostAnswers: 300}
+	storeLossy   = storesim.Faults{LostResponses: 300}
 	storeHealthy = storesim.Faults{}
 )
 
@@ -37,7 +37,7 @@
 		{Name: "join", Guarantee: "a joining balancer breaks no flow, also with the store down", run: joinWithoutStore},
 		{Name: "store-outage", Guarantee: "flows go on; an accepted change is in force after the outage", run: outageDuringChange},
 		{Name: "slow-store", Guarantee: "changes come in force with a slow store", run: changeWithSlowStore},
-		{Name: "lost-answers", Guarantee: "changes come in force and stay with answers lost", run: changesWithLostAnswers},
+		{Name: "lost-answers", Guarantee: "changes come in force and stay with answers lost", run: changesWithLostResponses},
 		{Name: "racing-operators", Guarantee: "one of racing changes wins, the others are told; none reverts", run: racingOperators},
 		{
 			Name: "rough-fabric", Guarantee: "drain and planned stop with loss, duplication, reordering and delay",
@@ -132,7 +132,7 @@
 	return run.checkPlacement(ctx, run.Hosts[0], lb.BackendDraining)
 }
 
-// changeWithSlowStore changes a host while the store answers slowly, after the store has dropped
+// changeWithSlowStore changes a host while the store responds slowly, after the store has dropped
 // all watches.
 func changeWithSlowStore(ctx context.Context, run *faultRun) error {
 	slow := storeSlow
@@ -149,9 +149,9 @@
 	return run.checkPlacement(ctx, run.Hosts[0], lb.BackendActive)
 }
 
-// changesWithLostAnswers changes two hosts while the store applies requests without answering some
-// of them.
-func changesWithLostAnswers(ctx context.Context, run *faultRun) error {
+// changesWithLostResponses changes two hosts while the store executes writes without responding to
+// some of them.
+func changesWithLostResponses(ctx context.Context, run *faultRun) error {
 	if err := run.SetStoreFaults(ctx, storeLossy); err != nil {
 		return err
 	}
--- a/internal/lab/runs/racing.go
+++ b/internal/lab/runs/racing.go
@@ -21,7 +21,7 @@
 )
 
 // racingOperators lets several operators change the label of one back end concurrently, while the
-// store loses answers. It checks that the history of the changes is linearizable, and that the last
+// store loses responses. It checks that the history of the changes is linearizable, and that the last
 // accepted change comes in force and stays.
 func racingOperators(ctx context.Context, run *faultRun) error {
 	target := run.Hosts[0]
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -81,7 +81,7 @@
 	lastHostFault      time.Time                    // when a host last stopped or stalled
 	activeSurges       int
 	lastSurgeEnd       time.Time
-	currentQuiet       *quietWindow                 // nil outside of quiet windows
+	currentQuietWindow *quietWindow                 // nil outside of quiet windows
 	quietWindows       []*quietWindow               // all, including the current one
 	reachedHostAt      map[netip.AddrPort]time.Time // by client address: last opening at a host
 	refusedAt          map[netip.AddrPort]time.Time // by client address: last refusal
@@ -329,7 +329,7 @@
 // checkCold verifies the limit of openings at a host in its cold start, for the second that ends
 // now. The limit also holds while nodes are disturbed.
 func (c *Checker) checkCold(now time.Time, event *platformsim.HostEvent) {
-	if c.bounds.ColdOpeningsPerSecond == 0 || !event.Host.Cold(now) {
+	if c.bounds.ColdOpeningsPerSecond == 0 || !event.Host.IsCold(now) {
 		return
 	}
 	c.checked.ColdOpenings++
@@ -377,7 +377,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.activeSurges++
-	c.currentQuiet = nil
+	c.currentQuietWindow = nil
 	return func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
--- a/internal/lab/soak/quiet.go
+++ b/internal/lab/soak/quiet.go
@@ -36,16 +36,16 @@
 // recordQuietOpening counts an opening in the current quiet window, which it starts if necessary,
 // and keeps the opening for ClassifyRefusals if it was refused.
 func (c *Checker) recordQuietOpening(opening *Opening, refused bool) {
-	if c.currentQuiet == nil {
-		c.currentQuiet = &quietWindow{since: opening.SentAt}
-		c.quietWindows = append(c.quietWindows, c.currentQuiet)
+	if c.currentQuietWindow == nil {
+		c.currentQuietWindow = &quietWindow{since: opening.SentAt}
+		c.quietWindows = append(c.quietWindows, c.currentQuietWindow)
 	}
-	c.currentQuiet.openings++
+	c.currentQuietWindow.openings++
 	if !c.lastSurgeEnd.IsZero() {
 		c.checked.AfterSurge++
 	}
 	if refused {
-		c.currentQuiet.refused = append(c.currentQuiet.refused, refusal{
+		c.currentQuietWindow.refused = append(c.currentQuietWindow.refused, refusal{
 			sentAt: opening.SentAt, node: opening.Node, allowedServices: c.allowedServices(opening.SentAt, opening.Frontend),
 			flow: fmt.Sprintf("%s>%s", opening.Client, opening.Frontend),
 		})
@@ -77,5 +77,5 @@
 			c.addViolation(window.since, RuleSurge, "%d of %d openings were refused for load outside of surges", loadRefusals, window.openings)
 		}
 	}
-	c.quietWindows, c.currentQuiet = nil, nil
+	c.quietWindows, c.currentQuietWindow = nil, nil
 }
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -139,7 +139,7 @@
 func (s *Site) startClients(ctx context.Context) error {
 	var routerNodes []platformsim.RouterNode
 	for _, n := range s.Nodes {
-		routerNodes = append(routerNodes, platformsim.RouterNode{Data: n.Data, Ready: n.readyURL, Zone: n.Zone})
+		routerNodes = append(routerNodes, platformsim.RouterNode{DataAddress: n.Data, ReadyURL: n.readyURL, Zone: n.Zone})
 	}
 	routerCtx, cancel := context.WithCancel(context.Background())
 	s.onClose(cancel)
--- a/internal/lab/storesim/faults.go
+++ b/internal/lab/storesim/faults.go
@@ -15,9 +15,9 @@
 	Outage bool `json:"outage"`
 	// DelayMillis delays each response, in milliseconds.
 	DelayMillis int `json:"delay_ms"`
-	// LostAnswers is the share of writes, in thousandths, that take effect but whose connection is
-	// closed without a response.
-	LostAnswers int `json:"lost_answers"`
+	// LostResponses is the share of writes, in thousandths, that take effect but whose connection
+	// is closed without a response.
+	LostResponses int `json:"lost_answers"`
 	// RatePerSecond is the rate above which requests are refused. Zero means no limit.
 	RatePerSecond int `json:"rate_per_second"`
 	// MachineLagMillis is the age of the machine list in responses, in milliseconds.
@@ -84,7 +84,7 @@
 func (state *faultState) loseResponse() bool {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
-	return state.random.IntN(1000) < state.faults.LostAnswers
+	return state.random.IntN(1000) < state.faults.LostResponses
 }
 
 func (faults Faults) delay() time.Duration {
--- a/internal/lab/storesim/store_test.go
+++ b/internal/lab/storesim/store_test.go
@@ -81,7 +81,7 @@
 
 func TestWriteWithLostResponseTakesEffect(t *testing.T) {
 	is := is.New(t)
-	server, url := startServer(t, Faults{LostAnswers: 1000})
+	server, url := startServer(t, Faults{LostResponses: 1000})
 	is.Equal(post(t, url+"/v3/kv/put", `{"key":"YQ==","value":"eA=="}`, nil), 0)
 	is.Equal(string(allKeys(t, server.store)[0].Value), "x")
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -263,7 +263,7 @@
 	_, err := watcher.CreateBackend(ctx, webBackend(1))
 	is.NoErr(err)
 	batches := watcher.client.Watch(ctx, catalog.BackendPrefix, 0)
-	server.SetFaults(storesim.Faults{LostAnswers: 200})
+	server.SetFaults(storesim.Faults{LostResponses: 200})
 	var group sync.WaitGroup
 	for number := range operators {
 		operator := newOperator(t, url, fmt.Sprintf("op%d", number), nil)
--- a/internal/tokennode/testbed_test.go
+++ b/internal/tokennode/testbed_test.go
@@ -75,9 +75,9 @@
 		node := testbed.newNode(index)
 		testbed.nodes = append(testbed.nodes, node)
 		routed = append(routed, platformsim.RouterNode{
-			Data:  node.settings.DataAddress,
-			Ready: "http://" + node.settings.AdminAddress.String() + "/readyz",
-			Zone:  string(node.settings.Zone),
+			DataAddress: node.settings.DataAddress,
+			ReadyURL:    "http://" + node.settings.AdminAddress.String() + "/readyz",
+			Zone:        string(node.settings.Zone),
 		})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
