--- a/internal/lab/stream/stream.go
+++ b/internal/lab/stream/stream.go
@@ -1,6 +1,6 @@
 // Package stream implements a small TCP endpoint for the simulators. It supports openings with
-// data (as in TCP Fast Open, RFC 7413), cumulative acknowledgements, retransmission with a fixed timer
-// and in-order delivery. It has no congestion control.
+// data (as in TCP Fast Open, RFC 7413), cumulative acknowledgements, retransmission with a fixed
+// timer and in-order delivery. It has no congestion control.
 package stream
 
 import (
