--- a/internal/lab/platformsim/packet.go
+++ b/internal/lab/platformsim/packet.go
@@ -1,4 +1,4 @@
-// Package platformsim is a stand-in for the users' platform in tests and in the demo: its store,
+// Package platformsim is a simulator of the users' platform for tests and for the demo: its store,
 // routers, hosts and clients, on loopback addresses. It implements the platform's published
 // specification and shares no code with the adapter in platform/, so that a bug in the adapter is
 // not hidden by the same bug here.
@@ -94,8 +94,8 @@
 
 func (packet *wirePacket) has(flags uint8) bool { return packet.Flags&flags == flags }
 
-// reply returns a packet in the opposite direction, with the same echo.
-func (packet *wirePacket) reply(flags uint8) wirePacket {
+// newAnswer returns an empty packet in the opposite direction, with the same echo.
+func (packet *wirePacket) newAnswer(flags uint8) wirePacket {
 	return wirePacket{
 		Flags:           flags,
 		DestinationPort: packet.SourcePort, SourcePort: packet.DestinationPort,
