--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -161,8 +161,7 @@
 	}
 }
 
-// These are the sizes of the JSON of a placement, measured on documents with 14 back ends and
-// rounded up.
+// These are the sizes of the JSON of a placement, rounded up from documents with 14 back ends.
 const (
 	placementBytes         = 250
 	placedBackendBytes     = 110
